--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -2,11 +2,11 @@
 import type { Condition } from "@thorntrail/protocol/state";
 
 /** Why a part is taken from another: its key is gone; it says that it should not lead; it did not answer doubt. */
-export type Loss = "owner gone" | "owner cut off" | "owner suspected";
-export type Reason = Loss | "unowned" | "own former life" | "own ended term" | "home again";
+export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
+export type Reason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
 /** What a node knows of one part, and of who is there, at one moment. */
-export interface Seen {
+export interface ClaimContext {
   self: string;
   life: string;
   home: string;
@@ -28,22 +28,22 @@
 }
 
 /** Should this node claim the part now, and why? A part that is well led elsewhere comes home by `home again`. */
-export function reasonToClaim(seen: Seen): Reason | null {
-  const { self, record, home } = seen;
-  if (record === undefined) return home === self || (seen.settled && !seen.alive(home)) ? "unowned" : null;
-  if (seen.unfit) return null;
+export function reasonToClaim(context: ClaimContext): Reason | null {
+  const { self, record, home } = context;
+  if (record === undefined) return home === self || (context.settled && !context.alive(home)) ? "unowned" : null;
+  if (context.unfit) return null;
   if (record.owner === self) {
     // Our former life led it; that this process runs proves that one over, its answers with it.
-    if (record.life !== seen.life) return "own former life";
-    return seen.termEnded ? "own ended term" : null;
+    if (record.life !== context.life) return "own former life";
+    return context.termEnded ? "own ended term" : null;
   }
-  if (seen.able(record.owner)) return home === self && seen.settled ? "home again" : null;
-  if (seen.heir() !== self && !seen.ownerLate) return null;
-  if (!seen.alive(record.owner)) return "owner gone";
-  return seen.saysUnfit(record.owner) ? "owner cut off" : "owner suspected";
+  if (context.able(record.owner)) return home === self && context.settled ? "home again" : null;
+  if (context.heir() !== self && !context.ownerLate) return null;
+  if (!context.alive(record.owner)) return "owner gone";
+  return context.saysUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
-export function isLoss(reason: Reason): reason is Loss {
+export function isLossReason(reason: Reason): reason is LossReason {
   return reason === "owner gone" || reason === "owner cut off" || reason === "owner suspected";
 }
 
@@ -57,6 +57,6 @@
   reason: Reason,
 ): Condition[] {
   const conditions = [{ k: owner.key, stamp: owner.stamp }];
-  if (isLoss(reason) && presence !== null) conditions.push({ k: presence.key, stamp: presence.stamp });
+  if (isLossReason(reason) && presence !== null) conditions.push({ k: presence.key, stamp: presence.stamp });
   return conditions;
 }
--- a/src/parts/ended-terms.ts
+++ b/src/parts/ended-terms.ts
@@ -11,32 +11,32 @@
 }
 
 /** Workers whose tokens turned out to be nobody's are remembered up to this many, the newest. */
-const MOST_REFUTED = 1000;
+const MAX_REFUTED_HOSTS = 1000;
 
 export class EndedTerms {
   /** By partition. */
-  private readonly terms = new Map<number, { term: number; host: string }>();
-  private readonly refuted = new Set<string>();
+  private readonly endedByPartition = new Map<number, { term: number; host: string }>();
+  private readonly refutedHosts = new Set<string>();
 
   /** Not if its token was once shown to be nobody's: one worker that is wrong must not end term after term. */
-  believes(host: string): boolean {
-    return !this.refuted.has(host);
+  acceptsTokensOf(host: string): boolean {
+    return !this.refutedHosts.has(host);
   }
 
-  end(partition: number, term: number, { host }: NewerToken): void {
-    this.terms.set(partition, { term, host });
+  recordEnd(partition: number, term: number, { host }: NewerToken): void {
+    this.endedByPartition.set(partition, { term, host });
   }
 
   /** Did this very term end here? It is never taken up again; its attempt numbers and tokens are in use. */
-  has(partition: number, term: number): boolean {
-    return this.terms.get(partition)?.term === term;
+  hasEnded(partition: number, term: number): boolean {
+    return this.endedByPartition.get(partition)?.term === term;
   }
 
   /** The record of the term was still there when this controller claimed it anew: nobody else had. */
-  refute(partition: number): void {
-    const ended = this.terms.get(partition);
+  refuteToken(partition: number): void {
+    const ended = this.endedByPartition.get(partition);
     if (ended === undefined) return;
-    this.refuted.add(ended.host);
-    if (this.refuted.size > MOST_REFUTED) this.refuted.delete(this.refuted.values().next().value as string);
+    this.refutedHosts.add(ended.host);
+    if (this.refutedHosts.size > MAX_REFUTED_HOSTS) this.refutedHosts.delete(this.refutedHosts.values().next().value as string);
   }
 }
--- a/src/parts/fence-progress.ts
+++ b/src/parts/fence-progress.ts
@@ -4,7 +4,7 @@
 import type { Part } from "./part.js";
 
 /** Machines that one line names; the rest is counted. */
-const MOST_NAMED = 5;
+const MAX_LISTED_MACHINES = 5;
 
 export class FenceProgress {
   /** By partition under one term: when its last line was written. */
@@ -12,25 +12,31 @@
 
   constructor(
     private readonly log: Log,
-    private readonly gapMs: number,
+    private readonly intervalMs: number,
     private readonly expiryMs: number,
   ) {}
 
   /** Called often; a line comes once a gap, and none of a fence that is over sooner. */
-  look(part: Part, now: number): void {
-    if (now - (this.lastLineAt.get(part) ?? part.since) < this.gapMs) return;
-    this.lastLineAt.set(part, now);
-    const waiting = [...part.machines.values()].filter(({ fenced }) => !fenced);
+  logIfDue(partition: Part, now: number): void {
+    if (now - (this.lastLineAt.get(partition) ?? partition.since) < this.intervalMs) return;
+    this.lastLineAt.set(partition, now);
+    const waiting = [...partition.machines.values()].filter(({ fenced }) => !fenced);
     this.log.info(
       {
-        ...{ part: part.id, term: part.term, ms: Math.round(now - part.since), unfenced: waiting.length, of: part.machines.size },
-        machines: waiting.slice(0, MOST_NAMED).map((machine) => this.shown(machine, now)),
+        ...{
+          part: partition.id,
+          term: partition.term,
+          ms: Math.round(now - partition.since),
+          unfenced: waiting.length,
+          of: partition.machines.size,
+        },
+        machines: waiting.slice(0, MAX_LISTED_MACHINES).map((machine) => this.describe(machine, now)),
       },
       "fence waits for machines",
     );
   }
 
-  private shown(machine: Machine, now: number): Record<string, unknown> {
+  private describe(machine: Machine, now: number): Record<string, unknown> {
     const { host, type, up, token, heardAt, answeredAt, directFailures, directError } = machine;
     const heardAgoMs = heardAt === -Infinity ? null : Math.round(now - heardAt);
     const leaseOverInMs = Math.round(answeredAt + this.expiryMs - now);
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -6,7 +6,7 @@
 import type { Recovery } from "./recovery.js";
 
 /** Tasks seen, and times the usual run time they took, before a machine counts as slow. */
-const SLOW_AFTER = 3;
+const MIN_PACE_SAMPLES = 3;
 const SLOW_FACTOR = 2;
 
 /** What follows from what reports and the passing of time brought about. */
@@ -17,44 +17,44 @@
     private readonly recovery: Recovery,
   ) {}
 
-  act(part: Part, findings: Findings): void {
-    for (const unit of findings.finished) this.progress.record(part, unit);
-    for (const { unit, seconds, host } of findings.runs) {
-      this.judgePace(part, unit, seconds, host);
-      this.context.history.note(unit.spec, seconds);
+  apply(partition: Part, findings: Findings): void {
+    for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
+    for (const { unit: taskSet, seconds, host } of findings.runs) {
+      this.updatePace(partition, taskSet, seconds, host);
+      this.context.history.note(taskSet.spec, seconds);
     }
     const { audit } = this.context;
-    for (const { machine, proof } of findings.fenced) audit.fenced(part, machine, proof);
-    for (const { placement, wanted } of findings.adopted) audit.adopted(part, placement, wanted);
-    for (const placement of findings.began) this.began(part, placement);
+    for (const { machine, proof } of findings.fenced) audit.logFenced(partition, machine, proof);
+    for (const { placement, wanted } of findings.adopted) audit.logAdopted(partition, placement, wanted);
+    for (const placement of findings.began) this.recordTaskStart(partition, placement);
     for (const ended of findings.ended) {
-      audit.gone(part, ended);
+      audit.logGone(partition, ended);
       this.context.account.ended(ended);
     }
-    for (const one of findings.unproven) this.refused(part, one);
-    for (const unit of findings.broken) this.bringDown(part, unit);
+    for (const one of findings.unproven) this.reportInvalidProof(partition, one);
+    for (const taskSet of findings.broken) this.stopGang(partition, taskSet);
     if (findings.changed) this.context.wake();
   }
 
   /** An attempt was to count as gone by a proof that does not hold: a defect, whatever led there. It goes on counting. */
-  private refused(part: Part, { placement, proof, flaw }: Findings["unproven"][number]): void {
-    const { unit, task, attempt, host } = placement;
+  private reportInvalidProof(partition: Part, { placement, proof, flaw }: Findings["unproven"][number]): void {
+    const { unit: taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
     this.context.scope.invariants.violated("an attempt is gone only by proof under this owner's term", {
-      ...{ part: part.id, term: part.term, host, piece: pieceName(unit, task), attempt },
+      ...{ part: partition.id, term: partition.term, host, piece: pieceName(taskSet, task), attempt },
       ...{ reason, ...times, flaw },
     });
   }
 
-  private began(part: Part, placement: Placement): void {
+  private recordTaskStart(partition: Part, placement: Placement): void {
     const { spec, submittedWall, moved } = placement.unit;
     this.context.stats.starts++;
     this.context.account.began(placement);
-    this.recovery.began(part);
+    this.recovery.recordTaskStart(partition);
     this.context.began$.next({ klass: spec.klass, waitS: Math.max(0, this.context.scope.clock.wall() - submittedWall) / 1000 });
     this.context.scope.log.debug(
       {
-        part: part.id,
+        part: partition.id,
         job: spec.ref,
         task: placement.task,
         class: spec.klass,
@@ -68,27 +68,27 @@
   }
 
   /** A machine on which several tasks took much longer than their kin is returned when empty. */
-  private judgePace(part: Part, unit: Unit, seconds: number, host: string): void {
-    const machine = part.machines.get(host);
+  private updatePace(partition: Part, taskSet: Unit, seconds: number, host: string): void {
+    const machine = partition.machines.get(host);
     // A gang runs as fast as its slowest machine, so its times accuse none of them.
-    if (machine === undefined || unit.spec.kind !== "array") return;
-    machine.pace.sum += Math.log(seconds / this.context.history.expectS(unit.spec));
+    if (machine === undefined || taskSet.spec.kind !== "array") return;
+    machine.pace.sum += Math.log(seconds / this.context.history.expectS(taskSet.spec));
     machine.pace.count++;
-    if (machine.draining || machine.pace.count < SLOW_AFTER || machine.pace.sum / machine.pace.count < Math.log(SLOW_FACTOR)) return;
+    if (machine.draining || machine.pace.count < MIN_PACE_SAMPLES || machine.pace.sum / machine.pace.count < Math.log(SLOW_FACTOR)) return;
     machine.draining = true;
     this.context.scope.log.info(
-      { part: part.id, host, factor: Math.exp(machine.pace.sum / machine.pace.count) },
+      { part: partition.id, host, factor: Math.exp(machine.pace.sum / machine.pace.count) },
       "machine set aside: slow",
     );
   }
 
   /** A gang lost a member: the rest must go before all can start again. */
-  bringDown(part: Part, unit: Unit): void {
-    for (const placement of unit.placed.values()) {
+  stopGang(partition: Part, taskSet: Unit): void {
+    for (const placement of taskSet.placed.values()) {
       if (placement.stop !== null) continue;
       placement.stop = { graceS: 0 };
-      const machine = part.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ part, machine });
+      const machine = partition.machines.get(placement.host);
+      if (machine !== undefined) this.context.dispatch$.next({ part: partition, machine });
     }
   }
 }
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -8,7 +8,7 @@
 import type { TeamSettings } from "../settings/platform-file.js";
 import type { Usage } from "./part.js";
 
-export interface TeamUse extends Usage {
+export interface TeamUsage extends Usage {
   team: string;
 }
 
@@ -18,20 +18,20 @@
 }
 
 /** Does the job use what its team has a guarantee of? A guarantee of 0 is none. */
-function covered(spec: JobSpec, team: TeamSettings): boolean {
+function usesGuaranteedResource(spec: JobSpec, team: TeamSettings): boolean {
   return (team.cpus > 0 && spec.cpus > 0) || (team.gpus > 0 && spec.gpus > 0);
 }
 
-function fitsIn(sum: Usage, team: TeamSettings): boolean {
-  const slack = 1e-6;
-  return (team.cpus <= 0 || sum.cpus <= team.cpus + slack) && (team.gpus <= 0 || sum.gpus <= team.gpus + slack);
+function fitsGuarantee(sum: Usage, team: TeamSettings): boolean {
+  const tolerance = 1e-6;
+  return (team.cpus <= 0 || sum.cpus <= team.cpus + tolerance) && (team.gpus <= 0 || sum.gpus <= team.gpus + tolerance);
 }
 
 /**
  * Jobs that fit into their team's guarantee together with the team's earlier
  * unfinished ones. Once granted it stays: what came later does not take it away.
  */
-export function grant(jobs: Iterable<JobRecord>, teams: readonly TeamSettings[], granted: Set<string>): Set<string> {
+export function grantGuarantees(jobs: Iterable<JobRecord>, teams: readonly TeamSettings[], granted: Set<string>): Set<string> {
   const byTeam = new Map<string, JobRecord[]>();
   for (const job of jobs) {
     if (job.end !== undefined) continue;
@@ -43,18 +43,18 @@
   for (const team of teams) {
     const sum = { cpus: 0, gpus: 0 };
     for (const { spec } of (byTeam.get(team.name) ?? []).sort((a, b) => a.at - b.at)) {
-      if (!covered(spec, team)) continue;
+      if (!usesGuaranteedResource(spec, team)) continue;
       const { cpus, gpus } = demand(spec);
       sum.cpus += cpus;
       sum.gpus += gpus;
-      if (granted.has(spec.ref) || fitsIn(sum, team)) result.add(spec.ref);
+      if (granted.has(spec.ref) || fitsGuarantee(sum, team)) result.add(spec.ref);
     }
   }
   return result;
 }
 
 /** Teams that run less than they are guaranteed, of everything that they have a guarantee of. */
-export function below(teams: readonly TeamSettings[], total: ReadonlyMap<string, Usage>): Set<string> {
+export function teamsBelowGuarantee(teams: readonly TeamSettings[], total: ReadonlyMap<string, Usage>): Set<string> {
   const less = (used: number, guaranteed: number): boolean => guaranteed <= 0 || used < guaranteed;
   const owed = teams.filter(({ name, cpus, gpus }) => {
     const used = total.get(name) ?? { cpus: 0, gpus: 0 };
@@ -70,9 +70,9 @@
  */
 export class Guarantees {
   private granted = new Set<string>();
-  private readonly reported = new Map<string, { use: TeamUse[]; at: number }>();
+  private readonly reportsByNode = new Map<string, { use: TeamUsage[]; at: number }>();
   /** The sum of what was reported, and when the first of it is too old to count; null: to be made. */
-  private others: { use: ReadonlyMap<string, Usage>; until: number } | null = null;
+  private remoteUsageCache: { use: ReadonlyMap<string, Usage>; until: number } | null = null;
 
   constructor(
     private readonly settings: Settings,
@@ -86,7 +86,7 @@
     this.scope.routine(
       "guarantees",
       () => this.settings.timing.reportMs / 4,
-      () => this.review(),
+      () => this.updateGranted(),
     );
   }
 
@@ -94,21 +94,21 @@
     return this.configuration.teams;
   }
 
-  private review(): void {
+  private updateGranted(): void {
     if (this.granted.size === 0 && this.teams.every((team) => team.cpus <= 0 && team.gpus <= 0)) return;
     // What waits for other jobs holds no part of its team's guarantee.
     const jobs: JobRecord[] = [];
     for (const { v } of this.mirror.openJobs().values()) if (!this.needs.waits(v.spec.ref)) jobs.push(v);
-    this.granted = grant(jobs, this.teams, this.granted);
+    this.granted = grantGuarantees(jobs, this.teams, this.granted);
   }
 
   within(ref: string): boolean {
     return this.granted.has(ref);
   }
 
-  hear(node: string, use: TeamUse[]): void {
-    this.reported.set(node, { use, at: this.scope.clock.now() });
-    this.others = null;
+  hear(node: string, use: TeamUsage[]): void {
+    this.reportsByNode.set(node, { use, at: this.scope.clock.now() });
+    this.remoteUsageCache = null;
   }
 
   /**
@@ -116,16 +116,16 @@
    * (`job`): it has seconds to start. Elsewhere the work of teams that run less than their guarantee (`team`), in its own
    * order: the earliest that fit it, first come, would all be begun on a full day, and few ended.
    */
-  first(own: TeamUse[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
+  priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(aimS(this.settings.platform, "guarantee", undefined)))
       return { job: (spec) => this.within(spec.ref), team: () => false };
-    const owed = below(this.teams, this.total(own));
+    const owed = teamsBelowGuarantee(this.teams, this.totalUsage(own));
     return { job: () => false, team: (spec) => owed.has(spec.team) };
   }
 
   /** What teams run beyond their guarantee, with what this node itself runs given. */
-  excess(own: TeamUse[]): Map<string, Usage> {
-    const total = this.total(own);
+  excess(own: TeamUsage[]): Map<string, Usage> {
+    const total = this.totalUsage(own);
     const beyond = new Map<string, Usage>();
     for (const { name, cpus, gpus } of this.teams) {
       const used = total.get(name);
@@ -135,30 +135,30 @@
   }
 
   /** What teams run over all partitions. */
-  private total(own: TeamUse[]): Map<string, Usage> {
-    const total = new Map(this.elsewhere());
-    for (const use of own) addUse(total, use);
+  private totalUsage(own: TeamUsage[]): Map<string, Usage> {
+    const total = new Map(this.remoteUsage());
+    for (const use of own) addUsage(total, use);
     return total;
   }
 
   /** What teams run in the partitions of others: asked for with every scheduling cycle, made anew once any of it changed. */
-  private elsewhere(): ReadonlyMap<string, Usage> {
+  private remoteUsage(): ReadonlyMap<string, Usage> {
     const now = this.scope.clock.now();
-    if (this.others !== null && now < this.others.until) return this.others.use;
+    if (this.remoteUsageCache !== null && now < this.remoteUsageCache.until) return this.remoteUsageCache.use;
     const use = new Map<string, Usage>();
     let until = Infinity;
-    for (const report of this.reported.values()) {
+    for (const report of this.reportsByNode.values()) {
       const expiresAt = report.at + this.settings.timing.reportMs;
       if (now >= expiresAt) continue;
       until = Math.min(until, expiresAt);
-      for (const one of report.use) addUse(use, one);
+      for (const one of report.use) addUsage(use, one);
     }
-    this.others = { use, until };
+    this.remoteUsageCache = { use, until };
     return use;
   }
 }
 
-function addUse(total: Map<string, Usage>, { team, cpus, gpus }: TeamUse): void {
+function addUsage(total: Map<string, Usage>, { team, cpus, gpus }: TeamUsage): void {
   const sum = total.get(team);
   total.set(team, sum === undefined ? { cpus, gpus } : { cpus: sum.cpus + cpus, gpus: sum.gpus + gpus });
 }
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -11,7 +11,7 @@
 import type { Part } from "./part.js";
 import type { StartGuard } from "./start-guard.js";
 
-export interface LeadStats {
+export interface LeaderStats {
   starts: number;
   takeovers: number;
   preemptions: number;
@@ -28,7 +28,7 @@
   readonly history: RunHistory;
   readonly types: MachineType[];
   typeOf(name: string): MachineType | undefined;
-  readonly stats: LeadStats;
+  readonly stats: LeaderStats;
   /** What became of the work led here, by class. */
   readonly account: Account;
   /** Machines with orders that should not wait for the next report. */
@@ -47,7 +47,7 @@
   /** No proof that all cancellations and takeovers are known: workers must not be answered. */
   silent(): boolean;
   /** A worker shows a newer owner's token: the partition's term ends here at once. False: it is not believed. */
-  supersede(part: Part, seen: NewerToken): boolean;
+  supersede(partition: Part, seen: NewerToken): boolean;
   /** Runs a placement pass soon. */
   wake(): void;
 }
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -19,11 +19,11 @@
 import type { NewerToken } from "./ended-terms.js";
 import { MachineStartup } from "./machine-startup.js";
 import { FindingEffects } from "./finding-effects.js";
-import type { Guarantees, TeamUse } from "./guarantees.js";
-import type { LeadStats, LeaderContext } from "./leader-context.js";
-import { Holdings } from "./holdings.js";
+import type { Guarantees, TeamUsage } from "./guarantees.js";
+import type { LeaderStats, LeaderContext } from "./leader-context.js";
+import { OwnedPartitions } from "./owned-partitions.js";
 import type { Part } from "./part.js";
-import { Scheduling } from "./scheduling.js";
+import { Scheduler } from "./scheduler.js";
 import { Progress } from "./progress.js";
 import { Recovery } from "./recovery.js";
 import { ReportHandler } from "./report-handler.js";
@@ -43,22 +43,22 @@
   readonly began$ = new Subject<{ klass: string; waitS: number }>();
   types: MachineType[] = [];
   readonly recovery = new Recovery(this);
-  private readonly watch: LeaseWatch;
-  private readonly scheduling: Scheduling;
-  private readonly reports: ReportHandler;
-  private readonly holdings: Holdings;
+  private readonly leaseWatch: LeaseWatch;
+  private readonly scheduler: Scheduler;
+  private readonly reportHandler: ReportHandler;
+  private readonly ownedPartitions: OwnedPartitions;
   /** When the last stall ended in which this node's presence may have run out. */
-  private wokeAt = -Infinity;
+  private stallEndedAt = -Infinity;
   readonly account = new Account();
   readonly audit: Audit;
   readonly startGuard: StartGuard;
   private wasSilent = false;
-  private readonly shares: Shares;
-  readonly stats: LeadStats = { starts: 0, takeovers: 0, preemptions: 0, fencedMs: 0, superseded: 0 };
+  private readonly classShares: Shares;
+  readonly stats: LeaderStats = { starts: 0, takeovers: 0, preemptions: 0, fencedMs: 0, superseded: 0 };
 
   constructor(
     readonly settings: Settings,
-    life: string,
+    incarnation: string,
     private readonly mirror: Mirror,
     rentals: Rentals,
     needs: Needs,
@@ -73,30 +73,30 @@
     this.history = new RunHistory(settings.operators.queue.guesses);
     const progress = new Progress(this, mirror, committer);
     const effects = new FindingEffects(this, progress, this.recovery);
-    this.watch = new LeaseWatch(this, progress, effects, this.recovery);
-    this.shares = new Shares(settings, mirror, scope);
-    this.scheduling = new Scheduling(this, quotaShares, guarantees, overload, this.shares);
+    this.leaseWatch = new LeaseWatch(this, progress, effects, this.recovery);
+    this.classShares = new Shares(settings, mirror, scope);
+    this.scheduler = new Scheduler(this, quotaShares, guarantees, overload, this.classShares);
     const machineStartup = new MachineStartup(this, mirror, rentals, committer);
-    this.reports = new ReportHandler(this, mirror, rentals, progress, machineStartup, effects, this.watch);
-    this.holdings = new Holdings(this, life, mirror, rentals, needs, progress, effects, this.watch);
+    this.reportHandler = new ReportHandler(this, mirror, rentals, progress, machineStartup, effects, this.leaseWatch);
+    this.ownedPartitions = new OwnedPartitions(this, incarnation, mirror, rentals, needs, progress, effects, this.leaseWatch);
   }
 
   start(): void {
-    this.shares.start();
-    this.holdings.start();
+    this.classShares.start();
+    this.ownedPartitions.start();
     this.scope.routine(
       "summary",
       () => this.settings.operators.exchange.sigma * 1000,
       () => {
-        for (const part of this.parts.values()) summarize(this, this.quotaShares, part);
+        for (const partition of this.parts.values()) summarize(this, this.quotaShares, partition);
       },
     );
     this.scope.routine(
       "watchdog",
       () => this.settings.timing.reportMs / 5,
       () => {
-        this.noteSilence();
-        this.scope.costs.spend("watch", () => this.watch.look());
+        this.logSilenceChange();
+        this.scope.costs.spend("watch", () => this.leaseWatch.look());
       },
     );
   }
@@ -120,11 +120,11 @@
    * to one that wakes, another's live machines would seem lost, and be returned.
    */
   silent(): boolean {
-    return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.provenAt < this.wokeAt;
+    return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.provenAt < this.stallEndedAt;
   }
 
   /** Between these two lines this node answered no worker and ordered nothing. */
-  private noteSilence(): void {
+  private logSilenceChange(): void {
     const silent = this.silent();
     if (silent === this.wasSilent || this.parts.size === 0) return;
     this.wasSilent = silent;
@@ -152,12 +152,12 @@
    */
   stoodStill(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
-      this.wokeAt = this.now;
+      this.stallEndedAt = this.now;
       void this.mirror.fresh().catch(() => undefined);
     }
-    for (const part of this.parts.values()) {
-      part.since += ms;
-      for (const machine of part.machines.values()) {
+    for (const partition of this.parts.values()) {
+      partition.since += ms;
+      for (const machine of partition.machines.values()) {
         machine.heardAt += ms;
         machine.reportedAt += ms;
         machine.hiredAt += ms;
@@ -168,17 +168,17 @@
   }
 
   /** Confirmed gone, with everything on it. */
-  forgetMachine(part: Part, machine: Machine): void {
-    this.holdings.forgetMachine(part, machine);
+  forgetMachine(partition: Part, machine: Machine): void {
+    this.ownedPartitions.forgetMachine(partition, machine);
   }
 
-  supersede(part: Part, seen: NewerToken): boolean {
-    return this.holdings.supersede(part, seen);
+  supersede(partition: Part, seen: NewerToken): boolean {
+    return this.ownedPartitions.endSupersededTerm(partition, seen);
   }
 
   /** Machines whose lease is over by the clock and not by proof. */
   get unprovenLeases(): number {
-    return this.watch.unprovenLeases;
+    return this.leaseWatch.unprovenLeases;
   }
 
   /** Since when ownership is not proven anew, in ms. */
@@ -187,12 +187,12 @@
   }
 
   termEnded(partition: number, term: number): boolean {
-    return this.holdings.endedTerms.has(partition, term);
+    return this.ownedPartitions.endedTerms.hasEnded(partition, term);
   }
 
   /** This node has claimed the record of the term that it ended: the worker's token was nobody's. */
   newerTokenRefuted(partition: number): void {
-    this.holdings.endedTerms.refute(partition);
+    this.ownedPartitions.endedTerms.refuteToken(partition);
   }
 
   typeOf(name: string): MachineType | undefined {
@@ -202,8 +202,8 @@
   /** Types become known, or known anew, from the cloud. */
   setTypes(types: MachineType[]): void {
     this.types = types;
-    for (const part of this.parts.values()) {
-      for (const machine of part.machines.values()) {
+    for (const partition of this.parts.values()) {
+      for (const machine of partition.machines.values()) {
         const type = this.typeOf(machine.type);
         if (type !== undefined) machine.capacity = { cpus: type.cpus, gpus: type.gpus, ram: type.ram };
       }
@@ -218,31 +218,31 @@
   // ---- what others ask of the duties
 
   onReport(report: Report): ReportAnswer {
-    return this.reports.onReport(report);
+    return this.reportHandler.onReport(report);
   }
 
-  onCommandReply(part: Part, machine: Machine, report: Report): void {
-    this.reports.onCommandReply(part, machine, report);
+  onCommandReply(partition: Part, machine: Machine, report: Report): void {
+    this.reportHandler.onCommandReply(partition, machine, report);
   }
 
   /** What a worker answered to a command with the lowest token, which says what token it has seen. */
   onProbeReply(report: Report): void {
-    this.reports.onProbeReply(report);
+    this.reportHandler.onProbeReply(report);
   }
 
   wake(): void {
-    this.scheduling.wake();
+    this.scheduler.requestCycle();
   }
 
   order(): LocalOrder {
-    return this.scheduling.order();
+    return this.scheduler.queueOrder();
   }
 
-  use(): TeamUse[] {
-    return this.scheduling.use();
+  use(): TeamUsage[] {
+    return this.scheduler.usageByTeam();
   }
 
   bootMs(machine: Machine): number {
-    return this.scheduling.bootMs(machine);
+    return this.scheduler.bootMs(machine);
   }
 }
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -14,7 +14,7 @@
 /** What the passing of time brings: leases that run out, notices, the end of fencing. */
 export class LeaseWatch {
   /** Of a part that is fenced: a machine that was not accounted for when last looked. */
-  private readonly waitsFor = new WeakMap<Part, string>();
+  private readonly unfencedMachine = new WeakMap<Part, string>();
   private readonly fenceProgress: FenceProgress;
   /** Machines whose lease is over by the clock, and may have been renewed by an heir, when last looked. */
   unprovenLeases = 0;
@@ -35,21 +35,21 @@
     const { expiryMs } = this.context.settings.timing;
     const { now, provenAt } = this.context;
     let unproven = 0;
-    for (const part of this.context.parts.values()) {
-      for (const machine of part.machines.values()) {
+    for (const partition of this.context.parts.values()) {
+      for (const machine of partition.machines.values()) {
         if (!machine.lost && leaseOver(machine, now, expiryMs)) {
-          if (leaseOver(machine, provenAt, expiryMs)) this.lose(part, machine);
+          if (leaseOver(machine, provenAt, expiryMs)) this.markLost(partition, machine);
           else unproven++;
         }
-        if (part.phase === "serving" && (machine.noticeAt !== null || machine.draining)) this.evacuate(part, machine);
-        if (!machine.fenced && !machine.lost && part.phase === "fencing") this.context.dispatch$.next({ part, machine });
+        if (partition.phase === "serving" && (machine.noticeAt !== null || machine.draining)) this.evacuate(partition, machine);
+        if (!machine.fenced && !machine.lost && partition.phase === "fencing") this.context.dispatch$.next({ part: partition, machine });
       }
-      if (part.phase === "fencing") this.reviewFence(part);
-      if (part.phase === "fencing") this.fenceProgress.look(part, now);
-      this.recovery.look(part);
+      if (partition.phase === "fencing") this.checkFence(partition);
+      if (partition.phase === "fencing") this.fenceProgress.logIfDue(partition, now);
+      this.recovery.checkCompletion(partition);
     }
     this.unprovenLeases = unproven;
-    if (unproven > 0) void this.proveAndLook();
+    if (unproven > 0) void this.proveAndCheck();
     this.context.wake();
   }
 
@@ -57,7 +57,7 @@
    * Leases are over by the clock, and the newest read is older than their ends. While the state service answers, one more
    * read settles it at once; in an outage they wait for its end, and reads go on at their own pace.
    */
-  private async proveAndLook(): Promise<void> {
+  private async proveAndCheck(): Promise<void> {
     const { now, provenAt, settings } = this.context;
     if (this.proving || now - provenAt > settings.timing.contactMs) return;
     this.proving = true;
@@ -73,50 +73,50 @@
   }
 
   /** Nobody answered it validly for longer than its lease: its tasks are gone. */
-  private lose(part: Part, machine: Machine): void {
+  private markLost(partition: Part, machine: Machine): void {
     const { now, provenAt, scope, settings } = this.context;
     const { expiryMs } = settings.timing;
     const { host, session, answeredAt } = machine;
     machine.lost = true;
     const findings = newFindings();
-    fence(part, machine, "lease", findings.fenced);
-    dropAll({ part, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
+    fence(partition, machine, "lease", findings.fenced);
+    dropAll({ part: partition, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
     findings.changed = true;
     scope.log.info(
       {
-        ...{ part: part.id, term: part.term, host, session, leaseMs: Math.round(expiryMs) },
+        ...{ part: partition.id, term: partition.term, host, session, leaseMs: Math.round(expiryMs) },
         ...{ answeredAgoMs: Math.round(now - answeredAt), provenAgoMs: Math.round(now - provenAt) },
       },
       "machine lost: its lease ran out",
     );
-    this.effects.act(part, findings);
+    this.effects.apply(partition, findings);
   }
 
-  reviewFence(part: Part): void {
+  checkFence(partition: Part): void {
     // The one found missing last mostly still is: a report must not cost a look at all machines.
-    if (part.machines.get(this.waitsFor.get(part) ?? "")?.fenced === false) return;
-    for (const machine of part.machines.values()) {
+    if (partition.machines.get(this.unfencedMachine.get(partition) ?? "")?.fenced === false) return;
+    for (const machine of partition.machines.values()) {
       if (machine.fenced) continue;
-      this.waitsFor.set(part, machine.host);
+      this.unfencedMachine.set(partition, machine.host);
       return;
     }
-    part.phase = "serving";
-    this.recovery.fenced(part, this.waitsFor.get(part) ?? null);
-    this.context.stats.fencedMs = Math.round(this.context.now - part.since);
+    partition.phase = "serving";
+    this.recovery.recordFenced(partition, this.unfencedMachine.get(partition) ?? null);
+    this.context.stats.fencedMs = Math.round(this.context.now - partition.since);
     this.context.scope.log.info(
       {
-        part: part.id,
-        term: part.term,
-        ms: Math.round(this.context.now - part.since),
-        machines: part.machines.size,
-        fencedBy: part.fencedBy,
+        part: partition.id,
+        term: partition.term,
+        ms: Math.round(this.context.now - partition.since),
+        machines: partition.machines.size,
+        fencedBy: partition.fencedBy,
       },
       "all machines accounted for; placing",
     );
     // Gangs found incomplete cannot be completed by a new attempt: bring them down.
-    for (const unit of part.units.values()) {
-      if (isBrokenGang(unit)) this.effects.bringDown(part, unit);
-      if (unit.done.count > 0) this.progress.record(part, unit);
+    for (const taskSet of partition.units.values()) {
+      if (isBrokenGang(taskSet)) this.effects.stopGang(partition, taskSet);
+      if (taskSet.done.count > 0) this.progress.record(partition, taskSet);
     }
     this.context.wake();
   }
@@ -125,7 +125,7 @@
    * Work that can save, and replicas, leave a machine that is going while there is
    * time; what would finish first, or cannot save anyway, runs on.
    */
-  private evacuate(part: Part, machine: Machine): void {
+  private evacuate(partition: Part, machine: Machine): void {
     const { reportMs } = this.context.settings.timing;
     const leftMs = machine.noticeAt === null ? Infinity : machine.noticeAt - this.context.now;
     for (const placement of machine.placements.values()) {
@@ -136,15 +136,15 @@
       if (!isService && (machine.noticeAt === null || spec.checkpointS <= 0)) continue;
       const ranS = (this.context.now - (placement.runningAt ?? this.context.now)) / 1000;
       const runLeftMs = this.context.history.leftS(spec, ranS) * 1000;
-      const now = isService || (leftMs < flushMs + 2 * reportMs && leftMs > flushMs && runLeftMs > leftMs);
-      if (!now) continue;
+      const stopNow = isService || (leftMs < flushMs + 2 * reportMs && leftMs > flushMs && runLeftMs > leftMs);
+      if (!stopNow) continue;
       // All of a gang must be told within `gang_peer_s` of the first, or the save fails.
-      const together = spec.kind === "gang" ? [...placement.unit.placed.values()] : [placement];
-      for (const mate of together) {
-        const host = part.machines.get(mate.host);
-        if (mate.stop !== null || host === undefined) continue;
-        mate.stop = { graceS: spec.flushS };
-        this.context.dispatch$.next({ part, machine: host });
+      const affected = spec.kind === "gang" ? [...placement.unit.placed.values()] : [placement];
+      for (const member of affected) {
+        const machineOfMember = partition.machines.get(member.host);
+        if (member.stop !== null || machineOfMember === undefined) continue;
+        member.stop = { graceS: spec.flushS };
+        this.context.dispatch$.next({ part: partition, machine: machineOfMember });
       }
     }
   }
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -18,30 +18,30 @@
   ) {}
 
   /** Machines of a rental that have come up are recorded together, in one write. */
-  record(part: Part, machine: Machine): void {
+  record(partition: Part, machine: Machine): void {
     const key = this.rentals.get(machine.host)?.key;
     if (key === undefined || machine.addr === null || this.pending.has(key)) return;
     this.pending.add(key);
-    const came = (host: string): string | null => {
-      const known = part.machines.get(host);
-      return known === undefined || known.heardAt === -Infinity || known.deleting ? null : known.addr;
+    const reportedAddress = (host: string): string | null => {
+      const current = partition.machines.get(host);
+      return current === undefined || current.heardAt === -Infinity || current.deleting ? null : current.addr;
     };
     const draft = () => {
       const entry = this.mirror.get<RentalRecord>(key);
-      if (entry?.v.hosts === undefined || this.mirror.stamp(keys.owner(part.id)) !== part.term) return null;
+      if (entry?.v.hosts === undefined || this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
       const hosts = { ...entry.v.hosts };
-      let more = 0;
+      let changed = 0;
       for (const [host, addr] of Object.entries(hosts)) {
-        const at = addr === "" ? came(host) : null;
-        if (at === null) continue;
-        hosts[host] = at;
-        more++;
+        const address = addr === "" ? reportedAddress(host) : null;
+        if (address === null) continue;
+        hosts[host] = address;
+        changed++;
       }
-      if (more === 0) return null;
+      if (changed === 0) return null;
       return {
         conditions: [
           { k: key, stamp: entry.stamp },
-          { k: keys.owner(part.id), stamp: part.term },
+          { k: keys.owner(partition.id), stamp: partition.term },
         ],
         apply: [{ write: key, v: { ...entry.v, hosts } satisfies RentalRecord }],
       };
@@ -51,9 +51,9 @@
       if (outcome === "shed") return;
       // Those that came up while the write was under way.
       const hosts = this.mirror.get<RentalRecord>(key)?.v.hosts ?? {};
-      const late = Object.entries(hosts).find(([host, addr]) => addr === "" && came(host) !== null);
-      const next = late === undefined ? undefined : part.machines.get(late[0]);
-      if (next !== undefined && this.context.parts.get(part.id) === part) this.record(part, next);
+      const remaining = Object.entries(hosts).find(([host, addr]) => addr === "" && reportedAddress(host) !== null);
+      const next = remaining === undefined ? undefined : partition.machines.get(remaining[0]);
+      if (next !== undefined && this.context.parts.get(partition.id) === partition) this.record(partition, next);
       this.context.wake();
     });
   }
--- a/src/parts/holdings.ts
+++ b/src/parts/owned-partitions.ts
@@ -11,63 +11,64 @@
 import type { FindingEffects } from "./finding-effects.js";
 import { EndedTerms, type NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
-import { addMachine, addUnit, newPart, removeUnit, type Part } from "./part.js";
+import { addMachine, addUnit, newPart, removeTaskSet, type Part } from "./part.js";
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
 /** What the records say this node holds: parts won and lost, their machines, their work. */
-export class Holdings {
-  private readonly taking = new Set<string>();
+export class OwnedPartitions {
+  private readonly takingOver = new Set<string>();
   /** Jobs of several slices whose slices have been looked for. */
-  private readonly sliced = new Set<string>();
+  private readonly slicesReconciled = new Set<string>();
   readonly endedTerms = new EndedTerms();
 
   constructor(
     private readonly context: LeaderContext,
-    private readonly life: string,
+    private readonly incarnation: string,
     private readonly mirror: Mirror,
     private readonly rentals: Rentals,
     private readonly needs: Needs,
     private readonly progress: Progress,
     private readonly effects: FindingEffects,
-    private readonly watch: LeaseWatch,
+    private readonly leaseWatch: LeaseWatch,
   ) {}
 
   start(): void {
     this.context.scope.listen(this.mirror.changes$, (key) => this.onChange(key));
-    this.context.scope.listen(this.rentals.changes$, (host) => this.reviewMachine(host));
+    this.context.scope.listen(this.rentals.changes$, (host) => this.reconcileMachine(host));
     this.context.scope.listen(this.needs.ready$, (ref) => {
-      this.reviewWork(keys.job(ref));
-      this.reviewSlices(ref);
+      this.reconcileWork(keys.job(ref));
+      this.reconcileSlices(ref);
     });
     this.context.scope.listen(this.needs.lifted$, (ref) => {
-      for (const part of this.context.parts.values()) for (const unit of part.byRef.get(ref) ?? []) unit.urgency = this.needs.urgency(ref);
+      for (const partition of this.context.parts.values())
+        for (const taskSet of partition.byRef.get(ref) ?? []) taskSet.urgency = this.needs.urgency(ref);
       this.context.wake();
     });
   }
 
   private onChange(key: string): void {
     if (key === "") {
-      for (let part = 0; part < this.context.settings.nodes.length; part++) this.reviewOwner(part);
+      for (let partition = 0; partition < this.context.settings.nodes.length; partition++) this.reconcileOwner(partition);
       return;
     }
-    if (key.startsWith(keys.owners)) this.reviewOwner(Number(key.slice(keys.owners.length)));
-    else if (key.startsWith(keys.jobs) || key.startsWith(keys.slices)) this.reviewWork(key);
+    if (key.startsWith(keys.owners)) this.reconcileOwner(Number(key.slice(keys.owners.length)));
+    else if (key.startsWith(keys.jobs) || key.startsWith(keys.slices)) this.reconcileWork(key);
     else if (key.startsWith(keys.allotments)) this.context.wake();
   }
 
-  private reviewOwner(id: number): void {
+  private reconcileOwner(id: number): void {
     const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
-    const held = this.context.parts.get(id);
-    const ours = entry !== undefined && entry.v.owner === this.context.settings.self && entry.v.life === this.life;
-    if (held !== undefined && (!ours || held.term !== entry.stamp)) {
+    const current = this.context.parts.get(id);
+    const isOwner = entry !== undefined && entry.v.owner === this.context.settings.self && entry.v.life === this.incarnation;
+    if (current !== undefined && (!isOwner || current.term !== entry.stamp)) {
       this.context.parts.delete(id);
       this.context.scope.log.info(
-        { part: id, term: held.term, now: entry?.v.owner, nowTerm: entry?.stamp, readAgoMs: Math.round(this.mirror.ageMs()) },
+        { part: id, term: current.term, now: entry?.v.owner, nowTerm: entry?.stamp, readAgoMs: Math.round(this.mirror.ageMs()) },
         "part lost",
       );
     }
-    if (ours && !this.context.parts.has(id) && !this.endedTerms.has(id, entry.stamp)) void this.takeFresh(id, entry.stamp);
+    if (isOwner && !this.context.parts.has(id) && !this.endedTerms.hasEnded(id, entry.stamp)) void this.takeOverAfterRead(id, entry.stamp);
   }
 
   /**
@@ -75,14 +76,14 @@
    * anything again, on this partition's other machines too, so the term ends here: nothing more is ordered, answered
    * or concluded under it. Should the record still be ours, it is claimed anew (`Ownership`), under another term.
    */
-  supersede(part: Part, seen: NewerToken): boolean {
-    if (this.context.parts.get(part.id) !== part) return true;
-    if (!this.endedTerms.believes(seen.host)) return false;
-    this.context.parts.delete(part.id);
-    this.endedTerms.end(part.id, part.term, seen);
+  endSupersededTerm(partition: Part, seen: NewerToken): boolean {
+    if (this.context.parts.get(partition.id) !== partition) return true;
+    if (!this.endedTerms.acceptsTokensOf(seen.host)) return false;
+    this.context.parts.delete(partition.id);
+    this.endedTerms.recordEnd(partition.id, partition.term, seen);
     this.context.stats.superseded++;
     this.context.scope.log.warn(
-      { part: part.id, term: part.term, ...seen, readAgoMs: Math.round(this.mirror.ageMs()) },
+      { part: partition.id, term: partition.term, ...seen, readAgoMs: Math.round(this.mirror.ageMs()) },
       "part lost: a worker shows a newer owner's token",
     );
     void this.mirror.fresh().catch(() => undefined);
@@ -94,10 +95,10 @@
    * our copy may lag behind the claim: a machine or job missed here would be
    * neither fenced nor counted. So read up to the claim before building the part.
    */
-  private async takeFresh(id: number, term: number): Promise<void> {
+  private async takeOverAfterRead(id: number, term: number): Promise<void> {
     const claim = `${id}/${term}`;
-    if (this.taking.has(claim)) return;
-    this.taking.add(claim);
+    if (this.takingOver.has(claim)) return;
+    this.takingOver.add(claim);
     for (;;) {
       try {
         await this.mirror.fresh();
@@ -106,35 +107,35 @@
         await sleep(this.context.scope.clock, this.context.settings.timing.reportMs / 5);
       }
     }
-    this.taking.delete(claim);
+    this.takingOver.delete(claim);
     const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
-    const ours = entry?.stamp === term && entry.v.life === this.life;
-    if (ours && !this.context.parts.has(id) && !this.endedTerms.has(id, term)) this.take(id, term);
+    const stillOwner = entry?.stamp === term && entry.v.life === this.incarnation;
+    if (stillOwner && !this.context.parts.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
   }
 
-  private take(id: number, term: number): void {
-    const part = newPart(id, term, this.context.now);
-    this.context.parts.set(id, part);
+  private takeOver(id: number, term: number): void {
+    const partition = newPart(id, term, this.context.now);
+    this.context.parts.set(id, partition);
     this.context.stats.takeovers++;
-    for (const { host, part: of } of this.rentals.all()) if (of === id) this.reviewMachine(host);
-    for (const key of this.mirror.openJobs().keys()) this.reviewWork(key);
-    for (const key of this.mirror.rows(keys.slices).keys()) this.reviewWork(key);
+    for (const { host, part: of } of this.rentals.all()) if (of === id) this.reconcileMachine(host);
+    for (const key of this.mirror.openJobs().keys()) this.reconcileWork(key);
+    for (const key of this.mirror.rows(keys.slices).keys()) this.reconcileWork(key);
     const readAgoMs = Math.round(this.mirror.ageMs());
     this.context.scope.log.info(
-      { part: id, term, life: this.life, readAgoMs, machines: part.machines.size, queue: part.units.size },
+      { part: id, term, life: this.incarnation, readAgoMs, machines: partition.machines.size, queue: partition.units.size },
       "leading; fencing machines",
     );
-    this.watch.look();
+    this.leaseWatch.look();
   }
 
-  private reviewMachine(host: string): void {
+  private reconcileMachine(host: string): void {
     const entry = this.rentals.get(host);
-    for (const part of this.context.parts.values()) {
-      const machine = part.machines.get(host);
-      if (entry === undefined || entry.part !== part.id) {
+    for (const partition of this.context.parts.values()) {
+      const machine = partition.machines.get(host);
+      if (entry === undefined || entry.part !== partition.id) {
         if (machine !== undefined) {
           // Its record goes only after the cloud has confirmed that it is gone.
-          this.forgetMachine(part, machine);
+          this.forgetMachine(partition, machine);
         }
         continue;
       }
@@ -153,24 +154,24 @@
       fresh.addr = entry.addr;
       fresh.idleSince = this.context.now;
       // A machine whose record never said `up` was never given work.
-      if (!fresh.up) fence(part, fresh, "unused", []);
+      if (!fresh.up) fence(partition, fresh, "unused", []);
       // The former leader may go on answering until it has to fall silent.
       fresh.answeredAt = fresh.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
       if (fresh.up) fresh.reportedAt = this.context.now;
-      addMachine(part, fresh);
+      addMachine(partition, fresh);
     }
     this.context.wake();
   }
 
-  forgetMachine(part: Part, machine: Machine): void {
+  forgetMachine(partition: Part, machine: Machine): void {
     const findings = newFindings();
-    dropAll({ part, machine, now: this.context.now, findings }, { by: "machine deleted" });
-    fence(part, machine, "deleted", findings.fenced);
-    part.machines.delete(machine.host);
-    this.effects.act(part, findings);
+    dropAll({ part: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
+    fence(partition, machine, "deleted", findings.fenced);
+    partition.machines.delete(machine.host);
+    this.effects.apply(partition, findings);
   }
 
-  private reviewWork(key: string): void {
+  private reconcileWork(key: string): void {
     const isJob = key.startsWith(keys.jobs);
     const entry = this.mirror.get<JobRecord | SliceRecord>(key);
     if (entry === undefined) return;
@@ -178,59 +179,60 @@
     const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
     if (job === undefined) return;
     if (isJob && job.end !== undefined) {
-      for (const part of this.context.parts.values()) for (const unit of [...(part.byRef.get(ref) ?? [])]) this.endUnit(part, unit);
+      for (const partition of this.context.parts.values())
+        for (const taskSet of [...(partition.byRef.get(ref) ?? [])]) this.endTaskSet(partition, taskSet);
       return;
     }
     if (job.end !== undefined) return;
     // The jobs that it needs come first; when the last is done we are told.
     if (this.needs.waits(ref) || this.needs.fate(ref) !== undefined) return;
     // Slices of a large job may be recorded before the job itself.
-    if (isJob && job.hi < job.spec.tasks && !this.sliced.has(ref)) {
-      this.sliced.add(ref);
-      this.reviewSlices(ref);
+    if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
+      this.slicesReconciled.add(ref);
+      this.reconcileSlices(ref);
     }
-    const at = partOf(entry.v);
+    const partitionId = partOf(entry.v);
     const lo = isJob ? 0 : (entry.v as SliceRecord).lo;
-    for (const part of this.context.parts.values()) {
-      const unit = part.units.get(key);
-      if (at !== part.id) {
-        if (unit !== undefined && unit.placed.size === 0) removeUnit(part, unit);
+    for (const partition of this.context.parts.values()) {
+      const taskSet = partition.units.get(key);
+      if (partitionId !== partition.id) {
+        if (taskSet !== undefined && taskSet.placed.size === 0) removeTaskSet(partition, taskSet);
         continue;
       }
-      if (unit !== undefined && entry.v.hi < unit.hi) {
-        shorten(unit, entry.v.hi);
-        if (unit.done.full) this.progress.record(part, unit);
+      if (taskSet !== undefined && entry.v.hi < taskSet.hi) {
+        shorten(taskSet, entry.v.hi);
+        if (taskSet.done.full) this.progress.record(partition, taskSet);
       }
-      if (unit === undefined) {
+      if (taskSet === undefined) {
         const bits = doneOf(entry.v, entry.v.hi - lo);
         const fresh = newUnit(key, job.spec, lo, entry.v.hi, bits, this.needs.sinceWall(job), this.context.now);
         fresh.urgency = this.needs.urgency(ref);
         fresh.moved = entry.v.moved === true;
-        addUnit(part, fresh);
+        addUnit(partition, fresh);
         this.context.wake();
       }
     }
     // A slice elsewhere completed: the first slice's leader may now call the job done.
     if (!isJob) {
-      const part = this.context.parts.get(partOf(job));
-      const first = part?.units.get(keys.job(ref));
-      if (part !== undefined && first !== undefined && first.done.full) this.progress.record(part, first);
+      const partition = this.context.parts.get(partOf(job));
+      const first = partition?.units.get(keys.job(ref));
+      if (partition !== undefined && first !== undefined && first.done.full) this.progress.record(partition, first);
     }
   }
 
-  private reviewSlices(ref: string): void {
-    for (const [key] of this.mirror.slicesOf(ref)) this.reviewWork(key);
+  private reconcileSlices(ref: string): void {
+    for (const [key] of this.mirror.slicesOf(ref)) this.reconcileWork(key);
   }
 
-  private endUnit(part: Part, unit: Unit): void {
-    unit.ended = true;
-    clearBlame(part, unit);
-    for (const placement of unit.placed.values()) {
-      if (!unit.done.has(placement.task)) placement.stop = { graceS: 0 };
-      const machine = part.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ part, machine });
+  private endTaskSet(partition: Part, taskSet: Unit): void {
+    taskSet.ended = true;
+    clearBlame(partition, taskSet);
+    for (const placement of taskSet.placed.values()) {
+      if (!taskSet.done.has(placement.task)) placement.stop = { graceS: 0 };
+      const machine = partition.machines.get(placement.host);
+      if (machine !== undefined) this.context.dispatch$.next({ part: partition, machine });
     }
-    removeUnit(part, unit);
+    removeTaskSet(partition, taskSet);
     this.context.wake();
   }
 }
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -21,61 +21,65 @@
    * are cleared, so it is recorded once a lease: a write for every few tasks would
    * crowd out submissions.
    */
-  record(part: Part, unit: Unit): void {
-    if (unit.committing) return;
-    if (unit.done.full) return this.recordNow(part, unit);
-    this.later(part, unit);
+  record(partition: Part, taskSet: Unit): void {
+    if (taskSet.committing) return;
+    if (taskSet.done.full) return this.recordNow(partition, taskSet);
+    this.recordLater(partition, taskSet);
   }
 
   /** Nothing asks again for what was not taken because too many writes waited: a job whose tasks are all done would stay open for ever. */
-  private later(part: Part, unit: Unit): void {
-    if (unit.recordDue) return;
-    unit.recordDue = true;
+  private recordLater(partition: Part, taskSet: Unit): void {
+    if (taskSet.recordDue) return;
+    taskSet.recordDue = true;
     this.context.scope.clock.after(this.context.settings.timing.leaseMs, () => {
-      unit.recordDue = false;
-      if (!unit.committing && !unit.ended && this.context.parts.get(part.id) === part) this.recordNow(part, unit);
+      taskSet.recordDue = false;
+      if (!taskSet.committing && !taskSet.ended && this.context.parts.get(partition.id) === partition) this.recordNow(partition, taskSet);
     });
   }
 
-  private recordNow(part: Part, unit: Unit): void {
-    unit.committing = true;
-    const { ref } = unit.spec;
-    const isJob = unit.lo === 0;
+  private recordNow(partition: Part, taskSet: Unit): void {
+    taskSet.committing = true;
+    const { ref } = taskSet.spec;
+    const isJob = taskSet.lo === 0;
     let sent = 0;
     const draft = () => {
-      const entry = this.mirror.get<JobRecord | SliceRecord>(unit.key);
+      const entry = this.mirror.get<JobRecord | SliceRecord>(taskSet.key);
       const job = this.mirror.get<JobRecord>(keys.job(ref));
-      if (entry === undefined || job === undefined || job.v.end !== undefined || partOf(entry.v) !== part.id) return null;
-      if (this.mirror.stamp(keys.owner(part.id)) !== part.term) return null;
-      const bits = doneOf(entry.v, unit.hi - unit.lo);
+      if (entry === undefined || job === undefined || job.v.end !== undefined || partOf(entry.v) !== partition.id) return null;
+      if (this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
+      const bits = doneOf(entry.v, taskSet.hi - taskSet.lo);
       const before = bits.count;
-      bits.merge(unit.done);
-      const complete = isJob && bits.full && this.slicesFull(ref);
+      bits.merge(taskSet.done);
+      const complete = isJob && bits.full && this.allSlicesDone(ref);
       if (bits.count === before && !complete) return null;
-      sent = unit.done.count;
+      sent = taskSet.done.count;
       const { packed: _packed, ...plain } = settled(entry.v);
       const value = { ...plain, done: bits.encode() };
       if (complete) Object.assign(value, { end: "done", endedAt: this.context.scope.clock.wall() } satisfies Partial<JobRecord>);
-      const v = fitting(value, unit.hi - unit.lo, this.context.settings.state.valueKb);
+      const v = fitting(value, taskSet.hi - taskSet.lo, this.context.settings.state.valueKb);
       if (v === null) return null;
       return {
         conditions: [
-          { k: unit.key, stamp: entry.stamp },
-          { k: keys.owner(part.id), stamp: part.term },
+          { k: taskSet.key, stamp: entry.stamp },
+          { k: keys.owner(partition.id), stamp: partition.term },
         ],
-        apply: [{ write: unit.key, v }],
+        apply: [{ write: taskSet.key, v }],
       };
     };
-    void this.committer.commit("done", draft, { turn: unit.done.full ? "soon" : "later" }).then((outcome) => {
-      unit.committing = false;
+    void this.committer.commit("done", draft, { turn: taskSet.done.full ? "soon" : "later" }).then((outcome) => {
+      taskSet.committing = false;
       if (outcome === "done") {
-        this.context.scope.log.debug({ part: part.id, job: ref, done: unit.done.count, of: unit.hi - unit.lo }, "progress recorded");
-        if (unit.done.count > sent) this.record(part, unit);
-      } else if (outcome === "shed" && !unit.ended && this.context.parts.get(part.id) === part) this.later(part, unit);
+        this.context.scope.log.debug(
+          { part: partition.id, job: ref, done: taskSet.done.count, of: taskSet.hi - taskSet.lo },
+          "progress recorded",
+        );
+        if (taskSet.done.count > sent) this.record(partition, taskSet);
+      } else if (outcome === "shed" && !taskSet.ended && this.context.parts.get(partition.id) === partition)
+        this.recordLater(partition, taskSet);
     });
   }
 
-  private slicesFull(ref: string): boolean {
+  private allSlicesDone(ref: string): boolean {
     const spec = this.mirror.get<JobRecord>(keys.job(ref))!.v;
     if (spec.hi >= spec.spec.tasks) return true;
     let covered = spec.hi;
@@ -86,7 +90,7 @@
     return covered >= spec.spec.tasks;
   }
 
-  recordedDone(piece: string): boolean {
+  isRecordedDone(piece: string): boolean {
     const { ref, task } = splitPiece(piece);
     const job = this.mirror.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -8,20 +8,20 @@
 import { allotted, usageOf, type Part, type Usage } from "./part.js";
 
 /** Splits `max` over `n` parts in whole units, the remainder to the first. */
-function split(max: number, n: number): (number | null)[] {
+function splitLimit(max: number, n: number): (number | null)[] {
   if (max <= 0) return Array<null>(n).fill(null);
   const each = Math.floor(max / n);
   return Array.from({ length: n }, (_, i) => (i === 0 ? max - each * (n - 1) : each));
 }
 
 /** So often only the owner of a team's partition makes a record that is missing: about half the time that a presence lasts. */
-const LOOKS_OF_OWNERS = 2;
+const OWNER_ONLY_REVIEWS = 2;
 
 /** 0 in the settings says that there is none. */
 const limitOf = (max: number): Limit => (max <= 0 ? null : max);
 
 /** A number that is the same at every controller: teams' raised limits are given out by different partitions. */
-function partitionOf(team: string, partitions: number): number {
+function responsiblePartition(team: string, partitions: number): number {
   let hash = 0;
   for (const char of team) hash = (hash * 31 + char.charCodeAt(0)) >>> 0;
   return hash % partitions;
@@ -34,20 +34,20 @@
  */
 export class QuotaShares {
   /** Ceded, but the transaction has not been answered for certain. */
-  private readonly ceding = new Map<string, Usage>();
+  private readonly transferring = new Map<string, Usage>();
   /** Teams and partitions whose share is being written. */
   private readonly adjusting = new Set<string>();
   /** Keys of records that are being made. */
-  private readonly making = new Set<string>();
+  private readonly creating = new Set<string>();
   private reviewDue = false;
   /** At the teams' records, since this node has read the state. */
-  private looks = 0;
+  private reviewCount = 0;
 
   constructor(
     private readonly settings: Settings,
     private readonly configuration: Configuration,
     /** The partitions that this node owns. */
-    private readonly parts: () => ReadonlyMap<number, Part>,
+    private readonly partitions: () => ReadonlyMap<number, Part>,
     private readonly mirror: Mirror,
     private readonly committer: Committer,
     private readonly scope: Scope,
@@ -58,7 +58,7 @@
       "quota shares",
       () => this.settings.timing.presenceMs / 4,
       () => {
-        if (this.mirror.loaded) this.looks++;
+        if (this.mirror.loaded) this.reviewCount++;
         this.review();
       },
     );
@@ -80,7 +80,7 @@
 
   private review(): void {
     if (!this.mirror.loaded) return;
-    this.ensure();
+    this.createMissing();
     this.adjustAll();
   }
 
@@ -88,18 +88,18 @@
    * Records of teams that have none yet are made by the owner of one partition, another for each team: all of them at once
    * would only fail each other's transactions. Whoever still finds one missing a while later makes it.
    */
-  private ensure(): void {
+  private createMissing(): void {
     const n = this.settings.nodes.length;
     for (const team of this.configuration.teams) {
       const key = keys.allotment(team.name);
-      if (this.mirror.get(key) !== undefined || this.making.has(key)) continue;
-      if (this.looks <= LOOKS_OF_OWNERS && !this.parts().has(partitionOf(team.name, n))) continue;
-      const value: AllotmentRecord = { cpus: split(team.cpus_max, n), gpus: split(team.gpus_max, n) };
-      this.making.add(key);
+      if (this.mirror.get(key) !== undefined || this.creating.has(key)) continue;
+      if (this.reviewCount <= OWNER_ONLY_REVIEWS && !this.partitions().has(responsiblePartition(team.name, n))) continue;
+      const value: AllotmentRecord = { cpus: splitLimit(team.cpus_max, n), gpus: splitLimit(team.gpus_max, n) };
+      this.creating.add(key);
       const draft = () =>
         this.mirror.get(key) !== undefined ? null : { conditions: [{ k: key, stamp: 0 }], apply: [{ write: key, v: value }] };
       const shedAfterMs = this.settings.timing.presenceMs / 4;
-      void this.committer.commit("quota record", draft, { shedAfterMs }).then(() => this.making.delete(key));
+      void this.committer.commit("quota record", draft, { shedAfterMs }).then(() => this.creating.delete(key));
     }
   }
 
@@ -108,15 +108,15 @@
   }
 
   /** What the partition may use of the team's limit. */
-  held(part: number, team: string): Usage {
+  held(partition: number, team: string): Usage {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
-    const share = this.startable(allotted(record, part), record, team);
-    const ceding = this.ceding.get(`${part}|${team}`);
-    return ceding === undefined ? share : { cpus: share.cpus - ceding.cpus, gpus: share.gpus - ceding.gpus };
+    const share = this.startableShare(allotted(record, partition), record, team);
+    const pending = this.transferring.get(`${partition}|${team}`);
+    return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
   }
 
   /** Nothing where a lowered limit is not reached yet: what some partition still holds may bring the sum above it. */
-  private startable(share: Usage, record: AllotmentRecord | undefined, team: string): Usage {
+  private startableShare(share: Usage, record: AllotmentRecord | undefined, team: string): Usage {
     const limits = this.configuration.version === 0 ? undefined : this.configuration.team(team);
     if (limits === undefined || record === undefined) return share;
     return {
@@ -128,23 +128,23 @@
   /** Brings the shares that this node holds to the limits of the newest configuration. */
   private adjustAll(): void {
     for (const { name } of this.configuration.changed())
-      for (const part of this.parts().values()) if (part.phase === "serving") this.adjust(part, name);
+      for (const partition of this.partitions().values()) if (partition.phase === "serving") this.adjust(partition, name);
   }
 
-  private adjust(part: Part, team: string): void {
-    const label = `${part.id}|${team}`;
-    if (this.adjusting.has(label) || this.ceding.has(label) || this.nextShares(part, team) === null) return;
+  private adjust(partition: Part, team: string): void {
+    const label = `${partition.id}|${team}`;
+    if (this.adjusting.has(label) || this.transferring.has(label) || this.nextShares(partition, team) === null) return;
     this.adjusting.add(label);
-    const { term } = part;
+    const { term } = partition;
     const key = keys.allotment(team);
     const draft = () => {
-      if (this.mirror.stamp(keys.owner(part.id)) !== term) return null;
-      const next = this.nextShares(part, team);
+      if (this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
+      const next = this.nextShares(partition, team);
       if (next === null) return null;
       return {
         conditions: [
           { k: key, stamp: this.mirror.stamp(key) },
-          { k: keys.owner(part.id), stamp: term },
+          { k: keys.owner(partition.id), stamp: term },
           { k: keys.configuration, stamp: this.configuration.stamp },
         ],
         apply: [{ write: key, v: next }],
@@ -152,19 +152,19 @@
     };
     void this.committer.commit("adjust quota", draft, { shedAfterMs: this.settings.timing.presenceMs }).then((outcome) => {
       this.adjusting.delete(label);
-      if (outcome === "done") this.scope.log.info({ part: part.id, team }, "quota share adjusted");
+      if (outcome === "done") this.scope.log.info({ part: partition.id, team }, "quota share adjusted");
     });
   }
 
   /** The team's record as this partition's owner would write it next; null: as it is. */
-  private nextShares(part: Part, team: string): AllotmentRecord | null {
+  private nextShares(partition: Part, team: string): AllotmentRecord | null {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
     const limits = this.configuration.team(team);
     if (record === undefined || limits === undefined) return null;
-    const used = usageOf(part, team);
-    const raises = partitionOf(team, this.settings.nodes.length) === part.id;
+    const used = usageOf(partition, team);
+    const raises = responsiblePartition(team, this.settings.nodes.length) === partition.id;
     const next = (name: "cpus" | "gpus"): AllotmentRecord["cpus"] | null => {
-      const shares = adjusted(record[name], limitOf(limits[`${name}_max`]), { partition: part.id, used: used[name], raises });
+      const shares = adjusted(record[name], limitOf(limits[`${name}_max`]), { partition: partition.id, used: used[name], raises });
       return shares === null ? null : [...shares];
     };
     const [cpus, gpus] = [next("cpus"), next("gpus")];
@@ -172,32 +172,32 @@
   }
 
   /** Gives up to `want` of what `spare` says is not needed here to another part. */
-  cede(part: Part, to: number, team: string, want: Usage, spare: Usage): void {
-    const label = `${part.id}|${team}`;
-    if (this.ceding.has(label) || this.adjusting.has(label) || part.phase !== "serving" || to === part.id) return;
+  cede(partition: Part, to: number, team: string, want: Usage, surplus: Usage): void {
+    const label = `${partition.id}|${team}`;
+    if (this.transferring.has(label) || this.adjusting.has(label) || partition.phase !== "serving" || to === partition.id) return;
     const finite = (x: number): number => (Number.isFinite(x) ? Math.max(0, x) : 0);
-    const give = { cpus: Math.min(finite(want.cpus), finite(spare.cpus)), gpus: Math.min(finite(want.gpus), finite(spare.gpus)) };
-    if (give.cpus <= 0 && give.gpus <= 0) return;
+    const amount = { cpus: Math.min(finite(want.cpus), finite(surplus.cpus)), gpus: Math.min(finite(want.gpus), finite(surplus.gpus)) };
+    if (amount.cpus <= 0 && amount.gpus <= 0) return;
     const key = keys.allotment(team);
-    this.ceding.set(label, give);
-    const term = part.term;
+    this.transferring.set(label, amount);
+    const term = partition.term;
     const before = this.mirror.stamp(key);
     const draft = () => {
       const entry = this.mirror.get<AllotmentRecord>(key);
-      if (entry === undefined || entry.stamp !== before || this.mirror.stamp(keys.owner(part.id)) !== term) return null;
+      if (entry === undefined || entry.stamp !== before || this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
       const move = (list: (number | null)[], amount: number): (number | null)[] =>
-        list.map((x, i) => (x === null ? null : i === part.id ? x - amount : i === to ? x + amount : x));
+        list.map((x, i) => (x === null ? null : i === partition.id ? x - amount : i === to ? x + amount : x));
       return {
         conditions: [
           { k: key, stamp: entry.stamp },
-          { k: keys.owner(part.id), stamp: term },
+          { k: keys.owner(partition.id), stamp: term },
         ],
-        apply: [{ write: key, v: { cpus: move(entry.v.cpus, give.cpus), gpus: move(entry.v.gpus, give.gpus) } }],
+        apply: [{ write: key, v: { cpus: move(entry.v.cpus, amount.cpus), gpus: move(entry.v.gpus, amount.gpus) } }],
       };
     };
     void this.committer.commit("cede", draft).then((outcome) => {
-      this.ceding.delete(label);
-      if (outcome === "done") this.scope.log.info({ part: part.id, to, team, ...give }, "quota transferred");
+      this.transferring.delete(label);
+      if (outcome === "done") this.scope.log.info({ part: partition.id, to, team, ...amount }, "quota transferred");
     });
   }
 }
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -17,9 +17,9 @@
   waitedFor: string | null;
 }
 
-const MOST_SPANS = 100;
+const MAX_SPANS = 100;
 /** Work that waits longer than this multiple of the shortest boot does so for other reasons. */
-const PATIENCE_BOOTS = 1;
+const MAX_WAIT_BOOTS = 1;
 
 /**
  * Recovery as a duty that is observed: each part that changes hands is followed through
@@ -32,9 +32,9 @@
 
   constructor(private readonly context: LeaderContext) {}
 
-  claimed(part: number, term: number, reason: string, silentMs: number | null): void {
+  claimed(partition: number, term: number, reason: string, silentMs: number | null): void {
     const span: Span = {
-      part,
+      part: partition,
       term,
       reason,
       silentMs,
@@ -45,41 +45,43 @@
       backMs: null,
       waitedFor: null,
     };
-    this.open.set(part, span);
+    this.open.set(partition, span);
     this.spans.push(span);
-    if (this.spans.length > MOST_SPANS) this.spans.shift();
+    if (this.spans.length > MAX_SPANS) this.spans.shift();
   }
 
-  private of(part: Part): Span | undefined {
-    const span = this.open.get(part.id);
-    return span?.term === part.term ? span : undefined;
+  private openSpan(partition: Part): Span | undefined {
+    const span = this.open.get(partition.id);
+    return span?.term === partition.term ? span : undefined;
   }
 
   /** `last`: the machine that was accounted for last, and how. */
-  fenced(part: Part, last: string | null): void {
-    const span = this.of(part);
+  recordFenced(partition: Part, last: string | null): void {
+    const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs !== null) return;
-    span.machines = part.machines.size;
+    span.machines = partition.machines.size;
     span.fencedMs = Math.round(this.context.now - span.claimedAt);
     span.waitedFor = last;
   }
 
-  began(part: Part): void {
-    const span = this.of(part);
+  recordTaskStart(partition: Part): void {
+    const span = this.openSpan(partition);
     if (span !== undefined) span.placedMs ??= Math.round(this.context.now - span.claimedAt);
   }
 
   /** Looked at as time passes: is all back that a takeover kept waiting? */
-  look(part: Part): void {
-    const span = this.of(part);
+  checkCompletion(partition: Part): void {
+    const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs === null || span.backMs !== null) return;
-    const boot = Math.min(Infinity, ...this.context.types.map((type) => type.bootS * 1000)) * PATIENCE_BOOTS;
+    const maxWaitMs = Math.min(Infinity, ...this.context.types.map((type) => type.bootS * 1000)) * MAX_WAIT_BOOTS;
     const sinceFence = this.context.now - span.claimedAt - span.fencedMs;
-    const waits = [...part.units.values()].some((unit) => unit.waiting.length > 0 && unit.arrivedAt <= span.claimedAt + span.fencedMs!);
-    if (waits && span.placedMs === null && sinceFence < boot) return;
+    const waits = [...partition.units.values()].some(
+      (taskSet) => taskSet.waiting.length > 0 && taskSet.arrivedAt <= span.claimedAt + span.fencedMs!,
+    );
+    if (waits && span.placedMs === null && sinceFence < maxWaitMs) return;
     span.backMs = Math.round(this.context.now - span.claimedAt);
-    this.open.delete(part.id);
-    const { claimedAt: _claimedAt, ...said } = span;
-    this.context.scope.log.info(said, "recovered");
+    this.open.delete(partition.id);
+    const { claimedAt: _claimedAt, ...fields } = span;
+    this.context.scope.log.info(fields, "recovered");
   }
 }
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -22,7 +22,7 @@
 
 /** Takes in what workers report and says what to answer. */
 export class ReportHandler {
-  private readonly oddities: BoundedLog;
+  private readonly anomalies: BoundedLog;
 
   constructor(
     private readonly context: LeaderContext,
@@ -31,10 +31,10 @@
     private readonly progress: Progress,
     private readonly machineStartup: MachineStartup,
     private readonly effects: FindingEffects,
-    private readonly watch: LeaseWatch,
+    private readonly leaseWatch: LeaseWatch,
   ) {
     const { clock, log } = context.scope;
-    this.oddities = new BoundedLog(clock, log, context.settings.timing.leaseMs);
+    this.anomalies = new BoundedLog(clock, log, context.settings.timing.leaseMs);
   }
 
   /** A worker's own report, and what to answer. */
@@ -42,64 +42,65 @@
     if (!this.mirror.loaded || this.context.silent()) return { kind: "silent" };
     const record = this.rentals.get(report.host);
     if (record === undefined) {
-      this.oddities.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from a machine in no record");
+      this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from a machine in no record");
       return { kind: "elsewhere", boss: null };
     }
-    const part = this.context.parts.get(record.part);
-    if (part === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null };
-    if (report.token > part.term) {
-      this.noteNewerToken(part, report, "report");
+    const partition = this.context.parts.get(record.part);
+    if (partition === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null };
+    if (report.token > partition.term) {
+      this.handleNewerToken(partition, report, "report");
       const owner = this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null;
       return { kind: "elsewhere", boss: owner === this.context.settings.self ? null : owner };
     }
-    const machine = part.machines.get(report.host);
+    const machine = partition.machines.get(report.host);
     if (machine === undefined || machine.deleting) return { kind: "silent" };
-    const newer = this.take(part, machine, report, true);
-    if (!machine.up) this.machineStartup.record(part, machine);
-    const orders = machine.up ? this.orders(part, machine) : [];
+    const newer = this.applyReport(partition, machine, report, true);
+    if (!machine.up) this.machineStartup.record(partition, machine);
+    const orders = machine.up ? this.orders(partition, machine) : [];
     const free = newer && machine.fenced;
-    if (free) for (const order of orders) if (order.verb === "clear") this.context.audit.cleared(part, machine, order.piece, order.attempt);
+    if (free)
+      for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
     if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.offeredSeq = report.seq;
     noteAnswer(machine, newer, this.context.now);
     // Every answer renews the lease, so each says what must end: a machine that hears nothing more would otherwise run
     // tasks of cancelled jobs for another lease. Nothing else is ordered before the machine has shown our term, nor by old news.
-    return { kind: "orders", token: part.term, orders: free ? orders : orders.filter(({ verb }) => verb === "stop") };
+    return { kind: "orders", token: partition.term, orders: free ? orders : orders.filter(({ verb }) => verb === "stop") };
   }
 
-  private orders(part: Part, machine: Machine): Order[] {
+  private orders(partition: Part, machine: Machine): Order[] {
     return ordersFor(machine, "report", {
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
       clearable: (task) => this.clearable(task),
-      refused: (placement, others) => this.context.startGuard.refused(part, placement, others),
+      refused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
       max: MAX_ORDERS,
     });
   }
 
   private clearable(task: ReportedTask): boolean {
-    return task.cause !== "done" || this.progress.recordedDone(task.piece);
+    return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
   }
 
   /** A report that came as the body of an answer to a direct command. */
-  onCommandReply(part: Part, machine: Machine, report: Report): void {
-    if (this.context.parts.get(part.id) !== part || part.machines.get(machine.host) !== machine) return;
-    if (report.token > part.term) return this.noteNewerToken(part, report, "command reply");
-    this.take(part, machine, report, false);
+  onCommandReply(partition: Part, machine: Machine, report: Report): void {
+    if (this.context.parts.get(partition.id) !== partition || partition.machines.get(machine.host) !== machine) return;
+    if (report.token > partition.term) return this.handleNewerToken(partition, report, "command reply");
+    this.applyReport(partition, machine, report, false);
   }
 
   /** A worker's answer to a probe says what token it has seen; the rest of it is no news. */
   onProbeReply(report: Report): void {
-    const part = this.context.parts.get(this.rentals.get(report.host)?.part ?? -1);
-    if (part !== undefined && report.token > part.term) this.noteNewerToken(part, report, "probe");
+    const partition = this.context.parts.get(this.rentals.get(report.host)?.part ?? -1);
+    if (partition !== undefined && report.token > partition.term) this.handleNewerToken(partition, report, "probe");
   }
 
   /** What such a report says is no news of this term: a newer owner may have ended, cleared and started again. */
-  private noteNewerToken(part: Part, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
-    if (this.context.supersede(part, { host, token, seenIn })) return;
-    this.oddities.info({ part: part.id, term: part.term, host, token, seenIn }, "a worker shows a token that nobody was given");
+  private handleNewerToken(partition: Part, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
+    if (this.context.supersede(partition, { host, token, seenIn })) return;
+    this.anomalies.info({ part: partition.id, term: partition.term, host, token, seenIn }, "a worker shows a token that nobody was given");
   }
 
-  private take(part: Part, machine: Machine, report: Report, viaReport: boolean): boolean {
+  private applyReport(partition: Part, machine: Machine, report: Report, viaReport: boolean): boolean {
     const findings = newFindings();
     const context: ReportContext = {
       now: this.context.now,
@@ -109,11 +110,11 @@
       placeholderFor: (ref) => this.placeholder(ref),
     };
     const wasDraining = machine.draining;
-    const newer = takeReport(part, machine, report, context, findings);
+    const newer = takeReport(partition, machine, report, context, findings);
     if (!wasDraining && machine.draining)
-      this.context.scope.log.info({ part: part.id, host: machine.host }, "machine set aside: it failed tasks of several jobs");
-    this.effects.act(part, findings);
-    if (newer && part.phase === "fencing") this.watch.reviewFence(part);
+      this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine set aside: it failed tasks of several jobs");
+    this.effects.apply(partition, findings);
+    if (newer && partition.phase === "fencing") this.leaseWatch.checkFence(partition);
     return newer;
   }
 
@@ -144,8 +145,8 @@
         flushS: 0,
         deadlineS: null,
       } satisfies JobSpec);
-    const unit = newUnit(`placeholder/${ref}`, { ...spec }, 0, 0, new Bits(0), 0, this.context.now);
-    unit.ended = true;
-    return unit;
+    const taskSet = newUnit(`placeholder/${ref}`, { ...spec }, 0, 0, new Bits(0), 0, this.context.now);
+    taskSet.ended = true;
+    return taskSet;
   }
 }
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -8,21 +8,21 @@
  * attempt stays counted and is ordered once the others are proven gone.
  */
 export class StartGuard {
-  private readonly said = new WeakSet<Placement>();
+  private readonly reported = new WeakSet<Placement>();
 
   constructor(private readonly scope: Scope) {}
 
-  refused(part: Part, placement: Placement, others: readonly Placement[]): void {
-    if (this.said.has(placement)) return;
-    this.said.add(placement);
+  refused(partition: Part, placement: Placement, others: readonly Placement[]): void {
+    if (this.reported.has(placement)) return;
+    this.reported.add(placement);
     const shown = (one: Placement): Record<string, unknown> => {
       const { attempt, host, state, direct, stop } = one;
-      const machine = part.machines.get(host);
+      const machine = partition.machines.get(host);
       return { attempt, host, session: machine?.session, state, direct, stopping: stop !== null, fenced: machine?.fenced };
     };
     this.scope.invariants.violated("a task starts only if no other attempt of it may be on a machine", {
-      part: part.id,
-      term: part.term,
+      part: partition.id,
+      term: partition.term,
       piece: pieceName(placement.unit, placement.task),
       refused: shown(placement),
       others: others.map(shown),
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -58,10 +58,10 @@
   }
 
   /** Machines on which the owner's scheduling cycle has just started tasks of the job. */
-  startedOn(unit: Unit): string[] {
-    const before = new Set(unit.placed.values());
+  startedOn(taskSet: Unit): string[] {
+    const before = new Set(taskSet.placed.values());
     runPass(this.part, pass);
-    return [...unit.placed.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
+    return [...taskSet.placed.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
   }
 }
 
@@ -80,73 +80,73 @@
 test("a task does not start while any attempt of it may be on a machine of the partition", async (t) => {
   await t.test("array: an old report's attempt is taken in first, the true one second; the old one then proves gone", () => {
     const owner = new NewOwner(3);
-    const unit = queueUp(owner.part, specOf({ cpus: 16 }));
+    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
     owner.hear("i-0", [listed("run-000001/0", 1)]);
     owner.hear("i-1", [listed("run-000001/0", 2)]);
     owner.hear("i-0", []);
-    assert.deepEqual(owner.startedOn(unit), [], "attempt 2 is on i-1");
+    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 2 is on i-1");
     owner.hear("i-1", [exited("run-000001/0", 2, "stopped")]);
-    assert.equal(owner.startedOn(unit).length, 1);
+    assert.equal(owner.startedOn(taskSet).length, 1);
   });
 
   await t.test("gang: members of a newer attempt are there when the old report's member proves gone", () => {
     const owner = new NewOwner(6);
-    const unit = queueUp(owner.part, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
+    const taskSet = queueUp(owner.part, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
     owner.hear("i-0", [listed("run-000001/0", 1)]);
     for (const i of [1, 2, 3]) owner.hear(`i-${i}`, [listed(`run-000001/${i - 1}`, 2)]);
     owner.hear("i-0", []);
-    assert.deepEqual(owner.startedOn(unit), [], "all of attempt 2 is there");
+    assert.deepEqual(owner.startedOn(taskSet), [], "all of attempt 2 is there");
     owner.hear("i-1", [exited("run-000001/0", 2, "stopped")]);
     owner.hear("i-2", [exited("run-000001/1", 2, "stopped")]);
-    assert.deepEqual(owner.startedOn(unit), [], "a member of attempt 2 is there");
+    assert.deepEqual(owner.startedOn(taskSet), [], "a member of attempt 2 is there");
     owner.hear("i-3", [exited("run-000001/2", 2, "stopped")]);
-    assert.equal(owner.startedOn(unit).length, 3);
+    assert.equal(owner.startedOn(taskSet).length, 3);
   });
 
   await t.test("refused as busy: the attempt that the worker means is on that machine", () => {
     const owner = new NewOwner(2);
-    const unit = queueUp(owner.part, specOf({ cpus: 16 }));
-    const [host] = owner.startedOn(unit);
-    const ours = [...unit.placed.values()][0]!.attempt;
+    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
+    const [host] = owner.startedOn(taskSet);
+    const ours = [...taskSet.placed.values()][0]!.attempt;
     owner.hear(host!, [listed("run-000001/0", 1), exited("run-000001/0", ours, "busy")]);
-    unit.notBefore = -Infinity;
-    assert.deepEqual(owner.startedOn(unit), [], "attempt 1 is there");
+    taskSet.notBefore = -Infinity;
+    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is there");
   });
 
   await t.test("an attempt is seen before the job's record, and again after its unit was made", () => {
     const owner = new NewOwner(2);
     owner.hear("i-0", [listed("run-000001/0", 1)]);
-    const unit = queueUp(owner.part, specOf({ cpus: 16 }));
+    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
     owner.hear("i-0", [listed("run-000001/0", 1)]);
-    assert.deepEqual(owner.startedOn(unit), [], "attempt 1 is on i-0");
+    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is on i-0");
   });
 
   await t.test("an attempt is seen while its job is being migrated, and the migration comes to nothing", () => {
     const owner = new NewOwner(2);
-    const unit = queueUp(owner.part, specOf({ cpus: 16 }));
-    unit.leaving = true;
+    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
+    taskSet.leaving = true;
     owner.hear("i-0", [listed("run-000001/0", 1)]);
-    unit.leaving = false;
-    assert.deepEqual(owner.startedOn(unit), [], "attempt 1 is on i-0");
+    taskSet.leaving = false;
+    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is on i-0");
   });
 
   await t.test("the last tasks of an array migrate only if no attempt of them may be on a machine", () => {
     const owner = new NewOwner(3);
-    const unit = queueUp(owner.part, specOf({ tasks: 4, cpus: 16 }));
+    const taskSet = queueUp(owner.part, specOf({ tasks: 4, cpus: 16 }));
     owner.hear("i-0", [listed("run-000001/3", 1)]);
     owner.hear("i-1", [listed("run-000001/3", 2)]);
     owner.hear("i-0", []);
-    assert.equal(tailOf(unit, 4), 0);
+    assert.equal(tailOf(taskSet, 4), 0);
   });
 
   await t.test("refused for want of room, or as unknown: nothing is there, and the task waits again", () => {
     for (const cause of ["no_room", "no_such"] as const) {
       const owner = new NewOwner(2);
-      const unit = queueUp(owner.part, specOf({ cpus: 16 }));
-      const [host] = owner.startedOn(unit);
-      owner.hear(host!, [exited("run-000001/0", [...unit.placed.values()][0]!.attempt, cause)]);
-      unit.notBefore = -Infinity;
-      assert.ok(ready(unit, NOW), cause);
+      const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
+      const [host] = owner.startedOn(taskSet);
+      owner.hear(host!, [exited("run-000001/0", [...taskSet.placed.values()][0]!.attempt, cause)]);
+      taskSet.notBefore = -Infinity;
+      assert.ok(ready(taskSet, NOW), cause);
     }
   });
 });
@@ -155,17 +155,17 @@
   const owner = new NewOwner(2);
   const result = exited("run-000001/0", nextAttempt(owner.part), "done");
   owner.hear("i-0", [result]);
-  const unit = queueUp(owner.part, specOf({ cpus: 16 }));
+  const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
   owner.hear("i-0", [result]);
-  assert.deepEqual(owner.startedOn(unit), []);
-  assert.ok(unit.done.full);
+  assert.deepEqual(owner.startedOn(taskSet), []);
+  assert.ok(taskSet.done.full);
 });
 
 test("a planted second start does not leave: refused on both channels, said at error once, counted, and thrown where strict", () => {
   const owner = new NewOwner(2);
-  const unit = queueUp(owner.part, specOf({ cpus: 16 }));
-  const [host] = owner.startedOn(unit);
-  const placement = [...unit.placed.values()][0]!;
+  const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
+  const [host] = owner.startedOn(taskSet);
+  const placement = [...taskSet.placed.values()][0]!;
   const other = owner.machine(host === "i-0" ? "i-1" : "i-0");
   addAttempt(other, "run-000001/0#1", { ...placement, attempt: 1, host: other.host, state: "running" });
   const lines: unknown[] = [];
@@ -201,12 +201,12 @@
   assert.equal(decodeReport({ ...wire, pieces: [piece("running"), piece("exited")] }), null);
   assert.notEqual(decodeReport({ ...wire, pieces: [piece("running")] }), null);
   const owner = new NewOwner(2);
-  const unit = queueUp(owner.part, specOf({ cpus: 8 }));
-  const [host] = owner.startedOn(unit);
-  const ours = [...unit.placed.values()][0]!;
+  const taskSet = queueUp(owner.part, specOf({ cpus: 8 }));
+  const [host] = owner.startedOn(taskSet);
+  const ours = [...taskSet.placed.values()][0]!;
   owner.hear(host!, [listed("run-000001/0", ours.attempt), listed("run-000001/7", 1)]);
-  assert.deepEqual([unit.placed.get(0), unit.waiting, ours.stop], [ours, [], null]);
+  assert.deepEqual([taskSet.placed.get(0), taskSet.waiting, ours.stop], [ours, [], null]);
   const [, outside] = [...owner.machine(host!).placements.values()];
-  assert.notEqual(outside!.unit, unit);
+  assert.notEqual(outside!.unit, taskSet);
   assert.deepEqual(outside!.stop, { graceS: 0 }, "counted, and told to stop");
 });
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -31,12 +31,12 @@
   cluster.submit({ ref: REF, tasks: 6, cpus: 8 }, 90, OWNER);
   await cluster.until(25);
   const { leader } = cluster.world.nodes.get(OWNER)!.controller!;
-  const part = [...leader.parts.values()].find(({ byRef }) => byRef.has(REF))!;
-  const machine = [...part.machines.values()].find(({ placements }) => placements.size > 0)!;
+  const partition = [...leader.parts.values()].find(({ byRef }) => byRef.has(REF))!;
+  const machine = [...partition.machines.values()].find(({ placements }) => placements.size > 0)!;
   if (refused) cluster.world.links.add({ from: OWNER, to: "state", effect: { kind: "refuse" } });
   await cluster.until(26);
   const starts = (): number => cluster.world.history.filter(({ kind }) => kind === "on").length;
-  return { cluster, part, machine, starts };
+  return { cluster, part: partition, machine, starts };
 }
 
 /** What a machine says whose tasks a newer owner has ended and cleared. */
@@ -50,13 +50,13 @@
 for (const way of ["report", "reply to a command"] as const)
   test(`a higher token by a ${way} ends the term, and what the report says is no news of this term`, async () => {
     const place = await ownerAtWork({ refused: true });
-    const { cluster, part, machine, starts } = place;
+    const { cluster, part: partition, machine, starts } = place;
     const before = { starts: starts(), attempts: machine.placements.size };
-    const report = clearedReport(machine, part.term + 7);
+    const report = clearedReport(machine, partition.term + 7);
     if (way === "report") assert.equal(leaderOf(place).onReport(report).kind, "elsewhere");
-    else leaderOf(place).onCommandReply(part, machine, report);
+    else leaderOf(place).onCommandReply(partition, machine, report);
     assert.equal(machine.placements.size, before.attempts, "the attempts still count");
-    assert.equal(leaderOf(place).parts.has(part.id), false, "the term has ended");
+    assert.equal(leaderOf(place).parts.has(partition.id), false, "the term has ended");
     await cluster.until(34);
     assert.equal(starts(), before.starts, "nothing is started again");
     cluster.close();
@@ -64,10 +64,10 @@
 
 test("a higher token by a reply to a probe ends the term", async () => {
   const place = await ownerAtWork({ refused: true });
-  const { cluster, part, machine, starts } = place;
+  const { cluster, part: partition, machine, starts } = place;
   const before = starts();
-  leaderOf(place).onProbeReply(clearedReport(machine, part.term + 7));
-  assert.equal(leaderOf(place).parts.has(part.id), false, "the term has ended");
+  leaderOf(place).onProbeReply(clearedReport(machine, partition.term + 7));
+  assert.equal(leaderOf(place).parts.has(partition.id), false, "the term has ended");
   await cluster.until(34);
   assert.equal(starts(), before, "nothing is started again");
   cluster.close();
@@ -75,16 +75,16 @@
 
 test("a token that nobody was given: the partition is claimed anew under another term, its tasks go on, and the worker is not believed again", async () => {
   const place = await ownerAtWork({ refused: false });
-  const { cluster, part, machine, starts } = place;
+  const { cluster, part: partition, machine, starts } = place;
   const before = starts();
-  const wrong = part.term + 1_000_000;
+  const wrong = partition.term + 1_000_000;
   for (let second = 26; second < 40; second++) {
     const { session, seq } = machine;
     leaderOf(place).onReport({ ...clearedReport(machine, wrong), session, seq: seq + 1000 + second });
     await cluster.until(second + 1);
   }
-  const again = leaderOf(place).parts.get(part.id);
-  assert.ok(again !== undefined && again.term > part.term, "led again, under a term of its own");
+  const again = leaderOf(place).parts.get(partition.id);
+  assert.ok(again !== undefined && again.term > partition.term, "led again, under a term of its own");
   assert.equal(cluster.world.lines.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
   assert.equal(cluster.world.lines.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
   await cluster.until(130);
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -24,14 +24,14 @@
 
 /** A partition of two machines, one of which runs the one task there is. */
 function oneTask(): { part: Part; machine: Machine; other: Machine } {
-  const { part } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
-  queueUp(part, specOf({ cpus: 4 }));
-  runPass(part, pass);
-  const machines = [...part.machines.values()];
+  const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
+  queueUp(partition, specOf({ cpus: 4 }));
+  runPass(partition, pass);
+  const machines = [...partition.machines.values()];
   const machine = machines.find(({ placements }) => placements.size > 0)!;
   for (const placement of machine.placements.values()) Object.assign(placement, { state: "running", direct: "answered" });
   machine.answeredAt = NOW;
-  return { part, machine, other: machines.find((one) => one !== machine)! };
+  return { part: partition, machine, other: machines.find((one) => one !== machine)! };
 }
 
 function report(machine: Machine, change: Partial<Report>): Report {
@@ -50,31 +50,35 @@
   assert.equal(flawOf(proof(NOW + EXPIRY_MS + 1), TERM), null);
 });
 
-const FLAWED: [string, (part: Part, machine: Machine, findings: Findings) => void][] = [
+const FLAWED: [string, (partition: Part, machine: Machine, findings: Findings) => void][] = [
   [
     "a lease that ended after the last proof",
-    (part, machine, findings) =>
-      dropAll({ part, machine, now: NOW, findings }, { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS }),
+    (partition, machine, findings) =>
+      dropAll(
+        { part: partition, machine, now: NOW, findings },
+        { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS },
+      ),
   ],
   [
     "a newer owner's report that lists nothing",
-    (part, machine, findings) => void takeReport(part, machine, report(machine, { token: TERM + 1 }), context, findings),
+    (partition, machine, findings) => void takeReport(partition, machine, report(machine, { token: TERM + 1 }), context, findings),
   ],
   [
     "a newer owner's report of a new session",
-    (part, machine, findings) => void takeReport(part, machine, report(machine, { token: TERM + 1, session: 2 }), context, findings),
+    (partition, machine, findings) =>
+      void takeReport(partition, machine, report(machine, { token: TERM + 1, session: 2 }), context, findings),
   ],
 ];
 
 for (const [what, act] of FLAWED)
   test(`planted: ${what} drops no attempt, and is a violated invariant`, () => {
-    const { part, machine, other } = oneTask();
+    const { part: partition, machine, other } = oneTask();
     const findings = newFindings();
-    act(part, machine, findings);
+    act(partition, machine, findings);
     assert.equal(machine.placements.size, 1, "it goes on counting");
     assert.equal(findings.ended.length, 0);
     assert.ok(findings.unproven.length > 0);
-    runPass(part, { ...pass, now: NOW });
+    runPass(partition, { ...pass, now: NOW });
     assert.equal(other.placements.size, 0, "its task is not started elsewhere");
     const said: { entry: Record<string, unknown>; text: string }[] = [];
     const ignore = (): void => undefined;
@@ -84,7 +88,7 @@
     const scope = new Scope(clock, log, undefined, new Invariants(log, true));
     const led = { scope, audit: new Audit(clock, log, () => 0, 1), account: new Account(), wake: ignore } as unknown as LeaderContext;
     const nobody = { record: ignore } as unknown as Progress & Recovery;
-    assert.throws(() => new FindingEffects(led, nobody, nobody).act(part, findings), InvariantViolated);
+    assert.throws(() => new FindingEffects(led, nobody, nobody).apply(partition, findings), InvariantViolated);
     assert.equal(scope.invariants.violations, 1);
     const { entry } = said[0]!;
     assert.deepEqual([entry["part"], entry["term"], entry["host"], entry["piece"]], [0, TERM, machine.host, "run-000001/0"]);
@@ -93,44 +97,45 @@
   });
 
 test("proofs that hold: the same lease with a later read, a report under this term, a machine that the cloud deleted", () => {
-  const drops: ((part: Part, machine: Machine, findings: Findings) => void)[] = [
-    (part, machine, findings) =>
+  const drops: ((partition: Part, machine: Machine, findings: Findings) => void)[] = [
+    (partition, machine, findings) =>
       dropAll(
-        { part, machine, now: NOW, findings },
+        { part: partition, machine, now: NOW, findings },
         { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS + 1 },
       ),
-    (part, machine, findings) => dropAll({ part, machine, now: NOW, findings }, { by: "machine deleted" }),
-    (part, machine, findings) => void takeReport(part, machine, report(machine, {}), context, findings),
-    (part, machine, findings) => void takeReport(part, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
+    (partition, machine, findings) => dropAll({ part: partition, machine, now: NOW, findings }, { by: "machine deleted" }),
+    (partition, machine, findings) => void takeReport(partition, machine, report(machine, {}), context, findings),
+    (partition, machine, findings) =>
+      void takeReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
   ];
   const told = drops.map((drop) => {
-    const { part, machine } = oneTask();
+    const { part: partition, machine } = oneTask();
     const findings = newFindings();
-    drop(part, machine, findings);
+    drop(partition, machine, findings);
     assert.deepEqual([machine.placements.size, findings.unproven.length], [0, 0]);
-    return [...part.units.values()][0]!.lastGone.get(0)?.by;
+    return [...partition.units.values()][0]!.lastGone.get(0)?.by;
   });
   assert.deepEqual(told, ["lease over", "machine deleted", "not listed", "new session"]);
 });
 
 test("a task that starts again under an old proof is told at info, with the proof's age and why its last attempt is gone", () => {
-  const { part, machine } = oneTask();
+  const { part: partition, machine } = oneTask();
   const lines: { entry: Record<string, unknown>; text: string }[] = [];
   const info = (entry: Record<string, unknown>, text: string): void => void lines.push({ entry, text });
   const log = { info, isLevelEnabled: () => false } as unknown as Log;
   let readAgoMs = 0;
   const audit = new Audit(new VirtualClock(), log, () => readAgoMs, 2000);
   const [placement] = machine.placements.values();
-  audit.ordered(part, placement!);
+  audit.logOrdered(partition, placement!);
   placement!.unit.lastGone.set(0, { attempt: 4, host: "i-9", by: "exited" });
-  audit.ordered(part, placement!);
+  audit.logOrdered(partition, placement!);
   readAgoMs = 9000;
-  audit.ordered(part, placement!);
+  audit.logOrdered(partition, placement!);
   assert.equal(lines.length, 1, "only an old proof is worth a line");
   assert.equal(lines[0]!.text, "attempt ordered again without fresh proof of ownership");
   assert.equal(lines[0]!.entry["readAgoMs"], 9000);
   assert.deepEqual(lines[0]!.entry["former"], { attempt: 4, host: "i-9", by: "exited" });
-  for (let i = 0; i < 1000; i++) audit.ordered(part, placement!);
+  for (let i = 0; i < 1000; i++) audit.logOrdered(partition, placement!);
   assert.ok(lines.length < 300, "at a bounded rate");
   assert.equal(audit.staleRestarts, 1001);
 });
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobRecord } from "../src/ledger/records.js";
-import { below, grant } from "../src/parts/guarantees.js";
+import { teamsBelowGuarantee, grantGuarantees } from "../src/parts/guarantees.js";
 import { inOrder, localOrder } from "../src/queue/order.js";
 import { runPass } from "../src/queue/pass.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
@@ -26,40 +26,40 @@
     job("d", 0, { tasks: 9, team: "lab" }),
     job("e", 0, { tasks: 2, gpus: 0 }),
   ];
-  assert.deepEqual([...grant(jobs, teams, new Set())].sort(), ["a", "b"]);
+  assert.deepEqual([...grantGuarantees(jobs, teams, new Set())].sort(), ["a", "b"]);
   // An earlier one has ended: the next moves up; what was granted stays granted.
   jobs[1]!.end = "done";
-  assert.deepEqual([...grant(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
+  assert.deepEqual([...grantGuarantees(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
 });
 
 test("work beyond another team's guarantee is stopped for a guaranteed job, and no more than that", () => {
-  const { part } = partOf(2, { cpus: 8, gpus: 4, ram: 64 });
-  const borrowing = queueUp(part, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
-  runPass(part, pass);
+  const { part: partition } = partOf(2, { cpus: 8, gpus: 4, ram: 64 });
+  const borrowing = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
+  runPass(partition, pass);
   assert.equal(borrowing.waiting.length, 0);
-  const claim = queueUp(part, specOf({ ref: "run-000002", team: "ops", tasks: 6, gpus: 1 }));
+  const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 6, gpus: 1 }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 500, excess: new Map([["lab", { cpus: 0, gpus: 4 }]]) };
-  const stopped = (guaranteed: (unit: Unit) => boolean): number => choosePreemptions(part, { ...context, guaranteed }).length;
+  const stopped = (guaranteed: (taskSet: Unit) => boolean): number => choosePreemptions(partition, { ...context, guaranteed }).length;
   assert.equal(
     stopped(() => false),
     0,
   );
   assert.equal(
-    stopped((unit) => unit === claim),
+    stopped((taskSet) => taskSet === claim),
     4,
   );
   // What comes free by itself is waited for first.
-  assert.equal(choosePreemptions(part, { ...context, claimAfterMs: 5000, guaranteed: (unit) => unit === claim }).length, 0);
+  assert.equal(choosePreemptions(partition, { ...context, claimAfterMs: 5000, guaranteed: (taskSet) => taskSet === claim }).length, 0);
 });
 
 test("work that others need in a hurry is not stopped for a guarantee of lower priority, whose room it would take again", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 4, ram: 64 });
-  const lifted = queueUp(part, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 4, ram: 64 });
+  const lifted = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
   lifted.urgency = "urgent";
-  runPass(part, pass);
-  const claim = queueUp(part, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
+  runPass(partition, pass);
+  const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map([["lab", { cpus: 8, gpus: 0 }]]) };
-  const stopped = (): number => choosePreemptions(part, { ...context, guaranteed: (unit) => unit === claim }).length;
+  const stopped = (): number => choosePreemptions(partition, { ...context, guaranteed: (taskSet) => taskSet === claim }).length;
   assert.equal(stopped(), 0);
   lifted.urgency = "low";
   assert.equal(stopped(), 4);
@@ -73,10 +73,10 @@
   ];
   const use = (gpus: number, cpus = 0): { cpus: number; gpus: number } => ({ cpus, gpus });
   // What nothing is known of runs nothing; without a guarantee nothing is owed; of several, none may be used up.
-  assert.deepEqual([...below(both, new Map([["lab", use(4)]]))], ["ops", "mix"]);
+  assert.deepEqual([...teamsBelowGuarantee(both, new Map([["lab", use(4)]]))], ["ops", "mix"]);
   assert.deepEqual(
     [
-      ...below(
+      ...teamsBelowGuarantee(
         both,
         new Map([
           ["ops", use(9, 500)],
@@ -90,10 +90,10 @@
 });
 
 test("within a team that is owed work, what has the least left goes first, and before any other team's", () => {
-  const { part } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
-  const large = queueUp(part, specOf({ ref: "run-000001", team: "ops", tasks: 50 }));
-  const small = queueUp(part, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
-  const other = queueUp(part, specOf({ ref: "run-000003", team: "lab", tasks: 1 }));
+  const { part: partition } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
+  const large = queueUp(partition, specOf({ ref: "run-000001", team: "ops", tasks: 50 }));
+  const small = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
+  const other = queueUp(partition, specOf({ ref: "run-000003", team: "lab", tasks: 1 }));
   Object.assign(small, { submittedWall: 60_000 });
   const order = localOrder({
     mode: "aims",
--- a/test/holding.test.ts
+++ b/test/holding.test.ts
@@ -8,22 +8,22 @@
 
 /** Stopped tasks exit one by one; the queue is gone over after each. */
 test("room that stopped tasks leave is held for the gang they were stopped for", () => {
-  const { part } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
-  const low = queueUp(part, specOf({ ref: "run-000001", tasks: 20, cpus: 4, urgency: "low" }));
-  runPass(part, pass);
+  const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
+  const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 20, cpus: 4, urgency: "low" }));
+  runPass(partition, pass);
   assert.equal(low.placed.size, 12);
-  const gang = queueUp(part, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15, urgency: "urgent" }));
+  const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15, urgency: "urgent" }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
-  const victims = choosePreemptions(part, context);
+  const victims = choosePreemptions(partition, context);
   assert.equal(victims.length, 12);
   for (const victim of victims) victim.stop = { graceS: 0 };
   const exit = (placement: Placement): void => {
-    removeAttempt(part.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
+    removeAttempt(partition.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
     release(low, placement);
   };
   victims.forEach((victim, i) => {
     exit(victim);
-    runPass(part, pass);
+    runPass(partition, pass);
     if (i < victims.length - 1) assert.equal(low.placed.size, victims.length - 1 - i, `after ${i + 1} exits`);
   });
   assert.equal(gang.placed.size, 3);
@@ -31,17 +31,17 @@
 });
 
 test("what an array gets of stopped tasks' room is held, the rest of it is there for others", () => {
-  const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
-  const low = queueUp(part, specOf({ ref: "run-000001", tasks: 4, cpus: 4, urgency: "low" }));
-  runPass(part, pass);
+  const { part: partition } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
+  const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 4, cpus: 4, urgency: "low" }));
+  runPass(partition, pass);
   for (const placement of low.placed.values()) placement.stop = { graceS: 0 };
-  queueUp(part, specOf({ ref: "run-000002", tasks: 1, cpus: 8, urgency: "urgent" }));
-  const small = queueUp(part, specOf({ ref: "run-000003", tasks: 3, cpus: 4, urgency: "low" }));
+  queueUp(partition, specOf({ ref: "run-000002", tasks: 1, cpus: 8, urgency: "urgent" }));
+  const small = queueUp(partition, specOf({ ref: "run-000003", tasks: 3, cpus: 4, urgency: "low" }));
   const [first, second, third] = [...low.placed.values()];
   for (const placement of [first!, second!, third!]) {
-    removeAttempt(part.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
+    removeAttempt(partition.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
     low.placed.delete(placement.task);
   }
-  runPass(part, pass);
+  runPass(partition, pass);
   assert.equal(small.placed.size, 1);
 });
