--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -1,6 +1,6 @@
 /**
- * The audit log: why a start, a stop or a restart was allowed. One line an event, with the same field names everywhere, so
- * that the life of one task can be put together from the logs of all controllers (docs/operations.md).
+ * The audit log records why a start, a stop or a restart was allowed. It has one line per event with the same field names
+ * everywhere, so that the history of one task can be assembled from the logs of all controllers (docs/operations.md).
  */
 import { Rate, type SteadyClock } from "@thorntrail/protocol/rate";
 import type { Log } from "../platform/log.js";
@@ -9,27 +9,28 @@
 import type { FenceProof, Machine } from "../workers/machine.js";
 import type { Part } from "./part.js";
 
-/** Of starts under old proof so many are told a second, with this many at once; the counter counts all. */
+/** Rate and burst of the log lines for starts under stale proof of ownership; `staleRestarts` counts all of them. */
 const STALE_START_LINES_PER_SECOND = 5;
 const STALE_START_LINES_BURST = 200;
 
+/** Writes the audit log of the owned partitions. */
 export class Audit {
-  /** Tasks that were started again while the proof of ownership was old. */
+  /** Number of tasks that were started again under stale proof of ownership. */
   staleRestarts = 0;
   private readonly staleStartLines: Rate;
 
   constructor(
     clock: SteadyClock,
     private readonly log: Log,
-    /** Age of what is known of the state service, in ms: ownership was proven that long ago. */
+    /** Returns the age of the last proof of ownership, in ms. */
     private readonly proofAgeMs: () => number,
-    /** A proof that is older is no fresh one. */
+    /** Age above which a proof of ownership is stale, in ms. */
     private readonly maxFreshMs: number,
   ) {
     this.staleStartLines = new Rate(clock, STALE_START_LINES_PER_SECOND, STALE_START_LINES_BURST);
   }
 
-  /** Fields that say which attempt it is, and by which right it is spoken of. */
+  /** Returns the fields that identify the attempt and the term under which it is handled. */
   private attemptFields(partition: Part, placement: Placement): Record<string, unknown> {
     return {
       part: partition.id,
@@ -47,8 +48,9 @@
   }
 
   /**
-   * The scheduling cycle gave the task to the machine; no other attempt of it may be on one. `former`: the last attempt of
-   * it that is gone, and by which proof. A task that starts again while the proof of ownership is old is told at info.
+   * Logs that the scheduling cycle assigned the task to the machine, when no other attempt of it may be on a machine.
+   * `former` is the last attempt of the task that is gone, with its proof. A restart under stale proof of ownership is
+   * logged at info level.
    */
   logOrdered(partition: Part, placement: Placement): void {
     const former = placement.unit.lastGone.get(placement.task);
@@ -59,6 +61,7 @@
     else if (this.verbose) this.log.debug({ ...this.attemptFields(partition, placement), former }, "attempt ordered");
   }
 
+  /** Logs an attempt that this owner did not order; `wanted` is whether it may continue. */
   logAdopted(partition: Part, placement: Placement, wanted: boolean): void {
     if (wanted) {
       if (this.verbose) this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state }, "attempt adopted");
@@ -72,19 +75,20 @@
     );
   }
 
-  /** Proven gone: `end` says by what. */
+  /** Logs an attempt that is proven gone, with the way it ended and the proof. */
   logGone(partition: Part, { placement, end, kept, proof }: Ended): void {
     if (this.verbose)
       this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state, end, kept, proof }, "attempt gone");
   }
 
+  /** Logs that a machine counts as fenced, with the proof. */
   logFenced(partition: Part, machine: Machine, proof: FenceProof): void {
     if (!this.verbose) return;
     const { host, session, token } = machine;
     this.log.debug({ part: partition.id, term: partition.term, host, session, token, proof }, "machine fenced");
   }
 
-  /** The worker is told to forget a result that is durable, or an attempt without one. */
+  /** Logs that the worker is ordered to discard an attempt, whose result is durable or that has none. */
   logCleared(partition: Part, machine: Machine, piece: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -1,39 +1,47 @@
+/** Rules for claiming a partition: when a node claims it, for which reason, and under which write conditions. */
 import type { OwnerRecord } from "../ledger/records.js";
 import type { Condition } from "@thorntrail/protocol/state";
 
-/** Why a part is taken from another: its key is gone; it says that it should not lead; it did not answer doubt. */
+/**
+ * Why a partition is taken from an owner that cannot continue: its presence key is gone; it reports itself unfit to own
+ * partitions; or it did not refute a suspicion.
+ */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
+/** Why a node claims a partition. */
 export type Reason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
-/** What a node knows of one part, and of who is there, at one moment. */
+/** What a node knows about one partition and about the presence of the other nodes when it decides on a claim. */
 export interface ClaimContext {
   self: string;
   life: string;
   home: string;
   record: OwnerRecord | undefined;
-  /** There, fit by its own word, and not held for gone. */
+  /** Returns whether the node is present, does not report itself unfit, and is not considered gone. */
   able: (node: string) => boolean;
   alive: (node: string) => boolean;
   saysUnfit: (node: string) => boolean;
-  /** Who of the able should take it: the home first, else who leads the fewest. */
+  /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
   heir: () => string | undefined;
-  /** The owner's key has been missing for as long as one lasts: the heir may be at a loss. */
+  /** The owner's presence key has been missing for the lifetime of a key, so the successor may be unable to claim. */
   ownerLate: boolean;
-  /** This node has been there for as long as a key lasts. */
+  /** This node has been present for the lifetime of a presence key. */
   settled: boolean;
-  /** This life ended the record's term itself, on a worker's word of a newer owner. */
+  /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
-  /** This node should not lead at present. */
+  /** This node should not own partitions at present. */
   unfit: boolean;
 }
 
-/** Should this node claim the part now, and why? A part that is well led elsewhere comes home by `home again`. */
+/**
+ * Returns why this node should claim the partition now; null if it should not. `home again` returns a partition to its
+ * home controller from another healthy owner.
+ */
 export function reasonToClaim(context: ClaimContext): Reason | null {
   const { self, record, home } = context;
   if (record === undefined) return home === self || (context.settled && !context.alive(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
-    // Our former life led it; that this process runs proves that one over, its answers with it.
+    // A former process of this node owned it. That this one runs proves that the former has ended and answers no more workers.
     if (record.life !== context.life) return "own former life";
     return context.termEnded ? "own ended term" : null;
   }
@@ -43,13 +51,14 @@
   return context.saysUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
+/** Returns whether the reason is the loss of the former owner. */
 export function isLossReason(reason: Reason): reason is LossReason {
   return reason === "owner gone" || reason === "owner cut off" || reason === "owner suspected";
 }
 
 /**
- * On what a claim is conditional. Of an owner held for lost, its presence as it was read: a word of its
- * own meanwhile, an answer to doubt among them, changes the key, and the claim comes to nothing.
+ * Returns the write conditions of a claim. When the owner is considered lost, its presence key must be unchanged since
+ * it was read: any renewal in the meantime, including one that refutes a suspicion, changes the key and fails the claim.
  */
 export function claimConditions(
   owner: { key: string; stamp: number },
--- a/src/parts/ended-terms.ts
+++ b/src/parts/ended-terms.ts
@@ -1,38 +1,46 @@
 /**
- * Terms that ended here because a worker showed a newer token, before a read of the state service said so. Decides which
- * workers' tokens are believed; what ending a term means is up to whoever holds the partitions.
+ * Records the terms that this controller ended because a worker reported a newer token, before a read of the state
+ * service showed a new owner. Also decides which workers' tokens are accepted as evidence.
  */
 
-/** A token above the term of the owner that saw it: the partition has, or has had, a newer owner. */
+/** A token above the term of the owner that received it: evidence that the partition has, or has had, a newer owner. */
 export interface NewerToken {
   host: string;
   token: number;
   seenIn: "report" | "command reply" | "probe";
 }
 
-/** Workers whose tokens turned out to be nobody's are remembered up to this many, the newest. */
+/** Maximum number of workers remembered for reporting a token that was never issued; the oldest are dropped. */
 const MAX_REFUTED_HOSTS = 1000;
 
+/** The terms ended early by this process, and the workers whose evidence proved wrong. */
 export class EndedTerms {
-  /** By partition. */
+  /** The last term that ended here, by partition, with the worker that reported the newer token. */
   private readonly endedByPartition = new Map<number, { term: number; host: string }>();
   private readonly refutedHosts = new Set<string>();
 
-  /** Not if its token was once shown to be nobody's: one worker that is wrong must not end term after term. */
+  /**
+   * Returns whether a newer token from this worker ends a term. It does not once a token of the worker was refuted: one
+   * faulty worker must not end term after term.
+   */
   acceptsTokensOf(host: string): boolean {
     return !this.refutedHosts.has(host);
   }
 
+  /** Records that the term ended because of this token. */
   recordEnd(partition: number, term: number, { host }: NewerToken): void {
     this.endedByPartition.set(partition, { term, host });
   }
 
-  /** Did this very term end here? It is never taken up again; its attempt numbers and tokens are in use. */
+  /** Returns whether exactly this term ended here. Such a term is never resumed, as its attempt numbers and tokens are in use. */
   hasEnded(partition: number, term: number): boolean {
     return this.endedByPartition.get(partition)?.term === term;
   }
 
-  /** The record of the term was still there when this controller claimed it anew: nobody else had. */
+  /**
+   * Stops accepting tokens of the worker that ended the partition's term. Called when the ended term was still recorded
+   * as this controller claimed the partition again, so that no other controller can have claimed it.
+   */
   refuteToken(partition: number): void {
     const ended = this.endedByPartition.get(partition);
     if (ended === undefined) return;
--- a/src/parts/fence-progress.ts
+++ b/src/parts/fence-progress.ts
@@ -1,13 +1,14 @@
-/** Says what a fence waits for, while it does: which machines have shown no sign of the new term, and what came of asking them. */
+/** Logs what a fence waits for: the machines that have not acknowledged the new term, and the results of contacting them. */
 import type { Log } from "../platform/log.js";
 import type { Machine } from "../workers/machine.js";
 import type { Part } from "./part.js";
 
-/** Machines that one line names; the rest is counted. */
+/** Maximum number of machines listed in one line; the line also has the total. */
 const MAX_LISTED_MACHINES = 5;
 
+/** Logs the progress of long fences. */
 export class FenceProgress {
-  /** By partition under one term: when its last line was written. */
+  /** Time of the last line, by partition under one term. */
   private readonly lastLineAt = new WeakMap<Part, number>();
 
   constructor(
@@ -16,7 +17,7 @@
     private readonly expiryMs: number,
   ) {}
 
-  /** Called often; a line comes once a gap, and none of a fence that is over sooner. */
+  /** Writes a line if `intervalMs` has passed since the last one or since the fence began. */
   logIfDue(partition: Part, now: number): void {
     if (now - (this.lastLineAt.get(partition) ?? partition.since) < this.intervalMs) return;
     this.lastLineAt.set(partition, now);
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -1,3 +1,4 @@
+/** Acts on the findings from reports and lease expiry: durable progress, accounting, audit and follow-up orders. */
 import { pieceName, type Placement, type Unit } from "../queue/unit.js";
 import type { Findings } from "../workers/report-intake.js";
 import type { LeaderContext } from "./leader-context.js";
@@ -5,11 +6,11 @@
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
-/** Tasks seen, and times the usual run time they took, before a machine counts as slow. */
+/** Number of measured tasks, and multiple of their expected run time, from which a machine counts as slow. */
 const MIN_PACE_SAMPLES = 3;
 const SLOW_FACTOR = 2;
 
-/** What follows from what reports and the passing of time brought about. */
+/** Applies findings to the records, statistics and queues of a partition. */
 export class FindingEffects {
   constructor(
     private readonly context: LeaderContext,
@@ -17,6 +18,7 @@
     private readonly recovery: Recovery,
   ) {}
 
+  /** Applies all findings of one report or one lease check. */
   apply(partition: Part, findings: Findings): void {
     for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
     for (const { unit: taskSet, seconds, host } of findings.runs) {
@@ -36,7 +38,7 @@
     if (findings.changed) this.context.wake();
   }
 
-  /** An attempt was to count as gone by a proof that does not hold: a defect, whatever led there. It goes on counting. */
+  /** Reports an attempt that was about to count as gone by an invalid proof, which is always a defect. The attempt continues to count. */
   private reportInvalidProof(partition: Part, { placement, proof, flaw }: Findings["unproven"][number]): void {
     const { unit: taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
@@ -67,10 +69,10 @@
     );
   }
 
-  /** A machine on which several tasks took much longer than their kin is returned when empty. */
+  /** Drains a machine, to be returned once empty, if several tasks took much longer on it than such tasks are expected to. */
   private updatePace(partition: Part, taskSet: Unit, seconds: number, host: string): void {
     const machine = partition.machines.get(host);
-    // A gang runs as fast as its slowest machine, so its times accuse none of them.
+    // A gang runs as fast as its slowest machine, so its run times say nothing about a single machine.
     if (machine === undefined || taskSet.spec.kind !== "array") return;
     machine.pace.sum += Math.log(seconds / this.context.history.expectS(taskSet.spec));
     machine.pace.count++;
@@ -78,11 +80,11 @@
     machine.draining = true;
     this.context.scope.log.info(
       { part: partition.id, host, factor: Math.exp(machine.pace.sum / machine.pace.count) },
-      "machine set aside: slow",
+      "machine drained: its tasks run slower than expected",
     );
   }
 
-  /** A gang lost a member: the rest must go before all can start again. */
+  /** Stops the remaining members of a gang that lost one; all must be gone before the gang can start again. */
   stopGang(partition: Part, taskSet: Unit): void {
     for (const placement of taskSet.placed.values()) {
       if (placement.stop !== null) continue;
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -1,3 +1,4 @@
+/** Detects that this node is cut off from its workers while other controllers reach theirs. */
 import type { Rentals } from "../ledger/rentals.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Report, WorkerApi } from "@thorntrail/protocol/worker";
@@ -5,20 +6,27 @@
 import type { Settings } from "../settings/derived.js";
 import type { Part } from "./part.js";
 
-/** What a node hears of the machines it leads; `unsure`: too few, or something in between. */
+/**
+ * How many of a node's machines report to it: `most`, `few`, or `unsure` if the share lies in between or there are too
+ * few machines.
+ */
 export type Reachability = "most" | "few" | "unsure";
 
-/** Of the machines that should report, how many make `most`, and how many at most are `few`. */
+/** Minimum share of the machines expected to report that counts as `most`, and maximum share that counts as `few`. */
 const MIN_SHARE_FOR_MOST = 1 / 2;
 const MAX_SHARE_FOR_FEW = 1 / 10;
-/** Fewer machines than this may well all be gone. */
+/** Minimum number of machines for a decision; fewer may all be gone at the same time. */
 const MIN_MACHINES = 3;
-/** Machines asked at a time whether they can be reached again, and how often all must answer. */
+/** Machines probed per round, and number of successful rounds in a row before the node counts as fit again. */
 const PROBES_PER_ROUND = 3;
 const REQUIRED_GOOD_ROUNDS = 2;
-/** How much longer the pause before leading again may grow if contact is lost again. */
+/**
+ * Maximum pause before machines are probed again, in worker leases. A loss of contact within this time of the last one
+ * doubles the pause.
+ */
 const MAX_PAUSE_LEASES = 8;
 
+/** Returns how many of the partitions' machines have reported within the last `silentMs`. */
 export function hearing(partitions: Iterable<Part>, now: number, silentMs: number): Reachability {
   let expected = 0;
   let reporting = 0;
@@ -35,13 +43,14 @@
 }
 
 /**
- * A controller that reaches the state service but not its workers would hold its
- * part while the leases of all its machines run out. If it hears next to none
- * of them while a peer does not find the same, it is this node that is cut off: it says so,
- * and others take its parts. It leads again once machines can be reached for a
- * while; the pause grows if that turns out too early.
+ * Decides whether this node is fit to own partitions. A controller that reaches the state service but not its workers
+ * would keep its partitions while the leases of all their machines expire. If few of its machines report while a peer
+ * does not see the same, this node is the one that is cut off: it declares itself unfit and others take its partitions.
+ * It becomes fit again after a pause, once machines answer in several rounds of probes; the pause grows when contact is
+ * lost again soon.
  */
 export class Fitness {
+  /** This node should not own partitions at present. */
   unfit = false;
   private contactLostAt = -Infinity;
   private pauseMs: number;
@@ -55,13 +64,14 @@
     private readonly rentals: Rentals,
     private readonly workers: WorkerApi,
     private readonly hasStateService: () => boolean,
-    /** Told of each answer to a probe. */
+    /** Receives the report in each reply to a probe. */
     private readonly onProbeReply: (report: Report) => void,
     private readonly scope: Scope,
   ) {
     this.pauseMs = settings.timing.leaseMs / 2;
   }
 
+  /** Starts the periodic check. */
   start(): void {
     this.scope.routine(
       "fitness",
@@ -70,10 +80,12 @@
     );
   }
 
+  /** Records what a peer reports about its own machines. */
   hear(node: string, hears: string): void {
     this.peerReports.set(node, { reachability: hears as Reachability, at: this.scope.clock.now() });
   }
 
+  /** Returns how many of this node's machines report to it. */
   own(): Reachability {
     return hearing(this.parts.values(), this.scope.clock.now(), this.settings.timing.silentMs);
   }
@@ -82,9 +94,9 @@
     if (this.own() !== "few") return;
     const now = this.scope.clock.now();
     const { reportMs, leaseMs } = this.settings.timing;
-    // Without the state service others may lead those machines by now: no wonder that they are not heard.
+    // Without the state service, other controllers may own those machines by now, which would explain missing reports.
     if (!this.hasStateService()) return;
-    // If no peer hears its own either, the machines are gone, or cut off from everybody.
+    // If no peer receives reports from its machines either, the machines are gone or cut off from all controllers.
     const others = [...this.peerReports.values()].some(({ reachability: theirs, at }) => theirs !== "few" && now - at < reportMs);
     if (!others) return;
     this.pauseMs =
@@ -104,8 +116,8 @@
   }
 
   /**
-   * Do machines, of the part if one is given, answer this node? A command with the
-   * lowest token and no orders changes nothing, whoever leads the machine.
+   * Returns whether machines answer this node, of all partitions or of the given one. The probe is a command with the
+   * lowest token and no orders, which changes nothing whichever controller owns the machine.
    */
   async reaches(partition?: number): Promise<boolean> {
     const known = [...this.rentals.all()].filter(
@@ -126,7 +138,7 @@
         ),
       ),
     );
-    // One machine may be gone; two of three that do not answer are this node's trouble.
+    // One machine may be gone; if two of three do not answer, the fault is on this node's side.
     return answers.filter(Boolean).length * 2 >= answers.length;
   }
 }
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -1,3 +1,4 @@
+/** Team guarantees: which jobs they cover, and which teams use less or more than theirs over all partitions. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Configuration } from "../configuration/current.js";
 import type { Mirror } from "../ledger/mirror.js";
@@ -8,16 +9,17 @@
 import type { TeamSettings } from "../settings/platform-file.js";
 import type { Usage } from "./part.js";
 
+/** Resource usage of one team. */
 export interface TeamUsage extends Usage {
   team: string;
 }
 
-/** What all of a job's tasks would use at once. */
+/** Returns the resources that all tasks of a job use together. */
 function demand(spec: JobSpec): Usage {
   return { cpus: spec.cpus * spec.tasks, gpus: spec.gpus * spec.tasks };
 }
 
-/** Does the job use what its team has a guarantee of? A guarantee of 0 is none. */
+/** Returns whether the job uses a resource for which its team has a guarantee; a guarantee of 0 is none. */
 function usesGuaranteedResource(spec: JobSpec, team: TeamSettings): boolean {
   return (team.cpus > 0 && spec.cpus > 0) || (team.gpus > 0 && spec.gpus > 0);
 }
@@ -28,8 +30,8 @@
 }
 
 /**
- * Jobs that fit into their team's guarantee together with the team's earlier
- * unfinished ones. Once granted it stays: what came later does not take it away.
+ * Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. A job in
+ * `granted` stays covered whatever is submitted later.
  */
 export function grantGuarantees(jobs: Iterable<JobRecord>, teams: readonly TeamSettings[], granted: Set<string>): Set<string> {
   const byTeam = new Map<string, JobRecord[]>();
@@ -53,7 +55,7 @@
   return result;
 }
 
-/** Teams that run less than they are guaranteed, of everything that they have a guarantee of. */
+/** Returns the teams that use less than their guarantee of every resource for which they have one. */
 export function teamsBelowGuarantee(teams: readonly TeamSettings[], total: ReadonlyMap<string, Usage>): Set<string> {
   const less = (used: number, guaranteed: number): boolean => guaranteed <= 0 || used < guaranteed;
   const owed = teams.filter(({ name, cpus, gpus }) => {
@@ -64,14 +66,14 @@
 }
 
 /**
- * Which work lies within a guarantee, and which teams run beyond theirs, over
- * all parts: peers say now and then what their parts run. A peer that has not been
- * heard of lately counts as running nothing, so too little is stopped, never too much.
+ * Tracks which jobs lie within a guarantee and which teams exceed theirs, over all partitions. Peers report the usage of
+ * their partitions periodically. A peer without a recent report counts as using nothing, so that too few tasks are
+ * preempted rather than too many.
  */
 export class Guarantees {
   private granted = new Set<string>();
   private readonly reportsByNode = new Map<string, { use: TeamUsage[]; at: number }>();
-  /** The sum of what was reported, and when the first of it is too old to count; null: to be made. */
+  /** Sum of the valid reports and the time at which the first of them expires; null if it must be recomputed. */
   private remoteUsageCache: { use: ReadonlyMap<string, Usage>; until: number } | null = null;
 
   constructor(
@@ -82,6 +84,7 @@
     private readonly scope: Scope,
   ) {}
 
+  /** Starts the periodic update of the covered jobs. */
   start(): void {
     this.scope.routine(
       "guarantees",
@@ -96,25 +99,28 @@
 
   private updateGranted(): void {
     if (this.granted.size === 0 && this.teams.every((team) => team.cpus <= 0 && team.gpus <= 0)) return;
-    // What waits for other jobs holds no part of its team's guarantee.
+    // A job that waits for other jobs takes nothing of its team's guarantee.
     const jobs: JobRecord[] = [];
     for (const { v } of this.mirror.openJobs().values()) if (!this.needs.waits(v.spec.ref)) jobs.push(v);
     this.granted = grantGuarantees(jobs, this.teams, this.granted);
   }
 
+  /** Returns whether the job lies within its team's guarantee. */
   within(ref: string): boolean {
     return this.granted.has(ref);
   }
 
+  /** Records the usage reported by a peer. */
   hear(node: string, use: TeamUsage[]): void {
     this.reportsByNode.set(node, { use, at: this.scope.clock.now() });
     this.remoteUsageCache = null;
   }
 
   /**
-   * Whose work comes before the rest of its priority. Where a guarantee is an aim of its own, each job within one
-   * (`job`): it has seconds to start. Elsewhere the work of teams that run less than their guarantee (`team`), in its own
-   * order: the earliest that fit it, first come, would all be begun on a full day, and few ended.
+   * Returns the tests for work that is ordered before other work of its priority. If the settings have an aim for
+   * guaranteed work, this is each job within a guarantee (`job`), as it has seconds to start. Otherwise it is the work of
+   * teams that use less than their guarantee (`team`), in its usual order: ordering jobs within the guarantee by arrival
+   * would start all of them on a full day and finish few.
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(aimS(this.settings.platform, "guarantee", undefined)))
@@ -123,7 +129,7 @@
     return { job: () => false, team: (spec) => owed.has(spec.team) };
   }
 
-  /** What teams run beyond their guarantee, with what this node itself runs given. */
+  /** Returns what teams use beyond their guarantees; `own` is the usage of this node's partitions. */
   excess(own: TeamUsage[]): Map<string, Usage> {
     const total = this.totalUsage(own);
     const beyond = new Map<string, Usage>();
@@ -134,14 +140,17 @@
     return beyond;
   }
 
-  /** What teams run over all partitions. */
+  /** Returns the usage by team over all partitions. */
   private totalUsage(own: TeamUsage[]): Map<string, Usage> {
     const total = new Map(this.remoteUsage());
     for (const use of own) addUsage(total, use);
     return total;
   }
 
-  /** What teams run in the partitions of others: asked for with every scheduling cycle, made anew once any of it changed. */
+  /**
+   * Returns the usage by team in the partitions of other nodes. Every scheduling cycle needs it, so it is cached until a
+   * report changes or expires.
+   */
   private remoteUsage(): ReadonlyMap<string, Usage> {
     const now = this.scope.clock.now();
     if (this.remoteUsageCache !== null && now < this.remoteUsageCache.until) return this.remoteUsageCache.use;
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -1,3 +1,4 @@
+/** The state and services that the components of a partition owner share. */
 import type { Subject } from "rxjs";
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { Scope } from "../platform/scope.js";
@@ -11,43 +12,49 @@
 import type { Part } from "./part.js";
 import type { StartGuard } from "./start-guard.js";
 
+/** Counters since the start of this process; `fencedMs` is the duration of the last fence. */
 export interface LeaderStats {
   starts: number;
   takeovers: number;
   preemptions: number;
   fencedMs: number;
-  /** Terms that ended on a worker's word of a newer owner. */
+  /** Terms that ended because a worker reported a newer owner's token. */
   superseded: number;
 }
 
-/** What the duties of leading share: the parts this node leads, and whom to tell. */
+/** State of the owned partitions, and the event streams and services that the owner's components share. */
 export interface LeaderContext {
   readonly settings: Settings;
   readonly scope: Scope;
+  /** Owned partitions by id. */
   readonly parts: Map<number, Part>;
   readonly history: RunHistory;
   readonly types: MachineType[];
   typeOf(name: string): MachineType | undefined;
   readonly stats: LeaderStats;
-  /** What became of the work led here, by class. */
+  /** Outcomes of the attempts in owned partitions, by class. */
   readonly account: Account;
-  /** Machines with orders that should not wait for the next report. */
+  /** Emits machines that have orders to be sent without waiting for their next report. */
   readonly dispatch$: Subject<{ part: Part; machine: Machine }>;
-  /** Teams short of allotment in a part. */
+  /** Emits teams whose quota share in a partition is too small for their queued tasks. */
   readonly short$: Subject<{ part: Part; team: string; want: Shortage }>;
-  /** Tasks that began to run, with their wait since submission. */
+  /** Emits each task that starts to run, with the time since its submission in seconds. */
   readonly began$: Subject<{ klass: string; waitS: number }>;
   readonly audit: Audit;
   readonly startGuard: StartGuard;
+  /** The steady clock, in ms. */
   readonly now: number;
-  /** When the newest read began that found the terms that this node leads under; steady ms. */
+  /** Start of the newest read of the state service that confirmed the terms of the owned partitions, in ms of the steady clock. */
   readonly provenAt: number;
-  /** Reads the state service anew, so that `provenAt` is no older than this call; rejects with `NoReply`. */
+  /** Reads the state service, so that `provenAt` is no older than this call. Rejects with `NoReply`. */
   proveOwnership(): Promise<void>;
-  /** No proof that all cancellations and takeovers are known: workers must not be answered. */
+  /** Returns whether workers must not be answered because cancellations or takeovers may be unknown here. */
   silent(): boolean;
-  /** A worker shows a newer owner's token: the partition's term ends here at once. False: it is not believed. */
+  /**
+   * Ends the partition's term at once because a worker reported a newer owner's token. Returns false if tokens of this
+   * worker are not accepted as evidence.
+   */
   supersede(partition: Part, seen: NewerToken): boolean;
-  /** Runs a placement pass soon. */
+  /** Requests a scheduling cycle. */
   wake(): void;
 }
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -1,3 +1,4 @@
+/** Owns partitions on behalf of this node and connects the components that operate them. */
 import { Subject } from "rxjs";
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { Report, ReportAnswer } from "@thorntrail/protocol/worker";
@@ -31,15 +32,18 @@
 import { summarize } from "./summary.js";
 import { LeaseWatch } from "./lease-watch.js";
 
-/** Leads the parts this node holds: hands records, reports, time and passes to the duties beside it. */
+/**
+ * Operates the partitions that this node owns. It starts the components for record changes, workers' reports, lease
+ * expiry and scheduling, and is their interface to the rest of the controller.
+ */
 export class Leader implements LeaderContext {
   readonly parts = new Map<number, Part>();
   readonly history: RunHistory;
-  /** Machines with orders that should not wait for the next report. */
+  /** Emits machines that have orders to be sent without waiting for their next report. */
   readonly dispatch$ = new Subject<{ part: Part; machine: Machine }>();
-  /** Teams short of allotment in a part. */
+  /** Emits teams whose quota share in a partition is too small for their queued tasks. */
   readonly short$ = new Subject<{ part: Part; team: string; want: Shortage }>();
-  /** Tasks that began to run, with their wait since submission. */
+  /** Emits each task that starts to run, with the time since its submission in seconds. */
   readonly began$ = new Subject<{ klass: string; waitS: number }>();
   types: MachineType[] = [];
   readonly recovery = new Recovery(this);
@@ -47,7 +51,7 @@
   private readonly scheduler: Scheduler;
   private readonly reportHandler: ReportHandler;
   private readonly ownedPartitions: OwnedPartitions;
-  /** When the last stall ended in which this node's presence may have run out. */
+  /** End of the last stall during which this node's presence may have expired, in ms of the steady clock. */
   private stallEndedAt = -Infinity;
   readonly account = new Account();
   readonly audit: Audit;
@@ -81,6 +85,7 @@
     this.ownedPartitions = new OwnedPartitions(this, incarnation, mirror, rentals, needs, progress, effects, this.leaseWatch);
   }
 
+  /** Starts the components and the periodic routines. */
   start(): void {
     this.classShares.start();
     this.ownedPartitions.start();
@@ -114,16 +119,16 @@
   }
 
   /**
-   * Without proof that we know all cancellations and takeovers, we must stop
-   * answering workers early enough that their leases end within `cancel_s`. After a
-   * stall in which the part may have been lost, proof from before it counts for nothing:
-   * to one that wakes, another's live machines would seem lost, and be returned.
+   * Returns whether workers must not be answered. Without a recent read, cancellations and takeovers may be unknown here,
+   * and workers' leases must end within `cancel_s`, so answers stop in time. Proof from before a stall in which the
+   * partition may have been lost does not count: this node would take machines that a new owner keeps alive for lost
+   * and return them.
    */
   silent(): boolean {
     return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.provenAt < this.stallEndedAt;
   }
 
-  /** Between these two lines this node answered no worker and ordered nothing. */
+  /** Logs the begin and end of the time in which this node answers no worker and orders nothing. */
   private logSilenceChange(): void {
     const silent = this.silent();
     if (silent === this.wasSilent || this.parts.size === 0) return;
@@ -137,18 +142,18 @@
   }
 
   /**
-   * Nobody else can lead our parts yet: our presence was there at the last proof, and lasts
-   * longer than this. Later, machines that do not report may do so to another, who
-   * leads them; returning them as lost or idle would end all that runs on them.
+   * Returns whether no other node can own this node's partitions yet: its presence existed at the last proof and lasts
+   * longer than the time since. After that, machines that do not report here may report to a new owner, and returning
+   * them as lost or idle would end everything that runs on them.
    */
   sure(): boolean {
     return !this.silent() && this.mirror.ageMs() < this.settings.timing.presenceMs / 2;
   }
 
   /**
-   * This process stood still: machines, boots and idle times are given that time
-   * again, and run times that may have ended meanwhile teach nothing. Leases are not:
-   * workers' clocks ran on.
+   * Compensates for a stall of this process of `ms` milliseconds. Times of reports, boots and idleness are extended by
+   * it, and run times measured across it are not used for estimates. Leases are not extended, as workers' clocks kept
+   * running.
    */
   stoodStill(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
@@ -167,7 +172,7 @@
     }
   }
 
-  /** Confirmed gone, with everything on it. */
+  /** Removes a machine that the cloud has confirmed as deleted, with all attempts on it. */
   forgetMachine(partition: Part, machine: Machine): void {
     this.ownedPartitions.forgetMachine(partition, machine);
   }
@@ -176,21 +181,22 @@
     return this.ownedPartitions.endSupersededTerm(partition, seen);
   }
 
-  /** Machines whose lease is over by the clock and not by proof. */
+  /** Number of machines whose lease has expired by the clock but not yet by proof of ownership. */
   get unprovenLeases(): number {
     return this.leaseWatch.unprovenLeases;
   }
 
-  /** Since when ownership is not proven anew, in ms. */
+  /** Age of the last proof of ownership, in ms. */
   get proofAgeMs(): number {
     return this.mirror.ageMs();
   }
 
+  /** Returns whether this process ended the term itself because a worker reported a newer token. */
   termEnded(partition: number, term: number): boolean {
     return this.ownedPartitions.endedTerms.hasEnded(partition, term);
   }
 
-  /** This node has claimed the record of the term that it ended: the worker's token was nobody's. */
+  /** Called after this node claimed the partition again from a term that it had ended: the worker's token was never issued. */
   newerTokenRefuted(partition: number): void {
     this.ownedPartitions.endedTerms.refuteToken(partition);
   }
@@ -199,7 +205,7 @@
     return this.types.find((type) => type.name === name);
   }
 
-  /** Types become known, or known anew, from the cloud. */
+  /** Sets the machine types offered by the cloud and updates the capacity of the machines. */
   setTypes(types: MachineType[]): void {
     this.types = types;
     for (const partition of this.parts.values()) {
@@ -210,38 +216,45 @@
     }
   }
 
+  /** Returns the hourly price of the machine; 0 if its type is unknown. */
   priceOf(machine: Machine): number {
     const type = this.typeOf(machine.type);
     return type === undefined ? 0 : machine.spot ? type.spotPrice : type.price;
   }
 
-  // ---- what others ask of the duties
+  // ---- delegation to the components
 
+  /** Handles a worker's report and returns the answer to send. */
   onReport(report: Report): ReportAnswer {
     return this.reportHandler.onReport(report);
   }
 
+  /** Handles the report in a worker's reply to a direct command. */
   onCommandReply(partition: Part, machine: Machine, report: Report): void {
     this.reportHandler.onCommandReply(partition, machine, report);
   }
 
-  /** What a worker answered to a command with the lowest token, which says what token it has seen. */
+  /** Handles a worker's reply to a probe (a command with the lowest token), which carries the highest token that it has seen. */
   onProbeReply(report: Report): void {
     this.reportHandler.onProbeReply(report);
   }
 
+  /** Requests a scheduling cycle; requests within the gap between cycles share one. */
   wake(): void {
     this.scheduler.requestCycle();
   }
 
+  /** Returns the order of the queues under the present shares and guarantees. */
   order(): LocalOrder {
     return this.scheduler.queueOrder();
   }
 
+  /** Returns the resource usage by team over all owned partitions. */
   use(): TeamUsage[] {
     return this.scheduler.usageByTeam();
   }
 
+  /** Returns the boot time of the machine's type in ms; 0 if the type is unknown. */
   bootMs(machine: Machine): number {
     return this.scheduler.bootMs(machine);
   }
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -1,3 +1,4 @@
+/** Time-driven checks of the owned partitions: expired leases, termination notices and the end of fencing. */
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Machine } from "../workers/machine.js";
 import { isBrokenGang } from "../queue/unit.js";
@@ -11,14 +12,14 @@
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
-/** What the passing of time brings: leases that run out, notices, the end of fencing. */
+/** Checks leases, fences and machines to be evacuated, and applies what follows. */
 export class LeaseWatch {
-  /** Of a part that is fenced: a machine that was not accounted for when last looked. */
+  /** A machine of a partition in the `fencing` phase that was not fenced at the last check. */
   private readonly unfencedMachine = new WeakMap<Part, string>();
   private readonly fenceProgress: FenceProgress;
-  /** Machines whose lease is over by the clock, and may have been renewed by an heir, when last looked. */
+  /** Number of machines, at the last check, whose lease has expired by the clock but may have been renewed by a new owner. */
   unprovenLeases = 0;
-  /** A read is under way that leases wait for. */
+  /** A read of the state service on which expired leases wait is in progress. */
   private proving = false;
 
   constructor(
@@ -31,6 +32,7 @@
     this.fenceProgress = new FenceProgress(context.scope.log, leaseMs / 4, expiryMs);
   }
 
+  /** Checks all owned partitions and requests a scheduling cycle. */
   look(): void {
     const { expiryMs } = this.context.settings.timing;
     const { now, provenAt } = this.context;
@@ -54,8 +56,8 @@
   }
 
   /**
-   * Leases are over by the clock, and the newest read is older than their ends. While the state service answers, one more
-   * read settles it at once; in an outage they wait for its end, and reads go on at their own pace.
+   * Reads the state service and checks again, when leases have expired by the clock but after the newest read began.
+   * During an outage of the state service no extra read is sent; the leases wait until the regular reads succeed.
    */
   private async proveAndCheck(): Promise<void> {
     const { now, provenAt, settings } = this.context;
@@ -72,7 +74,7 @@
     if (!this.context.scope.closed) this.look();
   }
 
-  /** Nobody answered it validly for longer than its lease: its tasks are gone. */
+  /** Marks a machine as lost: no owner can have renewed its lease before it expired, so its tasks are gone. */
   private markLost(partition: Part, machine: Machine): void {
     const { now, provenAt, scope, settings } = this.context;
     const { expiryMs } = settings.timing;
@@ -92,8 +94,9 @@
     this.effects.apply(partition, findings);
   }
 
+  /** Ends the `fencing` phase of the partition once all its machines are fenced. */
   checkFence(partition: Part): void {
-    // The one found missing last mostly still is: a report must not cost a look at all machines.
+    // The machine found unfenced last usually still is; checking it first avoids a scan of all machines per report.
     if (partition.machines.get(this.unfencedMachine.get(partition) ?? "")?.fenced === false) return;
     for (const machine of partition.machines.values()) {
       if (machine.fenced) continue;
@@ -113,7 +116,7 @@
       },
       "all machines accounted for; placing",
     );
-    // Gangs found incomplete cannot be completed by a new attempt: bring them down.
+    // An incomplete gang cannot be completed by new attempts of single members, so its remaining members are stopped.
     for (const taskSet of partition.units.values()) {
       if (isBrokenGang(taskSet)) this.effects.stopGang(partition, taskSet);
       if (taskSet.done.count > 0) this.progress.record(partition, taskSet);
@@ -122,8 +125,8 @@
   }
 
   /**
-   * Work that can save, and replicas, leave a machine that is going while there is
-   * time; what would finish first, or cannot save anyway, runs on.
+   * Stops service replicas, and tasks that can save a checkpoint, on a machine that is about to end or drains. Tasks that
+   * would finish before the machine ends, or that cannot save, continue to run.
    */
   private evacuate(partition: Part, machine: Machine): void {
     const { reportMs } = this.context.settings.timing;
@@ -138,7 +141,7 @@
       const runLeftMs = this.context.history.leftS(spec, ranS) * 1000;
       const stopNow = isService || (leftMs < flushMs + 2 * reportMs && leftMs > flushMs && runLeftMs > leftMs);
       if (!stopNow) continue;
-      // All of a gang must be told within `gang_peer_s` of the first, or the save fails.
+      // All members of a gang must receive the stop within `gang_peer_s` of the first, or the checkpoint fails.
       const affected = spec.kind === "gang" ? [...placement.unit.placed.values()] : [placement];
       for (const member of affected) {
         const machineOfMember = partition.machines.get(member.host);
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -1,3 +1,4 @@
+/** Records machines that have come up. */
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import { keys, type RentalRecord } from "../ledger/records.js";
@@ -6,8 +7,9 @@
 import type { LeaderContext } from "./leader-context.js";
 import type { Part } from "./part.js";
 
-/** Machines get work only once their record says that they are up. */
+/** Records machines as up in their rental records; a machine receives work only after that. */
 export class MachineStartup {
+  /** Keys of rental records that are being written. */
   private readonly pending = new Set<string>();
 
   constructor(
@@ -17,7 +19,7 @@
     private readonly committer: Committer,
   ) {}
 
-  /** Machines of a rental that have come up are recorded together, in one write. */
+  /** Records all machines of the rental that have come up, in one write. */
   record(partition: Part, machine: Machine): void {
     const key = this.rentals.get(machine.host)?.key;
     if (key === undefined || machine.addr === null || this.pending.has(key)) return;
@@ -49,7 +51,7 @@
     void this.committer.commit("up", draft, { turn: "soon" }).then((outcome) => {
       this.pending.delete(key);
       if (outcome === "shed") return;
-      // Those that came up while the write was under way.
+      // Records machines that came up during the write.
       const hosts = this.mirror.get<RentalRecord>(key)?.v.hosts ?? {};
       const remaining = Object.entries(hosts).find(([host, addr]) => addr === "" && reportedAddress(host) !== null);
       const next = remaining === undefined ? undefined : partition.machines.get(remaining[0]);
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -1,3 +1,4 @@
+/** Keeps the set of owned partitions, their machines and their task sets in line with the state service's records. */
 import type { Mirror } from "../ledger/mirror.js";
 import { doneOf, keys, partOf, type JobRecord, type OwnerRecord, type SliceRecord } from "../ledger/records.js";
 import type { Rentals } from "../ledger/rentals.js";
@@ -15,10 +16,11 @@
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
-/** What the records say this node holds: parts won and lost, their machines, their work. */
+/** Takes over and gives up partitions as their owner records change, and reconciles their machines and task sets with the records. */
 export class OwnedPartitions {
+  /** Takeovers in progress, as partition/term. */
   private readonly takingOver = new Set<string>();
-  /** Jobs of several slices whose slices have been looked for. */
+  /** Jobs recorded in several slices whose slices have been reconciled. */
   private readonly slicesReconciled = new Set<string>();
   readonly endedTerms = new EndedTerms();
 
@@ -33,6 +35,7 @@
     private readonly leaseWatch: LeaseWatch,
   ) {}
 
+  /** Subscribes to changes of records, rentals and job dependencies. */
   start(): void {
     this.context.scope.listen(this.mirror.changes$, (key) => this.onChange(key));
     this.context.scope.listen(this.rentals.changes$, (host) => this.reconcileMachine(host));
@@ -57,6 +60,7 @@
     else if (key.startsWith(keys.allotments)) this.context.wake();
   }
 
+  /** Gives up the partition if its record names another owner or term, and starts a takeover if it names this process. */
   private reconcileOwner(id: number): void {
     const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
     const current = this.context.parts.get(id);
@@ -72,9 +76,10 @@
   }
 
   /**
-   * A worker shows a newer owner's token. Whatever the record says as it was read last, that owner may have started
-   * anything again, on this partition's other machines too, so the term ends here: nothing more is ordered, answered
-   * or concluded under it. Should the record still be ours, it is claimed anew (`Ownership`), under another term.
+   * Ends the partition's term because a worker reported a newer owner's token. Whatever the record was at the last read,
+   * that owner may have restarted any task, also on other machines of the partition, so nothing more is ordered, answered
+   * or concluded under this term. If the record still names this node, `Ownership` claims it again under another term.
+   * Returns false, and changes nothing, if tokens of this worker are not accepted as evidence.
    */
   endSupersededTerm(partition: Part, seen: NewerToken): boolean {
     if (this.context.parts.get(partition.id) !== partition) return true;
@@ -91,9 +96,9 @@
   }
 
   /**
-   * All that the former leader wrote comes before our claim in the ledger, but
-   * our copy may lag behind the claim: a machine or job missed here would be
-   * neither fenced nor counted. So read up to the claim before building the part.
+   * Takes the partition over after a fresh read of the state service. All writes of the former owner precede this node's
+   * claim in the ledger, but the local replica may lag behind the claim, and a machine or job missing from it would be
+   * neither fenced nor counted.
    */
   private async takeOverAfterRead(id: number, term: number): Promise<void> {
     const claim = `${id}/${term}`;
@@ -113,6 +118,7 @@
     if (stillOwner && !this.context.parts.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
   }
 
+  /** Builds the partition from the records and begins to fence its machines. */
   private takeOver(id: number, term: number): void {
     const partition = newPart(id, term, this.context.now);
     this.context.parts.set(id, partition);
@@ -128,13 +134,14 @@
     this.leaseWatch.look();
   }
 
+  /** Adds, updates or removes a machine in the owned partitions according to its rental record. */
   private reconcileMachine(host: string): void {
     const entry = this.rentals.get(host);
     for (const partition of this.context.parts.values()) {
       const machine = partition.machines.get(host);
       if (entry === undefined || entry.part !== partition.id) {
         if (machine !== undefined) {
-          // Its record goes only after the cloud has confirmed that it is gone.
+          // The record is removed only after the cloud has confirmed the deletion.
           this.forgetMachine(partition, machine);
         }
         continue;
@@ -153,9 +160,9 @@
       fresh.up = entry.addr !== null;
       fresh.addr = entry.addr;
       fresh.idleSince = this.context.now;
-      // A machine whose record never said `up` was never given work.
+      // A machine that was never recorded as up was never given work.
       if (!fresh.up) fence(partition, fresh, "unused", []);
-      // The former leader may go on answering until it has to fall silent.
+      // The former owner may answer the machine until it must fall silent.
       fresh.answeredAt = fresh.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
       if (fresh.up) fresh.reportedAt = this.context.now;
       addMachine(partition, fresh);
@@ -163,6 +170,7 @@
     this.context.wake();
   }
 
+  /** Removes a machine that the cloud has deleted, with all attempts on it. */
   forgetMachine(partition: Part, machine: Machine): void {
     const findings = newFindings();
     dropAll({ part: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
@@ -171,6 +179,7 @@
     this.effects.apply(partition, findings);
   }
 
+  /** Adds, shortens, ends or removes the task set of a job or slice record in the owned partitions. */
   private reconcileWork(key: string): void {
     const isJob = key.startsWith(keys.jobs);
     const entry = this.mirror.get<JobRecord | SliceRecord>(key);
@@ -184,7 +193,7 @@
       return;
     }
     if (job.end !== undefined) return;
-    // The jobs that it needs come first; when the last is done we are told.
+    // The job waits for the jobs that it needs; `needs.ready$` emits it when the last of them is done.
     if (this.needs.waits(ref) || this.needs.fate(ref) !== undefined) return;
     // Slices of a large job may be recorded before the job itself.
     if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
@@ -212,7 +221,7 @@
         this.context.wake();
       }
     }
-    // A slice elsewhere completed: the first slice's leader may now call the job done.
+    // A slice changed, perhaps to complete: the owner of the first slice may now record the job as done.
     if (!isJob) {
       const partition = this.context.parts.get(partOf(job));
       const first = partition?.units.get(keys.job(ref));
@@ -224,6 +233,7 @@
     for (const [key] of this.mirror.slicesOf(ref)) this.reconcileWork(key);
   }
 
+  /** Stops the attempts of a job that ended and removes its task set from the queue. */
   private endTaskSet(partition: Part, taskSet: Unit): void {
     taskSet.ended = true;
     clearBlame(partition, taskSet);
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -1,3 +1,4 @@
+/** Decides which partitions this controller claims, and writes the claims to the state service. */
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import { keys, type OwnerRecord } from "../ledger/records.js";
@@ -7,7 +8,7 @@
 import type { Settings } from "../settings/derived.js";
 import { claimConditions, isLossReason, reasonToClaim, type Reason } from "./claims.js";
 
-/** Whom ownership works with. */
+/** Dependencies of `Ownership`. */
 export interface OwnershipDependencies {
   settings: Settings;
   life: string;
@@ -16,21 +17,25 @@
   mirror: Mirror;
   committer: Committer;
   scope: Scope;
-  /** A part was taken: why, and how long its former leader had been silent. */
+  /** Called after a successful claim with its reason; `silentMs` is how long the former owner had been missing, null if it was not. */
   taken: (partition: number, term: number, reason: string, silentMs: number | null) => void;
-  /** Did this life end the term itself, on a worker's word of a newer owner? */
+  /** Returns whether this process ended the term itself because a worker reported a newer owner's token. */
   termEnded: (partition: number, term: number) => boolean;
-  /** Do the part's machines answer this node? */
+  /** Returns whether the partition's machines answer this node. */
   reaches: (partition: number) => Promise<boolean>;
 }
 
-/** Who leads what: decided from who is there, written down under the part's term. */
+/**
+ * Claims partitions for this node. Decisions follow from the presence and suspicion of the nodes; a claim is a
+ * conditional write of the owner record, whose stamp becomes the term.
+ */
 export class Ownership {
   private claiming = new Set<number>();
   private readonly returningHome = new Set<number>();
 
   constructor(private readonly dependencies: OwnershipDependencies) {}
 
+  /** Starts the periodic review of all partitions. */
   start(): void {
     const { presenceMs } = this.dependencies.settings.timing;
     this.dependencies.scope.routine(
@@ -40,24 +45,27 @@
     );
   }
 
+  /** Returns whether the node's presence key exists. */
   alive(node: string): boolean {
     return this.dependencies.presence.alive(node);
   }
 
-  /** There, and nobody doubts it: what may move to it, and be asked of it. */
+  /** Returns whether the node is present and not suspected, so that jobs may migrate to it and requests may be sent to it. */
   trusts(node: string): boolean {
     return this.alive(node) && this.dependencies.detector.standing(node) === "sound";
   }
 
-  /** Able to lead, as far as is known here. */
+  /** Returns whether the node can own partitions, as far as this node can tell. */
   private canOwn(node: string): boolean {
     return this.dependencies.presence.able(node) && this.dependencies.detector.standing(node) !== "gone";
   }
 
+  /** Returns the owner record of the partition, if there is one. */
   owner(partition: number): OwnerRecord | undefined {
     return this.dependencies.mirror.get<OwnerRecord>(keys.owner(partition))?.v;
   }
 
+  /** Returns the home controller of the partition. */
   home(partition: number): string {
     return this.dependencies.settings.nodes[partition]!;
   }
@@ -96,9 +104,8 @@
   }
 
   /**
-   * Somebody leads the part well enough: it comes home only if its machines can be
-   * reached from here. A node that wakes from a freeze, or starts anew, may still be cut
-   * off from them.
+   * Claims a home partition that another healthy controller owns, provided that its machines can be reached from this
+   * node: a node that resumes after a freeze, or restarts, may still be cut off from them.
    */
   private async returnHome(partition: number): Promise<void> {
     if (this.returningHome.has(partition)) return;
@@ -118,7 +125,7 @@
       this.claim(partition, "home again");
   }
 
-  /** What we know of the others is recent, and they see us. */
+  /** Returns whether this node's view of the state service is recent and its own presence key exists. */
   private hasCurrentView(): boolean {
     return (
       this.dependencies.mirror.loaded &&
@@ -127,7 +134,7 @@
     );
   }
 
-  /** The live node that should take a part over: its home, else the one with the fewest. */
+  /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
   private successor(partition: number): string | undefined {
     const candidates = this.dependencies.settings.nodes.filter((node) => this.canOwn(node));
     if (candidates.includes(this.home(partition))) return this.home(partition);
@@ -146,15 +153,15 @@
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
       const alive = owner === undefined ? null : { key: keys.alive(owner), stamp: this.dependencies.mirror.stamp(keys.alive(owner)) };
       const conditions = claimConditions({ key, stamp: before?.stamp ?? 0 }, alive, reason);
-      // Whoever takes a partition knows the newest configuration, or does not get it.
+      // The claim fails unless this node knows the newest configuration.
       conditions.push({ k: keys.configuration, stamp: this.dependencies.mirror.stamp(keys.configuration) });
       return {
         conditions,
         apply: [{ write: key, v: { owner: this.dependencies.settings.self, life: this.dependencies.life } satisfies OwnerRecord }],
       };
     };
-    // Alone: the stamp is the term, and two parts taken in one transaction would
-    // share it, with attempts and tokens that cannot be told apart.
+    // A transaction of its own: the stamp becomes the term, and two partitions claimed in one transaction would share
+    // a term, with attempt numbers and tokens that cannot be told apart.
     void this.dependencies.committer
       .commit("claim", draft, { turn: "now", alone: true, shedAfterMs: this.dependencies.settings.timing.presenceMs })
       .then((outcome) => {
--- a/src/parts/part.ts
+++ b/src/parts/part.ts
@@ -1,3 +1,4 @@
+/** The in-memory state of an owned partition: its machines, task sets, attempts and resource usage. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { AllotmentRecord } from "../ledger/records.js";
 import type { FenceProof, Machine, Usage } from "../workers/machine.js";
@@ -5,30 +6,33 @@
 import { withhold, type Placement, type Unit } from "../queue/unit.js";
 
 /**
- * A part as its leader holds it: machines, queue and what they use. All of it
- * is rebuilt from records and reports whenever a new term begins.
+ * State that the owner of a partition keeps about it: machines, queue and resource usage. It is rebuilt from the
+ * state service's records and from workers' reports at the start of each term.
  */
 export interface Part {
   id: number;
   term: number;
-  /** `fencing`: nothing is started, moved or ceded until every machine is accounted for. */
+  /** `fencing`: no task starts, no task set migrates and no quota is transferred until every machine is fenced. */
   phase: "fencing" | "serving";
+  /** Start of the term on the controller's steady clock, in ms; later by the length of each stall of this process. */
   since: number;
   machines: Map<string, Machine>;
   units: Map<string, Unit>;
   byRef: Map<string, Set<Unit>>;
-  /** Every attempt that may be on one of its machines. */
+  /** Every attempt that may be running on one of the partition's machines. */
   attempts: AttemptRegistry<Placement>;
-  /** Attempt numbers handed out in this term. */
+  /** Number of attempt numbers assigned in this term, modulo `ATTEMPTS_PER_TERM`. */
   attemptCounter: number;
-  /** How many of its machines became fenced by which proof, this term. */
+  /** Number of machines fenced in this term, by kind of proof. */
   fencedBy: Record<FenceProof, number>;
-  /** What each team's tasks use here, counting all that may be on a machine. */
+  /** Resource usage by team, counting every attempt that may be on a machine. */
   usage: Map<string, Usage>;
 }
 
+/** Resource usage in cores and accelerators. */
 export type { Usage };
 
+/** Creates an empty partition in the `fencing` phase. `now` is the controller's steady clock in ms. */
 export function newPart(id: number, term: number, now: number): Part {
   return {
     id,
@@ -45,23 +49,26 @@
   };
 }
 
-/** Attempts one term may hand out to a slice before numbers would meet the next term's. */
+/** Attempt numbers reserved for one term; the numbers of consecutive terms do not overlap. */
 const ATTEMPTS_PER_TERM = 2 ** 20;
 
-/** Terms are unique over all parts, so attempts made from them are too, and they grow. */
+/** Returns the next attempt number. Terms are unique over all partitions and increase, so attempt numbers do too. */
 export function nextAttempt(partition: Part): number {
   partition.attemptCounter = (partition.attemptCounter + 1) % ATTEMPTS_PER_TERM;
   return partition.term * ATTEMPTS_PER_TERM + partition.attemptCounter;
 }
 
-/** The machine's use and its attempts are counted with the part's from now on. */
+/** Adds a machine and counts its resource usage and attempts towards those of the partition. */
 export function addMachine(partition: Part, machine: Machine): void {
   machine.teamUsage = partition.usage;
   machine.attempts = partition.attempts;
   partition.machines.set(machine.host, machine);
 }
 
-/** The unit queues here. Attempts of its tasks may have been seen on machines before. */
+/**
+ * Adds a task set to the queue. Tasks of which an attempt was already seen on a machine are withheld, so that they do
+ * not start a second time.
+ */
 export function addUnit(partition: Part, taskSet: Unit): void {
   taskSet.attempts = partition.attempts;
   for (const number of partition.attempts.tasksOf(taskSet.spec.ref)) withhold(taskSet, number - taskSet.lo);
@@ -71,13 +78,14 @@
   else same.add(taskSet);
 }
 
-/** The unit that a task of a job belongs to here, and the task's number within it. */
+/** Finds the task set in this partition that contains a task of a job, and the task's index in it; null if there is none. */
 export function findUnit(partition: Part, ref: string, number: number): { unit: Unit; task: number } | null {
   for (const taskSet of partition.byRef.get(ref) ?? [])
     if (number >= taskSet.lo && number < taskSet.hi) return { unit: taskSet, task: number - taskSet.lo };
   return null;
 }
 
+/** Removes a task set from the queue and from the index by job. */
 export function removeTaskSet(partition: Part, taskSet: Unit): void {
   partition.units.delete(taskSet.key);
   const same = partition.byRef.get(taskSet.spec.ref);
@@ -85,21 +93,23 @@
   if (same?.size === 0) partition.byRef.delete(taskSet.spec.ref);
 }
 
+/** Returns the resource usage of a team in this partition. */
 export function usageOf(partition: Part, team: string): Usage {
   return partition.usage.get(team) ?? { cpus: 0, gpus: 0 };
 }
 
-/** A copy to plan with. */
+/** Returns a copy of the usage by team that a plan may change. */
 export function usageByTeam(partition: Part): Map<string, Usage> {
   return new Map([...partition.usage].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
 }
 
-/** Of the team's limit, what this part holds. */
+/** Returns the partition's share of a team's quota: nothing without a record, infinite where the team has no limit. */
 export function allotted(record: AllotmentRecord | undefined, partition: number): Usage {
   if (record === undefined) return { cpus: 0, gpus: 0 };
   return { cpus: record.cpus[partition] ?? Infinity, gpus: record.gpus[partition] ?? Infinity };
 }
 
+/** Returns how many tasks of the job fit into the given capacity. */
 export function tasksWithin(spec: JobSpec, capacity: Usage): number {
   const tolerance = 1e-6;
   const byCpus = spec.cpus > 0 ? Math.floor((capacity.cpus + tolerance) / spec.cpus) : Infinity;
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -1,3 +1,4 @@
+/** Records finished tasks durably in the state service. */
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import { doneOf, fitting, isDone, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
@@ -6,7 +7,7 @@
 import type { LeaderContext } from "./leader-context.js";
 import type { Part } from "./part.js";
 
-/** What is done, made durable before anybody is told and before a worker forgets it. */
+/** Makes finished tasks durable before users see them as done and before workers discard the results. */
 export class Progress {
   constructor(
     private readonly context: LeaderContext,
@@ -15,11 +16,9 @@
   ) {}
 
   /**
-   * Records what is done; nothing is told, and nothing cleared, before that. A
-   * slice that is complete is recorded at once. Progress short of that is only
-   * insurance against losing this node, and workers keep their results until they
-   * are cleared, so it is recorded once a lease: a write for every few tasks would
-   * crowd out submissions.
+   * Records the finished tasks of a task set. A complete task set is recorded at once. Partial progress only guards
+   * against the loss of this node, and workers keep their results until they are cleared, so it is recorded once per
+   * lease: a write for every few tasks would crowd out submissions.
    */
   record(partition: Part, taskSet: Unit): void {
     if (taskSet.committing) return;
@@ -27,7 +26,10 @@
     this.recordLater(partition, taskSet);
   }
 
-  /** Nothing asks again for what was not taken because too many writes waited: a job whose tasks are all done would stay open for ever. */
+  /**
+   * Records after one lease. This also retries a write that was shed because too many were queued: nothing else does, and a
+   * job whose tasks are all done would never end.
+   */
   private recordLater(partition: Part, taskSet: Unit): void {
     if (taskSet.recordDue) return;
     taskSet.recordDue = true;
@@ -37,6 +39,7 @@
     });
   }
 
+  /** Merges the finished tasks into the record, and ends the job if all its slices are done. */
   private recordNow(partition: Part, taskSet: Unit): void {
     taskSet.committing = true;
     const { ref } = taskSet.spec;
@@ -79,6 +82,7 @@
     });
   }
 
+  /** Returns whether all slices after the first are recorded as done. */
   private allSlicesDone(ref: string): boolean {
     const spec = this.mirror.get<JobRecord>(keys.job(ref))!.v;
     if (spec.hi >= spec.spec.tasks) return true;
@@ -90,6 +94,7 @@
     return covered >= spec.spec.tasks;
   }
 
+  /** Returns whether the task is durably recorded as done, or its job has ended. */
   isRecordedDone(piece: string): boolean {
     const { ref, task } = splitPiece(piece);
     const job = this.mirror.get<JobRecord>(keys.job(ref));
@@ -99,6 +104,7 @@
     return found !== null && isDone(found.record, task - found.lo);
   }
 
+  /** Returns the job or slice record that contains the task, and the number of its first task. */
   private recordOf(ref: string, task: number): { lo: number; record: JobRecord | SliceRecord } | null {
     const job = this.mirror.get<JobRecord>(keys.job(ref));
     if (job === undefined) return null;
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -1,3 +1,4 @@
+/** The partitions' shares of the team limits: their records, adjustments and transfers. */
 import type { Configuration } from "../configuration/current.js";
 import { adjusted, startsAllowed, type Limit } from "../configuration/quota-shares.js";
 import type { Committer } from "../ledger/committer.js";
@@ -7,20 +8,23 @@
 import type { Settings } from "../settings/derived.js";
 import { allotted, usageOf, type Part, type Usage } from "./part.js";
 
-/** Splits `max` over `n` parts in whole units, the remainder to the first. */
+/** Splits `max` over `n` partitions in whole units, with the remainder in the first; null for each if there is no limit. */
 function splitLimit(max: number, n: number): (number | null)[] {
   if (max <= 0) return Array<null>(n).fill(null);
   const each = Math.floor(max / n);
   return Array.from({ length: n }, (_, i) => (i === 0 ? max - each * (n - 1) : each));
 }
 
-/** So often only the owner of a team's partition makes a record that is missing: about half the time that a presence lasts. */
+/**
+ * Number of periodic reviews in which only the responsible partition's owner creates a missing record: about half the
+ * lifetime of a presence key.
+ */
 const OWNER_ONLY_REVIEWS = 2;
 
-/** 0 in the settings says that there is none. */
+/** Returns the limit of the settings, where 0 is no limit. */
 const limitOf = (max: number): Limit => (max <= 0 ? null : max);
 
-/** A number that is the same at every controller: teams' raised limits are given out by different partitions. */
+/** Returns the partition responsible for a team: the same at every controller, and spread over the partitions by a hash of the name. */
 function responsiblePartition(team: string, partitions: number): number {
   let hash = 0;
   for (const char of team) hash = (hash * 31 + char.charCodeAt(0)) >>> 0;
@@ -28,19 +32,18 @@
 }
 
 /**
- * Team limits, split durably over the parts. Only a part's leader makes its
- * own share smaller, and only by what it does not use, so that the sum of what
- * all parts run never passes the limit, whoever is cut off from whom.
+ * Team limits, split durably over the partitions. Only a partition's owner reduces the partition's share, and only by
+ * what is unused, so that the total usage never exceeds the limit under any network partition.
  */
 export class QuotaShares {
-  /** Ceded, but the transaction has not been answered for certain. */
+  /** Amounts in transfers whose transaction has no definite outcome yet, by partition and team. */
   private readonly transferring = new Map<string, Usage>();
-  /** Teams and partitions whose share is being written. */
+  /** Partitions and teams whose share is being adjusted. */
   private readonly adjusting = new Set<string>();
-  /** Keys of records that are being made. */
+  /** Keys of records that are being created. */
   private readonly creating = new Set<string>();
   private reviewDue = false;
-  /** At the teams' records, since this node has read the state. */
+  /** Number of periodic reviews since this node first read the state service. */
   private reviewCount = 0;
 
   constructor(
@@ -53,6 +56,7 @@
     private readonly scope: Scope,
   ) {}
 
+  /** Starts the periodic review, and reviews after changes of owners, configuration and shares. */
   start(): void {
     this.scope.routine(
       "quota shares",
@@ -68,7 +72,7 @@
     });
   }
 
-  /** Once for all records of a transaction, and after whoever else listens to them. */
+  /** Schedules one review for all records of a transaction, after the other listeners to these changes have run. */
   private reviewSoon(): void {
     if (this.reviewDue) return;
     this.reviewDue = true;
@@ -85,8 +89,9 @@
   }
 
   /**
-   * Records of teams that have none yet are made by the owner of one partition, another for each team: all of them at once
-   * would only fail each other's transactions. Whoever still finds one missing a while later makes it.
+   * Creates the missing records of teams. At first only the owner of the partition responsible for the team does so,
+   * because concurrent attempts of all controllers would fail each other's transactions. After `OWNER_ONLY_REVIEWS` reviews
+   * any controller creates a record that is still missing.
    */
   private createMissing(): void {
     const n = this.settings.nodes.length;
@@ -103,11 +108,12 @@
     }
   }
 
+  /** The teams of the configuration in force. */
   get teams(): Configuration["teams"] {
     return this.configuration.teams;
   }
 
-  /** What the partition may use of the team's limit. */
+  /** Returns how much of the team's limit the partition may use, without what is being transferred away. */
   held(partition: number, team: string): Usage {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
     const share = this.startableShare(allotted(record, partition), record, team);
@@ -115,7 +121,7 @@
     return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
   }
 
-  /** Nothing where a lowered limit is not reached yet: what some partition still holds may bring the sum above it. */
+  /** Returns the share in which tasks may start: nothing while the shares still sum to more than a lowered limit. */
   private startableShare(share: Usage, record: AllotmentRecord | undefined, team: string): Usage {
     const limits = this.configuration.version === 0 ? undefined : this.configuration.team(team);
     if (limits === undefined || record === undefined) return share;
@@ -125,7 +131,7 @@
     };
   }
 
-  /** Brings the shares that this node holds to the limits of the newest configuration. */
+  /** Adjusts the shares of the owned partitions to the limits of the newest configuration. */
   private adjustAll(): void {
     for (const { name } of this.configuration.changed())
       for (const partition of this.partitions().values()) if (partition.phase === "serving") this.adjust(partition, name);
@@ -156,7 +162,7 @@
     });
   }
 
-  /** The team's record as this partition's owner would write it next; null: as it is. */
+  /** Returns the team's record as this partition's owner would write it next; null if nothing changes. */
   private nextShares(partition: Part, team: string): AllotmentRecord | null {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
     const limits = this.configuration.team(team);
@@ -171,15 +177,18 @@
     return cpus === null && gpus === null ? null : { cpus: cpus ?? record.cpus, gpus: gpus ?? record.gpus };
   }
 
-  /** Gives up to `want` of what `spare` says is not needed here to another part. */
+  /** Transfers up to `want` of the partition's surplus share to partition `to`. */
   cede(partition: Part, to: number, team: string, want: Usage, surplus: Usage): void {
     const label = `${partition.id}|${team}`;
     if (this.transferring.has(label) || this.adjusting.has(label) || partition.phase !== "serving" || to === partition.id) return;
     const finite = (x: number): number => (Number.isFinite(x) ? Math.max(0, x) : 0);
-    const amount = { cpus: Math.min(finite(want.cpus), finite(surplus.cpus)), gpus: Math.min(finite(want.gpus), finite(surplus.gpus)) };
-    if (amount.cpus <= 0 && amount.gpus <= 0) return;
+    const transferred = {
+      cpus: Math.min(finite(want.cpus), finite(surplus.cpus)),
+      gpus: Math.min(finite(want.gpus), finite(surplus.gpus)),
+    };
+    if (transferred.cpus <= 0 && transferred.gpus <= 0) return;
     const key = keys.allotment(team);
-    this.transferring.set(label, amount);
+    this.transferring.set(label, transferred);
     const term = partition.term;
     const before = this.mirror.stamp(key);
     const draft = () => {
@@ -192,12 +201,12 @@
           { k: key, stamp: entry.stamp },
           { k: keys.owner(partition.id), stamp: term },
         ],
-        apply: [{ write: key, v: { cpus: move(entry.v.cpus, amount.cpus), gpus: move(entry.v.gpus, amount.gpus) } }],
+        apply: [{ write: key, v: { cpus: move(entry.v.cpus, transferred.cpus), gpus: move(entry.v.gpus, transferred.gpus) } }],
       };
     };
     void this.committer.commit("cede", draft).then((outcome) => {
       this.transferring.delete(label);
-      if (outcome === "done") this.scope.log.info({ part: partition.id, to, team, ...amount }, "quota transferred");
+      if (outcome === "done") this.scope.log.info({ part: partition.id, to, team, ...transferred }, "quota transferred");
     });
   }
 }
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -1,37 +1,41 @@
+/** Measures how long partitions take to recover after a change of owner. */
 import type { LeaderContext } from "./leader-context.js";
 import type { Part } from "./part.js";
 
-/** One part's way back after it changed hands. Times in ms from the claim; null: not yet. */
+/** Recovery of one partition after a change of owner. Durations are in ms from the claim; null until reached. */
 export interface Span {
   part: number;
   term: number;
   reason: string;
-  /** Silence of the former leader before the claim, in ms. */
+  /** Time for which the former owner had been missing at the claim, in ms; null if it was not. */
   silentMs: number | null;
   claimedAt: number;
   machines: number;
   fencedMs: number | null;
   placedMs: number | null;
   backMs: number | null;
-  /** What kept the part from placing for longest. */
+  /** Host of the last machine found unfenced, for which placement had to wait. */
   waitedFor: string | null;
 }
 
+/** Number of recoveries kept for the view. */
 const MAX_SPANS = 100;
-/** Work that waits longer than this multiple of the shortest boot does so for other reasons. */
+/** Multiple of the shortest boot time after which work still waiting is assumed to wait for other reasons. */
 const MAX_WAIT_BOOTS = 1;
 
 /**
- * Recovery as a duty that is observed: each part that changes hands is followed through
- * claim, fence and first placement until no work waits that has room, and written down
- * with what it waited for. Whoever is on call sees in one line what a loss has cost.
+ * Tracks each partition that changes owner through claim, fencing and the first task start, and logs the times and the
+ * machine that delayed it in one line, which shows operators the cost of the loss.
  */
 export class Recovery {
+  /** The newest recoveries, oldest first. */
   readonly spans: Span[] = [];
+  /** Unfinished recoveries, by partition. */
   private readonly open = new Map<number, Span>();
 
   constructor(private readonly context: LeaderContext) {}
 
+  /** Begins a recovery at the claim; `silentMs` is how long the former owner had been missing. */
   claimed(partition: number, term: number, reason: string, silentMs: number | null): void {
     const span: Span = {
       part: partition,
@@ -55,7 +59,7 @@
     return span?.term === partition.term ? span : undefined;
   }
 
-  /** `last`: the machine that was accounted for last, and how. */
+  /** Records the end of fencing; `last` is the host of the last machine found unfenced, null if there was none. */
   recordFenced(partition: Part, last: string | null): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs !== null) return;
@@ -64,12 +68,16 @@
     span.waitedFor = last;
   }
 
+  /** Records the first task start after the claim. */
   recordTaskStart(partition: Part): void {
     const span = this.openSpan(partition);
     if (span !== undefined) span.placedMs ??= Math.round(this.context.now - span.claimedAt);
   }
 
-  /** Looked at as time passes: is all back that a takeover kept waiting? */
+  /**
+   * Ends the recovery, after the fence, once no task set that arrived before the fence's end is waiting, a task has
+   * started, or the shortest boot time has passed.
+   */
   checkCompletion(partition: Part): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs === null || span.backMs !== null) return;
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -1,3 +1,4 @@
+/** Handles workers' reports, replies to direct commands and replies to probes. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Order, ReportAnswer, Report, ReportedTask } from "@thorntrail/protocol/worker";
 import type { Mirror } from "../ledger/mirror.js";
@@ -18,9 +19,10 @@
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
+/** Maximum number of orders in one answer. */
 const MAX_ORDERS = 250;
 
-/** Takes in what workers report and says what to answer. */
+/** Applies what workers report to the owned partitions and determines the answers. */
 export class ReportHandler {
   private readonly anomalies: BoundedLog;
 
@@ -37,12 +39,12 @@
     this.anomalies = new BoundedLog(clock, log, context.settings.timing.leaseMs);
   }
 
-  /** A worker's own report, and what to answer. */
+  /** Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or silence. */
   onReport(report: Report): ReportAnswer {
     if (!this.mirror.loaded || this.context.silent()) return { kind: "silent" };
     const record = this.rentals.get(report.host);
     if (record === undefined) {
-      this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from a machine in no record");
+      this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from an unregistered machine");
       return { kind: "elsewhere", boss: null };
     }
     const partition = this.context.parts.get(record.part);
@@ -62,8 +64,9 @@
       for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
     if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.offeredSeq = report.seq;
     noteAnswer(machine, newer, this.context.now);
-    // Every answer renews the lease, so each says what must end: a machine that hears nothing more would otherwise run
-    // tasks of cancelled jobs for another lease. Nothing else is ordered before the machine has shown our term, nor by old news.
+    // Every answer renews the lease, so each contains the stop orders: a machine that receives nothing more would
+    // otherwise run tasks of cancelled jobs for another lease. Other orders are sent only to a fenced machine and only in
+    // answer to its newest report.
     return { kind: "orders", token: partition.term, orders: free ? orders : orders.filter(({ verb }) => verb === "stop") };
   }
 
@@ -77,29 +80,34 @@
     });
   }
 
+  /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
   private clearable(task: ReportedTask): boolean {
     return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
   }
 
-  /** A report that came as the body of an answer to a direct command. */
+  /** Handles the report in a worker's reply to a direct command. */
   onCommandReply(partition: Part, machine: Machine, report: Report): void {
     if (this.context.parts.get(partition.id) !== partition || partition.machines.get(machine.host) !== machine) return;
     if (report.token > partition.term) return this.handleNewerToken(partition, report, "command reply");
     this.applyReport(partition, machine, report, false);
   }
 
-  /** A worker's answer to a probe says what token it has seen; the rest of it is no news. */
+  /** Handles a worker's reply to a probe. Only the token in it is used. */
   onProbeReply(report: Report): void {
     const partition = this.context.parts.get(this.rentals.get(report.host)?.part ?? -1);
     if (partition !== undefined && report.token > partition.term) this.handleNewerToken(partition, report, "probe");
   }
 
-  /** What such a report says is no news of this term: a newer owner may have ended, cleared and started again. */
+  /**
+   * Handles a token above the term. The rest of such a report is ignored, as a newer owner may have stopped, cleared and
+   * restarted tasks.
+   */
   private handleNewerToken(partition: Part, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
     if (this.context.supersede(partition, { host, token, seenIn })) return;
     this.anomalies.info({ part: partition.id, term: partition.term, host, token, seenIn }, "a worker shows a token that nobody was given");
   }
 
+  /** Applies a report to the partition. Returns whether it was newer than all before it from this machine. */
   private applyReport(partition: Part, machine: Machine, report: Report, viaReport: boolean): boolean {
     const findings = newFindings();
     const context: ReportContext = {
@@ -112,13 +120,13 @@
     const wasDraining = machine.draining;
     const newer = takeReport(partition, machine, report, context, findings);
     if (!wasDraining && machine.draining)
-      this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine set aside: it failed tasks of several jobs");
+      this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine drained: it failed tasks of several jobs");
     this.effects.apply(partition, findings);
     if (newer && partition.phase === "fencing") this.leaseWatch.checkFence(partition);
     return newer;
   }
 
-  /** Spec of a job that is not ours to run, so that what it uses still counts. */
+  /** Returns a task set that stands in for a job that does not run in this partition, so that its resource usage counts. */
   private placeholder(ref: string): Unit {
     const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
     const spec: JobSpec =
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -1,3 +1,4 @@
+/** Runs the scheduling cycles of the owned partitions: placement, then preemption. */
 import type { Overload } from "../overload/overload.js";
 import { localOrder, type LocalOrder } from "../queue/order.js";
 import { runPass } from "../queue/pass.js";
@@ -10,16 +11,16 @@
 import type { Guarantees, TeamUsage } from "./guarantees.js";
 import type { LeaderContext } from "./leader-context.js";
 
-/** Passes over no more machines than this come as often as events do. */
+/** Number of machines up to which the minimum gap between cycles applies; above it the gap grows in proportion. */
 const MACHINES_PER_GAP = 20;
 
-/** Leases by which a job may be put back for its size, at most: half an hour where they are usual. */
+/** Maximum delay of a job in the queue order because of its size, in leases: half an hour at the usual lease. */
 const MAX_YIELD_LEASES = 100;
 
-/** Leases after which an array begins, whatever its size: two minutes where they are usual, half of what users wait for. */
+/** Wait after which an array starts whatever its size, in leases: two minutes at the usual lease, half of the wait that users expect. */
 const ARRAY_START_LEASES = 6;
 
-/** Aims are the same for all jobs of a class, of which a queue has hundreds. */
+/** Caches a function of the class: aims are the same for all jobs of a class, and a queue has hundreds of them. */
 function memoize(read: (klass: string) => number): (klass: string) => number {
   const cache = new Map<string, number>();
   return (klass) => {
@@ -29,7 +30,7 @@
   };
 }
 
-/** Placement passes over the parts this node leads. */
+/** Schedules the task sets of all owned partitions. */
 export class Scheduler {
   private cycleDue = false;
 
@@ -41,7 +42,7 @@
     private readonly classShares: Shares,
   ) {}
 
-  /** Runs a pass soon; many events share one. */
+  /** Requests a cycle after the gap between cycles; requests until then share it. */
   requestCycle(): void {
     if (this.cycleDue) return;
     this.cycleDue = true;
@@ -51,7 +52,10 @@
     });
   }
 
-  /** A pass costs in proportion to the machines looked at, so over many it comes less often. */
+  /**
+   * Returns the gap before the next cycle, in ms. The cost of a cycle is proportional to the number of machines, so the gap
+   * grows with it.
+   */
   private cycleGapMs(): number {
     let machines = 0;
     for (const partition of this.context.parts.values()) machines += partition.machines.size;
@@ -59,6 +63,7 @@
     return gapMs * this.overload.stretch(gapMs);
   }
 
+  /** Returns the order of the queues under the present shares and guarantees. */
   queueOrder(): LocalOrder {
     const { platform } = this.context.settings;
     const priority = this.guarantees.priorityTests(this.usageByTeam());
@@ -76,23 +81,24 @@
     });
   }
 
+  /** Returns the boot time of the machine's type in ms; 0 if the type is unknown. */
   bootMs(machine: Machine): number {
     return (this.context.typeOf(machine.type)?.bootS ?? 0) * 1000;
   }
 
-  /** The time in which tasks of the class should start; without such an aim, two leases. */
+  /** Returns the wait after which capacity is reserved for a gang, in ms: the aim for the class's start, or two leases without one. */
   private reserveAfterMs(klass: string): number {
     const aim = aimS(this.context.settings.platform, "wait", klass);
     return Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs * 2;
   }
 
-  /** Half of the time in which work within a guarantee should start; without such an aim, half a lease. */
+  /** Returns the wait after which guaranteed work preempts, in ms: half of the aim for its start, or half a lease without one. */
   private claimAfterMs(): number {
     const aim = aimS(this.context.settings.platform, "guarantee", undefined);
     return (Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs) / 2;
   }
 
-  /** What each team uses in the parts this node leads. */
+  /** Returns the resource usage by team over all owned partitions. */
   usageByTeam(): TeamUsage[] {
     const sum = new Map<string, TeamUsage>();
     for (const partition of this.context.parts.values()) {
@@ -104,6 +110,7 @@
     return [...sum.values()];
   }
 
+  /** Places tasks in each partition, chooses preemptions, and emits what must be dispatched and where quota is short. */
   private runCycle(): void {
     if (this.context.silent() || this.context.types.length === 0) return;
     const { backfill } = this.context.settings.operators.queue;
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -1,21 +1,24 @@
+/** Reports task starts that the last check before sending refused. */
 import type { Scope } from "../platform/scope.js";
 import { pieceName, type Placement } from "../queue/unit.js";
 import type { Part } from "./part.js";
 
 /**
- * The last look before a start leaves: no other attempt of its task may be on a machine. The scheduling cycle does not
- * place such a task, so a start that is refused here is a defect, or a report that contradicts what was proven. The
- * attempt stays counted and is ordered once the others are proven gone.
+ * Reports start orders that were refused because another attempt of the task may be on a machine. The scheduling cycle
+ * does not place such a task, so a refusal is due to a defect or to a report that contradicts an earlier proof. The
+ * refused attempt continues to count and is ordered once the others are proven gone.
  */
 export class StartGuard {
+  /** Attempts already reported, each of which is reported once. */
   private readonly reported = new WeakSet<Placement>();
 
   constructor(private readonly scope: Scope) {}
 
+  /** Reports a violated invariant for a refused start, once per attempt; `others` are the other attempts of the task. */
   refused(partition: Part, placement: Placement, others: readonly Placement[]): void {
     if (this.reported.has(placement)) return;
     this.reported.add(placement);
-    const shown = (one: Placement): Record<string, unknown> => {
+    const describe = (one: Placement): Record<string, unknown> => {
       const { attempt, host, state, direct, stop } = one;
       const machine = partition.machines.get(host);
       return { attempt, host, session: machine?.session, state, direct, stopping: stop !== null, fenced: machine?.fenced };
@@ -24,8 +27,8 @@
       part: partition.id,
       term: partition.term,
       piece: pieceName(placement.unit, placement.task),
-      refused: shown(placement),
-      others: others.map(shown),
+      refused: describe(placement),
+      others: others.map(describe),
     });
   }
 }
--- a/src/parts/summary.ts
+++ b/src/parts/summary.ts
@@ -1,8 +1,9 @@
+/** Periodic log line about each owned partition. */
 import type { QuotaShares } from "./quota-shares.js";
 import type { LeaderContext } from "./leader-context.js";
 import { usageByTeam, type Part } from "./part.js";
 
-/** One line a part, enough to see from logs alone where work waits and room lies idle. */
+/** Logs the machines, queue, usage and quota shares of a partition, so that logs alone show waiting work and free capacity. */
 export function summarize(context: LeaderContext, quotaShares: QuotaShares, partition: Part): void {
   const types: Record<string, string> = {};
   for (const machine of partition.machines.values()) {
