--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -52,7 +52,7 @@
     const { spec, submittedWall, moved } = placement.unit;
     this.context.stats.starts++;
     this.context.account.began(placement);
-    this.recovery.recordTaskStart(partition);
+    this.recovery.began(partition);
     this.context.began$.next({ klass: spec.klass, waitS: Math.max(0, this.context.scope.clock.wall() - submittedWall) / 1000 });
     this.context.scope.log.debug(
       {
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -60,7 +60,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly parts: ReadonlyMap<number, Part>,
+    private readonly partitions: ReadonlyMap<number, Part>,
     private readonly rentals: Rentals,
     private readonly workers: WorkerApi,
     private readonly hasStateService: () => boolean,
@@ -87,7 +87,7 @@
 
   /** Returns how many of this node's machines report to it. */
   own(): Reachability {
-    return hearing(this.parts.values(), this.scope.clock.now(), this.settings.timing.silentMs);
+    return hearing(this.partitions.values(), this.scope.clock.now(), this.settings.timing.silentMs);
   }
 
   private evaluate(): void {
@@ -104,7 +104,10 @@
     this.contactLostAt = now;
     this.unfit = true;
     this.goodRounds = 0;
-    this.scope.log.warn({ parts: [...this.parts.keys()] }, "workers cannot be reached from here, peers reach theirs: others should lead");
+    this.scope.log.warn(
+      { parts: [...this.partitions.keys()] },
+      "workers cannot be reached from here, peers reach theirs: others should lead",
+    );
   }
 
   private async probe(): Promise<void> {
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -48,7 +48,7 @@
       }
       if (partition.phase === "fencing") this.checkFence(partition);
       if (partition.phase === "fencing") this.fenceProgress.logIfDue(partition, now);
-      this.recovery.checkCompletion(partition);
+      this.recovery.look(partition);
     }
     this.unprovenLeases = unproven;
     if (unproven > 0) void this.proveAndCheck();
@@ -104,7 +104,7 @@
       return;
     }
     partition.phase = "serving";
-    this.recovery.recordFenced(partition, this.unfencedMachine.get(partition) ?? null);
+    this.recovery.fenced(partition, this.unfencedMachine.get(partition) ?? null);
     this.context.stats.fencedMs = Math.round(this.context.now - partition.since);
     this.context.scope.log.info(
       {
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -95,7 +95,7 @@
   }
 
   /** Returns whether the task is durably recorded as done, or its job has ended. */
-  isRecordedDone(piece: string): boolean {
+  recordedDone(piece: string): boolean {
     const { ref, task } = splitPiece(piece);
     const job = this.mirror.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -60,7 +60,7 @@
   }
 
   /** Records the end of fencing; `last` is the host of the last machine found unfenced, null if there was none. */
-  recordFenced(partition: Part, last: string | null): void {
+  fenced(partition: Part, last: string | null): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs !== null) return;
     span.machines = partition.machines.size;
@@ -69,7 +69,7 @@
   }
 
   /** Records the first task start after the claim. */
-  recordTaskStart(partition: Part): void {
+  began(partition: Part): void {
     const span = this.openSpan(partition);
     if (span !== undefined) span.placedMs ??= Math.round(this.context.now - span.claimedAt);
   }
@@ -78,7 +78,7 @@
    * Ends the recovery, after the fence, once no task set that arrived before the fence's end is waiting, a task has
    * started, or the shortest boot time has passed.
    */
-  checkCompletion(partition: Part): void {
+  look(partition: Part): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs === null || span.backMs !== null) return;
     const maxWaitMs = Math.min(Infinity, ...this.context.types.map((type) => type.bootS * 1000)) * MAX_WAIT_BOOTS;
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -82,7 +82,7 @@
 
   /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
   private clearable(task: ReportedTask): boolean {
-    return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
+    return task.cause !== "done" || this.progress.recordedDone(task.piece);
   }
 
   /** Handles the report in a worker's reply to a direct command. */
