--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -13,22 +13,22 @@
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
-/** A partition right after a takeover: what its machines tell is all that its owner knows of attempts. */
+/** A partition right after a takeover, whose owner learns of attempts only from the machines' reports. */
 class NewOwner {
-  readonly part: Part;
+  readonly partition: Part;
   private readonly sequence = new Map<string, number>();
 
   constructor(machines: number) {
-    this.part = partOf(machines, { cpus: 16, gpus: 0, ram: 64 }).part;
-    for (const machine of this.part.machines.values()) machine.token = 4;
+    this.partition = partOf(machines, { cpus: 16, gpus: 0, ram: 64 }).part;
+    for (const machine of this.partition.machines.values()) machine.token = 4;
   }
 
   machine(host: string): Machine {
-    return this.part.machines.get(host)!;
+    return this.partition.machines.get(host)!;
   }
 
-  /** The machine's next report reaches the owner: all that it lists. */
-  hear(host: string, tasks: ReportedTask[]): void {
+  /** Delivers the machine's next report, which lists `tasks`. */
+  receiveReport(host: string, tasks: ReportedTask[]): void {
     const seq = (this.sequence.get(host) ?? 0) + 1;
     this.sequence.set(host, seq);
     const report: Report = {
@@ -39,11 +39,11 @@
       spot: false,
       session: 1,
       seq,
-      token: this.part.term,
+      token: this.partition.term,
       noticeS: null,
       tasks,
     };
-    takeReport(this.part, this.machine(host), report, this.context(), newFindings());
+    takeReport(this.partition, this.machine(host), report, this.context(), newFindings());
   }
 
   private context(): ReportContext {
@@ -53,14 +53,14 @@
       leaseMs: 18_000,
       coolMs: 0,
       placeholderFor: (ref) =>
-        Object.assign(queueUp({ ...this.part, units: new Map(), byRef: new Map() }, specOf({ ref, cpus: 0 })), { ended: true }),
+        Object.assign(queueUp({ ...this.partition, units: new Map(), byRef: new Map() }, specOf({ ref, cpus: 0 })), { ended: true }),
     };
   }
 
-  /** Machines on which the owner's scheduling cycle has just started tasks of the job. */
-  startedOn(taskSet: Unit): string[] {
+  /** Runs a scheduling cycle and returns the hosts on which it started tasks of the task set. */
+  startTasks(taskSet: Unit): string[] {
     const before = new Set(taskSet.placed.values());
-    runPass(this.part, pass);
+    runPass(this.partition, pass);
     return [...taskSet.placed.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
   }
 }
@@ -78,93 +78,93 @@
 });
 
 test("a task does not start while any attempt of it may be on a machine of the partition", async (t) => {
-  await t.test("array: an old report's attempt is taken in first, the true one second; the old one then proves gone", () => {
+  await t.test("array: an attempt from an old report is adopted first, the current one second; then the old one is proven gone", () => {
     const owner = new NewOwner(3);
-    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-    owner.hear("i-0", [listed("run-000001/0", 1)]);
-    owner.hear("i-1", [listed("run-000001/0", 2)]);
-    owner.hear("i-0", []);
-    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 2 is on i-1");
-    owner.hear("i-1", [exited("run-000001/0", 2, "stopped")]);
-    assert.equal(owner.startedOn(taskSet).length, 1);
+    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
+    owner.receiveReport("i-1", [listed("run-000001/0", 2)]);
+    owner.receiveReport("i-0", []);
+    assert.deepEqual(owner.startTasks(taskSet), [], "attempt 2 is on i-1");
+    owner.receiveReport("i-1", [exited("run-000001/0", 2, "stopped")]);
+    assert.equal(owner.startTasks(taskSet).length, 1);
   });
 
-  await t.test("gang: members of a newer attempt are there when the old report's member proves gone", () => {
+  await t.test("gang: members of a newer attempt are present when the member from an old report is proven gone", () => {
     const owner = new NewOwner(6);
-    const taskSet = queueUp(owner.part, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
-    owner.hear("i-0", [listed("run-000001/0", 1)]);
-    for (const i of [1, 2, 3]) owner.hear(`i-${i}`, [listed(`run-000001/${i - 1}`, 2)]);
-    owner.hear("i-0", []);
-    assert.deepEqual(owner.startedOn(taskSet), [], "all of attempt 2 is there");
-    owner.hear("i-1", [exited("run-000001/0", 2, "stopped")]);
-    owner.hear("i-2", [exited("run-000001/1", 2, "stopped")]);
-    assert.deepEqual(owner.startedOn(taskSet), [], "a member of attempt 2 is there");
-    owner.hear("i-3", [exited("run-000001/2", 2, "stopped")]);
-    assert.equal(owner.startedOn(taskSet).length, 3);
+    const taskSet = queueUp(owner.partition, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
+    owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
+    for (const i of [1, 2, 3]) owner.receiveReport(`i-${i}`, [listed(`run-000001/${i - 1}`, 2)]);
+    owner.receiveReport("i-0", []);
+    assert.deepEqual(owner.startTasks(taskSet), [], "all members of attempt 2 are present");
+    owner.receiveReport("i-1", [exited("run-000001/0", 2, "stopped")]);
+    owner.receiveReport("i-2", [exited("run-000001/1", 2, "stopped")]);
+    assert.deepEqual(owner.startTasks(taskSet), [], "a member of attempt 2 is present");
+    owner.receiveReport("i-3", [exited("run-000001/2", 2, "stopped")]);
+    assert.equal(owner.startTasks(taskSet).length, 3);
   });
 
-  await t.test("refused as busy: the attempt that the worker means is on that machine", () => {
+  await t.test("refused as busy: the attempt that occupies the worker is on that machine", () => {
     const owner = new NewOwner(2);
-    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-    const [host] = owner.startedOn(taskSet);
-    const ours = [...taskSet.placed.values()][0]!.attempt;
-    owner.hear(host!, [listed("run-000001/0", 1), exited("run-000001/0", ours, "busy")]);
+    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    const [host] = owner.startTasks(taskSet);
+    const ownAttempt = [...taskSet.placed.values()][0]!.attempt;
+    owner.receiveReport(host!, [listed("run-000001/0", 1), exited("run-000001/0", ownAttempt, "busy")]);
     taskSet.notBefore = -Infinity;
-    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is there");
+    assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on the machine");
   });
 
-  await t.test("an attempt is seen before the job's record, and again after its unit was made", () => {
+  await t.test("an attempt is reported before the job's record is read, and again after its task set was created", () => {
     const owner = new NewOwner(2);
-    owner.hear("i-0", [listed("run-000001/0", 1)]);
-    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-    owner.hear("i-0", [listed("run-000001/0", 1)]);
-    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is on i-0");
+    owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
+    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
+    assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on i-0");
   });
 
-  await t.test("an attempt is seen while its job is being migrated, and the migration comes to nothing", () => {
+  await t.test("an attempt is reported while its job is being migrated, and the migration is abandoned", () => {
     const owner = new NewOwner(2);
-    const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
+    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
     taskSet.leaving = true;
-    owner.hear("i-0", [listed("run-000001/0", 1)]);
+    owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
     taskSet.leaving = false;
-    assert.deepEqual(owner.startedOn(taskSet), [], "attempt 1 is on i-0");
+    assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on i-0");
   });
 
   await t.test("the last tasks of an array migrate only if no attempt of them may be on a machine", () => {
     const owner = new NewOwner(3);
-    const taskSet = queueUp(owner.part, specOf({ tasks: 4, cpus: 16 }));
-    owner.hear("i-0", [listed("run-000001/3", 1)]);
-    owner.hear("i-1", [listed("run-000001/3", 2)]);
-    owner.hear("i-0", []);
+    const taskSet = queueUp(owner.partition, specOf({ tasks: 4, cpus: 16 }));
+    owner.receiveReport("i-0", [listed("run-000001/3", 1)]);
+    owner.receiveReport("i-1", [listed("run-000001/3", 2)]);
+    owner.receiveReport("i-0", []);
     assert.equal(tailOf(taskSet, 4), 0);
   });
 
-  await t.test("refused for want of room, or as unknown: nothing is there, and the task waits again", () => {
+  await t.test("refused for lack of capacity, or as unknown: no attempt is on the machine, and the task waits again", () => {
     for (const cause of ["no_room", "no_such"] as const) {
       const owner = new NewOwner(2);
-      const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-      const [host] = owner.startedOn(taskSet);
-      owner.hear(host!, [exited("run-000001/0", [...taskSet.placed.values()][0]!.attempt, cause)]);
+      const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+      const [host] = owner.startTasks(taskSet);
+      owner.receiveReport(host!, [exited("run-000001/0", [...taskSet.placed.values()][0]!.attempt, cause)]);
       taskSet.notBefore = -Infinity;
       assert.ok(ready(taskSet, NOW), cause);
     }
   });
 });
 
-test("a result that is reported before the job's record counts once the job is known: its task does not run again", () => {
+test("a result reported before the job's record is read counts once the job is recorded: its task does not run again", () => {
   const owner = new NewOwner(2);
-  const result = exited("run-000001/0", nextAttempt(owner.part), "done");
-  owner.hear("i-0", [result]);
-  const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-  owner.hear("i-0", [result]);
-  assert.deepEqual(owner.startedOn(taskSet), []);
+  const result = exited("run-000001/0", nextAttempt(owner.partition), "done");
+  owner.receiveReport("i-0", [result]);
+  const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+  owner.receiveReport("i-0", [result]);
+  assert.deepEqual(owner.startTasks(taskSet), []);
   assert.ok(taskSet.done.full);
 });
 
-test("a planted second start does not leave: refused on both channels, said at error once, counted, and thrown where strict", () => {
+test("an injected second start is not sent: refused on both channels, logged once at error level, counted, and thrown in strict mode", () => {
   const owner = new NewOwner(2);
-  const taskSet = queueUp(owner.part, specOf({ cpus: 16 }));
-  const [host] = owner.startedOn(taskSet);
+  const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+  const [host] = owner.startTasks(taskSet);
   const placement = [...taskSet.placed.values()][0]!;
   const other = owner.machine(host === "i-0" ? "i-1" : "i-0");
   addAttempt(other, "run-000001/0#1", { ...placement, attempt: 1, host: other.host, state: "running" });
@@ -177,7 +177,7 @@
       now: NOW,
       leaseMs: 18_000,
       clearable: () => true,
-      refused: (one, others) => guard.refused(owner.part, one, others),
+      refused: (one, others) => guard.refused(owner.partition, one, others),
       max: 9,
     });
   const invariants = new Invariants(log);
@@ -191,22 +191,22 @@
     [[1, other.host]],
   );
   assert.throws(() => ordersOn("report", guardOf(new Invariants(log, true))), InvariantViolated);
-  owner.hear(other.host, []);
-  assert.equal(ordersOn("direct", guard).length, 1, "the other is proven gone");
+  owner.receiveReport(other.host, []);
+  assert.equal(ordersOn("direct", guard).length, 1, "the other attempt is proven gone");
 });
 
-test("odd reports: what lists an attempt twice is none; a task number outside its job starts and drops nothing", () => {
+test("malformed reports: one that lists an attempt twice is rejected; a task number outside its job starts and drops nothing", () => {
   const wire = { host: "i-0", addr: "x", build: "m", yard: "a", shift: 1, tick: 1, baton: 5 };
   const piece = (status: string): Record<string, unknown> => ({ piece: "run-000001/0", try: 1, status });
   assert.equal(decodeReport({ ...wire, pieces: [piece("running"), piece("exited")] }), null);
   assert.notEqual(decodeReport({ ...wire, pieces: [piece("running")] }), null);
   const owner = new NewOwner(2);
-  const taskSet = queueUp(owner.part, specOf({ cpus: 8 }));
-  const [host] = owner.startedOn(taskSet);
-  const ours = [...taskSet.placed.values()][0]!;
-  owner.hear(host!, [listed("run-000001/0", ours.attempt), listed("run-000001/7", 1)]);
-  assert.deepEqual([taskSet.placed.get(0), taskSet.waiting, ours.stop], [ours, [], null]);
+  const taskSet = queueUp(owner.partition, specOf({ cpus: 8 }));
+  const [host] = owner.startTasks(taskSet);
+  const ownAttempt = [...taskSet.placed.values()][0]!;
+  owner.receiveReport(host!, [listed("run-000001/0", ownAttempt.attempt), listed("run-000001/7", 1)]);
+  assert.deepEqual([taskSet.placed.get(0), taskSet.waiting, ownAttempt.stop], [ownAttempt, [], null]);
   const [, outside] = [...owner.machine(host!).placements.values()];
   assert.notEqual(outside!.unit, taskSet);
-  assert.deepEqual(outside!.stop, { graceS: 0 }, "counted, and told to stop");
+  assert.deepEqual(outside!.stop, { graceS: 0 }, "counted, and ordered to stop");
 });
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -6,22 +6,23 @@
 import { Cluster } from "./world/cluster.js";
 
 /**
- * A token above an owner's term proves that the partition has, or has had, a newer owner: whichever way it comes, the
- * term ends there at once, and nothing that the report says is taken for news of this owner's own.
+ * Guards against an owner that keeps acting on a partition after it was superseded. A token above its term proves that
+ * the partition has, or has had, a newer owner. The term must end at once through whichever channel the token arrives,
+ * and the rest of that report must not be applied: the newer owner may have ended, cleared and restarted the tasks.
  */
 const OWNER = "nest-1";
 const REF = "run-000001";
 
-interface Place {
+interface Fixture {
   cluster: Cluster;
   part: Part;
-  /** One of the partition's machines that run tasks. */
+  /** A machine of the partition that runs tasks. */
   machine: Machine;
   starts: () => number;
 }
 
-/** An owner of some machines that run tasks, refused by the state service from now on if `refused`. */
-async function ownerAtWork({ refused }: { refused: boolean }): Promise<Place> {
+/** Starts an owner with machines that run tasks. If `refused`, the state service then refuses its requests. */
+async function startOwner({ refused }: { refused: boolean }): Promise<Fixture> {
   const cluster = new Cluster({
     teams: [{ name: "ops", cpus: 0, cpus_max: 400, gpus: 0, gpus_max: 0 }],
     types: [{ name: "m", cpus: 16, gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] }],
@@ -39,56 +40,56 @@
   return { cluster, part: partition, machine, starts };
 }
 
-/** What a machine says whose tasks a newer owner has ended and cleared. */
+/** A report from a machine whose tasks a newer owner has ended and cleared. */
 function clearedReport(machine: Machine, token: number): Report {
   const { host, type, zone, spot, session, seq } = machine;
   return { host, addr: machine.addr!, type, zone, spot, session, seq: seq + 1, token, noticeS: null, tasks: [] };
 }
 
-const leaderOf = ({ cluster }: Place) => cluster.world.nodes.get(OWNER)!.controller!.leader;
+const leaderOf = ({ cluster }: Fixture) => cluster.world.nodes.get(OWNER)!.controller!.leader;
 
 for (const way of ["report", "reply to a command"] as const)
-  test(`a higher token by a ${way} ends the term, and what the report says is no news of this term`, async () => {
-    const place = await ownerAtWork({ refused: true });
-    const { cluster, part: partition, machine, starts } = place;
+  test(`a higher token in a ${way} ends the term, and the rest of the report is not applied`, async () => {
+    const fixture = await startOwner({ refused: true });
+    const { cluster, part: partition, machine, starts } = fixture;
     const before = { starts: starts(), attempts: machine.placements.size };
     const report = clearedReport(machine, partition.term + 7);
-    if (way === "report") assert.equal(leaderOf(place).onReport(report).kind, "elsewhere");
-    else leaderOf(place).onCommandReply(partition, machine, report);
+    if (way === "report") assert.equal(leaderOf(fixture).onReport(report).kind, "elsewhere");
+    else leaderOf(fixture).onCommandReply(partition, machine, report);
     assert.equal(machine.placements.size, before.attempts, "the attempts still count");
-    assert.equal(leaderOf(place).parts.has(partition.id), false, "the term has ended");
+    assert.equal(leaderOf(fixture).parts.has(partition.id), false, "the term has ended");
     await cluster.until(34);
-    assert.equal(starts(), before.starts, "nothing is started again");
+    assert.equal(starts(), before.starts, "no task is restarted");
     cluster.close();
   });
 
-test("a higher token by a reply to a probe ends the term", async () => {
-  const place = await ownerAtWork({ refused: true });
-  const { cluster, part: partition, machine, starts } = place;
+test("a higher token in a reply to a probe ends the term", async () => {
+  const fixture = await startOwner({ refused: true });
+  const { cluster, part: partition, machine, starts } = fixture;
   const before = starts();
-  leaderOf(place).onProbeReply(clearedReport(machine, partition.term + 7));
-  assert.equal(leaderOf(place).parts.has(partition.id), false, "the term has ended");
+  leaderOf(fixture).onProbeReply(clearedReport(machine, partition.term + 7));
+  assert.equal(leaderOf(fixture).parts.has(partition.id), false, "the term has ended");
   await cluster.until(34);
-  assert.equal(starts(), before, "nothing is started again");
+  assert.equal(starts(), before, "no task is restarted");
   cluster.close();
 });
 
-test("a token that nobody was given: the partition is claimed anew under another term, its tasks go on, and the worker is not believed again", async () => {
-  const place = await ownerAtWork({ refused: false });
-  const { cluster, part: partition, machine, starts } = place;
+test("a token that was never issued: the partition is claimed again under another term, its tasks continue, and later tokens of the worker are ignored", async () => {
+  const fixture = await startOwner({ refused: false });
+  const { cluster, part: partition, machine, starts } = fixture;
   const before = starts();
   const wrong = partition.term + 1_000_000;
   for (let second = 26; second < 40; second++) {
     const { session, seq } = machine;
-    leaderOf(place).onReport({ ...clearedReport(machine, wrong), session, seq: seq + 1000 + second });
+    leaderOf(fixture).onReport({ ...clearedReport(machine, wrong), session, seq: seq + 1000 + second });
     await cluster.until(second + 1);
   }
-  const again = leaderOf(place).parts.get(partition.id);
-  assert.ok(again !== undefined && again.term > partition.term, "led again, under a term of its own");
+  const again = leaderOf(fixture).parts.get(partition.id);
+  assert.ok(again !== undefined && again.term > partition.term, "owned again, under a new term");
   assert.equal(cluster.world.lines.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
   assert.equal(cluster.world.lines.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
   await cluster.until(130);
-  assert.equal(starts(), before, "no task was started again");
+  assert.equal(starts(), before, "no task is restarted");
   assert.deepEqual(cluster.answered(REF).slice(0, 1), ["queued"]);
   const answer = cluster.world.poll(REF);
   await cluster.until(133);
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -22,8 +22,8 @@
 const EXPIRY_MS = 18_000;
 const TERM = 5;
 
-/** A partition of two machines, one of which runs the one task there is. */
-function oneTask(): { part: Part; machine: Machine; other: Machine } {
+/** Creates a partition of two machines, one of which runs its only task. */
+function partitionWithOneTask(): { part: Part; machine: Machine; other: Machine } {
   const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
   queueUp(partition, specOf({ cpus: 4 }));
   runPass(partition, pass);
@@ -39,10 +39,10 @@
   return { host, addr: "x", type, zone, spot, session, seq: seq + 1, token: TERM, noticeS: null, tasks: [], ...change };
 }
 
-const context = { now: NOW, viaReport: true, leaseMs: EXPIRY_MS, coolMs: 1, placeholderFor: () => assert.fail("known work") };
+const context = { now: NOW, viaReport: true, leaseMs: EXPIRY_MS, coolMs: 1, placeholderFor: () => assert.fail("the job is recorded") };
 
-test("a lease is over by the newest read that began after its end, whatever the clock says", () => {
-  const { machine } = oneTask();
+test("a lease counts as expired only by a read that began after its end, whatever the clock shows", () => {
+  const { machine } = partitionWithOneTask();
   assert.equal(leaseOver(machine, NOW + EXPIRY_MS, EXPIRY_MS), false);
   assert.equal(leaseOver(machine, NOW + EXPIRY_MS + 1, EXPIRY_MS), true);
   const proof = (provenAt: number): GoneProof => ({ by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt });
@@ -50,7 +50,7 @@
   assert.equal(flawOf(proof(NOW + EXPIRY_MS + 1), TERM), null);
 });
 
-const FLAWED: [string, (partition: Part, machine: Machine, findings: Findings) => void][] = [
+const INVALID_PROOFS: [string, (partition: Part, machine: Machine, findings: Findings) => void][] = [
   [
     "a lease that ended after the last proof",
     (partition, machine, findings) =>
@@ -70,33 +70,38 @@
   ],
 ];
 
-for (const [what, act] of FLAWED)
-  test(`planted: ${what} drops no attempt, and is a violated invariant`, () => {
-    const { part: partition, machine, other } = oneTask();
+for (const [what, act] of INVALID_PROOFS)
+  test(`invalid proof: ${what} drops no attempt and violates an invariant`, () => {
+    const { part: partition, machine, other } = partitionWithOneTask();
     const findings = newFindings();
     act(partition, machine, findings);
-    assert.equal(machine.placements.size, 1, "it goes on counting");
+    assert.equal(machine.placements.size, 1, "the attempt still counts");
     assert.equal(findings.ended.length, 0);
     assert.ok(findings.unproven.length > 0);
     runPass(partition, { ...pass, now: NOW });
-    assert.equal(other.placements.size, 0, "its task is not started elsewhere");
-    const said: { entry: Record<string, unknown>; text: string }[] = [];
+    assert.equal(other.placements.size, 0, "its task does not start elsewhere");
+    const logged: { entry: Record<string, unknown>; text: string }[] = [];
     const ignore = (): void => undefined;
-    const error = (entry: Record<string, unknown>, text: string): void => void said.push({ entry, text });
+    const error = (entry: Record<string, unknown>, text: string): void => void logged.push({ entry, text });
     const log = { error, warn: ignore, info: ignore, debug: ignore, isLevelEnabled: () => false } as unknown as Log;
     const clock = new VirtualClock();
     const scope = new Scope(clock, log, undefined, new Invariants(log, true));
-    const led = { scope, audit: new Audit(clock, log, () => 0, 1), account: new Account(), wake: ignore } as unknown as LeaderContext;
-    const nobody = { record: ignore } as unknown as Progress & Recovery;
-    assert.throws(() => new FindingEffects(led, nobody, nobody).apply(partition, findings), InvariantViolated);
+    const leaderContext = {
+      scope,
+      audit: new Audit(clock, log, () => 0, 1),
+      account: new Account(),
+      wake: ignore,
+    } as unknown as LeaderContext;
+    const noProgress = { record: ignore } as unknown as Progress & Recovery;
+    assert.throws(() => new FindingEffects(leaderContext, noProgress, noProgress).apply(partition, findings), InvariantViolated);
     assert.equal(scope.invariants.violations, 1);
-    const { entry } = said[0]!;
+    const { entry } = logged[0]!;
     assert.deepEqual([entry["part"], entry["term"], entry["host"], entry["piece"]], [0, TERM, machine.host, "run-000001/0"]);
     assert.equal(typeof entry["reason"], "string");
     assert.equal(typeof entry["flaw"], "string");
   });
 
-test("proofs that hold: the same lease with a later read, a report under this term, a machine that the cloud deleted", () => {
+test("valid proofs: the same lease with a later read, a report under this term, a machine that the cloud deleted", () => {
   const drops: ((partition: Part, machine: Machine, findings: Findings) => void)[] = [
     (partition, machine, findings) =>
       dropAll(
@@ -108,18 +113,18 @@
     (partition, machine, findings) =>
       void takeReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
   ];
-  const told = drops.map((drop) => {
-    const { part: partition, machine } = oneTask();
+  const proofs = drops.map((drop) => {
+    const { part: partition, machine } = partitionWithOneTask();
     const findings = newFindings();
     drop(partition, machine, findings);
     assert.deepEqual([machine.placements.size, findings.unproven.length], [0, 0]);
     return [...partition.units.values()][0]!.lastGone.get(0)?.by;
   });
-  assert.deepEqual(told, ["lease over", "machine deleted", "not listed", "new session"]);
+  assert.deepEqual(proofs, ["lease over", "machine deleted", "not listed", "new session"]);
 });
 
-test("a task that starts again under an old proof is told at info, with the proof's age and why its last attempt is gone", () => {
-  const { part: partition, machine } = oneTask();
+test("a restart under a stale proof of ownership is logged at info level, with the proof's age and why the last attempt is gone", () => {
+  const { part: partition, machine } = partitionWithOneTask();
   const lines: { entry: Record<string, unknown>; text: string }[] = [];
   const info = (entry: Record<string, unknown>, text: string): void => void lines.push({ entry, text });
   const log = { info, isLevelEnabled: () => false } as unknown as Log;
@@ -131,11 +136,11 @@
   audit.logOrdered(partition, placement!);
   readAgoMs = 9000;
   audit.logOrdered(partition, placement!);
-  assert.equal(lines.length, 1, "only an old proof is worth a line");
+  assert.equal(lines.length, 1, "only a stale proof is logged at info level");
   assert.equal(lines[0]!.text, "attempt ordered again without fresh proof of ownership");
   assert.equal(lines[0]!.entry["readAgoMs"], 9000);
   assert.deepEqual(lines[0]!.entry["former"], { attempt: 4, host: "i-9", by: "exited" });
   for (let i = 0; i < 1000; i++) audit.logOrdered(partition, placement!);
-  assert.ok(lines.length < 300, "at a bounded rate");
+  assert.ok(lines.length < 300, "the rate of the lines is bounded");
   assert.equal(audit.staleRestarts, 1001);
 });
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -18,7 +18,7 @@
   return { spec: specOf({ ref, gpus: 1, ...change }), part: 0, hi: 1, done: "", at };
 }
 
-test("jobs that fit their team's guarantee with its earlier unfinished ones are within it", () => {
+test("a job is within its team's guarantee if it fits together with the team's earlier unfinished jobs", () => {
   const jobs = [
     job("c", 3, { tasks: 3 }),
     job("a", 1, { tasks: 6 }),
@@ -27,12 +27,12 @@
     job("e", 0, { tasks: 2, gpus: 0 }),
   ];
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set())].sort(), ["a", "b"]);
-  // An earlier one has ended: the next moves up; what was granted stays granted.
+  // When an earlier job ends, the next one is covered; a covered job stays covered.
   jobs[1]!.end = "done";
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
 });
 
-test("work beyond another team's guarantee is stopped for a guaranteed job, and no more than that", () => {
+test("a guaranteed job preempts work beyond another team's guarantee, and no more than that", () => {
   const { part: partition } = partOf(2, { cpus: 8, gpus: 4, ram: 64 });
   const borrowing = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
   runPass(partition, pass);
@@ -48,31 +48,32 @@
     stopped((taskSet) => taskSet === claim),
     4,
   );
-  // What comes free by itself is waited for first.
+  // Before `claimAfterMs` has passed, the job waits for capacity to become free without preemption.
   assert.equal(choosePreemptions(partition, { ...context, claimAfterMs: 5000, guaranteed: (taskSet) => taskSet === claim }).length, 0);
 });
 
-test("work that others need in a hurry is not stopped for a guarantee of lower priority, whose room it would take again", () => {
+test("a guaranteed job of lower priority does not preempt work of raised priority, which would take the capacity back", () => {
   const { part: partition } = partOf(1, { cpus: 8, gpus: 4, ram: 64 });
-  const lifted = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
-  lifted.urgency = "urgent";
+  const raised = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
+  raised.urgency = "urgent";
   runPass(partition, pass);
   const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map([["lab", { cpus: 8, gpus: 0 }]]) };
   const stopped = (): number => choosePreemptions(partition, { ...context, guaranteed: (taskSet) => taskSet === claim }).length;
   assert.equal(stopped(), 0);
-  lifted.urgency = "low";
+  raised.urgency = "low";
   assert.equal(stopped(), 4);
 });
 
-test("a team that runs less than its guarantee comes first, in its own order; one that runs more waits its turn", () => {
+test("teams below their guarantee are those that use less than it of every guaranteed resource", () => {
   const both = [
     ...teams,
     { name: "mix", cpus: 100, cpus_max: 0, gpus: 10, gpus_max: 0 },
     { name: "guest", cpus: 0, cpus_max: 9, gpus: 0, gpus_max: 9 },
   ];
   const use = (gpus: number, cpus = 0): { cpus: number; gpus: number } => ({ cpus, gpus });
-  // What nothing is known of runs nothing; without a guarantee nothing is owed; of several, none may be used up.
+  // A team without reported usage uses nothing. A team without a guarantee is never below one. With guarantees of several
+  // resources, the usage of each must be below.
   assert.deepEqual([...teamsBelowGuarantee(both, new Map([["lab", use(4)]]))], ["ops", "mix"]);
   assert.deepEqual(
     [
@@ -89,7 +90,7 @@
   );
 });
 
-test("within a team that is owed work, what has the least left goes first, and before any other team's", () => {
+test("a team below its guarantee is ordered before other teams, with the least remaining work first", () => {
   const { part: partition } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
   const large = queueUp(partition, specOf({ ref: "run-000001", team: "ops", tasks: 50 }));
   const small = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
--- a/test/holding.test.ts
+++ b/test/holding.test.ts
@@ -6,8 +6,11 @@
 import { attemptKey, removeAttempt } from "../src/workers/machine.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
-/** Stopped tasks exit one by one; the queue is gone over after each. */
-test("room that stopped tasks leave is held for the gang they were stopped for", () => {
+/**
+ * Guards against lower-priority tasks that take the capacity freed by preemption: stopped tasks exit one by one, and a
+ * scheduling cycle runs after each exit.
+ */
+test("capacity freed by preempted tasks is held for the gang for which they were stopped", () => {
   const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
   const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 20, cpus: 4, urgency: "low" }));
   runPass(partition, pass);
@@ -30,7 +33,7 @@
   assert.equal(low.placed.size, 0);
 });
 
-test("what an array gets of stopped tasks' room is held, the rest of it is there for others", () => {
+test("freed capacity that an array needs is held for it, and the rest is available to other jobs", () => {
   const { part: partition } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 4, cpus: 4, urgency: "low" }));
   runPass(partition, pass);
--- a/test/quota-model.test.ts
+++ b/test/quota-model.test.ts
@@ -4,27 +4,27 @@
 import { adjusted, startsAllowed, sumOf } from "../src/configuration/quota-shares.js";
 import { exploreQuota, type Wrong } from "./world/quota-model.js";
 
-const MOST = 400_000;
+const MAX_STATES = 400_000;
 
-test("model of a limit that changes: no start above a limit in force, in every state", () => {
-  const { states, faults, sums } = exploreQuota({}, 4, MOST);
-  assert.ok(states > 5000 && states < MOST, `${states} states`);
+test("model of a changing limit: no start above a limit in force, in any state", () => {
+  const { states, faults, sums } = exploreQuota({}, 4, MAX_STATES);
+  assert.ok(states > 5000 && states < MAX_STATES, `${states} states`);
   assert.deepEqual([[...faults], sums], [[], 4]);
 });
 
-const wrong: Wrong[] = [
+const faultyVariants: Wrong[] = [
   { startsAboveLimit: true },
   { ignoresUse: true },
   { unconditional: true },
   { forgetsCeded: true },
   { cedesUsed: true },
 ];
-for (const variant of wrong)
-  test(`model of a limit that changes: found when it is wrong, ${Object.keys(variant).join()}`, () => {
-    assert.match([...exploreQuota(variant, 4, MOST).faults].join(), /a start above/);
+for (const variant of faultyVariants)
+  test(`model of a changing limit: faulty variant is detected, ${Object.keys(variant).join()}`, () => {
+    assert.match([...exploreQuota(variant, 4, MAX_STATES).faults].join(), /a start above/);
   });
 
-test("shares come to the limit from whatever they were, as tasks end, and never below what runs", () => {
+test("shares converge to the limit from any start as tasks end, and never fall below the usage", () => {
   const amount = fc.integer({ min: 0, max: 40 });
   const share = fc.option(amount, { nil: null, freq: 5 });
   fc.assert(
--- a/test/takeovers.test.ts
+++ b/test/takeovers.test.ts
@@ -2,6 +2,10 @@
 import { test } from "node:test";
 import { playTakeovers } from "./world/takeover-model.js";
 
+/**
+ * Guards against two concurrent attempts of a task after a takeover, when a new owner adopts attempts from reports that
+ * arrive late, repeatedly or out of order.
+ */
 test("reports delayed, reordered and repeated across takeovers: no task is on two machines", async () => {
   const runs = Number(process.env["TAKEOVERS"] ?? 60);
   const first = Number(process.env["TAKEOVERS_SEED"] ?? 1);
@@ -12,7 +16,7 @@
     surplus += Number(run.surplus > 0);
     started += run.started;
   }
-  // What is guarded against has to come about: attempts beside the one that is wanted.
+  // The runs must produce the guarded situation: attempts adopted beside the wanted one.
   assert.ok(surplus >= runs / 4, `in ${surplus} of ${runs} runs an attempt was adopted beside another`);
   assert.ok(started > runs * 12, `${started} started`);
 });
