--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -81,8 +81,8 @@
   }
 
   /** Records what a peer reports about its own machines. */
-  hear(node: string, hears: string): void {
-    this.peerReports.set(node, { reachability: hears as Reachability, at: this.scope.clock.now() });
+  hear(node: string, reported: string): void {
+    this.peerReports.set(node, { reachability: reported as Reachability, at: this.scope.clock.now() });
   }
 
   /** Returns how many of this node's machines report to it. */
@@ -123,10 +123,13 @@
    * lowest token and no orders, which changes nothing whichever controller owns the machine.
    */
   async reaches(partition?: number): Promise<boolean> {
-    const known = [...this.rentals.all()].filter(
+    const registered = [...this.rentals.all()].filter(
       (machine) => machine.addr !== null && (partition === undefined || machine.part === partition),
     );
-    const chosen = Array.from({ length: Math.min(PROBES_PER_ROUND, known.length) }, () => known[this.probeIndex++ % known.length]!);
+    const chosen = Array.from(
+      { length: Math.min(PROBES_PER_ROUND, registered.length) },
+      () => registered[this.probeIndex++ % registered.length]!,
+    );
     const answers = await Promise.all(
       chosen.map(({ addr }) =>
         this.workers.command(addr!, 0, 1, []).then(
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -156,16 +156,16 @@
       const type = this.context.typeOf(entry.type);
       const capacity = type === undefined ? { cpus: 0, gpus: 0, ram: 0 } : { cpus: type.cpus, gpus: type.gpus, ram: type.ram };
       const wallAge = Math.max(0, this.context.scope.clock.wall() - entry.at);
-      const fresh = newMachine(host, entry.type, entry.zone, entry.spot, capacity, this.context.now - wallAge);
-      fresh.up = entry.addr !== null;
-      fresh.addr = entry.addr;
-      fresh.idleSince = this.context.now;
+      const added = newMachine(host, entry.type, entry.zone, entry.spot, capacity, this.context.now - wallAge);
+      added.up = entry.addr !== null;
+      added.addr = entry.addr;
+      added.idleSince = this.context.now;
       // A machine that was never recorded as up was never given work.
-      if (!fresh.up) fence(partition, fresh, "unused", []);
+      if (!added.up) fence(partition, added, "unused", []);
       // The former owner may answer the machine until it must fall silent.
-      fresh.answeredAt = fresh.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
-      if (fresh.up) fresh.reportedAt = this.context.now;
-      addMachine(partition, fresh);
+      added.answeredAt = added.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
+      if (added.up) added.reportedAt = this.context.now;
+      addMachine(partition, added);
     }
     this.context.wake();
   }
@@ -214,10 +214,10 @@
       }
       if (taskSet === undefined) {
         const bits = doneOf(entry.v, entry.v.hi - lo);
-        const fresh = newUnit(key, job.spec, lo, entry.v.hi, bits, this.needs.sinceWall(job), this.context.now);
-        fresh.urgency = this.needs.urgency(ref);
-        fresh.moved = entry.v.moved === true;
-        addUnit(partition, fresh);
+        const added = newUnit(key, job.spec, lo, entry.v.hi, bits, this.needs.sinceWall(job), this.context.now);
+        added.urgency = this.needs.urgency(ref);
+        added.moved = entry.v.moved === true;
+        addUnit(partition, added);
         this.context.wake();
       }
     }
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -17,7 +17,10 @@
   mirror: Mirror;
   committer: Committer;
   scope: Scope;
-  /** Called after a successful claim with its reason; `silentMs` is how long the former owner had been missing, null if it was not. */
+  /**
+   * Called after a successful claim with its reason; `silentMs` is how long the former owner had been
+   * missing, null if it was present or there was none.
+   */
   taken: (partition: number, term: number, reason: string, silentMs: number | null) => void;
   /** Returns whether this process ended the term itself because a worker reported a newer owner's token. */
   termEnded: (partition: number, term: number) => boolean;
@@ -145,14 +148,14 @@
     if (this.claiming.has(partition)) return;
     this.claiming.add(partition);
     const key = keys.owner(partition);
-    const before = this.dependencies.mirror.get<OwnerRecord>(key);
+    const recorded = this.dependencies.mirror.get<OwnerRecord>(key);
     const draft = () => {
       const current = this.dependencies.mirror.get<OwnerRecord>(key);
-      if (current?.stamp !== before?.stamp) return null;
-      const owner = before?.v.owner;
+      if (current?.stamp !== recorded?.stamp) return null;
+      const owner = recorded?.v.owner;
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
       const alive = owner === undefined ? null : { key: keys.alive(owner), stamp: this.dependencies.mirror.stamp(keys.alive(owner)) };
-      const conditions = claimConditions({ key, stamp: before?.stamp ?? 0 }, alive, reason);
+      const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, alive, reason);
       // The claim fails unless this node knows the newest configuration.
       conditions.push({ k: keys.configuration, stamp: this.dependencies.mirror.stamp(keys.configuration) });
       return {
@@ -168,7 +171,7 @@
         this.claiming.delete(partition);
         if (outcome !== "done") return;
         const term = this.dependencies.mirror.stamp(key);
-        const missing = before === undefined ? null : this.dependencies.presence.missingMs(before.v.owner);
+        const missing = recorded === undefined ? null : this.dependencies.presence.missingMs(recorded.v.owner);
         this.dependencies.taken(partition, term, reason, missing === null ? null : Math.round(missing));
         this.dependencies.scope.log.info(
           {
@@ -176,8 +179,8 @@
             reason,
             term,
             life: this.dependencies.life,
-            former: before?.v.owner,
-            formerTerm: before?.stamp,
+            former: recorded?.v.owner,
+            formerTerm: recorded?.stamp,
             readAgoMs: Math.round(this.dependencies.mirror.ageMs()),
           },
           "part taken",
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -44,18 +44,18 @@
     taskSet.committing = true;
     const { ref } = taskSet.spec;
     const isJob = taskSet.lo === 0;
-    let sent = 0;
+    let writtenCount = 0;
     const draft = () => {
       const entry = this.mirror.get<JobRecord | SliceRecord>(taskSet.key);
       const job = this.mirror.get<JobRecord>(keys.job(ref));
       if (entry === undefined || job === undefined || job.v.end !== undefined || partOf(entry.v) !== partition.id) return null;
       if (this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
       const bits = doneOf(entry.v, taskSet.hi - taskSet.lo);
-      const before = bits.count;
+      const recordedCount = bits.count;
       bits.merge(taskSet.done);
       const complete = isJob && bits.full && this.allSlicesDone(ref);
-      if (bits.count === before && !complete) return null;
-      sent = taskSet.done.count;
+      if (bits.count === recordedCount && !complete) return null;
+      writtenCount = taskSet.done.count;
       const { packed: _packed, ...plain } = settled(entry.v);
       const value = { ...plain, done: bits.encode() };
       if (complete) Object.assign(value, { end: "done", endedAt: this.context.scope.clock.wall() } satisfies Partial<JobRecord>);
@@ -76,7 +76,7 @@
           { part: partition.id, job: ref, done: taskSet.done.count, of: taskSet.hi - taskSet.lo },
           "progress recorded",
         );
-        if (taskSet.done.count > sent) this.record(partition, taskSet);
+        if (taskSet.done.count > writtenCount) this.record(partition, taskSet);
       } else if (outcome === "shed" && !taskSet.ended && this.context.parts.get(partition.id) === partition)
         this.recordLater(partition, taskSet);
     });
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -190,10 +190,10 @@
     const key = keys.allotment(team);
     this.transferring.set(label, transferred);
     const term = partition.term;
-    const before = this.mirror.stamp(key);
+    const expectedStamp = this.mirror.stamp(key);
     const draft = () => {
       const entry = this.mirror.get<AllotmentRecord>(key);
-      if (entry === undefined || entry.stamp !== before || this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
+      if (entry === undefined || entry.stamp !== expectedStamp || this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
       const move = (list: (number | null)[], amount: number): (number | null)[] =>
         list.map((x, i) => (x === null ? null : i === partition.id ? x - amount : i === to ? x + amount : x));
       return {
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -7,7 +7,7 @@
   part: number;
   term: number;
   reason: string;
-  /** Time for which the former owner had been missing at the claim, in ms; null if it was not. */
+  /** Time for which the former owner had been missing at the claim, in ms; null if it was present or there was none. */
   silentMs: number | null;
   claimedAt: number;
   machines: number;
