--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -58,7 +58,8 @@
 
 /**
  * Returns the write conditions of a claim. When the owner is considered lost, its presence key must be unchanged since
- * it was read: any renewal in the meantime, including one that refutes a suspicion, changes the key and fails the claim.
+ * it was read: any write by the owner in the meantime, such as the refutation of a suspicion, changes the key and fails
+ * the claim.
  */
 export function claimConditions(
   owner: { key: string; stamp: number },
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -216,7 +216,7 @@
     }
   }
 
-  /** Returns the hourly price of the machine; 0 if its type is unknown. */
+  /** Returns the price of the machine's type, spot or on-demand; 0 if the type is unknown. */
   priceOf(machine: Machine): number {
     const type = this.typeOf(machine.type);
     return type === undefined ? 0 : machine.spot ? type.spotPrice : type.price;
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Stops service replicas, and tasks that can save a checkpoint, on a machine that is about to end or drains. Tasks that
-   * would finish before the machine ends, or that cannot save, continue to run.
+   * Stops service replicas on a machine that drains or has notice of its end, and, while there is still time to save, the
+   * tasks that can save a checkpoint. Tasks that would finish before the machine ends, or that cannot save, continue.
    */
   private evacuate(partition: Part, machine: Machine): void {
     const { reportMs } = this.context.settings.timing;
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -33,7 +33,7 @@
 
 /**
  * Team limits, split durably over the partitions. Only a partition's owner reduces the partition's share, and only by
- * what is unused, so that the total usage never exceeds the limit under any network partition.
+ * what is unused, so that the total usage never exceeds the limit, whichever nodes are cut off from each other.
  */
 export class QuotaShares {
   /** Amounts in transfers whose transaction has no definite outcome yet, by partition and team. */
