--- a/src/controller.ts
+++ b/src/controller.ts
@@ -176,7 +176,7 @@
       cloud: cloudThrough(around.cloud, calls),
       leader,
       quotaShares,
-      mirror,
+      replica: mirror,
       rentals,
       committer,
       rate: new Rate(clock, cloud.rps * share, Math.max(1, cloud.rps * share * 2)),
@@ -194,7 +194,7 @@
       admission,
       leader,
       ownership,
-      mirror,
+      replica: mirror,
       rentals,
       needs,
       committer,
@@ -255,7 +255,7 @@
     this.leader.stoodStill(ms);
     this.presence.stoodStill(ms);
     this.detector.stoodStill(ms);
-    this.fleet.stoodStill(ms);
+    this.fleet.onStall(ms);
     this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.parts.keys()] }, "this process stood still while its clocks ran on");
   }
 
--- a/src/fleet/cloud-client.ts
+++ b/src/fleet/cloud-client.ts
@@ -3,8 +3,9 @@
 import { OverRate } from "@thorntrail/protocol/state";
 import { HttpClient, type Reply } from "../platform/http.js";
 
-type Raw = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
+/** Client of the cloud's HTTP API. Throws NoReply if a call fails, and OverRate if the cloud answers 429. */
 export class HttpCloud implements CloudApi {
   private readonly http = new HttpClient(4);
 
@@ -22,7 +23,7 @@
   async types(limitMs?: number): Promise<MachineType[]> {
     const reply = await this.call("GET", "/machine_types", undefined, limitMs);
     if (reply.status !== 200) throw new NoReply("refused", `types answered ${reply.status}`);
-    return (reply.body["builds"] as Raw[]).map((raw) => ({
+    return (reply.body["builds"] as JsonObject[]).map((raw) => ({
       name: String(raw["label"]),
       cpus: Number(raw["cpus"] ?? 0),
       gpus: Number(raw["accelerators"] ?? 0),
@@ -52,7 +53,7 @@
   async list(from: string | undefined, limit: number, limitMs?: number): Promise<{ machines: ListedMachine[]; more: boolean }> {
     const reply = await this.call("GET", `/hosts?limit=${limit}${from === undefined ? "" : `&from=${from}`}`, undefined, limitMs);
     if (reply.status !== 200) throw new NoReply("refused", `list answered ${reply.status}`);
-    const machines = (reply.body["hosts"] as Raw[]).map((raw) => ({
+    const machines = (reply.body["hosts"] as JsonObject[]).map((raw) => ({
       host: String(raw["ref"]),
       addr: String(raw["addr"]),
       type: String(raw["build"]),
--- a/src/fleet/around.ts
+++ b/src/fleet/dependencies.ts
@@ -13,16 +13,16 @@
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 
-/** Whom the duties around machines work with. */
-export interface FleetAround {
+/** Dependencies of the classes that rent, return and reconcile machines. */
+export interface FleetDependencies {
   settings: Settings;
   cloud: CloudApi;
   leader: Leader;
   quotaShares: QuotaShares;
-  mirror: Mirror;
+  replica: Mirror;
   rentals: Rentals;
   committer: Committer;
-  /** Calls to the cloud: this node's share of its rate. */
+  /** This node's share of the rate limit for calls to the cloud. */
   rate: Rate;
   calls: Calls;
   peers: PeerApi;
@@ -31,22 +31,23 @@
   stats: FleetStats;
 }
 
+/** Numbers of machines rented and returned, of refused rentals, and of unregistered machines deleted. */
 export interface FleetStats {
   hired: number;
   returned: number;
   refused: number;
-  strays: number;
+  unregistered: number;
 }
 
-/** The cloud takes no more names than this in one request. */
-export const MAX_DELETE = 100;
+/** Maximum number of machine names that the cloud accepts in one delete request. */
+export const MAX_DELETE_HOSTS = 100;
 
-/** Checked at the moment of each act, not before a wait for it. */
-export function leads({ leader }: FleetAround, part: Part): boolean {
-  return leader.sure() && leader.parts.get(part.id) === part;
+/** Whether this controller still owns the partition. Must be checked immediately before each cloud call, not before waiting for the rate limit. */
+export function ownsPartition({ leader }: FleetDependencies, partition: Part): boolean {
+  return leader.sure() && leader.parts.get(partition.id) === partition;
 }
 
-/** Waits for this node's turn to call the cloud. */
-export async function paid({ rate, scope }: FleetAround): Promise<void> {
+/** Waits until this node's rate limit permits a call to the cloud. */
+export async function waitForRate({ rate, scope }: FleetDependencies): Promise<void> {
   while (!rate.take()) await sleep(scope.clock, rate.waitMs());
 }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,49 +1,51 @@
 import { NoReply } from "@thorntrail/protocol/errors";
-import { paid, type FleetAround, type FleetStats } from "./around.js";
-import { Offers } from "./offers.js";
-import { Reconciling } from "./reconciling.js";
-import { Renting } from "./renting.js";
-import { Returning } from "./returning.js";
+import { waitForRate, type FleetDependencies, type FleetStats } from "./dependencies.js";
+import { OfferingAvailability } from "./offering-availability.js";
+import { Reconciler } from "./reconciling.js";
+import { Renter } from "./renting.js";
+import { Returner } from "./returning.js";
 
-/** The duties around machines: rent, return, reconcile, and know the types there are. */
+/** Rents, returns and reconciles machines, and keeps the list of machine types up to date. */
 export class Fleet {
-  readonly stats: FleetStats = { hired: 0, returned: 0, refused: 0, strays: 0 };
-  private readonly around: FleetAround;
-  private readonly offers: Offers;
-  private readonly renting: Renting;
-  private readonly returning: Returning;
-  private readonly reconciling: Reconciling;
+  readonly stats: FleetStats = { hired: 0, returned: 0, refused: 0, unregistered: 0 };
+  private readonly deps: FleetDependencies;
+  private readonly availability: OfferingAvailability;
+  private readonly renter: Renter;
+  private readonly returner: Returner;
+  private readonly reconciler: Reconciler;
 
-  constructor(around: Omit<FleetAround, "stats">) {
-    this.around = { ...around, stats: this.stats };
-    this.offers = new Offers(this.around);
-    this.renting = new Renting(this.around, this.offers);
-    this.returning = new Returning(this.around, this.offers, this.renting, (part, machine) => this.reconciling.absent(part, machine));
-    this.reconciling = new Reconciling(this.around, this.returning);
+  constructor(deps: Omit<FleetDependencies, "stats">) {
+    this.deps = { ...deps, stats: this.stats };
+    this.availability = new OfferingAvailability(this.deps);
+    this.renter = new Renter(this.deps, this.availability);
+    this.returner = new Returner(this.deps, this.availability, this.renter, (partition, machine) =>
+      this.reconciler.isMissing(partition, machine),
+    );
+    this.reconciler = new Reconciler(this.deps, this.returner);
   }
 
   start(): void {
-    const { scope, leader, settings } = this.around;
+    const { scope, leader, settings } = this.deps;
     const { reportMs, leaseMs } = settings.timing;
-    this.offers.start();
+    this.availability.start();
     scope.routine(
       "types",
       () => (leader.types.length === 0 ? reportMs / 5 : leaseMs * 3),
       () => this.refreshTypes(),
     );
-    this.renting.start();
-    this.returning.start();
-    this.reconciling.start();
+    this.renter.start();
+    this.returner.start();
+    this.reconciler.start();
   }
 
-  stoodStill(ms: number): void {
-    this.reconciling.stoodStill(ms);
+  onStall(ms: number): void {
+    this.reconciler.onStall(ms);
   }
 
   private async refreshTypes(): Promise<void> {
     try {
-      await paid(this.around);
-      this.around.leader.setTypes(await this.around.cloud.types());
+      await waitForRate(this.deps);
+      this.deps.leader.setTypes(await this.deps.cloud.types());
     } catch (error) {
       if (!(error instanceof NoReply)) throw error;
     }
--- /dev/null
+++ b/src/fleet/offering-availability.ts
@@ -0,0 +1,55 @@
+import type { Offer } from "@thorntrail/protocol/cloud";
+import type { FleetDependencies } from "./dependencies.js";
+import { offeringKey } from "./plan.js";
+
+/** Report intervals for which an offering counts as sought after a peer's message; a peer that still needs it sends another by then. */
+const SOUGHT_REPORTS = 3;
+
+interface Refusal {
+  until: number;
+  pauseMs: number;
+}
+
+/** Tracks which machine offerings the cloud recently refused, to this controller and to peers. */
+export class OfferingAvailability {
+  private readonly refused = new Map<string, Refusal>();
+  /** Offerings refused to peers, with the time until which they count as sought. */
+  private readonly soughtUntil = new Map<string, number>();
+
+  constructor(private readonly deps: FleetDependencies) {}
+
+  start(): void {
+    const { peers, scope, settings } = this.deps;
+    scope.listen(peers.incoming$, ({ message }) => {
+      if ("Sought" in message)
+        this.soughtUntil.set(offeringKey(message.Sought), scope.clock.now() + settings.timing.reportMs * SOUGHT_REPORTS);
+    });
+  }
+
+  isAvailable(offering: Offer): boolean {
+    const refusal = this.refused.get(offeringKey(offering));
+    return refusal === undefined || refusal.until <= this.deps.scope.clock.now();
+  }
+
+  recordGrant(offering: Offer): void {
+    this.refused.delete(offeringKey(offering));
+  }
+
+  /** Whether work in another partition waits for a machine of this offering while the cloud has none to rent. */
+  isSoughtByPeer(offering: Offer): boolean {
+    return this.deps.scope.clock.now() < (this.soughtUntil.get(offeringKey(offering)) ?? -Infinity);
+  }
+
+  /** Pauses rentals of an offering after a refusal. Each further refusal doubles the pause, up to half a lease. */
+  recordRefusal(offering: Offer): void {
+    this.deps.stats.refused++;
+    const name = offeringKey(offering);
+    const { reportMs, leaseMs } = this.deps.settings.timing;
+    const pauseMs = Math.min(leaseMs / 2, (this.refused.get(name)?.pauseMs ?? reportMs / 2) * 2);
+    this.refused.set(name, { until: this.deps.scope.clock.now() + pauseMs, pauseMs });
+    // The cloud has no more machines of this offering, but another partition may have idle ones.
+    const { type, zone, spot } = offering;
+    for (const node of this.deps.settings.nodes)
+      if (node !== this.deps.settings.self) this.deps.peers.send(node, { Sought: { type, zone, spot } });
+  }
+}
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -9,146 +9,160 @@
 import { suspect, type Placement, type Unit } from "../queue/unit.js";
 import { freeRoom, newMachine } from "../workers/machine.js";
 
+/** Inputs of a rental plan. */
 export interface PlanContext {
   now: number;
   silentMs: number;
   order: LocalOrder;
   types: MachineType[];
-  /** Offers the cloud refused lately are left out for a while. */
+  /** False for an offering that the cloud refused recently. */
   open: (offer: Offer) => boolean;
   allotment: (team: string) => Usage;
-  /** For so long nothing is rented for a job that the exchange may yet move. */
+  /** Time in ms after its arrival in which nothing is rented for a job that may still migrate to another partition. */
   weighMs: number;
-  /** What comes free within this time is waited for: a machine rented now would not be up before. */
+  /** Capacity that becomes free within this time in ms counts as free: a machine rented now would not be up sooner. */
   soonMs: number;
-  /** What is left of a task. */
+  /** Expected remaining run time of a task in ms. */
   leftMs: (placement: Placement) => number;
 }
 
-export function offerName(offer: Offer): string {
+/** Returns the key of a machine offering: type, zone, and spot or on-demand. */
+export function offeringKey(offer: Offer): string {
   return `${offer.type}/${offer.zone}/${offer.spot ? "spot" : "ordinary"}`;
 }
 
-/** Copies of a task that one empty machine of the type holds. */
-function perMachine(type: MachineType, unit: Unit): number {
-  const { spec } = unit;
-  const by = (all: number, one: number): number => (one > 0 ? Math.floor((all + 1e-6) / one) : Infinity);
-  return Math.min(by(type.cpus, spec.cpus), by(type.gpus, spec.gpus), by(type.ram, spec.ram), unit.waiting.length);
+/** Number of the task set's waiting tasks that fit on one empty machine of the type. */
+function tasksPerMachine(type: MachineType, taskSet: Unit): number {
+  const { spec } = taskSet;
+  const quotient = (all: number, one: number): number => (one > 0 ? Math.floor((all + 1e-6) / one) : Infinity);
+  return Math.min(quotient(type.cpus, spec.cpus), quotient(type.gpus, spec.gpus), quotient(type.ram, spec.ram), taskSet.waiting.length);
 }
 
-/**
- * What to rent for the queue: waiting tasks are laid onto free and booting
- * room first; the rest opens imagined machines of the offer that is cheapest
- * per task, and later tasks fill those up.
- */
-export interface HirePlan {
+/** Machines to rent for a partition's queue, and machines that must be kept for it. */
+export interface RentalPlan {
   wanted: Map<string, { offer: Offer; count: number }>;
-  /** Machines, idle or booting, that waiting work will go to. */
+  /** Machines, idle or booting, on which waiting tasks will be placed. */
   needed: Set<string>;
 }
 
-export function planHires(part: Part, context: PlanContext): HirePlan {
-  const wanted = new Map<string, { offer: Offer; count: number }>();
+/**
+ * Plans rentals for a partition's queue. Waiting tasks are first placed on free and booting
+ * machines; the rest is placed on hypothetical machines of the offering that is cheapest per
+ * task, and later tasks use the capacity that is left on those.
+ */
+export function planHires(partition: Part, context: PlanContext): RentalPlan {
+  const toRent = new Map<string, { offer: Offer; count: number }>();
   const needed = new Set<string>();
   const { now } = context;
-  const slots = usableSlots(part, now, context.silentMs);
-  const atHand = new Set(slots.map((slot) => slot.machine));
-  for (const { machine, free } of slots) {
+  const candidateMachines = usableSlots(partition, now, context.silentMs);
+  const usable = new Set(candidateMachines.map((slot) => slot.machine));
+  for (const { machine, free } of candidateMachines) {
     for (const placement of machine.placements.values())
       if (context.leftMs(placement) <= context.soonMs) shift(free, placement.unit.spec, 1);
   }
-  for (const machine of part.machines.values()) {
-    const coming = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !atHand.has(machine);
-    if (coming) slots.push({ machine, free: freeRoom(machine) });
+  for (const machine of partition.machines.values()) {
+    const booting = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !usable.has(machine);
+    if (booting) candidateMachines.push({ machine, free: freeRoom(machine) });
   }
-  const usage = usageByTeam(part);
-  let imagined = 0;
-  const noRoom = new UnschedulableShapes();
+  const usage = usageByTeam(partition);
+  let hypothetical = 0;
+  const unschedulable = new UnschedulableShapes();
   const queue = inOrder(
-    [...part.units.values()].filter((unit) => ready(unit, now)),
+    [...partition.units.values()].filter((taskSet) => ready(taskSet, now)),
     context.order,
   );
-  for (const unit of queue) {
-    const { spec } = unit;
+  for (const taskSet of queue) {
+    const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const allotment = context.allotment(spec.team);
+    const quotaShare = context.allotment(spec.team);
     let left = Math.min(
-      unit.waiting.length,
-      context.order.atOnce(unit),
-      tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus }),
+      taskSet.waiting.length,
+      context.order.atOnce(taskSet),
+      tasksWithin(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus }),
     );
     const isGang = spec.kind === "gang";
-    if (left === 0 || (isGang && left < unit.waiting.length)) continue;
-    // A job that fails wherever it runs is not worth more machines.
-    if (suspect(unit)) continue;
-    // Rented at home while it asks elsewhere, machines would come up for a job that has gone.
-    if (!unit.weighed && !unit.moved && unit.lo === 0 && now - unit.arrivedAt < context.weighMs) continue;
+    if (left === 0 || (isGang && left < taskSet.waiting.length)) continue;
+    // No machines are rented for a job that fails on every machine.
+    if (suspect(taskSet)) continue;
+    // A machine rented while the job still bids for other partitions might come up after the job has migrated.
+    if (!taskSet.weighed && !taskSet.moved && taskSet.lo === 0 && now - taskSet.arrivedAt < context.weighMs) continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
-    // Neither room nor an offer: nor for what needs more.
-    if (noRoom.has(spec)) continue;
-    const layOut = (task: JobSpec, count: number): number => {
-      const room = unit.failedOn.size === 0 ? slots : slots.filter(({ machine }) => !failsThere(unit, machine.host));
-      const chosen = placeTasks(task, count, room, zonesInUse(part, unit), NOBODY, false);
+    // A smaller shape already found neither free capacity nor an offering.
+    if (unschedulable.has(spec)) continue;
+    const placeOnCandidates = (task: JobSpec, count: number): number => {
+      const candidates =
+        taskSet.failedOn.size === 0
+          ? candidateMachines
+          : candidateMachines.filter(({ machine }) => !failsRepeatedlyOn(taskSet, machine.host));
+      const chosen = placeTasks(task, count, candidates, zonesInUse(partition, taskSet), NO_EXCLUSIONS, false);
       for (const slot of chosen) needed.add(slot.machine.host);
       return chosen.length;
     };
-    // One zone has to hold all of it: the one that needs the least added.
-    const task = spec.oneZone && spec.zone === null ? { ...spec, zone: bestZone(part, unit, left, slots, context) } : spec;
-    for (let guard = 0; left > 0 && guard < MOST_ROUNDS; guard++) {
-      left -= layOut(task, left);
+    // A single-zone job goes to the zone that needs the fewest additional machines.
+    const task =
+      spec.oneZone && spec.zone === null ? { ...spec, zone: bestZone(partition, taskSet, left, candidateMachines, context) } : spec;
+    for (let round = 0; left > 0 && round < MAX_ROUNDS; round++) {
+      left -= placeOnCandidates(task, left);
       if (left <= 0) break;
-      const best = cheapest(unit, task, left, context, (offer) => (wanted.get(offerName(offer))?.count ?? 0) < MOST_OF_AN_OFFER);
+      const best = cheapestOffering(
+        taskSet,
+        task,
+        left,
+        context,
+        (offer) => (toRent.get(offeringKey(offer))?.count ?? 0) < MAX_RENTAL_COUNT,
+      );
       if (best === null) {
-        noRoom.add(spec);
+        unschedulable.add(spec);
         break;
       }
       const { type, offer } = best;
-      const name = offerName(offer);
-      const entry = wanted.get(name) ?? { offer, count: 0 };
-      wanted.set(name, entry);
-      // All machines of a kind that the tasks fill are opened at once.
-      const n = spec.spread ? 1 : Math.max(1, Math.floor(left / best.holds));
-      for (let k = 0; k < n && entry.count < MOST_OF_AN_OFFER; k++) {
+      const name = offeringKey(offer);
+      const entry = toRent.get(name) ?? { offer, count: 0 };
+      toRent.set(name, entry);
+      // Adds all machines of the offering that the remaining tasks fill completely.
+      const n = spec.spread ? 1 : Math.max(1, Math.floor(left / best.tasksPerMachine));
+      for (let k = 0; k < n && entry.count < MAX_RENTAL_COUNT; k++) {
         const capacity = { cpus: type.cpus, gpus: type.gpus, ram: type.ram };
-        const machine = newMachine(`imagined-${imagined++}`, type.name, offer.zone, offer.spot, capacity, now);
-        slots.push({ machine, free: { ...capacity } });
+        const machine = newMachine(`hypothetical-${hypothetical++}`, type.name, offer.zone, offer.spot, capacity, now);
+        candidateMachines.push({ machine, free: { ...capacity } });
         entry.count++;
       }
     }
   }
-  return { wanted, needed };
+  return { wanted: toRent, needed };
 }
 
-/** Failures for each task that waits, after which a machine's room is none for this job. */
-const FAILS_OFTEN = 2;
+/** Failures per waiting task after which a machine no longer counts as capacity for a job. */
+const MAX_FAILURES_PER_TASK = 2;
 
 /**
- * With one job left and one machine, nobody could tell whose fault it is: the machine
- * has failed no other job, the job has failed nowhere else, and each would keep the other
- * for ever. Another machine tells.
+ * Whether the job has failed so often on the machine that another one must be tried. With one job
+ * and one machine, failures can be attributed to neither: the machine has failed no other job, the
+ * job has failed on no other machine, and it would be restarted there forever. Running the job on
+ * another machine decides.
  */
-function failsThere(unit: Unit, host: string): boolean {
-  return (unit.failedOn.get(host) ?? 0) > FAILS_OFTEN * unit.waiting.length;
+function failsRepeatedlyOn(taskSet: Unit, host: string): boolean {
+  return (taskSet.failedOn.get(host) ?? 0) > MAX_FAILURES_PER_TASK * taskSet.waiting.length;
 }
 
-const NOBODY: ReadonlyMap<string, number> = new Map();
-/** A call to the cloud rents no more than this many (PROTOCOL), so planning further is for nothing. */
-export const MOST_OF_AN_OFFER = 50;
-const MOST_ROUNDS = 64;
+const NO_EXCLUSIONS: ReadonlyMap<string, number> = new Map();
+/** Maximum number of machines in one rental call (PROTOCOL), so a plan never contains more of one offering. */
+export const MAX_RENTAL_COUNT = 50;
+const MAX_ROUNDS = 64;
 
-/** Of the zones the job may use, the one in which the fewest tasks lack room; the cheapest offer decides a tie. */
-function bestZone(part: Part, unit: Unit, left: number, slots: Slot[], context: PlanContext): string | null {
-  const bound = [...zonesInUse(part, unit).keys()];
-  if (bound.length > 0) return bound[0]!;
-  const room = new Map<string, number>();
-  for (const { machine, free } of slots) {
-    if (!allowed(unit.spec, machine)) continue;
-    room.set(machine.zone, (room.get(machine.zone) ?? 0) + copies(unit.spec, free));
+/** Returns the allowed zone in which the fewest tasks lack capacity; ties go to the cheapest offering. Null: no zone is possible. */
+function bestZone(partition: Part, taskSet: Unit, left: number, candidates: Slot[], context: PlanContext): string | null {
+  const zonesUsed = [...zonesInUse(partition, taskSet).keys()];
+  if (zonesUsed.length > 0) return zonesUsed[0]!;
+  const capacity = new Map<string, number>();
+  for (const { machine, free } of candidates) {
+    if (!allowed(taskSet.spec, machine)) continue;
+    capacity.set(machine.zone, (capacity.get(machine.zone) ?? 0) + copies(taskSet.spec, free));
   }
   let best: { zone: string; missing: number; cost: number } | null = null;
-  for (const zone of new Set([...context.types.flatMap((type) => type.zones), ...room.keys()])) {
-    const missing = Math.max(0, left - (room.get(zone) ?? 0));
-    const offer = missing === 0 ? null : cheapest(unit, { ...unit.spec, zone }, missing, context);
+  for (const zone of new Set([...context.types.flatMap((type) => type.zones), ...capacity.keys()])) {
+    const missing = Math.max(0, left - (capacity.get(zone) ?? 0));
+    const offer = missing === 0 ? null : cheapestOffering(taskSet, { ...taskSet.spec, zone }, missing, context);
     if (missing > 0 && offer === null) continue;
     const cost = offer?.cost ?? 0;
     if (best === null || missing < best.missing || (missing === best.missing && cost < best.cost)) best = { zone, missing, cost };
@@ -156,31 +170,32 @@
   return best?.zone ?? null;
 }
 
-interface Choice {
+interface PricedOffering {
   type: MachineType;
   offer: Offer;
-  /** Tasks on one machine. */
-  holds: number;
+  /** Tasks per machine. */
+  tasksPerMachine: number;
   cost: number;
 }
 
-function cheapest(
-  unit: Unit,
+/** Returns the available offering with the lowest price per task, or null. */
+function cheapestOffering(
+  taskSet: Unit,
   task: JobSpec,
   left: number,
   context: PlanContext,
-  more: (offer: Offer) => boolean = () => true,
-): Choice | null {
-  let best: Choice | null = null;
+  accepts: (offer: Offer) => boolean = () => true,
+): PricedOffering | null {
+  let best: PricedOffering | null = null;
   for (const type of context.types) {
-    const holds = Math.min(perMachine(type, unit), left);
+    const holds = Math.min(tasksPerMachine(type, taskSet), left);
     if (holds < 1) continue;
     for (const zone of type.zones) {
-      for (const spot of unit.spec.spot ? [true, false] : [false]) {
+      for (const spot of taskSet.spec.spot ? [true, false] : [false]) {
         const offer = { type: type.name, zone, spot };
-        if (!allowed(task, offer) || !context.open(offer) || !more(offer)) continue;
+        if (!allowed(task, offer) || !context.open(offer) || !accepts(offer)) continue;
         const cost = (spot ? type.spotPrice : type.price) / holds;
-        if (best === null || cost < best.cost) best = { type, offer, holds, cost };
+        if (best === null || cost < best.cost) best = { type, offer, tasksPerMachine: holds, cost };
       }
     }
   }
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -3,213 +3,218 @@
 import type { Part } from "../parts/part.js";
 import { sleep } from "../platform/clock.js";
 import type { Machine } from "../workers/machine.js";
-import { leads, MAX_DELETE, paid, type FleetAround } from "./around.js";
-import type { Offers } from "./offers.js";
-import type { Renting } from "./renting.js";
+import { ownsPartition, MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
+import type { OfferingAvailability } from "./offering-availability.js";
+import type { Renter } from "./renting.js";
 
-/** However cheap it is, a machine nobody uses goes back in the end. */
-const MOST_CHEAPNESS = 8;
+/** Maximum factor by which a low price extends the idle time, so that even the cheapest idle machine is returned eventually. */
+const MAX_CHEAPNESS = 8;
 
-/** Of the time a machine may idle, what is left if it is sought: handing it over costs a boot. */
-const SOUGHT_PATIENCE = 0.5;
+/** Share of the idle time that remains if another partition seeks the machine; it is not zero because handing a machine over costs a boot. */
+const SOUGHT_IDLE_SHARE = 0.5;
 
-/** Of a part's machines, how many may be given up to have it place again. */
-const UNHEARD_SHARE = 0.1;
+/** Maximum share of a partition's machines that may be deleted so that placement can resume. */
+const MAX_DELETED_SHARE = 0.1;
 
 /**
- * Machines that must have answered the new term before a single silent one is given up. Asking
- * for more left parts of two waiting for a whole lease, with everything in them, to spare the
- * rarer case that this very node reaches one of its machines and not the other.
+ * Machines that must have answered the new term before a single silent one is deleted. With a
+ * higher number, partitions of two machines waited for a whole lease with all their tasks, only to
+ * cover the rarer case that this node alone reaches one of its machines and not the other.
  */
-const LEAST_ANSWERS = 1;
+const MIN_ANSWERS = 1;
 
-/** Intervals without a report after which one is late; and after which one without notice counts as taken. */
+/** Report intervals without a report after which a machine is late. */
 const LATE_REPORTS = 1.6;
-const UNHEARD_REPORTS = 3;
+/** Report intervals without a report after which a spot machine that gave no notice counts as preempted. */
+const SILENT_REPORTS = 3;
 
-/** How many of a part's machines are in each state. */
+/** Number of a partition's machines in each state. */
 interface Tally {
   unfenced: number;
-  /** Have shown this very term. */
+  /** Have reported the current term. */
   answered: number;
   late: number;
 }
 
-/** So few that they can be given up; if there are more, or few machines in all, it may be this node that cannot reach them. */
-function few(part: Part, n: number): boolean {
-  return n <= part.machines.size * UNHEARD_SHARE;
+/** Whether `n` machines are few enough to be deleted; with more of them, or in a small partition, this node itself may be unable to reach them. */
+function isDeletableCount(partition: Part, n: number): boolean {
+  return n <= partition.machines.size * MAX_DELETED_SHARE;
 }
 
-function unheard(machine: Machine, now: number, ms: number): boolean {
+function silentFor(machine: Machine, now: number, ms: number): boolean {
   return machine.up && now - machine.heardAt > ms;
 }
 
-/** Returns machines; a machine's record goes only after the cloud has confirmed its end. */
-export class Returning {
-  private readonly gone = new Map<string, Set<string>>();
+/** Returns machines to the cloud. A machine's record is removed only after the cloud has confirmed its deletion. */
+export class Returner {
+  private readonly removedHosts = new Map<string, Set<string>>();
 
   constructor(
-    private readonly around: FleetAround,
-    private readonly offers: Offers,
-    private readonly renting: Renting,
-    /** A list that can be believed says that the machine is gone. */
-    private readonly absent: (part: Part, machine: Machine) => boolean,
+    private readonly deps: FleetDependencies,
+    private readonly availability: OfferingAvailability,
+    private readonly renter: Renter,
+    /** Whether the newest list reliably shows that the machine is gone. */
+    private readonly isMissing: (partition: Part, machine: Machine) => boolean,
   ) {}
 
   start(): void {
-    this.around.scope.routine(
+    this.deps.scope.routine(
       "return",
-      () => this.around.settings.timing.reportMs / 2,
-      () => this.giveBack(),
+      () => this.deps.settings.timing.reportMs / 2,
+      () => this.returnMachines(),
     );
   }
 
-  private wantsReturn(part: Part, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
-    const now = this.around.scope.clock.now();
-    const type = this.around.leader.typeOf(machine.type);
+  private returnReason(partition: Part, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
+    const now = this.deps.scope.clock.now();
+    const type = this.deps.leader.typeOf(machine.type);
     if (type === undefined || machine.deleting) return null;
-    const { idle_per_boot, late_per_boot } = this.around.settings.operators.fleet;
+    const { idle_per_boot, late_per_boot } = this.deps.settings.operators.fleet;
     const bootMs = type.bootS * 1000;
     if (machine.lost) return "lost";
-    if (this.holdsUpFence(part, machine, tally)) return "unheard while fencing";
-    if (part.phase === "serving" && this.seemsTaken(part, machine, tally)) return machine.noticeAt === null ? "unheard and cheap" : "taken";
+    if (this.blocksFencing(partition, machine, tally)) return "silent while fencing";
+    if (partition.phase === "serving" && this.seemsPreempted(partition, machine, tally))
+      return machine.noticeAt === null ? "unheard and cheap" : "taken";
     if (!machine.up)
-      return now - machine.hiredAt > Math.max(bootMs * late_per_boot, this.around.settings.timing.leaseMs) && machine.heardAt === -Infinity
+      return now - machine.hiredAt > Math.max(bootMs * late_per_boot, this.deps.settings.timing.leaseMs) && machine.heardAt === -Infinity
         ? "never came up"
         : null;
     if (machine.placements.size > 0) return null;
     if (machine.draining) return "faulty";
     if (machine.noticeAt !== null) return "notice";
-    // A gang's machines come up one by one: those that wait for the rest are not idle.
+    // A gang's machines come up one by one; those that wait for the others are not idle.
     if (needed.has(machine.host)) return null;
-    const sought = this.offers.sought(machine);
-    const idleMs = bootMs * idle_per_boot * this.cheapness(machine) * (sought ? SOUGHT_PATIENCE : 1);
-    if (part.phase === "serving" && now - machine.idleSince > idleMs) return sought ? "sought by another part" : "idle";
+    const sought = this.availability.isSoughtByPeer(machine);
+    const idleMs = bootMs * idle_per_boot * this.cheapness(machine) * (sought ? SOUGHT_IDLE_SHARE : 1);
+    if (partition.phase === "serving" && now - machine.idleSince > idleMs) return sought ? "sought by another part" : "idle";
     return null;
   }
 
   /**
-   * A machine that has shown no sign of the new term keeps the whole part from
-   * placing until its lease is surely over, which may take two leases: most often
-   * it is gone already. What is deleted is proven gone. If many are unheard, it is
-   * this node that cannot reach them, so they are left alone. In a small part one
-   * machine is more than a few; it alone goes once others have answered this very
-   * term, which shows that it is not this node that is cut off.
+   * Whether the machine should be deleted because it blocks fencing. A machine that has not
+   * reported the new term blocks placement in the whole partition until its lease has certainly
+   * expired, which may take two leases; usually it is already gone, and deletion proves that. If
+   * many machines are silent, this node is probably cut off from them, so they are kept. In a
+   * small partition one machine already exceeds the share; a single silent one is deleted once
+   * others have answered the new term, which shows that this node is not cut off.
    */
-  private holdsUpFence(part: Part, machine: Machine, tally: Tally): boolean {
-    const { scope, settings } = this.around;
-    if (part.phase !== "fencing" || machine.fenced || scope.clock.now() - part.since < settings.timing.leaseMs / 4) return false;
-    if (few(part, tally.unfenced)) return true;
-    // Returned by the former leader, who could not write it down any more, or taken.
-    if (this.absent(part, machine)) return true;
-    // It has reported all the time and never shown our term: it does not hear us. What it may run is not more than those that do.
+  private blocksFencing(partition: Part, machine: Machine, tally: Tally): boolean {
+    const { scope, settings } = this.deps;
+    if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.since < settings.timing.leaseMs / 4) return false;
+    if (isDeletableCount(partition, tally.unfenced)) return true;
+    // Returned by the former owner, which could no longer record it, or preempted.
+    if (this.isMissing(partition, machine)) return true;
+    // By now a silent machine's lease would have expired: this one keeps reporting, but does not receive this controller's
+    // answers. It is deleted only if at least as many machines have shown the current term as are unfenced.
     const { silentAfterMs, expiryMs } = settings.timing;
-    if (scope.clock.now() - part.since > silentAfterMs + expiryMs && tally.answered >= tally.unfenced) return true;
-    return tally.unfenced === 1 && tally.answered - Number(machine.token >= part.term) >= LEAST_ANSWERS;
+    if (scope.clock.now() - partition.since > silentAfterMs + expiryMs && tally.answered >= tally.unfenced) return true;
+    return tally.unfenced === 1 && tally.answered - Number(machine.token >= partition.term) >= MIN_ANSWERS;
   }
 
-  /** One look at all machines of a part, for all of them. */
-  private tally(part: Part): Tally {
+  /** Counts the partition's machines by state in one pass. */
+  private tally(partition: Part): Tally {
     const tally = { unfenced: 0, answered: 0, late: 0 };
-    const { reportMs } = this.around.settings.timing;
-    const now = this.around.scope.clock.now();
-    for (const machine of part.machines.values()) {
+    const { reportMs } = this.deps.settings.timing;
+    const now = this.deps.scope.clock.now();
+    for (const machine of partition.machines.values()) {
       if (!machine.fenced) tally.unfenced++;
-      if (machine.token >= part.term) tally.answered++;
-      if (unheard(machine, now, reportMs * LATE_REPORTS)) tally.late++;
+      if (machine.token >= partition.term) tally.answered++;
+      if (silentFor(machine, now, reportMs * LATE_REPORTS)) tally.late++;
     }
     return tally;
   }
 
   /**
-   * Cheap machines are taken back all day long, and until a lease is surely over their
-   * tasks cannot start elsewhere. Deleting the machine is proof at once. One that has
-   * given notice has little to lose; of those that have not, only a few are given up,
-   * and only cheap ones, after some reports more.
+   * Whether the cloud has probably preempted the machine. Spot machines are preempted frequently,
+   * and their tasks cannot start elsewhere until their lease has certainly expired; deleting the
+   * machine proves immediately that they have ended. A machine that gave notice is deleted as soon
+   * as its reports are late. Of the others, only a few are deleted, only spot machines, and only
+   * after more missed reports.
    */
-  private seemsTaken(part: Part, machine: Machine, tally: Tally): boolean {
-    const { reportMs } = this.around.settings.timing;
-    const now = this.around.scope.clock.now();
-    if (!machine.up || machine.heardAt === -Infinity || now - part.since < reportMs * UNHEARD_REPORTS) return false;
-    if (machine.noticeAt !== null) return unheard(machine, now, reportMs * LATE_REPORTS);
-    // All that are late count against it: a cut shows in one machine's reports first.
-    return machine.spot && unheard(machine, now, reportMs * UNHEARD_REPORTS) && few(part, tally.late);
+  private seemsPreempted(partition: Part, machine: Machine, tally: Tally): boolean {
+    const { reportMs } = this.deps.settings.timing;
+    const now = this.deps.scope.clock.now();
+    if (!machine.up || machine.heardAt === -Infinity || now - partition.since < reportMs * SILENT_REPORTS) return false;
+    if (machine.noticeAt !== null) return silentFor(machine, now, reportMs * LATE_REPORTS);
+    // Counts all late machines, because a network cut becomes visible in one machine's reports first.
+    return machine.spot && silentFor(machine, now, reportMs * SILENT_REPORTS) && isDeletableCount(partition, tally.late);
   }
 
-  /** How much cheaper than the dearest machine this one is: the cheap may idle longer. */
+  /** Factor by which this machine is cheaper than the most expensive type; cheaper machines may idle longer. */
   private cheapness(machine: Machine): number {
-    const dearest = Math.max(...this.around.leader.types.map((t) => t.price));
-    const price = this.around.leader.priceOf(machine);
-    return price <= 0 ? MOST_CHEAPNESS : Math.min(MOST_CHEAPNESS, Math.max(1, dearest / price));
+    const maxPrice = Math.max(...this.deps.leader.types.map((t) => t.price));
+    const price = this.deps.leader.priceOf(machine);
+    return price <= 0 ? MAX_CHEAPNESS : Math.min(MAX_CHEAPNESS, Math.max(1, maxPrice / price));
   }
 
-  private async giveBack(): Promise<void> {
-    if (!this.around.leader.sure()) return;
-    for (const part of [...this.around.leader.parts.values()]) {
+  private async returnMachines(): Promise<void> {
+    if (!this.deps.leader.sure()) return;
+    for (const partition of [...this.deps.leader.parts.values()]) {
       const leaving: Machine[] = [];
-      const { needed } = this.renting.plan(part);
-      const tally = this.tally(part);
-      for (const machine of part.machines.values()) {
-        const reason = this.wantsReturn(part, machine, needed, tally);
-        if (reason === null || leaving.length >= MAX_DELETE) continue;
+      const { needed } = this.renter.plan(partition);
+      const tally = this.tally(partition);
+      for (const machine of partition.machines.values()) {
+        const reason = this.returnReason(partition, machine, needed, tally);
+        if (reason === null || leaving.length >= MAX_DELETE_HOSTS) continue;
         machine.deleting = true;
         leaving.push(machine);
-        this.around.scope.log.info(
-          { part: part.id, host: machine.host, type: machine.type, spot: machine.spot, reason },
+        this.deps.scope.log.info(
+          { part: partition.id, host: machine.host, type: machine.type, spot: machine.spot, reason },
           "machine returned",
         );
       }
-      if (leaving.length > 0) void this.remove(part, leaving);
+      if (leaving.length > 0) void this.remove(partition, leaving);
     }
   }
 
-  async remove(part: Part, machines: Machine[]): Promise<void> {
+  /** Deletes the machines in the cloud, with retries while the partition is owned, then forgets them and updates their rental records. */
+  async remove(partition: Part, machines: Machine[]): Promise<void> {
     for (let failures = 0; ;) {
-      if (this.around.scope.closed || this.around.leader.parts.get(part.id) !== part) return;
+      if (this.deps.scope.closed || this.deps.leader.parts.get(partition.id) !== partition) return;
       try {
-        await paid(this.around);
-        if (leads(this.around, part)) {
-          await this.around.cloud.remove(machines.map((machine) => machine.host));
+        await waitForRate(this.deps);
+        if (ownsPartition(this.deps, partition)) {
+          await this.deps.cloud.remove(machines.map((machine) => machine.host));
           break;
         }
-        await sleep(this.around.scope.clock, this.around.settings.timing.reportMs);
+        await sleep(this.deps.scope.clock, this.deps.settings.timing.reportMs);
       } catch (error) {
         if (!(error instanceof NoReply)) throw error;
-        await this.around.calls.of("cloud.delete").rest(++failures);
+        await this.deps.calls.of("cloud.delete").rest(++failures);
       }
     }
-    this.around.stats.returned += machines.length;
-    // Confirmed gone, with everything on them: their tasks may start again.
-    for (const machine of machines) this.around.leader.forgetMachine(part, machine);
-    for (const { host } of machines) this.strike(host);
+    this.deps.stats.returned += machines.length;
+    // The deletion is confirmed, so the tasks of these machines have ended and may be restarted.
+    for (const machine of machines) this.deps.leader.forgetMachine(partition, machine);
+    for (const { host } of machines) this.removeFromRecord(host);
   }
 
-  /** Takes a machine that is gone off its rental's record; those that go together share a write. */
-  private strike(host: string): void {
-    const key = this.around.rentals.get(host)?.key;
+  /** Removes a deleted machine from its rental's record; machines of one rental that are deleted together share a write. */
+  private removeFromRecord(host: string): void {
+    const key = this.deps.rentals.get(host)?.key;
     if (key === undefined) return;
-    const open = this.gone.get(key);
-    if (open !== undefined) {
-      open.add(host);
+    const pendingHosts = this.removedHosts.get(key);
+    if (pendingHosts !== undefined) {
+      pendingHosts.add(host);
       return;
     }
     const hosts = new Set([host]);
-    this.gone.set(key, hosts);
+    this.removedHosts.set(key, hosts);
     const draft = () => {
-      const entry = this.around.mirror.get<RentalRecord>(key);
-      const before = Object.entries(entry?.v.hosts ?? {});
-      const rest = before.filter(([name]) => !hosts.has(name));
-      if (entry === undefined || rest.length === before.length) return null;
+      const entry = this.deps.replica.get<RentalRecord>(key);
+      const hostsBefore = Object.entries(entry?.v.hosts ?? {});
+      const remaining = hostsBefore.filter(([name]) => !hosts.has(name));
+      if (entry === undefined || remaining.length === hostsBefore.length) return null;
       return {
         conditions: [{ k: key, stamp: entry.stamp }],
-        apply: [rest.length === 0 ? { remove: key } : { write: key, v: { ...entry.v, hosts: Object.fromEntries(rest) } }],
+        apply: [remaining.length === 0 ? { remove: key } : { write: key, v: { ...entry.v, hosts: Object.fromEntries(remaining) } }],
       };
     };
-    void this.around.committer.commit("returned", draft).then(async (outcome) => {
-      if (outcome === "shed") await sleep(this.around.scope.clock, this.around.settings.timing.reportMs);
-      this.gone.delete(key);
-      // Those that went while the write was under way.
-      for (const name of hosts) this.strike(name);
+    void this.deps.committer.commit("returned", draft).then(async (outcome) => {
+      if (outcome === "shed") await sleep(this.deps.scope.clock, this.deps.settings.timing.reportMs);
+      this.removedHosts.delete(key);
+      // Handles machines that were added while the write was in progress, or whose write was shed.
+      for (const name of hosts) this.removeFromRecord(name);
     });
   }
 }
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -11,18 +11,19 @@
 import { type JobSpec, decodeJob, isRef } from "@thorntrail/protocol/jobs";
 import type { Submissions } from "./submissions.js";
 
+/** Response to a user's request, independent of the transport. */
 export interface Response {
   status: number;
   body: Record<string, unknown>;
   retryAfterS?: number;
 }
 
-/** What users may ask for, apart from how it reaches us. */
+/** Handles users' requests to submit, poll and cancel jobs, independent of the transport. */
 export class Jobs {
   constructor(
     private readonly settings: Settings,
     private readonly leader: Leader,
-    private readonly mirror: Mirror,
+    private readonly replica: Mirror,
     private readonly needs: Needs,
     private readonly submissions: Submissions,
     private readonly admission: Admission,
@@ -31,7 +32,7 @@
     private readonly scope: Scope,
   ) {}
 
-  private ended(ref: string): boolean {
+  private isTerminal(ref: string): boolean {
     return this.needs.fate(ref) !== undefined;
   }
 
@@ -39,12 +40,12 @@
     return { status, body: { error }, retryAfterS: status === 429 ? this.overload.retryAfterS() : 1 };
   }
 
-  private reachable(): boolean {
-    return this.mirror.loaded && this.mirror.ageMs() < this.settings.timing.contactMs;
+  private stateReachable(): boolean {
+    return this.replica.loaded && this.replica.ageMs() < this.settings.timing.contactMs;
   }
 
-  /** Resolves false if it takes longer: the user is told to come back instead. */
-  private within(work: Promise<unknown>, ms: number): Promise<boolean> {
+  /** Resolves false if the work fails or takes longer than `ms`; the user is then asked to retry. */
+  private completesWithin(work: Promise<unknown>, ms: number): Promise<boolean> {
     return new Promise((resolve) => {
       const cancel = this.scope.clock.after(ms, () => resolve(false));
       work.then(
@@ -60,98 +61,107 @@
     });
   }
 
-  /** The time is looked at again afterwards: what was read before this process stood still is not fresh. */
-  private async fresh(patienceMs: number): Promise<boolean> {
+  /**
+   * Brings the replica cache up to date; false if that takes too long. The elapsed time is checked again after the read,
+   * because data read before a stall of this process is not fresh.
+   */
+  private async refreshReplica(patienceMs: number): Promise<boolean> {
     const limitMs = Math.min(patienceMs, this.settings.timing.stateTimeoutMs * 0.75);
-    const began = this.scope.clock.now();
-    const read = this.mirror.fresh(began + limitMs);
-    return (await this.within(read, limitMs)) && this.scope.clock.now() - began <= limitMs + this.settings.timing.stallMs;
+    const startedAt = this.scope.clock.now();
+    const read = this.replica.fresh(startedAt + limitMs);
+    return (await this.completesWithin(read, limitMs)) && this.scope.clock.now() - startedAt <= limitMs + this.settings.timing.stallMs;
   }
 
-  /** `patienceMs`: whoever asks has given up by then. */
+  /** Accepts a job, or returns the status of the recorded one. `patienceMs`: time after which the requester no longer waits. */
   async submit(raw: unknown, patienceMs = Infinity): Promise<Response> {
     const decoded = decodeJob(raw);
     if ("fault" in decoded) return { status: 400, body: { error: decoded.fault } };
     const { spec } = decoded;
-    const known = this.mirror.get<JobRecord>(keys.job(spec.ref))?.v;
-    if (this.ended(spec.ref)) return this.state(spec.ref);
-    if (!this.reachable()) return this.unavailable("the state service does not answer");
-    if (known !== undefined)
-      return (await this.fresh(patienceMs)) ? this.state(spec.ref) : this.unavailable("the state service does not answer");
+    const existing = this.replica.get<JobRecord>(keys.job(spec.ref))?.v;
+    if (this.isTerminal(spec.ref)) return this.statusResponse(spec.ref);
+    if (!this.stateReachable()) return this.unavailable("the state service does not answer");
+    if (existing !== undefined)
+      return (await this.refreshReplica(patienceMs))
+        ? this.statusResponse(spec.ref)
+        : this.unavailable("the state service does not answer");
     if (this.leader.types.length === 0) return this.unavailable("machine types are not known yet");
-    const refused = (): string | null =>
-      this.admission.refused(spec) ??
-      (this.submissions.fits(spec) ? null : "its description is longer than can be recorded") ??
-      this.wrongNeed(spec);
-    let never = refused();
-    if (never !== null) {
-      if (!(await this.fresh(patienceMs))) return this.unavailable("the state service does not answer");
-      if (this.mirror.get(keys.job(spec.ref)) !== undefined) return this.state(spec.ref);
-      // A job it names may have been accepted elsewhere a moment ago.
-      never = refused();
-      if (never !== null) return { status: 422, body: { error: never } };
+    const rejectionReason = (): string | null =>
+      this.admission.rejectionReason(spec) ??
+      (this.submissions.descriptionFits(spec) ? null : "its description is longer than can be recorded") ??
+      this.invalidNeed(spec);
+    let rejection = rejectionReason();
+    if (rejection !== null) {
+      if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
+      if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
+      // A job it depends on may have been accepted by another controller since the last read.
+      rejection = rejectionReason();
+      if (rejection !== null) return { status: 422, body: { error: rejection } };
     }
-    if (this.admission.undecided(spec)) {
-      this.submissions.abandonPrepared();
+    if (this.admission.affectedByPreparedChange(spec)) {
+      this.submissions.abandonStaleChange();
       return this.unavailable("a change of the team's limits is being decided");
     }
-    const hurry = rank(spec.urgency) <= rank("urgent");
-    if (this.overload.sheds(hurry ? "urgent submission" : "submission")) return this.unavailable("too many requests", 429);
-    const part = this.submissions.choosePart();
-    if (part === null) return this.unavailable("no part has a leader yet");
+    const isUrgent = rank(spec.urgency) <= rank("urgent");
+    if (this.overload.sheds(isUrgent ? "urgent submission" : "submission")) return this.unavailable("too many requests", 429);
+    const partition = this.submissions.choosePartition();
+    if (partition === null) return this.unavailable("no part has a leader yet");
     const shedAfterMs = Math.min(patienceMs, this.settings.timing.stateTimeoutMs);
-    const began = this.scope.clock.now();
+    const startedAt = this.scope.clock.now();
     let outcome = "shed";
-    const work = this.submissions.record(spec, part, shedAfterMs).then((result) => (outcome = result));
-    if (!(await this.within(work, shedAfterMs * 1.5)) || outcome === "shed")
+    const work = this.submissions.record(spec, partition, shedAfterMs).then((result) => (outcome = result));
+    if (!(await this.completesWithin(work, shedAfterMs * 1.5)) || outcome === "shed")
       return this.unavailable("the job could not be recorded in time");
     if (outcome === "done") {
-      const fate = this.needs.fate(spec.ref);
-      const ms = Math.round(this.scope.clock.now() - began);
-      this.scope.log.debug({ job: spec.ref, part, needs: spec.needs?.length ?? 0, fate, ms }, "job accepted");
-      return fate === undefined ? { status: 201, body: { ref: spec.ref, status: "queued" } } : { ...this.state(spec.ref), status: 201 };
+      const terminalState = this.needs.fate(spec.ref);
+      const ms = Math.round(this.scope.clock.now() - startedAt);
+      this.scope.log.debug({ job: spec.ref, part: partition, needs: spec.needs?.length ?? 0, fate: terminalState, ms }, "job accepted");
+      return terminalState === undefined
+        ? { status: 201, body: { ref: spec.ref, status: "queued" } }
+        : { ...this.statusResponse(spec.ref), status: 201 };
     }
-    if (!(await this.fresh(patienceMs))) return this.unavailable("the state service does not answer");
-    if (this.mirror.get(keys.job(spec.ref)) !== undefined) return this.state(spec.ref);
+    if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
+    if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
     // The configuration changed before the job was recorded.
-    never = refused();
-    return never === null ? this.unavailable("the configuration is changing") : { status: 422, body: { error: never } };
+    rejection = rejectionReason();
+    return rejection === null ? this.unavailable("the configuration is changing") : { status: 422, body: { error: rejection } };
   }
 
-  /** Why the jobs it names cannot be waited for, or null. Call only with a mirror that is fresh, or has them all. */
-  private wrongNeed(spec: JobSpec): string | null {
+  /** Returns why the job's dependencies are invalid, or null. Valid only if the replica cache is fresh or contains all of them. */
+  private invalidNeed(spec: JobSpec): string | null {
     for (const ref of spec.needs ?? []) {
-      const need = this.mirror.get<JobRecord>(keys.job(ref))?.v;
+      const need = this.replica.get<JobRecord>(keys.job(ref))?.v;
       if (need === undefined) return `waitsOn names ${ref}, which was never accepted`;
       if (need.spec.kind === "service") return `waitsOn names ${ref}, which is a service and never done`;
     }
     return null;
   }
 
+  /** Returns the status of a job. `patienceMs`: time after which the requester no longer waits. */
   async poll(ref: string, patienceMs = Infinity): Promise<Response> {
     if (!isRef(ref)) return { status: 404, body: { error: "no such job" } };
-    // A final state stays; anything else may have been overtaken elsewhere.
-    if (!this.ended(ref) && !(this.reachable() && (await this.fresh(patienceMs))))
+    // A terminal state never changes; any other may have been changed by another controller.
+    if (!this.isTerminal(ref) && !(this.stateReachable() && (await this.refreshReplica(patienceMs))))
       return this.unavailable("the state service does not answer");
-    return this.state(ref);
+    return this.statusResponse(ref);
   }
 
+  /** Records the cancellation of a job. `patienceMs`: time after which the requester no longer waits. */
   async cancel(ref: string, patienceMs = Infinity): Promise<Response> {
     const key = keys.job(ref);
     if (!isRef(ref)) return { status: 404, body: { error: "no such job" } };
-    if (this.ended(ref)) return this.state(ref);
-    if (!this.reachable()) return this.unavailable("the state service does not answer");
-    if (this.mirror.get(key) === undefined) {
-      if (!(await this.fresh(patienceMs))) return this.unavailable("the state service does not answer");
-      if (this.mirror.get(key) === undefined) return { status: 404, body: { error: "no such job" } };
+    if (this.isTerminal(ref)) return this.statusResponse(ref);
+    if (!this.stateReachable()) return this.unavailable("the state service does not answer");
+    if (this.replica.get(key) === undefined) {
+      if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
+      if (this.replica.get(key) === undefined) return { status: 404, body: { error: "no such job" } };
     }
     const shedAfterMs = Math.min(patienceMs, this.settings.timing.stateTimeoutMs);
-    const answered = await this.within(
+    const answered = await this.completesWithin(
       this.committer.commit(
         "cancel",
         () => {
-          const entry = this.mirror.get<JobRecord>(key);
-          if (entry === undefined || this.ended(ref)) return null;
+          const entry = this.replica.get<JobRecord>(key);
+          if (entry === undefined || this.isTerminal(ref)) return null;
           const v = fitting<JobRecord>({ ...entry.v, end: "withdrawn" }, entry.v.hi, this.settings.state.valueKb);
           return { conditions: [{ k: key, stamp: entry.stamp }], apply: [{ write: key, v }] };
         },
@@ -159,29 +169,30 @@
       ),
       shedAfterMs * 1.5,
     );
-    if (!answered || !this.ended(ref)) return this.unavailable("the cancellation could not be recorded in time");
-    return this.state(ref);
+    if (!answered || !this.isTerminal(ref)) return this.unavailable("the cancellation could not be recorded in time");
+    return this.statusResponse(ref);
   }
 
-  private state(ref: string): Response {
-    const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
+  private statusResponse(ref: string): Response {
+    const job = this.replica.get<JobRecord>(keys.job(ref))?.v;
     if (job === undefined) return { status: 404, body: { error: "no such job" } };
     const total = job.spec.tasks;
-    // Cancelled with a job that it needs is cancelled, whether or not its own record says so.
-    const fate = this.needs.fate(ref);
-    let done = fate === "done" ? total : doneOf(job, job.hi).count;
+    // A job is cancelled as soon as one of its dependencies is, even before its own record is updated.
+    const terminalState = this.needs.fate(ref);
+    let done = terminalState === "done" ? total : doneOf(job, job.hi).count;
     let running = 0;
-    if (fate === undefined) {
+    if (terminalState === undefined) {
       if (job.hi < total) {
-        for (const [, { v }] of this.mirror.slicesOf(ref)) done += doneOf(v, v.hi - v.lo).count;
+        for (const [, { v }] of this.replica.slicesOf(ref)) done += doneOf(v, v.hi - v.lo).count;
       }
-      for (const part of this.leader.parts.values()) {
-        for (const unit of part.byRef.get(ref) ?? []) for (const p of unit.placed.values()) if (p.state === "running") running++;
+      for (const partition of this.leader.parts.values()) {
+        for (const taskSet of partition.byRef.get(ref) ?? [])
+          for (const placement of taskSet.placed.values()) if (placement.state === "running") running++;
       }
     }
-    const status = fate ?? (running > 0 || done > 0 ? "running" : "queued");
+    const status = terminalState ?? (running > 0 || done > 0 ? "running" : "queued");
     if (this.scope.log.isLevelEnabled("debug"))
-      this.scope.log.debug({ job: ref, status, done, readAgoMs: Math.round(this.mirror.ageMs()) }, "answer to a user");
+      this.scope.log.debug({ job: ref, status, done, readAgoMs: Math.round(this.replica.ageMs()) }, "answer to a user");
     return { status: 200, body: { ref, status, done, running } };
   }
 }
--- a/src/intake/server.ts
+++ b/src/intake/server.ts
@@ -2,54 +2,57 @@
 import type { Response } from "./jobs.js";
 import type { Relay } from "./relay.js";
 
-export interface FrontDoor {
+/** Dependencies of the HTTP handlers for users and health checks. */
+export interface UserApiDependencies {
   relay: Relay;
-  /** Null: this node can take requests; otherwise why it cannot. */
-  unready: () => string | null;
-  count: (status: number) => void;
-  /** Requests that were not taken, and why. */
-  shed: (path: string, status: number, why: unknown) => void;
-  /** Seconds after which to ask for views again; null: they are given. */
-  viewsShed: () => number | null;
+  /** Why this node cannot take requests, or null if it can. */
+  unreadyReason: () => string | null;
+  countResponse: (status: number) => void;
+  /** Records a request that was turned away with a retry time, and why. */
+  onShed: (path: string, status: number, why: unknown) => void;
+  /** Seconds after which to request views again while they are shed, or null if they are served. */
+  viewsRetryAfterS: () => number | null;
   view: () => Record<string, unknown>;
   metrics: () => Promise<string>;
 }
 
-/** Answers a request, and says of it what the figures and the log need. */
-export function send(door: FrontDoor, res: ServerResponse, { status, body, retryAfterS }: Response): void {
+/** Sends a response, counts it, and reports it as shed if it has a retry time. */
+export function send(deps: UserApiDependencies, res: ServerResponse, { status, body, retryAfterS }: Response): void {
   if (res.headersSent || res.destroyed) return;
-  door.count(status);
+  deps.countResponse(status);
   const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
-  if (retryAfterS !== undefined) door.shed(`${res.req.method} ${res.req.url}`, status, body["error"]);
+  if (retryAfterS !== undefined) deps.onShed(`${res.req.method} ${res.req.url}`, status, body["error"]);
   const text = JSON.stringify(body);
   res.writeHead(status, { "content-type": "application/json; charset=utf-8", "content-length": Buffer.byteLength(text), ...retry });
   res.end(text);
 }
 
-export const FAULT: Response = { status: 503, body: { error: "internal fault" }, retryAfterS: 1 };
+/** Response to a request that failed unexpectedly. */
+export const INTERNAL_FAULT: Response = { status: 503, body: { error: "internal fault" }, retryAfterS: 1 };
 const POLL = /^\/v2\/runs\/([A-Za-z0-9._-]+)$/;
 
 /**
- * Polls and health checks, of which every open job and every balancer send one every few seconds,
- * are answered without express: its routing and helpers cost more than the answer. Says whether it
- * was one of these; whatever is spelled otherwise goes the long way.
+ * Answers polls and health checks without Express, whose routing and helpers cost more than the answer:
+ * each open job and each load balancer sends one every few seconds. Returns false for any other request
+ * or spelling of the path, which Express then handles.
  */
-export function answersShortly(door: FrontDoor, req: IncomingMessage, res: ServerResponse): boolean {
+export function answerWithoutExpress(deps: UserApiDependencies, req: IncomingMessage, res: ServerResponse): boolean {
   if (req.method !== "GET" || req.url === undefined) return false;
   if (req.url === "/up") {
-    send(door, res, readiness(door));
+    send(deps, res, readiness(deps));
     return true;
   }
   const ref = POLL.exec(req.url)?.[1];
   if (ref === undefined) return false;
-  door.relay.answer("poll", ref).then(
-    (answer) => send(door, res, answer),
-    () => send(door, res, FAULT),
+  deps.relay.answer("poll", ref).then(
+    (answer) => send(deps, res, answer),
+    () => send(deps, res, INTERNAL_FAULT),
   );
   return true;
 }
 
-export function readiness(door: FrontDoor): Response {
-  const reason = door.unready();
+/** Returns the response to a health check. */
+export function readiness(deps: UserApiDependencies): Response {
+  const reason = deps.unreadyReason();
   return reason === null ? { status: 200, body: { ok: true } } : { status: 503, body: { error: reason }, retryAfterS: 1 };
 }
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -21,112 +21,115 @@
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
 
-/** The longest that a change of limits stays undecided: whoever prepared it has ended. */
-const UNDECIDED_MS = 30_000;
+/** Time after which a prepared change of limits is abandoned, because the process that prepared it has ended. */
+const MAX_UNDECIDED_MS = 30_000;
 
-/** Takes refs from `refs` as long as they fit into `bytes`. */
+/** Removes and returns the leading refs of `refs` that fit into `bytes` as JSON. */
 function takeRefs(refs: string[], bytes: number): string[] {
   const taken: string[] = [];
-  for (let left = bytes; refs.length > 0;) {
-    left -= JSON.stringify(refs[0]).length + 1;
-    if (left < 0) break;
+  for (let bytesLeft = bytes; refs.length > 0;) {
+    bytesLeft -= JSON.stringify(refs[0]).length + 1;
+    if (bytesLeft < 0) break;
     taken.push(refs.shift()!);
   }
   return taken;
 }
 
-/** Whom submissions work with. */
-export interface SubmissionsAround {
+/** Dependencies of Submissions. */
+export interface SubmissionsDependencies {
   settings: Settings;
   configuration: Configuration;
   admission: Admission;
   leader: Leader;
   ownership: Ownership;
-  mirror: Mirror;
+  replica: Mirror;
   rentals: Rentals;
   needs: Needs;
   committer: Committer;
   scope: Scope;
 }
 
-/** Makes records of what users submit. */
+/** Records submitted jobs in the state service. */
 export class Submissions {
-  private turn = 0;
+  private nextOwned = 0;
 
-  constructor(private readonly around: SubmissionsAround) {}
+  constructor(private readonly deps: SubmissionsDependencies) {}
 
-  /** Home, unless it has all the machines it can hold: then the part with the fewest. Null: nobody leads any. */
-  choosePart(): number | null {
-    const own = [...this.around.leader.parts.values()];
-    const least = <T>(list: T[], load: (one: T) => number): T => list.reduce((a, b) => (load(b) < load(a) ? b : a));
-    const machines = (id: number): number => this.around.rentals.count(id);
-    if (own.length > 0) {
-      const home = least(own, (p) => (p.phase === "serving" ? 0 : 1e6) + p.units.size).id;
-      if (machines(home) < this.around.settings.mostMachines) return home;
+  /**
+   * Chooses the partition for a new job: one owned by this controller, unless that has the maximum number of machines; then
+   * the one with the fewest machines. Returns null if no partition has an owner.
+   */
+  choosePartition(): number | null {
+    const ownPartitions = [...this.deps.leader.parts.values()];
+    const leastBy = <T>(list: T[], load: (one: T) => number): T => list.reduce((a, b) => (load(b) < load(a) ? b : a));
+    const machines = (id: number): number => this.deps.rentals.count(id);
+    if (ownPartitions.length > 0) {
+      const home = leastBy(ownPartitions, (p) => (p.phase === "serving" ? 0 : 1e6) + p.units.size).id;
+      if (machines(home) < this.deps.settings.mostMachines) return home;
     }
-    const led = this.around.settings.nodes.map((_, id) => id).filter((id) => this.around.ownership.owner(id) !== undefined);
-    if (led.length === 0) return null;
-    return own.length > 0 ? least(led, machines) : led[this.turn++ % led.length]!;
+    const owned = this.deps.settings.nodes.map((_, id) => id).filter((id) => this.deps.ownership.owner(id) !== undefined);
+    if (owned.length === 0) return null;
+    return ownPartitions.length > 0 ? leastBy(owned, machines) : owned[this.nextOwned++ % owned.length]!;
   }
 
-  /** Can the description be stored at all, but for the jobs it needs? */
-  fits(spec: JobSpec): boolean {
+  /** Whether the job description, without its list of needed jobs, fits into a record. */
+  descriptionFits(spec: JobSpec): boolean {
     const { needs: _needs, ...rest } = spec;
-    return recordBytes(rest) <= specRoom(this.around.settings.state.valueKb);
+    return recordBytes(rest) <= specRoom(this.deps.settings.state.valueKb);
   }
 
   /**
-   * Records the job. What a single transaction cannot take of a large one goes ahead
-   * of it: slices, and lists of needed jobs, mean nothing before the job is there, and
-   * those already there from an earlier try are left as they are.
+   * Records the job. Rows of a large job that do not fit into a single transaction are
+   * written before it: slices and lists of needed jobs have no effect until the job's own
+   * record exists. Rows left by an earlier attempt are kept.
    */
-  async record(spec: JobSpec, part: number, shedAfterMs: number): Promise<Outcome> {
-    const { txnOps } = this.around.settings.state;
+  async record(spec: JobSpec, partition: number, shedAfterMs: number): Promise<Outcome> {
+    const { txnOps } = this.deps.settings.state;
     const key = keys.job(spec.ref);
     const options = { shedAfterMs, turn: "now" } as const;
     const draftOf = (rowsOf: () => Map<string, unknown>) => () => {
-      if (this.around.mirror.get(key) !== undefined || this.stopped(spec)) return null;
-      const rows = [...rowsOf()].filter(([k]) => this.around.mirror.get(k) === undefined);
+      if (this.deps.replica.get(key) !== undefined || this.notAdmitted(spec)) return null;
+      const rows = [...rowsOf()].filter(([k]) => this.deps.replica.get(k) === undefined);
       if (rows.length === 0) return null;
-      // A job is accepted by the newest configuration, or not at all.
-      const conditions = [...rows.map(([k]) => ({ k, stamp: 0 })), { k: keys.configuration, stamp: this.around.configuration.stamp }];
+      // A job is accepted only if the newest configuration admits it.
+      const conditions = [...rows.map(([k]) => ({ k, stamp: 0 })), { k: keys.configuration, stamp: this.deps.configuration.stamp }];
       return { conditions, apply: rows.map(([write, v]) => ({ write, v })) };
     };
-    const ahead = [...this.ahead(spec, part)];
-    while (ahead.length >= txnOps) {
-      const some = new Map(ahead.splice(0, txnOps));
+    const remainingRows = [...this.secondaryRows(spec, partition)];
+    while (remainingRows.length >= txnOps) {
+      const batch = new Map(remainingRows.splice(0, txnOps));
       if (
-        (await this.around.committer.commit(
+        (await this.deps.committer.commit(
           "submit, ahead",
-          draftOf(() => some),
+          draftOf(() => batch),
           options,
         )) === "shed"
       )
         return "shed";
     }
-    // As things stand when it is sent: a job it needs may have ended meanwhile.
-    return this.around.committer.commit(
+    // The job's record is built when the transaction is sent, because a job it needs may have ended meanwhile.
+    return this.deps.committer.commit(
       "submit",
-      draftOf(() => new Map<string, unknown>([[key, this.job(spec, part)], ...ahead])),
+      draftOf(() => new Map<string, unknown>([[key, this.jobRecord(spec, partition)], ...remainingRows])),
       options,
     );
   }
 
-  /** By the configuration as it is now. */
-  private stopped(spec: JobSpec): boolean {
-    return this.around.admission.refused(spec) !== null || this.around.admission.undecided(spec);
+  /** Whether the current configuration rejects the job, or an undecided change may reject it. */
+  private notAdmitted(spec: JobSpec): boolean {
+    return this.deps.admission.rejectionReason(spec) !== null || this.deps.admission.affectedByPreparedChange(spec);
   }
 
-  /** Ends the preparation of a change whose author has not decided it in time: a copy that comes late then fails. */
-  abandonPrepared(): void {
-    const { configuration, mirror, committer, scope, settings } = this.around;
+  /** Abandons a prepared change that was not decided in time; a late write of the decision then fails its condition. */
+  abandonStaleChange(): void {
+    const { configuration, replica, committer, scope, settings } = this.deps;
     const { prepared, stamp } = configuration;
-    const waitMs = UNDECIDED_MS + settings.platform.deployment.clock_off_ms * 2;
+    const waitMs = MAX_UNDECIDED_MS + settings.platform.deployment.clock_off_ms * 2;
     if (prepared === undefined || scope.clock.wall() - prepared.at < waitMs) return;
     void committer.commit(
       "abandon change",
       () => {
-        const record = mirror.get<ConfigurationRecord>(keys.configuration);
+        const record = replica.get<ConfigurationRecord>(keys.configuration);
         if (record === undefined || record.stamp !== stamp) return null;
         const { prepared: _prepared, ...rest } = record.v;
         return { conditions: [{ k: keys.configuration, stamp }], apply: [{ write: keys.configuration, v: rest }] };
@@ -135,35 +138,36 @@
     );
   }
 
-  /** The first slice, which is the job's own record. A gang is one slice. */
-  private firstSlice(spec: JobSpec): number {
-    return spec.kind === "gang" ? spec.tasks : Math.min(sliceCapacity(this.around.settings.state.valueKb), spec.tasks);
+  /** Number of tasks in the first slice, which is stored in the job's own record. A gang is one slice. */
+  private firstSliceTasks(spec: JobSpec): number {
+    return spec.kind === "gang" ? spec.tasks : Math.min(sliceCapacity(this.deps.settings.state.valueKb), spec.tasks);
   }
 
-  /** Of what it needs, what its own record has no room for: part of a list that is named by what it says. */
-  private lists(spec: JobSpec): { inline: string[]; name: string; lists: string[][] } {
-    const room = specRoom(this.around.settings.state.valueKb);
+  /** Splits the refs of needed jobs into those that fit into the job's own record and further lists, which are named by a hash of their content. */
+  private splitNeeds(spec: JobSpec): { inline: string[]; name: string; lists: string[][] } {
+    const maxBytes = specRoom(this.deps.settings.state.valueKb);
     const { needs = [], ...rest } = spec;
-    const left = [...needs];
-    const inline = takeRefs(left, room - recordBytes(rest));
+    const remaining = [...needs];
+    const inline = takeRefs(remaining, maxBytes - recordBytes(rest));
     const lists: string[][] = [];
-    const name = left.length === 0 ? "" : createHash("sha256").update(left.join()).digest("hex").slice(0, 16);
-    while (left.length > 0) lists.push(takeRefs(left, room));
+    const name = remaining.length === 0 ? "" : createHash("sha256").update(remaining.join()).digest("hex").slice(0, 16);
+    while (remaining.length > 0) lists.push(takeRefs(remaining, maxBytes));
     return { inline, name, lists };
   }
 
-  private ahead(spec: JobSpec, part: number): Map<string, unknown> {
+  /** Rows that may be written before the job's own record: lists of needed jobs and all slices but the first. */
+  private secondaryRows(spec: JobSpec, partition: number): Map<string, unknown> {
     const rows = new Map<string, unknown>();
-    const { name, lists } = this.lists(spec);
+    const { name, lists } = this.splitNeeds(spec);
     lists.forEach((refs, i) => rows.set(keys.needList(spec.ref, name, i), { ref: spec.ref, needs: refs }));
-    const size = this.firstSlice(spec);
-    // Tasks that must agree on zones stay with one leader.
-    const together = spec.oneZone || spec.spread;
-    const n = this.around.settings.nodes.length;
+    const size = this.firstSliceTasks(spec);
+    // Tasks whose zones depend on each other stay in one partition.
+    const singlePartition = spec.oneZone || spec.spread;
+    const n = this.deps.settings.nodes.length;
     for (let lo = size, i = 1; lo < spec.tasks; lo += size, i++) {
-      const at = together ? part : (part + i) % n;
+      const slicePartition = singlePartition ? partition : (partition + i) % n;
       const slice: SliceRecord = {
-        ...(spec.needs === undefined ? { part: at } : waitingFor(at)),
+        ...(spec.needs === undefined ? { part: slicePartition } : waitingFor(slicePartition)),
         ref: spec.ref,
         lo,
         hi: Math.min(lo + size, spec.tasks),
@@ -174,18 +178,18 @@
     return rows;
   }
 
-  /** With one that it needs cancelled, it is recorded as cancelled; with all of them done, as any other. */
-  private job(spec: JobSpec, part: number): JobRecord {
-    const at = this.around.scope.clock.wall();
-    const hi = this.firstSlice(spec);
+  /** Builds the job's record: cancelled if a job it needs was cancelled, waiting while any is unfinished, otherwise ready to run. */
+  private jobRecord(spec: JobSpec, partition: number): JobRecord {
+    const at = this.deps.scope.clock.wall();
+    const hi = this.firstSliceTasks(spec);
     const { needs, ...plain } = spec;
-    if (needs === undefined) return { spec, part, hi, done: "", at };
-    const fates = needs.map((ref) => this.around.needs.fate(ref));
-    if (fates.includes("withdrawn")) return { spec: plain, part, hi, done: "", at, end: "withdrawn" };
-    if (fates.every((fate) => fate === "done")) return { spec: plain, part, hi, done: "", at };
-    const { inline, name, lists } = this.lists(spec);
+    if (needs === undefined) return { spec, part: partition, hi, done: "", at };
+    const outcomes = needs.map((ref) => this.deps.needs.fate(ref));
+    if (outcomes.includes("withdrawn")) return { spec: plain, part: partition, hi, done: "", at, end: "withdrawn" };
+    if (outcomes.every((fate) => fate === "done")) return { spec: plain, part: partition, hi, done: "", at };
+    const { inline, name, lists } = this.splitNeeds(spec);
     return {
-      ...waitingFor(part),
+      ...waitingFor(partition),
       spec: { ...plain, needs: inline },
       hi,
       done: "",
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -6,7 +6,7 @@
 import { callPolicies } from "./calls/policy.js";
 import { Controller } from "./controller.js";
 import { HttpCloud } from "./fleet/cloud-client.js";
-import { answersShortly, FAULT, send, type FrontDoor } from "./intake/server.js";
+import { answerWithoutExpress, INTERNAL_FAULT, send, type UserApiDependencies } from "./intake/server.js";
 import { HttpState } from "./ledger/state-client.js";
 import { PeerLinks } from "./peers/links.js";
 import { systemClock } from "./platform/clock.js";
@@ -58,12 +58,12 @@
   );
   const metrics = new Metrics(controller);
   scope.listen(controller.leader.began$, ({ klass, waitS }) => metrics.countWait(klass, waitS));
-  const door: FrontDoor = {
+  const door: UserApiDependencies = {
     relay: controller.relay,
-    unready: () => controller.unready(),
-    count: (status) => metrics.countAnswer(status),
-    shed: (path, status, why) => log.debug({ path, status, why }, "not taken"),
-    viewsShed: () => (controller.overload.sheds("view") ? controller.overload.retryAfterS() : null),
+    unreadyReason: () => controller.unready(),
+    countResponse: (status) => metrics.countAnswer(status),
+    onShed: (path, status, why) => log.debug({ path, status, why }, "not taken"),
+    viewsRetryAfterS: () => (controller.overload.sheds("view") ? controller.overload.retryAfterS() : null),
     view: () => clusterView(controller),
     metrics: () => metrics.text(),
   };
@@ -88,10 +88,10 @@
     if (req.url === REPORT_PATH && req.method === "POST") serveReport(reports, req, res);
     else
       scope.costs.spend("users", () => {
-        if (!answersShortly(door, req, res))
+        if (!answerWithoutExpress(door, req, res))
           void app().then(
             (handle) => handle(req, res),
-            () => send(door, res, FAULT),
+            () => send(door, res, INTERNAL_FAULT),
           );
       });
   });
--- a/test/front-door.test.ts
+++ b/test/front-door.test.ts
@@ -3,12 +3,12 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { buildApp } from "../src/intake/app.js";
-import { answersShortly, type FrontDoor } from "../src/intake/server.js";
+import { answerWithoutExpress, type UserApiDependencies } from "../src/intake/server.js";
 import type { Relay } from "../src/intake/relay.js";
 
-// Polls and health checks pass beside express; both ways must say the same.
+// Polls and health checks are answered without Express; both paths must give the same responses.
 
-function doorWith(unready: string | null, shed: string[]): FrontDoor {
+function depsWith(unready: string | null, shed: string[]): UserApiDependencies {
   const answer = (kind: string, body: unknown) => {
     if (body === "run-000009") return Promise.reject(new Error("fault"));
     if (body === "run-000404") return Promise.resolve({ status: 404, body: { error: "no such job" } });
@@ -17,10 +17,10 @@
   };
   return {
     relay: { answer } as unknown as Relay,
-    unready: () => unready,
-    count: () => undefined,
-    shed: (path, status) => shed.push(`${path} ${status}`),
-    viewsShed: () => null,
+    unreadyReason: () => unready,
+    countResponse: () => undefined,
+    onShed: (path, status) => shed.push(`${path} ${status}`),
+    viewsRetryAfterS: () => null,
     view: () => ({}),
     metrics: () => Promise.resolve(""),
   };
@@ -42,13 +42,13 @@
 test("polls and health checks are answered the same with and without express", async () => {
   for (const unready of [null, "starting"]) {
     const shed: [string[], string[]] = [[], []];
-    let short = 0;
-    const doors = shed.map((list) => doorWith(unready, list));
+    let withoutExpress = 0;
+    const doors = shed.map((list) => depsWith(unready, list));
     const apps = doors.map(buildApp);
     const servers = [
       createServer((req, res) => void apps[0]!(req, res)),
       createServer((req, res) => {
-        if (answersShortly(doors[1]!, req, res)) short++;
+        if (answerWithoutExpress(doors[1]!, req, res)) withoutExpress++;
         else void apps[1]!(req, res);
       }),
     ];
@@ -60,7 +60,7 @@
         for (const path of paths)
           assert.equal(await ask(servers[1]!, method, path), await ask(servers[0]!, method, path), `${method} ${path}`);
       assert.deepEqual(shed[1], shed[0]);
-      assert.equal(short, 5, "only what is spelled plainly");
+      assert.equal(withoutExpress, 5, "only requests in the plain spelling bypass Express");
     } finally {
       for (const server of servers) server.close().closeAllConnections();
     }
