--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { HttpClient, type Reply } from "../platform/http.js";
 
-/** What went wrong, in one line that says what to do. */
+/** A command failed; the message is one line for the user. */
 export class CommandFailed extends Error {}
 
 const TIMEOUT_MS = 5000;
@@ -17,14 +17,16 @@
   }
 }
 
-function settled(reply: Reply): Record<string, unknown> {
+/** Returns the body of a successful reply; throws CommandFailed for any other. */
+function unwrap(reply: Reply): Record<string, unknown> {
   if (reply.status < 300) return reply.body;
-  const why = String(reply.body["error"] ?? `status ${reply.status}`);
+  const reason = String(reply.body["error"] ?? `status ${reply.status}`);
   throw new CommandFailed(
-    reply.status === 503 || reply.status === 429 ? `not now: ${why}; try again in a few seconds` : `${why} (status ${reply.status})`,
+    reply.status === 503 || reply.status === 429 ? `not now: ${reason}; try again in a few seconds` : `${reason} (status ${reply.status})`,
   );
 }
 
+/** Submits the job in a JSON file. Throws CommandFailed. */
 export async function submitJob(node: string, file: string): Promise<Record<string, unknown>> {
   let job: unknown;
   try {
@@ -32,22 +34,25 @@
   } catch (error) {
     throw new CommandFailed(`${file}: ${(error as Error).message}`);
   }
-  return settled(await call(node, "POST", "/v2/runs", job));
+  return unwrap(await call(node, "POST", "/v2/runs", job));
 }
 
+/** Returns the status of a job. Throws CommandFailed. */
 export async function showJob(node: string, ref: string): Promise<Record<string, unknown>> {
-  return settled(await call(node, "GET", `/v2/runs/${encodeURIComponent(ref)}`));
+  return unwrap(await call(node, "GET", `/v2/runs/${encodeURIComponent(ref)}`));
 }
 
+/** Cancels a job. Throws CommandFailed. */
 export async function cancelJob(node: string, ref: string): Promise<Record<string, unknown>> {
-  return settled(await call(node, "POST", `/v2/runs/${encodeURIComponent(ref)}/cancel`, {}));
+  return unwrap(await call(node, "POST", `/v2/runs/${encodeURIComponent(ref)}/cancel`, {}));
 }
 
+/** Returns the /cluster view of a node. Throws CommandFailed. */
 export async function clusterStatus(node: string): Promise<Record<string, unknown>> {
-  return settled(await call(node, "GET", "/cluster"));
+  return unwrap(await call(node, "GET", "/cluster"));
 }
 
-/** The status view as lines for a person. */
+/** Formats the /cluster view as text. */
 export function statusLines(view: Record<string, unknown>): string {
   const lines = [`node ${String(view["node"])}, ready: ${String(view["ready"])}, state read ${String(view["stateAgeMs"])} ms ago`];
   lines.push(`present: ${(view["present"] as string[]).join(", ")}`);
@@ -56,13 +61,13 @@
   if (view["cutOffFromWorkers"] === true) lines.push("this node cannot reach its workers: others should lead");
   if (Number(view["stalls"] ?? 0) > 0)
     lines.push(`this process stood still ${String(view["stalls"])} times, ${String(view["stoodStillMs"])} ms in all`);
-  for (const part of view["parts"] as Record<string, unknown>[]) {
-    const known =
-      part["phase"] === undefined
+  for (const partition of view["parts"] as Record<string, unknown>[]) {
+    const details =
+      partition["phase"] === undefined
         ? ""
-        : `, ${String(part["phase"])}, ${String(part["queuedTasks"])} tasks of ${String(part["queuedJobs"])} jobs queued, longest wait ${String(part["longestWaitS"])} s`;
+        : `, ${String(partition["phase"])}, ${String(partition["queuedTasks"])} tasks of ${String(partition["queuedJobs"])} jobs queued, longest wait ${String(partition["longestWaitS"])} s`;
     lines.push(
-      `part ${String(part["part"])}: led by ${String(part["owner"])}${part["ownerPresent"] === true ? "" : " (absent)"}, term ${String(part["term"])}, machines ${String(part["machinesUp"])} up of ${String(part["machines"])}${known}`,
+      `part ${String(partition["part"])}: led by ${String(partition["owner"])}${partition["ownerPresent"] === true ? "" : " (absent)"}, term ${String(partition["term"])}, machines ${String(partition["machinesUp"])} up of ${String(partition["machines"])}${details}`,
     );
   }
   for (const team of view["allotments"] as { team: string; cpus: (number | null)[]; gpus: (number | null)[] }[]) {
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -10,17 +10,17 @@
 import { SettingsError } from "../settings/platform-file.js";
 import { CommandFailed } from "./client.js";
 
-/** The `config` commands: they speak to the state service that the settings name, so they work whoever is away. */
+/** The `config` commands. They access the state service in the settings directly, so they work without any controller. */
 
-const LOOK_EVERY_MS = 250;
+const POLL_INTERVAL_MS = 250;
 
-function storeOf(settings: Settings): ConfigurationStore {
+function openStore(settings: Settings): ConfigurationStore {
   const { endpoints, deployment } = settings.platform;
   return new ConfigurationStore(new HttpState(endpoints.state, settings.timing.stateTimeoutMs), deployment.teams, settings.state);
 }
 
-/** Says what went wrong as the other commands do. */
-async function explained<T>(file: string | null, work: () => Promise<T>): Promise<T> {
+/** Converts a refused change into the error that the other commands throw: SettingsError or CommandFailed. */
+async function withCommandErrors<T>(file: string | null, work: () => Promise<T>): Promise<T> {
   try {
     return await work();
   } catch (error) {
@@ -30,11 +30,13 @@
   }
 }
 
+/** Returns the newest version and its teams. Throws CommandFailed. */
 export async function getConfiguration(settings: Settings): Promise<Record<string, unknown>> {
-  const { head, teams } = await explained(null, () => storeOf(settings).read());
+  const { head, teams } = await withCommandErrors(null, () => openStore(settings).read());
   return { version: head?.version ?? 0, prepared: head?.prepared !== undefined, teams };
 }
 
+/** Applies the change described in a file. Throws SettingsError or CommandFailed. */
 export async function setConfiguration(settings: Settings, file: string): Promise<Record<string, unknown>> {
   let text: string;
   try {
@@ -43,15 +45,16 @@
     throw new SettingsError(`${file}: cannot be read: ${(error as Error).message}`);
   }
   const change = parseChange(file, text);
-  return explained(file, async () => ({ ...(await storeOf(settings).set(change)) }));
+  return withCommandErrors(file, async () => ({ ...(await openStore(settings).set(change)) }));
 }
 
+/** Returns what each version changed. Throws CommandFailed. */
 export async function configurationHistory(settings: Settings): Promise<ConfigurationHistoryRecord[]> {
-  return (await explained(null, () => storeOf(settings).read())).history;
+  return (await withCommandErrors(null, () => openStore(settings).read())).history;
 }
 
-/** Where a version that was written at `at` (time of day) is in force now. */
-async function look(
+/** Returns, for each partition, whether a version that was written at `at` (time of day) is in force. */
+async function readStandings(
   store: ConfigurationStore,
   settings: Settings,
   version: number,
@@ -65,7 +68,7 @@
     partitions: settings.nodes.length,
     owner: (partition) => owners.get(keys.owner(partition)),
     presence: (node) => presence.get(keys.alive(node))?.v,
-    // Two times of day, each off by so much at most; what was waited here is certain.
+    // Both times of day may be off by clock_off_ms; the time waited in this process is exact.
     elapsedMs: Math.max(waitedMs, Date.now() - at - 2 * clock_off_ms),
     silentAfterMs: settings.timing.silentAfterMs * (1 + 2 * DRIFT),
   });
@@ -78,22 +81,22 @@
   withinMs: number,
   progress: (text: string) => void,
 ): Promise<Record<string, unknown>> {
-  const store = storeOf(settings);
-  const began = performance.now();
-  const { head, history } = await explained(null, () => store.read());
+  const store = openStore(settings);
+  const startedAt = performance.now();
+  const { head, history } = await withCommandErrors(null, () => store.read());
   const newest = head?.version ?? 0;
   if (version > newest) throw new CommandFailed(`version ${version}: not there; the newest is ${newest}`);
-  const at = history.find((one) => one.version === version)?.at ?? -Infinity;
-  let said = "";
+  const at = history.find((entry) => entry.version === version)?.at ?? -Infinity;
+  let lastText = "";
   for (;;) {
-    const waitedMs = performance.now() - began;
-    const standings = await explained(null, () => look(store, settings, version, at, waitedMs));
+    const waitedMs = performance.now() - startedAt;
+    const standings = await withCommandErrors(null, () => readStandings(store, settings, version, at, waitedMs));
     if (version === 0 || isInForce(standings)) return { version, inForce: true, waitedMs: Math.round(waitedMs) };
     const missing = standings.filter(({ standing }) => standing !== "in force");
     const text = missing.map(({ partition, owner, standing }) => `partition ${partition} of ${owner}: ${standing}`).join("; ");
     if (waitedMs >= withinMs)
       throw new CommandFailed(`version ${version} is not in force everywhere after ${Math.round(waitedMs / 1000)} s: ${text}`);
-    if (text !== said) progress((said = text));
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+    if (text !== lastText) progress((lastText = text));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/commands.ts
+++ b/src/commands.ts
@@ -1,10 +1,10 @@
 import { join } from "node:path";
 import { Command, CommanderError, InvalidArgumentError, Option } from "commander";
-import { exitFor, load } from "./settings/load.js";
+import { reportError, loadSettings } from "./settings/load.js";
 
 declare const THORNTRAIL_VERSION: string;
 
-/** All commands; `dir`: where the build put its files. */
+/** Runs the command line. `dir`: folder of the build's files. */
 export async function main(dir: string): Promise<void> {
   const program = new Command("thorntrail")
     .description("Cluster scheduler made of superscheduling controllers")
@@ -17,7 +17,7 @@
     .description("run one controller until it is ended")
     .requiredOption("--config <file>", "settings the platform hands over (TOML)")
     .action(async (options: { config: string }) => {
-      const settings = load(dir, options.config);
+      const settings = loadSettings(dir, options.config);
       (await import("./serve.js")).serve(settings);
     });
 
@@ -26,28 +26,28 @@
     .description("check the settings and print what follows from them")
     .requiredOption("--config <file>", "settings the platform hands over (TOML)")
     .action((options: { config: string }) => {
-      const settings = load(dir, options.config);
+      const settings = loadSettings(dir, options.config);
       process.stdout.write(
         `${JSON.stringify({ self: settings.self, nodes: settings.nodes, state: settings.state, timing: settings.timing, cautions: settings.cautions, operators: settings.operators }, null, 2)}\n`,
       );
     });
 
-  const ask = (name: string, what: string) =>
+  const nodeCommand = (name: string, what: string) =>
     program.command(name).description(what).requiredOption("--node <address>", "front address of any controller");
   const print = (value: unknown): void => void process.stdout.write(`${JSON.stringify(value)}\n`);
 
-  ask("submit", "submit the job described in a JSON file")
+  nodeCommand("submit", "submit the job described in a JSON file")
     .argument("<file>")
     .action(async (file: string, options: { node: string }) =>
       print(await (await import("./cli/client.js")).submitJob(options.node, file)),
     );
-  ask("show", "show the state of a job")
+  nodeCommand("show", "show the state of a job")
     .argument("<ref>")
     .action(async (ref: string, options: { node: string }) => print(await (await import("./cli/client.js")).showJob(options.node, ref)));
-  ask("cancel", "cancel a job")
+  nodeCommand("cancel", "cancel a job")
     .argument("<ref>")
     .action(async (ref: string, options: { node: string }) => print(await (await import("./cli/client.js")).cancelJob(options.node, ref)));
-  ask("status", "show parts, owners, queues, machines and allotments")
+  nodeCommand("status", "show parts, owners, queues, machines and allotments")
     .option("--json", "for scripts")
     .action(async (options: { node: string; json?: boolean }) => {
       const client = await import("./cli/client.js");
@@ -57,33 +57,37 @@
     });
 
   const config = program.command("config").description("teams that change while the service runs");
-  const configured = (name: string, what: string) =>
+  const configCommand = (name: string, what: string) =>
     config
       .command(name)
       .description(what)
       .requiredOption("--config <file>", "settings of any controller (TOML): where the state service is");
   const configurationCli = () => import("./cli/configuration.js");
-  configured("get", "show the newest version and its teams").action(async (options: { config: string }) =>
-    print(await (await configurationCli()).getConfiguration(load(dir, options.config))),
+  configCommand("get", "show the newest version and its teams").action(async (options: { config: string }) =>
+    print(await (await configurationCli()).getConfiguration(loadSettings(dir, options.config))),
   );
-  configured("set", "change teams as a file (TOML) says: [[teams]] to add or to give other limits, remove = [names]")
+  configCommand("set", "change teams as a file (TOML) says: [[teams]] to add or to give other limits, remove = [names]")
     .argument("<file>")
     .action(async (file: string, options: { config: string }) =>
-      print(await (await configurationCli()).setConfiguration(load(dir, options.config), file)),
+      print(await (await configurationCli()).setConfiguration(loadSettings(dir, options.config), file)),
     );
-  configured("history", "show what each version changed").action(async (options: { config: string }) => {
-    for (const one of await (await configurationCli()).configurationHistory(load(dir, options.config))) print(one);
+  configCommand("history", "show what each version changed").action(async (options: { config: string }) => {
+    for (const one of await (await configurationCli()).configurationHistory(loadSettings(dir, options.config))) print(one);
   });
-  configured("wait", "wait until a version is in force everywhere")
+  configCommand("wait", "wait until a version is in force everywhere")
     .argument("<version>", "as `set` printed it", (text: string) => wholeNumber(text))
     .option("--within <seconds>", "give up after", (text: string) => wholeNumber(text), 30)
     .action(async (version: number, options: { config: string; within: number }) => {
-      const say = (text: string): void => void process.stderr.write(`${text}\n`);
-      print(await (await configurationCli()).waitForConfiguration(load(dir, options.config), version, options.within * 1000, say));
+      const printProgress = (text: string): void => void process.stderr.write(`${text}\n`);
+      print(
+        await (
+          await configurationCli()
+        ).waitForConfiguration(loadSettings(dir, options.config), version, options.within * 1000, printProgress),
+      );
     });
 
   const store = program.command("store").description("the state service for one machine");
-  const asked = (value: unknown, json: boolean | undefined): void =>
+  const printResult = (value: unknown, json: boolean | undefined): void =>
     void process.stdout.write(
       json === true
         ? `${JSON.stringify(value)}\n`
@@ -108,7 +112,7 @@
     .option("--json", "for scripts")
     .action(async (dir: string, options: { json?: boolean }) => {
       const findings = await (await import("@thorntrail/store/entry")).storeCheck(dir);
-      asked(findings, options.json);
+      printResult(findings, options.json);
       if (findings.faults.length > 0) process.exitCode = 4;
     });
   store
@@ -118,7 +122,7 @@
     .argument("<file>")
     .option("--json", "for scripts")
     .action(async (dir: string, file: string, options: { json?: boolean }) =>
-      asked(await (await import("@thorntrail/store/entry")).storeSnapshot(dir, file), options.json),
+      printResult(await (await import("@thorntrail/store/entry")).storeSnapshot(dir, file), options.json),
     );
   store
     .command("restore")
@@ -128,12 +132,12 @@
     .option("--skip <revisions>", "revisions to skip; more than were handed out since the snapshot", (text) => wholeNumber(text))
     .option("--json", "for scripts")
     .action(async (file: string, dir: string, options: { skip?: number; json?: boolean }) =>
-      asked(await (await import("@thorntrail/store/entry")).storeRestore(file, dir, options.skip), options.json),
+      printResult(await (await import("@thorntrail/store/entry")).storeRestore(file, dir, options.skip), options.json),
     );
 
-  /** This very program, as children are started with it. */
-  const itself = (): string[] => [process.execPath, join(dir, "main.js")];
-  const moments = async () => (await import("./rehearsal/moments.js")).momentOf;
+  /** Command line with which child processes are started. */
+  const ownCommand = (): string[] => [process.execPath, join(dir, "main.js")];
+  const loadInjectionPoints = async () => (await import("./rehearsal/moments.js")).momentOf;
   const wholeNumber = (text: string): number => {
     if (!/^\d{1,9}$/.test(text)) throw new InvalidArgumentError("expected a whole number");
     return Number(text);
@@ -145,7 +149,7 @@
     .option("--plan <file>", "what is played (HCL)", "deploy/demo.hcl")
     .option("--seed <n>", "luck of boots and run times", wholeNumber, 1)
     .action(async (options: { plan: string; seed: number }) =>
-      (await import("@thorntrail/emulator/entry")).demo({ ...options, program: itself(), momentOf: await moments() }),
+      (await import("@thorntrail/emulator/entry")).demo({ ...options, program: ownCommand(), momentOf: await loadInjectionPoints() }),
     );
 
   interface Rehearse {
@@ -185,13 +189,24 @@
         throw new InvalidArgumentError("--campaign and --drawn need --virtual");
       if ([campaign, drawn, soak].filter((one) => one !== undefined).length > 1)
         throw new InvalidArgumentError("--campaign, --drawn or --soak, not two of them");
-      const { playHere, rehearseVirtual } = await import("./rehearsal/virtual.js");
-      const program = itself();
+      const { playVirtually, rehearseVirtual } = await import("./rehearsal/virtual.js");
+      const program = ownCommand();
       if (options.virtual === true) return rehearseVirtual({ plan, seed, report, campaign, drawn, soak, processes, turn, program });
       const { rehearseReal, rehearseSoak } = await import("@thorntrail/emulator/entry");
       if (soak !== undefined)
-        return rehearseSoak({ plan, program, seeds: soak, first: seed, report, keep, keepAll, processes, turn, momentOf: await moments() });
-      await rehearseReal({ plan, program, seed, report, momentOf: await moments(), virtually: playHere });
+        return rehearseSoak({
+          plan,
+          program,
+          seeds: soak,
+          first: seed,
+          report,
+          keep,
+          keepAll,
+          processes,
+          turn,
+          momentOf: await loadInjectionPoints(),
+        });
+      await rehearseReal({ plan, program, seed, report, momentOf: await loadInjectionPoints(), virtually: playVirtually });
     });
 
   program
@@ -203,7 +218,7 @@
     .requiredOption("--admin <address>", "where faults, jobs and status are taken, such as 127.0.0.1:7070")
     .option("--seed <n>", "instead of the plan's", wholeNumber)
     .action(async (plan: string, options: { admin: string; seed?: number }) =>
-      (await import("@thorntrail/emulator/entry")).emulatorServe({ plan, program: itself(), admin: options.admin, seed: options.seed }),
+      (await import("@thorntrail/emulator/entry")).emulatorServe({ plan, program: ownCommand(), admin: options.admin, seed: options.seed }),
     );
   program
     .command("fault")
@@ -219,6 +234,6 @@
     await program.parseAsync();
   } catch (error) {
     if (error instanceof CommanderError) process.exitCode = error.exitCode === 0 ? 0 : 2;
-    else exitFor(error);
+    else reportError(error);
   }
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -30,22 +30,22 @@
 import type { Settings } from "./settings/derived.js";
 import { Dispatch } from "./workers/dispatch.js";
 
-/** Of the time a presence lasts: a controller whose timers are later than this doubts itself before others. */
-const LATE = 1 / 8;
+/** Share of a presence's lifetime; a controller whose timers are later than this suspects itself rather than its peers. */
+const LATE_TIMER_SHARE = 1 / 8;
 
-/** What a controller lives among. */
-export interface Surroundings {
+/** Dependencies of a controller. */
+export interface ControllerDependencies {
   state: StateApi;
   cloud: CloudApi;
   workers: WorkerApi;
   peers: PeerApi;
-  /** The one policy for whatever is asked outside. */
+  /** Policies for all calls to other processes. */
   calls: Calls;
-  /** What this process holds; in virtual time nothing that counts. */
+  /** Memory usage of this process; left out in virtual time, where it is not modelled. */
   memory?: () => Held;
 }
 
-/** One controller: all slices, wired. */
+/** One controller: creates, connects and starts all its components. */
 export class Controller {
   readonly mirror: Mirror;
   readonly configuration: Configuration;
@@ -67,13 +67,13 @@
   readonly overload: Overload;
   readonly stalls = { count: 0, ms: 0 };
   readonly calls: Calls;
-  private peersWithState = new Map<string, number>();
+  private stateReportedAt = new Map<string, number>();
 
   constructor(
     readonly settings: Settings,
-    private readonly around: Surroundings,
+    private readonly deps: ControllerDependencies,
     private readonly scope: Scope,
-    life = randomBytes(6).toString("hex"),
+    incarnation = randomBytes(6).toString("hex"),
   ) {
     const { clock, log } = scope;
     const { cloud } = settings.platform.deployment;
@@ -82,11 +82,11 @@
     const requests = new Rate(clock, state.rps * share);
     const writes = new Rate(clock, state.writeRps * share, Math.max(state.txnOps, state.writeRps * share));
     const { timing } = settings;
-    // What a watch proves is as old as its beginning: two in a row must stay well
-    // below the age at which this node counts itself cut off.
-    const { calls } = around;
+    // A blocking read proves contact only at the time it began, so two in a row must take much
+    // less than the age at which this node counts as cut off.
+    const { calls } = deps;
     this.calls = calls;
-    const service = stateThrough(around.state, calls, clock);
+    const service = stateThrough(deps.state, calls, clock);
     const pace = { readGapMs: 3000 / (state.rps * share), blockMs: Math.min(timing.contactMs, timing.silentAfterMs / 2) / 4 };
     this.mirror = new Mirror(service, clock, requests, pace, calls.of("state.read"), scope.costs);
     this.configuration = new Configuration(settings, this.mirror, scope);
@@ -106,49 +106,49 @@
     this.overload = new Overload({
       settings,
       scope,
-      memory: around.memory ?? (() => ({ resident: 0, heap: 0, heapMost: 0 })),
+      memory: deps.memory ?? (() => ({ resident: 0, heap: 0, heapMost: 0 })),
       backlog: () => this.committer.backlog,
     });
     this.presence = new Presence({
       settings,
-      life,
+      life: incarnation,
       state: service,
       mirror: this.mirror,
       rate: requests,
       calls: calls.of("state.lease"),
       scope,
       cutOff: () => this.fitness.unfit,
-      acts: () => this.acts(),
+      acts: () => this.presenceActs(),
     });
     this.detector = new Detector({
       settings,
       presence: this.presence,
       mirror: this.mirror,
       committer: this.committer,
-      peers: around.peers,
+      peers: deps.peers,
       scope,
-      late: () => this.overload.measured.lagMs > timing.presenceMs * LATE,
+      late: () => this.overload.measured.lagMs > timing.presenceMs * LATE_TIMER_SHARE,
     });
     this.ownership = new Ownership({
       settings,
-      life,
+      life: incarnation,
       presence: this.presence,
       detector: this.detector,
       mirror: this.mirror,
       committer: this.committer,
       scope,
-      taken: (part, term, reason, silentMs) => {
-        if (reason === "own ended term") this.leader.newerTokenRefuted(part);
-        this.leader.recovery.claimed(part, term, reason, silentMs);
+      taken: (partition, term, reason, silentMs) => {
+        if (reason === "own ended term") this.leader.newerTokenRefuted(partition);
+        this.leader.recovery.claimed(partition, term, reason, silentMs);
       },
-      termEnded: (part, term) => this.leader.termEnded(part, term),
-      reaches: (part) => this.fitness.reaches(part),
+      termEnded: (partition, term) => this.leader.termEnded(partition, term),
+      reaches: (partition) => this.fitness.reaches(partition),
     });
     this.quotaShares = new QuotaShares(settings, this.configuration, () => this.leader.parts, this.mirror, this.committer, scope);
     this.guarantees = new Guarantees(settings, this.configuration, this.mirror, this.needs, scope);
     this.leader = new Leader(
       settings,
-      life,
+      incarnation,
       this.mirror,
       this.rentals,
       this.needs,
@@ -158,25 +158,25 @@
       this.overload,
       scope,
     );
-    const probes = workersThrough(around.workers, calls.of("worker.probe"));
+    const probes = workersThrough(deps.workers, calls.of("worker.probe"));
     this.fitness = new Fitness(
       settings,
       this.leader.parts,
       this.rentals,
       probes,
-      () => this.hasState(),
+      () => this.stateReachable(),
       (report) => this.leader.onProbeReply(report),
       scope,
     );
-    this.dispatch = new Dispatch(this.leader, around.workers, calls, scope);
-    const { leader, ownership, quotaShares, mirror, rentals, needs, committer } = this;
-    const { peers } = around;
+    this.dispatch = new Dispatch(this.leader, deps.workers, calls, scope);
+    const { leader, ownership, quotaShares, mirror: replica, rentals, needs, committer } = this;
+    const { peers } = deps;
     this.fleet = new Fleet({
       settings,
-      cloud: cloudThrough(around.cloud, calls),
+      cloud: cloudThrough(deps.cloud, calls),
       leader,
       quotaShares,
-      replica: mirror,
+      replica,
       rentals,
       committer,
       rate: new Rate(clock, cloud.rps * share, Math.max(1, cloud.rps * share * 2)),
@@ -186,7 +186,19 @@
       scope,
     });
     const { overload } = this;
-    this.exchange = new Exchange({ settings, life, leader, ownership, quotaShares, mirror, needs, committer, peers, overload, scope });
+    this.exchange = new Exchange({
+      settings,
+      life: incarnation,
+      leader,
+      ownership,
+      quotaShares,
+      mirror: replica,
+      needs,
+      committer,
+      peers,
+      overload,
+      scope,
+    });
     const admission = new Admission(this.configuration, leader);
     const submissions = new Submissions({
       settings,
@@ -194,18 +206,18 @@
       admission,
       leader,
       ownership,
-      replica: mirror,
+      replica,
       rentals,
       needs,
       committer,
       scope,
     });
-    this.jobs = new Jobs(settings, leader, mirror, needs, submissions, admission, committer, overload, scope);
-    this.relay = new Relay(settings, this.jobs, around.peers, () => this.peersHavingState(), scope, life);
+    this.jobs = new Jobs(settings, leader, replica, needs, submissions, admission, committer, overload, scope);
+    this.relay = new Relay(settings, this.jobs, deps.peers, () => this.peersReachingState(), scope, incarnation);
   }
 
   start(): void {
-    this.scope.listen(this.scope.clock.stood$, (ms) => this.stoodStill(ms));
+    this.scope.listen(this.scope.clock.stood$, (ms) => this.onStall(ms));
     this.scope.routine(
       "awake",
       () => this.settings.timing.stallMs / 5,
@@ -224,9 +236,9 @@
     this.fleet.start();
     this.exchange.start();
     this.relay.start();
-    this.scope.listen(this.around.peers.incoming$, ({ from, message }) => {
+    this.scope.listen(this.deps.peers.incoming$, ({ from, message }) => {
       if (!("Health" in message)) return;
-      if (message.Health.stateOk) this.peersWithState.set(from, this.scope.clock.now());
+      if (message.Health.stateOk) this.stateReportedAt.set(from, this.scope.clock.now());
       this.guarantees.hear(from, message.Health.use);
       this.fitness.hear(from, message.Health.hears);
     });
@@ -234,22 +246,25 @@
       "health",
       () => this.settings.timing.reportMs / 4,
       () => {
-        const message = { Health: { stateOk: this.hasState(), hears: this.fitness.own(), use: this.leader.use() } };
-        for (const node of this.settings.nodes) if (node !== this.settings.self) this.around.peers.send(node, message);
+        const message = { Health: { stateOk: this.stateReachable(), hears: this.fitness.own(), use: this.leader.use() } };
+        for (const node of this.settings.nodes) if (node !== this.settings.self) this.deps.peers.send(node, message);
       },
     );
   }
 
-  /** What this controller shows of the configuration; a partition that it has not fenced yet may be acted in by another. */
-  private acts(): PresenceRecord["acts"] | null {
+  /**
+   * Configuration version and highest term under which this controller acts, for its presence record. A partition that is
+   * still being fenced does not count, because its former owner may still act in it.
+   */
+  private presenceActs(): PresenceRecord["acts"] | null {
     const { version } = this.configuration;
     if (version === 0) return null;
-    const parts = [...this.leader.parts.values()];
-    const fencing = parts.filter(({ phase }) => phase === "fencing").map(({ term }) => term - 1);
-    return { version, term: fencing.length > 0 ? Math.min(...fencing) : Math.max(0, ...parts.map(({ term }) => term)) };
+    const partitions = [...this.leader.parts.values()];
+    const fencing = partitions.filter(({ phase }) => phase === "fencing").map(({ term }) => term - 1);
+    return { version, term: fencing.length > 0 ? Math.min(...fencing) : Math.max(0, ...partitions.map(({ term }) => term)) };
   }
 
-  private stoodStill(ms: number): void {
+  private onStall(ms: number): void {
     this.stalls.count++;
     this.stalls.ms += Math.round(ms);
     this.leader.stoodStill(ms);
@@ -259,25 +274,25 @@
     this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.parts.keys()] }, "this process stood still while its clocks ran on");
   }
 
-  private hasState(): boolean {
+  private stateReachable(): boolean {
     return this.mirror.loaded && this.mirror.ageMs() < this.settings.timing.contactMs;
   }
 
-  private peersHavingState(): string[] {
+  private peersReachingState(): string[] {
     const now = this.scope.clock.now();
-    return [...this.peersWithState].filter(([, at]) => now - at < this.settings.timing.reportMs).map(([node]) => node);
+    return [...this.stateReportedAt].filter(([, at]) => now - at < this.settings.timing.reportMs).map(([node]) => node);
   }
 
   /**
-   * Sends users elsewhere only if elsewhere is better: in an outage of the state
-   * service every node is as good as this one, and being marked unhealthy would
-   * cost users time after it ends.
+   * Returns why this node should get no users' requests, or null. It reports unready only if
+   * another node is better: in an outage of the state service all nodes are equal, and being
+   * marked unhealthy would delay users after the outage ends.
    */
   unready(): string | null {
     if (!this.mirror.loaded) return "starting";
     if (this.leader.types.length === 0) return "machine types are not known yet";
-    if (this.hasState()) return null;
-    if (this.peersHavingState().length > 0) return "the state service refuses this node";
+    if (this.stateReachable()) return null;
+    if (this.peersReachingState().length > 0) return "the state service refuses this node";
     return null;
   }
 }
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -50,7 +50,7 @@
       if (this.deps.overload.sheds("growth")) continue;
       const plan = this.plan(partition);
       for (const { offer, count } of plan.wanted.values()) {
-        const freeMachines = this.deps.settings.mostMachines - this.deps.rentals.count(partition.id);
+        const freeMachines = this.deps.settings.maxMachines - this.deps.rentals.count(partition.id);
         if (freeMachines > 0) await this.beginRental(partition, offer, Math.min(count, freeMachines));
       }
     }
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -65,7 +65,7 @@
     const machines = (id: number): number => this.deps.rentals.count(id);
     if (ownPartitions.length > 0) {
       const home = leastBy(ownPartitions, (p) => (p.phase === "serving" ? 0 : 1e6) + p.units.size).id;
-      if (machines(home) < this.deps.settings.mostMachines) return home;
+      if (machines(home) < this.deps.settings.maxMachines) return home;
     }
     const owned = this.deps.settings.nodes.map((_, id) => id).filter((id) => this.deps.ownership.owner(id) !== undefined);
     if (owned.length === 0) return null;
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -1,20 +1,22 @@
 import { loadPlan, playReal, BRISK } from "@thorntrail/emulator/entry";
 import { momentOf } from "../rehearsal/moments.js";
 
-/** When the leader is ended and a machine is lost, and how long work comes in. Seconds. */
-const LOSS_AT = 4;
-const SECONDS = 9;
+/** Time in seconds at which the leader is restarted and a machine is lost. */
+const FAULTS_AT_S = 4;
+/** Duration of the rehearsal in seconds. */
+const DURATION_S = 9;
 
 /**
- * The first seconds of the demo with controllers that keep what V8 compiled of them: start, renting,
- * reports, placement, users, and a takeover. Arguments: the program that stands in for `main.js`, with its flags.
+ * Entry point of the build's rehearsal: plays the first seconds of the demo with controllers that save V8's code
+ * cache. They cover start-up, rentals, reports, placement, users' requests and a takeover. Arguments: the program
+ * that replaces `main.js`, preceded by its flags.
  */
 const plan = await loadPlan("deploy/demo.hcl");
 const [restart, lose] = plan.fault;
-const fault = [restart, lose].flatMap((one) => (one === undefined ? [] : [{ ...one, at: LOSS_AT }]));
+const fault = [restart, lose].flatMap((one) => (one === undefined ? [] : [{ ...one, at: FAULTS_AT_S }]));
 const report = await playReal({
   program: [process.execPath, ...process.argv.slice(2)],
-  plan: { ...plan, seconds: SECONDS, fault },
+  plan: { ...plan, seconds: DURATION_S, fault },
   timing: BRISK,
   seed: 1,
   momentOf,
--- a/src/launch/script.ts
+++ b/src/launch/script.ts
@@ -3,19 +3,19 @@
 import { dirname } from "node:path";
 import { Script } from "node:vm";
 
-/** What the bundle of the service exports. */
+/** Exports of the service's bundle. */
 export interface Service {
   /** Runs one controller; `dir`: where the build put its files, `config`: path of the platform's settings. */
   main(dir: string, config: string): void;
 }
 
 /**
- * A CommonJS bundle as one script of V8. With `cached`, what an earlier process compiled of the
- * very same bundle is taken over: a start then compiles next to nothing. V8 compares the length of
- * the source, its own version and flags, not the text: so bundle and cache carry a hash of the
- * text in their names. What does not match is compiled as ever.
+ * Loads a CommonJS bundle as one V8 script. `cached` is the code cache that an earlier process saved
+ * for the same bundle; with it, almost nothing is compiled at start. V8 compares only the length of
+ * the source, its own version and its flags, not the text, so the names of bundle and cache contain a
+ * hash of the text. A cache that does not match is ignored, and the bundle is compiled.
  */
-export function open(file: string, cached?: Buffer): { script: Script; service: Service } {
+export function loadBundle(file: string, cached?: Buffer): { script: Script; service: Service } {
   const source = `(function(exports,require,module,__filename,__dirname){${readFileSync(file, "latin1")}\n})`;
   const script = new Script(source, { filename: file, ...(cached === undefined ? {} : { cachedData: cached }) });
   const module = { exports: {} as Service };
@@ -24,7 +24,7 @@
   return { script, service: module.exports };
 }
 
-/** Everything but a plain start: the command line, with what the command needs. */
-export function commands(dir: string): void {
+/** Runs the command line, which loads the modules that the command needs. */
+export function runCommandLine(dir: string): void {
   void import(`${dir}/cli.mjs`).then((cli: { main: (dir: string) => Promise<void> }) => cli.main(dir));
 }
--- a/src/launch/start.ts
+++ b/src/launch/start.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 import { join } from "node:path";
-import { commands, open } from "./script.js";
+import { runCommandLine, loadBundle } from "./script.js";
 
 declare const SERVICE_FILE: string;
 
-/** A build that could not make one runs all the same, only slower at the start. */
-function cache(): Buffer | undefined {
+/** Returns the build's code cache, or undefined if there is none; the service then starts more slowly. */
+function readCodeCache(): Buffer | undefined {
   try {
     return readFileSync(join(__dirname, `${SERVICE_FILE}.cache`));
   } catch {
@@ -14,11 +14,11 @@
 }
 
 /**
- * What `node target/main.js` runs first. A controller has a tenth of a core and is started again
- * after every failure: `serve --config FILE` to the letter goes the short way. Everything else,
- * wrong command lines included, loads the command line and what the command needs.
+ * Entry point of `node target/main.js`. A controller has a tenth of a core and is restarted after
+ * every failure, so exactly `serve --config FILE` starts the service's bundle directly. All other
+ * arguments, including invalid ones, load the command line and the modules that the command needs.
  */
-const [, , verb, option, config, ...more] = process.argv;
-if (verb === "serve" && option === "--config" && config !== undefined && more.length === 0)
-  open(join(__dirname, SERVICE_FILE), cache()).service.main(__dirname, config);
-else commands(__dirname);
+const [, , command, option, config, ...more] = process.argv;
+if (command === "serve" && option === "--config" && config !== undefined && more.length === 0)
+  loadBundle(join(__dirname, SERVICE_FILE), readCodeCache()).service.main(__dirname, config);
+else runCommandLine(__dirname);
--- a/src/launch/warm.ts
+++ b/src/launch/warm.ts
@@ -1,16 +1,16 @@
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
-import { commands, open } from "./script.js";
+import { runCommandLine, loadBundle } from "./script.js";
 
 declare const SERVICE_FILE: string;
 
-/** So long a controller serves in the build's rehearsal before what V8 compiled of it is kept. */
+/** Time for which a controller serves in the build's rehearsal before V8's code cache is saved. */
 const WARM_MS = 9_000;
 
-/** Stands in for `main.js` in the build's rehearsal: serves as that does, and writes down the code cache. */
+/** Replaces `main.js` in the build's rehearsal: serves like it and saves the code cache. */
 if (process.argv[2] === "serve") {
   const file = join(__dirname, SERVICE_FILE);
-  const { script, service } = open(file);
+  const { script, service } = loadBundle(file);
   service.main(__dirname, process.argv[4]!);
   setTimeout(() => writeFileSync(`${file}.cache.${process.pid}`, script.createCachedData()), WARM_MS);
-} else commands(__dirname);
+} else runCommandLine(__dirname);
--- a/src/platform/bits.ts
+++ b/src/platform/bits.ts
@@ -1,25 +1,26 @@
-/** How many bits are set in each value a byte may have. */
-const ONES = Uint8Array.from({ length: 256 }, (_, byte) => byte.toString(2).replaceAll("0", "").length);
+/** Number of set bits for each value of a byte. */
+const BIT_COUNTS = Uint8Array.from({ length: 256 }, (_, byte) => byte.toString(2).replaceAll("0", "").length);
 
-/** A set of task numbers, kept as a bit map; small enough to store as it is. */
+/** A set of task numbers, kept as a bitmap that is compact enough to be stored in records. */
 export class Bits {
   private readonly bytes: Uint8Array;
-  private marked = 0;
+  private setCount = 0;
 
   constructor(readonly size: number) {
     this.bytes = new Uint8Array(Math.ceil(size / 8));
   }
 
+  /** Decodes a stored bitmap; numbers from `size` on are ignored. */
   static decode(size: number, text: string): Bits {
     const bits = new Bits(size);
-    bits.join(Buffer.from(text, "base64"));
+    bits.addBytes(Buffer.from(text, "base64"));
     return bits;
   }
 
   /**
-   * Whether a stored map has the number, without taking the rest of it apart: a
-   * leader asks this for each task a worker has finished, and an array may have
-   * tens of thousands.
+   * Whether a stored bitmap contains the number, without decoding the rest of it: the
+   * owner of a partition checks this for each task that a worker has finished, and an
+   * array may have tens of thousands.
    */
   static stored(text: string, i: number): boolean {
     const byte = i >> 3;
@@ -28,6 +29,7 @@
     return (((raw[byte % 3] ?? 0) >> (i & 7)) & 1) === 1;
   }
 
+  /** Encodes the bitmap for storage, without trailing zero bytes. */
   encode(): string {
     let end = this.bytes.length;
     while (end > 0 && this.bytes[end - 1] === 0) end--;
@@ -41,30 +43,30 @@
   set(i: number): void {
     if (i < 0 || i >= this.size || this.has(i)) return;
     this.bytes[i >> 3]! |= 1 << (i & 7);
-    this.marked++;
+    this.setCount++;
   }
 
   merge(other: Bits): void {
-    this.join(other.bytes);
+    this.addBytes(other.bytes);
   }
 
-  private join(from: Uint8Array): void {
+  private addBytes(from: Uint8Array): void {
     const { bytes, size } = this;
     const n = Math.min(bytes.length, from.length);
     for (let b = 0; b < n; b++) {
       let added = from[b]! & ~bytes[b]!;
-      // What lies beyond the last number is no member.
+      // Bits beyond the last number are ignored.
       if (b === bytes.length - 1 && size % 8 !== 0) added &= (1 << (size % 8)) - 1;
       bytes[b]! |= added;
-      this.marked += ONES[added]!;
+      this.setCount += BIT_COUNTS[added]!;
     }
   }
 
   get count(): number {
-    return this.marked;
+    return this.setCount;
   }
 
   get full(): boolean {
-    return this.marked === this.size;
+    return this.setCount === this.size;
   }
 }
--- a/src/platform/bounded-log.ts
+++ b/src/platform/bounded-log.ts
@@ -1,25 +1,28 @@
 import type { Clock } from "./clock.js";
 import type { Log } from "./log.js";
 
-/** Says what others bring about, who might do so without end: a line at most once in a while, with how many it stands for. */
+/**
+ * Limits the rate of log lines that other processes can cause without bound: each message is logged at most once per
+ * interval, with the number of lines suppressed since the last one.
+ */
 export class BoundedLog {
-  private readonly said = new Map<string, { at: number; since: number }>();
+  private readonly lastLogged = new Map<string, { at: number; suppressed: number }>();
 
   constructor(
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly gapMs: number,
+    private readonly intervalMs: number,
   ) {}
 
-  /** `message` is one of few, fixed in the code. */
+  /** `message` must be one of a few constants, because the state of each is kept forever. */
   info(detail: Record<string, unknown>, message: string): void {
     const now = this.clock.now();
-    const last = this.said.get(message);
-    if (last !== undefined && now - last.at < this.gapMs) {
-      last.since++;
+    const previous = this.lastLogged.get(message);
+    if (previous !== undefined && now - previous.at < this.intervalMs) {
+      previous.suppressed++;
       return;
     }
-    this.log.info({ ...detail, notSaid: last?.since ?? 0 }, message);
-    this.said.set(message, { at: now, since: 0 });
+    this.log.info({ ...detail, notSaid: previous?.suppressed ?? 0 }, message);
+    this.lastLogged.set(message, { at: now, suppressed: 0 });
   }
 }
--- a/src/platform/clock.ts
+++ b/src/platform/clock.ts
@@ -1,18 +1,19 @@
 import { performance } from "node:perf_hooks";
 import { NEVER, type Observable } from "rxjs";
 
-/** Time as the decisions see it; scenarios put a virtual one in its place. */
+/** Source of time and timers; tests and rehearsals replace it by a virtual clock. */
 export interface Clock {
-  /** Steady milliseconds. */
+  /** Monotonic time in milliseconds. */
   now(): number;
-  /** Time of day in milliseconds, right within the bound in the settings. */
+  /** Time of day in milliseconds, accurate within the bound in the settings (clock_off_ms). */
   wall(): number;
   /** Runs `fn` after `ms`; the returned function cancels it. */
   after(ms: number, fn: () => void): () => void;
-  /** How long, in ms, the process stood still, as soon as that is noticed. */
+  /** Emits the length in ms of each stall of the process, as soon as it is detected. */
   readonly stood$: Observable<number>;
 }
 
+/** The operating system's clocks and timers; does not detect stalls. */
 export const systemClock: Clock = {
   stood$: NEVER,
   now: () => performance.now(),
@@ -23,6 +24,7 @@
   },
 };
 
+/** Resolves after `ms` by the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
--- a/src/platform/costs.ts
+++ b/src/platform/costs.ts
@@ -1,6 +1,6 @@
 import { performance } from "node:perf_hooks";
 
-/** What a controller spends processor time on; `rest`: HTTP, timers, garbage and whatever no duty claims. */
+/** Activities whose processor time is accounted. The rest of the process's time is HTTP, timers, garbage collection and other code. */
 export const DUTIES = [
   "report",
   "order",
@@ -15,51 +15,53 @@
   "peers",
   "watch",
 ] as const;
-export type Duty = (typeof DUTIES)[number];
+export type Activity = (typeof DUTIES)[number];
 
-export interface Cost {
-  duty: Duty;
-  /** Turns taken. */
-  turns: number;
-  /** Time in them, without that of duties called from within, in ms. */
+/** Processor time spent on one activity since the start. */
+export interface ActivityCost {
+  activity: Activity;
+  /** Number of runs. */
+  runs: number;
+  /** Time in these runs in ms, without the time of other activities that they call. */
   ms: number;
 }
 
 /**
- * Where the time of this process goes, by duty. Time is counted once: what a duty calls
- * that is a duty of its own is charged to that one. Costs two looks at the clock a turn.
+ * Accounts the time of this process by activity. Time is counted once: an activity called from within
+ * another is charged to itself only. Each run costs two reads of the clock.
  */
 export class Costs {
   private readonly ms = new Float64Array(DUTIES.length);
-  private readonly turns = new Float64Array(DUTIES.length);
+  private readonly runs = new Float64Array(DUTIES.length);
   private readonly stack: number[] = [];
-  private since = 0;
+  private chargedUntil = 0;
 
   constructor(private readonly now: () => number = () => performance.now()) {}
 
-  /** Runs `act`, which must not wait for anything, at the expense of the duty. */
-  spend<T>(duty: Duty, act: () => T): T {
-    const index = DUTIES.indexOf(duty);
+  /** Runs the synchronous function `act` and charges its time to the activity. */
+  spend<T>(activity: Activity, act: () => T): T {
+    const index = DUTIES.indexOf(activity);
     const { stack } = this;
     const outer = stack.at(-1);
-    // A pass over all parts is made of passes over each: one turn, not one more for every part.
+    // A cycle over all partitions contains one for each: they count as one run together.
     if (outer === index) return act();
-    const began = this.now();
-    if (outer !== undefined) this.ms[outer]! += began - this.since;
-    this.since = began;
+    const startedAt = this.now();
+    if (outer !== undefined) this.ms[outer]! += startedAt - this.chargedUntil;
+    this.chargedUntil = startedAt;
     stack.push(index);
-    this.turns[index]!++;
+    this.runs[index]!++;
     try {
       return act();
     } finally {
-      const ended = this.now();
-      this.ms[index]! += ended - this.since;
-      this.since = ended;
+      const endedAt = this.now();
+      this.ms[index]! += endedAt - this.chargedUntil;
+      this.chargedUntil = endedAt;
       stack.pop();
     }
   }
 
-  all(): Cost[] {
-    return DUTIES.map((duty, i) => ({ duty, turns: this.turns[i]!, ms: this.ms[i]! }));
+  /** Returns the totals of all activities. */
+  all(): ActivityCost[] {
+    return DUTIES.map((activity, i) => ({ activity, runs: this.runs[i]!, ms: this.ms[i]! }));
   }
 }
--- a/src/platform/doors.ts
+++ b/src/platform/doors.ts
@@ -1,20 +1,22 @@
 import type { Server } from "node:net";
 
-/** Of the sockets: most connections that may come in, and how many make the place crowded. */
-const MOST = 0.85;
-const CROWDED = 0.55;
-/** Of the sockets: commands to workers at a time. */
-const COMMANDS = 1 / 12;
+/** Maximum share of the sockets that inbound connections may use. */
+const MAX_INBOUND_SHARE = 0.85;
+/** Share of the sockets above which inbound connections are closed after each answer. */
+const CLOSE_AFTER_ANSWER_SHARE = 0.55;
+/** Share of the sockets that concurrent commands to workers may use. */
+const COMMANDS_SHARE = 1 / 12;
 
-export function commandsAtOnce(sockets: number): number {
-  return Math.max(4, Math.floor(sockets * COMMANDS));
+/** Returns the maximum number of concurrent commands to workers. */
+export function maxConcurrentCommands(sockets: number): number {
+  return Math.max(4, Math.floor(sockets * COMMANDS_SHARE));
 }
 
 /**
- * Connections that come in. Workers and users keep theirs open between requests;
- * with more machines than sockets the rest would find the door shut, and look as
- * if they had never come up. When it is crowded, connections are closed after the
- * answer, so that they are held only while they are needed.
+ * Counts and limits a server's inbound connections. Workers and users keep theirs open
+ * between requests; with more machines than sockets, the rest could not connect and
+ * would look as if they had never come up. Above a threshold, connections are therefore
+ * closed after the answer, so that each is held only while it is needed.
  */
 export class Doors {
   private open = 0;
@@ -23,18 +25,20 @@
     server: Server,
     private readonly sockets: number,
   ) {
-    server.maxConnections = Math.floor(sockets * MOST);
+    server.maxConnections = Math.floor(sockets * MAX_INBOUND_SHARE);
     server.on("connection", (socket) => {
       this.open++;
       socket.once("close", () => this.open--);
     });
   }
 
+  /** Number of open connections. */
   get count(): number {
     return this.open;
   }
 
+  /** Whether connections should be closed after the answer. */
   crowded(): boolean {
-    return this.open > this.sockets * CROWDED;
+    return this.open > this.sockets * CLOSE_AFTER_ANSWER_SHARE;
   }
 }
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -1,82 +1,86 @@
 import { connect, type Socket } from "node:net";
 import { performance } from "node:perf_hooks";
 import { NoReply } from "@thorntrail/protocol/errors";
-import { AnswerReader } from "./http-reading.js";
+import { ResponseParser } from "./http-response-parser.js";
 
+/** Response of an HTTP server; a body that is not a JSON object becomes an empty one. */
 export interface Reply {
   status: number;
   body: Record<string, unknown>;
 }
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
-/** Idle connections that are kept to one host. */
-const MOST_IDLE_TO_ONE = 4;
+/** Maximum number of idle connections kept to one host. */
+const MAX_IDLE_PER_HOST = 4;
 
-/** A request on its way: waiting for a connection, or written to one. */
-interface Ask {
+/** A request in progress: waiting for a connection, or written to one. */
+interface PendingRequest {
   text: string;
   deadline: number;
-  /** Bytes of it may have reached the other side. */
+  /** Whether bytes of it may have reached the server. */
   written: boolean;
-  line: Line | null;
+  connection: Connection | null;
   settle: (outcome: Reply | NoReply) => void;
 }
 
-/** A connection; one request at a time. */
-interface Line {
+/** A connection, which carries one request at a time. */
+interface Connection {
   socket: Socket;
   host: Host;
   connected: boolean;
-  ask: Ask | null;
-  reader: AnswerReader | null;
+  request: PendingRequest | null;
+  parser: ResponseParser | null;
 }
 
 interface Host {
   addr: string;
   open: number;
-  idle: Line[];
-  waiting: Ask[];
+  idle: Connection[];
+  waiting: PendingRequest[];
 }
 
 /**
- * HTTP/1.1 on `net`, a few connections to each host, kept open after use. Node's own
- * client makes streams and events by the dozen for each call, which was a good part of what
- * a controller spends on an order or a change (docs/measured.md).
+ * HTTP/1.1 client on `net` with a few kept-alive connections per host. Node's own client creates
+ * dozens of streams and events per call, which was a large part of the processor time that a
+ * controller spends on an order or a transaction (docs/measured.md).
  */
 export class HttpClient {
   private readonly hosts = new Map<string, Host>();
-  private idle = 0;
+  private idleCount = 0;
 
-  /** `maxSockets` to a host; `mostIdle`: hosts to which an idle one is kept; `asker`: who asks, for whoever is asked to tell apart. */
+  /** `maxSockets`: connections per host; `maxIdle`: idle connections in total; `userAgent`: the client's name in the User-Agent header. */
   constructor(
     private readonly maxSockets: number,
-    private readonly mostIdle = maxSockets,
-    private readonly asker = "controller",
+    private readonly maxIdle = maxSockets,
+    private readonly userAgent = "controller",
   ) {}
 
-  /** What never left this process counts as refused: nobody can have acted on it. */
+  /**
+   * Sends a request. Rejects with NoReply: "refused" if no byte of it left this process, so that it cannot have taken
+   * effect; "unanswered" if it may have.
+   */
   call(addr: string, method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? "" : JSON.stringify(body);
-      // Addresses come from others: none may write headers of its own into a request.
+      // Addresses come from other processes and must not be able to inject headers into the request.
       if (!/^[\x21-\x7e]+:\d{1,5}$/.test(addr) || !/^[\x21-\x7e]+$/.test(path)) {
-        reject(new NoReply("refused", "not an address or path that can be asked"));
+        reject(new NoReply("refused", "invalid address or path"));
         return;
       }
       const content = body === undefined ? "" : `content-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n`;
-      const ask: Ask = {
-        text: `${method} ${path} HTTP/1.1\r\nhost: ${addr}\r\nuser-agent: thorntrail (${this.asker})\r\n${content}\r\n${payload}`,
+      const request: PendingRequest = {
+        text: `${method} ${path} HTTP/1.1\r\nhost: ${addr}\r\nuser-agent: thorntrail (${this.userAgent})\r\n${content}\r\n${payload}`,
         deadline: performance.now() + timeoutMs,
         written: false,
-        line: null,
+        connection: null,
         settle: (outcome) => {
           clearTimeout(timer);
           if (outcome instanceof NoReply) reject(outcome);
           else resolve(outcome);
         },
       };
-      const timer = setTimeout(() => this.giveUp(ask, addr), timeoutMs);
-      this.give(this.host(addr), ask);
+      const timer = setTimeout(() => this.timeOut(request, addr), timeoutMs);
+      this.dispatch(this.host(addr), request);
     });
   }
 
@@ -86,134 +90,134 @@
     return host;
   }
 
-  private giveUp(ask: Ask, addr: string): void {
-    const { line } = ask;
+  private timeOut(request: PendingRequest, addr: string): void {
+    const { connection } = request;
     const host = this.hosts.get(addr);
-    if (host !== undefined) host.waiting = host.waiting.filter((one) => one !== ask);
-    ask.settle(new NoReply(ask.written ? "unanswered" : "refused", "timeout"));
-    if (line === null) return;
-    line.ask = null;
-    // What was written may still be answered: nothing else may be asked on this connection.
-    line.socket.destroy();
+    if (host !== undefined) host.waiting = host.waiting.filter((one) => one !== request);
+    request.settle(new NoReply(request.written ? "unanswered" : "refused", "timeout"));
+    if (connection === null) return;
+    connection.request = null;
+    // The server may still answer the request, so the connection must not be reused.
+    connection.socket.destroy();
   }
 
-  private give(host: Host, ask: Ask): void {
-    const line = this.idleTo(host);
-    if (line !== null) this.put(line, ask);
-    else if (host.open < this.maxSockets) this.open(host, ask);
-    else host.waiting.push(ask);
+  private dispatch(host: Host, request: PendingRequest): void {
+    const connection = this.takeIdle(host);
+    if (connection !== null) this.send(connection, request);
+    else if (host.open < this.maxSockets) this.open(host, request);
+    else host.waiting.push(request);
   }
 
-  private idleTo(host: Host): Line | null {
-    for (let line = host.idle.pop(); line !== undefined; line = host.idle.pop()) {
-      this.idle--;
-      // Closed a moment ago, and not yet said so.
-      if (line.socket.destroyed) continue;
-      line.socket.ref();
-      return line;
+  private takeIdle(host: Host): Connection | null {
+    for (let connection = host.idle.pop(); connection !== undefined; connection = host.idle.pop()) {
+      this.idleCount--;
+      // Destroyed, but its close event has not been handled yet.
+      if (connection.socket.destroyed) continue;
+      connection.socket.ref();
+      return connection;
     }
     return null;
   }
 
-  private open(host: Host, ask: Ask): void {
+  private open(host: Host, request: PendingRequest): void {
     const colon = host.addr.lastIndexOf(":");
     const port = Number(host.addr.slice(colon + 1));
-    if (port > 65535) return ask.settle(new NoReply("refused", "no such port"));
+    if (port > 65535) return request.settle(new NoReply("refused", "port out of range"));
     const socket = connect({ host: host.addr.slice(0, colon), port, noDelay: true });
-    const line: Line = { socket, host, connected: false, ask, reader: null };
-    ask.line = line;
+    const connection: Connection = { socket, host, connected: false, request, parser: null };
+    request.connection = connection;
     host.open++;
     let fault: NodeJS.ErrnoException | null = null;
     socket.on("connect", () => {
-      line.connected = true;
-      if (line.ask !== null) this.put(line, line.ask);
+      connection.connected = true;
+      if (connection.request !== null) this.send(connection, connection.request);
     });
-    socket.on("data", (chunk: Buffer) => this.take(line, chunk));
+    socket.on("data", (chunk: Buffer) => this.onData(connection, chunk));
     socket.on("error", (error: NodeJS.ErrnoException) => (fault = error));
-    socket.on("end", () => this.ended(line));
-    socket.on("close", () => this.closed(line, fault));
+    socket.on("end", () => this.onEnd(connection));
+    socket.on("close", () => this.onClose(connection, fault));
   }
 
   /** Writes the request to a connection that is free for it. */
-  private put(line: Line, ask: Ask): void {
-    line.ask = ask;
-    ask.line = line;
-    // A process that stood still between asking and being connected must not send
-    // what it was entitled to say long ago, even if the connection is handled before the timer.
-    if (performance.now() >= ask.deadline) {
-      line.ask = null;
-      ask.settle(new NoReply("refused", "connected too late"));
-      return this.free(line);
+  private send(connection: Connection, request: PendingRequest): void {
+    connection.request = request;
+    request.connection = connection;
+    // If the process stalled before the connection was established, the request may no longer be
+    // valid and must not be sent, even if this event is handled before the timeout's timer.
+    if (performance.now() >= request.deadline) {
+      connection.request = null;
+      request.settle(new NoReply("refused", "connected too late"));
+      return this.release(connection);
     }
-    line.reader = new AnswerReader(MAX_REPLY_BYTES);
-    ask.written = true;
-    line.socket.write(ask.text);
+    connection.parser = new ResponseParser(MAX_REPLY_BYTES);
+    request.written = true;
+    connection.socket.write(request.text);
   }
 
-  private take(line: Line, chunk: Buffer): void {
-    const { reader } = line;
-    if (reader === null || line.ask === null) {
-      line.socket.destroy();
+  private onData(connection: Connection, chunk: Buffer): void {
+    const { parser } = connection;
+    if (parser === null || connection.request === null) {
+      connection.socket.destroy();
       return;
     }
     try {
-      reader.push(chunk);
+      parser.push(chunk);
     } catch (error) {
-      this.fail(line, (error as Error).message);
-      line.socket.destroy();
+      this.fail(connection, (error as Error).message);
+      connection.socket.destroy();
       return;
     }
-    if (reader.done) this.answered(line, reader);
+    if (parser.done) this.complete(connection, parser);
   }
 
-  private ended(line: Line): void {
-    if (line.ask !== null && line.reader?.end() === true) this.answered(line, line.reader);
-    line.socket.destroy();
+  private onEnd(connection: Connection): void {
+    if (connection.request !== null && connection.parser?.end() === true) this.complete(connection, connection.parser);
+    connection.socket.destroy();
   }
 
-  private answered(line: Line, reader: AnswerReader): void {
-    const ask = line.ask!;
-    line.ask = null;
-    line.reader = null;
-    if (reader.closes) line.socket.destroy();
-    else this.free(line);
+  private complete(connection: Connection, parser: ResponseParser): void {
+    const request = connection.request!;
+    connection.request = null;
+    connection.parser = null;
+    if (parser.closesConnection) connection.socket.destroy();
+    else this.release(connection);
     try {
-      const text = reader.body;
+      const text = parser.body;
       const parsed: unknown = text === "" ? {} : JSON.parse(text);
       const body = parsed !== null && typeof parsed === "object" ? (parsed as Record<string, unknown>) : {};
-      ask.settle({ status: reader.status, body });
+      request.settle({ status: parser.status, body });
     } catch {
-      ask.settle(new NoReply("unanswered", "reply is not JSON"));
+      request.settle(new NoReply("unanswered", "reply is not JSON"));
     }
   }
 
-  private fail(line: Line, message: string): void {
-    const { ask } = line;
-    line.ask = null;
-    ask?.settle(new NoReply(ask.written ? "unanswered" : "refused", message));
+  private fail(connection: Connection, message: string): void {
+    const { request } = connection;
+    connection.request = null;
+    request?.settle(new NoReply(request.written ? "unanswered" : "refused", message));
   }
 
-  private free(line: Line): void {
-    const { host } = line;
+  private release(connection: Connection): void {
+    const { host } = connection;
     const next = host.waiting.shift();
-    if (next !== undefined) this.put(line, next);
-    else if (host.idle.length < MOST_IDLE_TO_ONE && this.idle < this.mostIdle) {
-      host.idle.push(line);
-      this.idle++;
-      // Kept for the next call, not to keep a process alive that has none: a command would never return.
-      line.socket.unref();
-    } else line.socket.destroy();
+    if (next !== undefined) this.send(connection, next);
+    else if (host.idle.length < MAX_IDLE_PER_HOST && this.idleCount < this.maxIdle) {
+      host.idle.push(connection);
+      this.idleCount++;
+      // An idle connection must not keep the process alive, or command-line commands would never exit.
+      connection.socket.unref();
+    } else connection.socket.destroy();
   }
 
-  private closed(line: Line, fault: NodeJS.ErrnoException | null): void {
-    const { host } = line;
+  private onClose(connection: Connection, fault: NodeJS.ErrnoException | null): void {
+    const { host } = connection;
     host.open--;
-    const at = host.idle.indexOf(line);
+    const at = host.idle.indexOf(connection);
     if (at >= 0) {
       host.idle.splice(at, 1);
-      this.idle--;
+      this.idleCount--;
     }
-    this.fail(line, fault?.message ?? "reply cut short");
+    this.fail(connection, fault?.message ?? "reply cut short");
     const next = host.waiting.shift();
     if (next !== undefined) this.open(host, next);
     else if (host.open === 0) this.hosts.delete(host.addr);
--- a/src/platform/invariants.ts
+++ b/src/platform/invariants.ts
@@ -1,11 +1,11 @@
 import type { Log } from "./log.js";
 
-/** Something that must hold by construction does not. */
+/** Thrown in strict mode when an invariant does not hold. */
 export class InvariantViolated extends Error {}
 
 /**
- * Invariants asserted at run time, where they are relied upon. A service logs each violation at error, counts it and goes
- * on with the safe choice, which whoever asserts has to make; where `strict`, as in virtual time, it throws.
+ * Handles violations of invariants that are checked at run time. A violation is counted and logged at error level, and
+ * the caller continues with a safe choice. If `strict`, as in virtual time, InvariantViolated is thrown instead.
  */
 export class Invariants {
   violations = 0;
@@ -15,6 +15,7 @@
     private readonly strict = false,
   ) {}
 
+  /** Reports a violation. Throws InvariantViolated if strict. */
   violated(invariant: string, detail: Record<string, unknown>): void {
     this.violations++;
     this.log.error({ invariant, ...detail }, "invariant violated");
--- a/src/platform/scope.ts
+++ b/src/platform/scope.ts
@@ -5,8 +5,8 @@
 import type { Log } from "./log.js";
 
 /**
- * The life of a duty. Everything started in a scope ends with it: routines see
- * `closed`, subscriptions are taken until the end, cleanups run once.
+ * Lifetime of routines, subscriptions and resources. Closing a scope ends everything started in it:
+ * routines stop at `closed`, subscriptions are cancelled, and cleanups run once.
  */
 export class Scope {
   private readonly end$ = new Subject<void>();
@@ -19,21 +19,24 @@
     readonly invariants: Invariants = new Invariants(log),
   ) {}
 
+  /** Creates a scope that closes with this one. */
   child(): Scope {
     const scope = new Scope(this.clock, this.log, this.costs, this.invariants);
     this.onEnd(() => scope.close());
     return scope;
   }
 
+  /** Runs `cleanup` when the scope closes. */
   onEnd(cleanup: () => void): void {
     this.end$.subscribe({ complete: cleanup });
   }
 
+  /** Subscribes to `source` until the scope closes. */
   listen<T>(source: Observable<T>, handler: (value: T) => void): Subscription {
     return source.pipe(takeUntil(this.end$)).subscribe(handler);
   }
 
-  /** Calls `step` until the scope closes, with a pause after each call. */
+  /** Calls `step` repeatedly until the scope closes, with a pause in ms after each call. Errors are logged and do not end the routine. */
   routine(name: string, pauseMs: () => number, step: () => Promise<void> | void): void {
     const run = async (): Promise<void> => {
       while (!this.closed) {
--- a/src/platform/stall.ts
+++ b/src/platform/stall.ts
@@ -2,28 +2,28 @@
 import type { Clock } from "./clock.js";
 
 /**
- * A clock that notices when the process stood still while time went on. Whoever
- * asks the time first after such a stall makes it known to all slices before going
- * on: on waking, buffers filled long ago may be handled before any timer, and what
- * went unheard meanwhile must not pass for others' silence. A duty must ask often
- * (`limitMs` apart at most), or quiet would pass for a stall.
+ * A clock that detects stalls, during which the process was not scheduled. The first call of
+ * `now` after a stall notifies all subscribers before it returns: after waking, old buffered
+ * input may be handled before any timer, and messages missed during the stall must not count as
+ * silence of other processes. `now` must be called at least every `limitMs`, or idle time would
+ * count as a stall.
  */
-export class WatchfulClock implements Clock {
+export class StallDetectingClock implements Clock {
   readonly stood$ = new Subject<number>();
-  private seen: number;
+  private lastNow: number;
 
   constructor(
     private readonly inner: Clock,
     private readonly limitMs: number,
   ) {
-    this.seen = inner.now();
+    this.lastNow = inner.now();
   }
 
   now(): number {
     const now = this.inner.now();
-    const gap = now - this.seen;
-    this.seen = now;
-    if (gap > this.limitMs) this.stood$.next(gap);
+    const gapMs = now - this.lastNow;
+    this.lastNow = now;
+    if (gapMs > this.limitMs) this.stood$.next(gapMs);
     return now;
   }
 
--- a/src/rehearsal/moments.ts
+++ b/src/rehearsal/moments.ts
@@ -1,21 +1,22 @@
 import type { MomentOf } from "@thorntrail/emulator/entry";
 import { keys } from "../ledger/records.js";
 
-const MACHINES = "leading; fencing machines";
+const FENCING_STARTED = "leading; fencing machines";
 
-/** What this controller writes and logs at the moments that plans may wait for. */
+/** Maps a call, write or log line of the controller to the injection point of a plan that it marks, or null. */
 export const momentOf: MomentOf = ({ what, detail }) => {
   if (what === "hire") return "rental-in-flight";
   if (what === "part taken") return detail["reason"] === "home again" ? "handing-over" : null;
-  if (what === MACHINES) return Number(detail["machines"]) > 0 ? "fencing" : null;
+  if (what === FENCING_STARTED) return Number(detail["machines"]) > 0 ? "fencing" : null;
   if (what !== "txn") return null;
-  const ops = detail["apply"] as { write?: string; v?: { end?: unknown; spec?: { needs?: unknown } } }[];
-  const allotted = (key: string | undefined): boolean => key?.startsWith(keys.allotments) === true;
-  // The first split of a limit is not ceded by anybody.
-  if (ops.some(({ write }) => allotted(write)) && ops.every(({ write }) => allotted(write)) && ops.length === 1) return "cession";
-  if (ops.some(({ write }) => write?.startsWith(keys.owners) === true)) return "claim";
-  const ended = (end: string): boolean => ops.some(({ write, v }) => write?.startsWith(keys.jobs) === true && v?.end === end);
-  if (ended("withdrawn")) return "cancellation";
-  if (ended("done")) return "pipeline-release";
+  const operations = detail["apply"] as { write?: string; v?: { end?: unknown; spec?: { needs?: unknown } } }[];
+  const isQuotaKey = (key: string | undefined): boolean => key?.startsWith(keys.allotments) === true;
+  // The initial split of a limit is not a transfer, so transactions with several quota records are left out.
+  if (operations.some(({ write }) => isQuotaKey(write)) && operations.every(({ write }) => isQuotaKey(write)) && operations.length === 1)
+    return "cession";
+  if (operations.some(({ write }) => write?.startsWith(keys.owners) === true)) return "claim";
+  const endsJob = (end: string): boolean => operations.some(({ write, v }) => write?.startsWith(keys.jobs) === true && v?.end === end);
+  if (endsJob("withdrawn")) return "cancellation";
+  if (endsJob("done")) return "pipeline-release";
   return null;
 };
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -2,12 +2,12 @@
 import { momentOf } from "./moments.js";
 import { spawnController, type Rehearsed } from "./spawn.js";
 
-/** Plays one plan with this very controller. */
-export async function playHere(plan: RehearsalPlan, seed: number): ReturnType<typeof playVirtual> {
+/** Plays one plan in virtual time with this build's controller. */
+export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof playVirtual> {
   return (await import("@thorntrail/emulator/entry")).playVirtual({ plan, seed, spawn: spawnController, momentOf });
 }
 
-/** Rehearses this very controller in virtual time. */
+/** Rehearses this build's controller in virtual time. */
 export async function rehearseVirtual(options: Omit<RehearseVirtual<Rehearsed>, "spawn" | "momentOf">): Promise<void> {
   await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, momentOf });
 }
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -10,11 +10,11 @@
 import { HttpState } from "./ledger/state-client.js";
 import { PeerLinks } from "./peers/links.js";
 import { systemClock } from "./platform/clock.js";
-import { commandsAtOnce, Doors } from "./platform/doors.js";
+import { maxConcurrentCommands, Doors } from "./platform/doors.js";
 import { luckOf } from "./platform/luck.js";
 import { openLog } from "./platform/log.js";
 import { Scope } from "./platform/scope.js";
-import { WatchfulClock } from "./platform/stall.js";
+import { StallDetectingClock } from "./platform/stall.js";
 import { Metrics } from "./status/metrics.js";
 import { clusterView } from "./status/view.js";
 import type { Settings } from "./settings/derived.js";
@@ -22,21 +22,21 @@
 import { ReportLanes } from "./workers/report-lane.js";
 import { HttpWorkers } from "./workers/worker-client.js";
 
-/** Leases after which a silent connection is closed: whoever reports on it has none left by then. */
-const IDLE_LEASES = 2;
-/** Leases between two lines on where the processor time went. */
+/** Time in lease expiries after which a silent connection is closed; the lease of a worker that reports on it has expired by then. */
+const IDLE_EXPIRIES = 2;
+/** Interval in leases between two log lines on processor time by activity. */
 const COSTS_LEASES = 3;
 
-/** Made when it is asked for, once. */
-function later<T>(make: () => Promise<T>): () => Promise<T> {
-  let made: Promise<T> | null = null;
-  return () => (made ??= make());
+/** Returns a function that calls `make` on first use and returns the same result from then on. */
+function lazy<T>(make: () => Promise<T>): () => Promise<T> {
+  let result: Promise<T> | null = null;
+  return () => (result ??= make());
 }
 
 /** Runs one controller until the process is ended. */
 export function serve(settings: Settings): void {
   const log = openLog(settings.self);
-  const scope = new Scope(new WatchfulClock(systemClock, settings.timing.stallMs), log);
+  const scope = new Scope(new StallDetectingClock(systemClock, settings.timing.stallMs), log);
   const { endpoints, deployment, front } = settings.platform;
   const { timing } = settings;
   const calls = new Calls(scope.clock, callPolicies({ timing, writeRps: settings.state.writeRps }), luckOf(randomInt(2 ** 31)));
@@ -46,7 +46,7 @@
     {
       state: new HttpState(endpoints.state, calls.of("state.read").policy.limitMs),
       cloud: new HttpCloud(endpoints.cloud, calls.of("cloud.read").policy.limitMs),
-      workers: new HttpWorkers(calls.of("worker.order").policy.limitMs, commandsAtOnce(deployment.quota.sockets), settings.self),
+      workers: new HttpWorkers(calls.of("worker.order").policy.limitMs, maxConcurrentCommands(deployment.quota.sockets), settings.self),
       peers,
       calls,
       memory: () => {
@@ -58,7 +58,7 @@
   );
   const metrics = new Metrics(controller);
   scope.listen(controller.leader.began$, ({ klass, waitS }) => metrics.countWait(klass, waitS));
-  const door: UserApiDependencies = {
+  const userApi: UserApiDependencies = {
     relay: controller.relay,
     unreadyReason: () => controller.unready(),
     countResponse: (status) => metrics.countAnswer(status),
@@ -67,41 +67,47 @@
     view: () => clusterView(controller),
     metrics: () => metrics.text(),
   };
-  const app = later(async () => (await import("./intake/app.js")).buildApp(door));
+  const app = lazy(async () => (await import("./intake/app.js")).buildApp(userApi));
   let refusals = 0;
-  let refusedAt = -Infinity;
+  let refusalLoggedAt = -Infinity;
   const reports: ReportDoor = {
     onReport: (report) => controller.leader.onReport(report),
     count: (status) => metrics.countAnswer(status),
     refused: (why, begins) => {
-      // Workers of an unknown version report every few seconds, each of them: one line an interval says enough.
+      // Each worker of an unsupported version reports every few seconds, so this is logged once per report interval.
       const now = scope.clock.now();
       refusals++;
-      if (now - refusedAt < timing.reportMs) return;
-      refusedAt = now;
+      if (now - refusalLoggedAt < timing.reportMs) return;
+      refusalLoggedAt = now;
       log.warn({ why, begins, refusals }, "not a report");
     },
     costs: scope.costs,
   };
-  const others = createHttpServer((req, res) => {
-    if (doors.crowded()) res.shouldKeepAlive = false;
+  const httpServer = createHttpServer((req, res) => {
+    if (inbound.crowded()) res.shouldKeepAlive = false;
     if (req.url === REPORT_PATH && req.method === "POST") serveReport(reports, req, res);
     else
       scope.costs.spend("users", () => {
-        if (!answerWithoutExpress(door, req, res))
+        if (!answerWithoutExpress(userApi, req, res))
           void app().then(
             (handle) => handle(req, res),
-            () => send(door, res, INTERNAL_FAULT),
+            () => send(userApi, res, INTERNAL_FAULT),
           );
       });
   });
-  // Peers, workers and clients close connections; we keep them, within the quota.
-  others.keepAliveTimeout = 0;
-  // It does not listen itself, but has to watch over requests that do not come to an end.
-  others.emit("listening");
+  // Peers, workers and clients close connections; the server keeps them open, within the quota.
+  httpServer.keepAliveTimeout = 0;
+  // This server does not listen itself; the event starts its timeout checks for incomplete requests.
+  httpServer.emit("listening");
   const server = createServer({ noDelay: true, allowHalfOpen: true });
-  const doors = new Doors(server, deployment.quota.sockets);
-  new ReportLanes({ door: reports, others, crowded: () => doors.crowded(), scope, idleMs: timing.expiryMs * IDLE_LEASES }).start(server);
+  const inbound = new Doors(server, deployment.quota.sockets);
+  new ReportLanes({
+    door: reports,
+    others: httpServer,
+    crowded: () => inbound.crowded(),
+    scope,
+    idleMs: timing.expiryMs * IDLE_EXPIRIES,
+  }).start(server);
   server.on("error", (error) => {
     log.error({ front, err: error.message }, "cannot listen");
     process.exit(1);
@@ -110,7 +116,7 @@
   server.listen(Number(port), host);
   scope.onEnd(() => {
     server.close();
-    others.close();
+    httpServer.close();
   });
   process.on("uncaughtException", (error) => log.error({ err: String(error.stack ?? error) }, "unexpected fault"));
   process.on("unhandledRejection", (reason) => log.error({ err: String((reason as Error)?.stack ?? reason) }, "unexpected rejection"));
@@ -121,7 +127,7 @@
     () => timing.leaseMs * COSTS_LEASES,
     () => {
       const { user, system } = process.cpuUsage();
-      const spent = Object.fromEntries(costs.all().map(({ duty, turns, ms }) => [duty, [turns, Math.round(ms)]]));
+      const spent = Object.fromEntries(costs.all().map(({ activity, runs, ms }) => [activity, [runs, Math.round(ms)]]));
       log.info(
         {
           userMs: Math.round(user / 1000),
@@ -139,6 +145,6 @@
   peers.start();
   controller.start();
   log.info({ parts: settings.nodes.length, timing }, "started");
-  // While the first reads are on their way, and before any user is sent here.
+  // Loads the application while the first reads are in progress, before any user's request arrives.
   setImmediate(() => void app());
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,11 +1,11 @@
-import { exitFor, load } from "./settings/load.js";
+import { reportError, loadSettings } from "./settings/load.js";
 import { serve } from "./serve.js";
 
-/** One controller and nothing else: the bundle that is started with a code cache. */
+/** Entry point of the service's bundle, which is started with a code cache: runs one controller. */
 export function main(dir: string, config: string): void {
   try {
-    serve(load(dir, config));
+    serve(loadSettings(dir, config));
   } catch (error) {
-    exitFor(error);
+    reportError(error);
   }
 }
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -1,38 +1,40 @@
 import type { OperatorSettings } from "./operators.js";
 import { SettingsError, type PlatformSettings } from "./platform-file.js";
 
-/** Clocks of different machines drift apart by at most this (PROTOCOL). */
+/** Maximum relative drift between the clocks of two machines (PROTOCOL). */
 export const DRIFT = 0.0005;
 
-/** Report intervals that are kept between the end of a lease and the end of a cancellation's time. */
-const KEPT_REPORTS = 1.2;
+/** Margin, in report intervals, between the expiry of a lease and the deadline of a cancellation. */
+const MARGIN_REPORTS = 1.2;
 
-/** A leader needs the rest for users, commands, and a part that it takes over. */
+/** Machines per socket of the quota. The owner needs the other sockets for users, commands and a partition that it takes over. */
 const MACHINES_PER_SOCKET = 0.45;
 
-/** Figures the service works with, each a ratio to one of the settings. */
+/** Time limits in ms, each derived from one of the settings. */
 export interface Timing {
   leaseMs: number;
   reportMs: number;
-  /** Without proof of contact for this long, a node must not lead its part. */
+  /** Time without proof of contact with the state service after which a node must not act as owner of its partitions. */
   silentAfterMs: number;
-  /** After the last valid answer, a worker's tasks are gone by then. */
+  /** Time after the last valid answer by which a worker has ended all its tasks. */
   expiryMs: number;
-  /** A node whose presence was not renewed for this long counts as gone. */
+  /** Time without renewal after which a node's presence expires. */
   presenceMs: number;
-  /** A mirror older than this means that the state service is out of reach. */
+  /** Age of the replica cache above which the state service counts as unreachable. */
   contactMs: number;
+  /** Timeout of a call to the state service. */
   stateTimeoutMs: number;
+  /** Timeout of a call to a worker. */
   workerTimeoutMs: number;
-  /** A machine unheard of for this long gets no new work. */
+  /** Time without a report after which a machine gets no new tasks. */
   silentMs: number;
-  /** A process that does nothing for this long stood still. */
+  /** Time without any activity after which the process counts as stalled. */
   stallMs: number;
-  /** Between placement passes over few machines: events that come closer share one. */
+  /** Minimum time between scheduling cycles over few machines; events within it share one cycle. */
   passGapMs: number;
 }
 
-/** What the state service takes, now and later. */
+/** Limits of the state service that hold both now and after an announced change. */
 export interface StateLimits {
   rps: number;
   writeRps: number;
@@ -40,61 +42,64 @@
   txnOps: number;
 }
 
+/** Settings of one controller: what the platform and the operators set, and what is derived from it. */
 export interface Settings {
   platform: PlatformSettings;
   state: StateLimits;
   operators: OperatorSettings;
   timing: Timing;
-  /** More machines than this a part does not take: each holds a socket of its leader. */
-  mostMachines: number;
-  /** All controllers in one agreed order; parts have the same numbers. */
+  /** Maximum number of machines per partition; each holds a socket of the partition's owner. */
+  maxMachines: number;
+  /** All controllers in the order that all of them use; a partition's number is the index of its home controller. */
   nodes: string[];
   self: string;
-  /** What the settings leave less room for than usual; said at the start and by `check`. */
+  /** Warnings about settings that leave less margin than usual; logged at the start and printed by `check`. */
   cautions: string[];
 }
 
 /**
- * The limits change without notice, and what was written before has to be written again
- * after: so from the beginning nothing is larger or more frequent than both allow.
+ * Returns the stricter of the current and the announced limits. They change without notice, and records
+ * written before the change must be writable after it, so both limits are respected from the start.
  */
 function stateLimits({ next, ...now }: PlatformSettings["deployment"]["state"]): StateLimits {
-  const least = (key: keyof typeof now): number => Math.min(now[key], next[key] ?? Infinity);
-  return { rps: least("rps"), writeRps: least("write_rps"), valueKb: least("value_kb"), txnOps: least("txn_ops") };
+  const strictest = (key: keyof typeof now): number => Math.min(now[key], next[key] ?? Infinity);
+  return { rps: strictest("rps"), writeRps: strictest("write_rps"), valueKb: strictest("value_kb"), txnOps: strictest("txn_ops") };
 }
 
 /**
- * A cancellation told elsewhere at the moment of our last proof must have cleared by cancel_s: we fall silent,
- * then the lease that our last answer renewed runs out (docs/design/meetings.md). A report interval and a fifth
- * are kept for late timers and stalls; where cancel_s leaves no more than twice that, half of what it leaves: silence
- * comes sooner, and never later than the rule bears.
+ * Derives silentAfterMs from cancel_s. A cancellation recorded through another controller at the moment of this node's
+ * last proof of contact must have taken effect within cancel_s: this node becomes silent, then the lease that its last
+ * answer renewed expires (docs/design/meetings.md). A margin of 1.2 report intervals is kept for late timers and stalls.
+ * If cancel_s leaves no more than twice that, the margin is half of what it leaves: silence then begins earlier, never
+ * later than cancel_s permits. Throws SettingsError if cancel_s leaves nothing.
  */
-function silence(cancelS: number, leaseMs: number, reportMs: number): { silentAfterMs: number; cautions: string[] } {
-  const roomMs = cancelS * 1000 * (1 - DRIFT) - leaseMs * (1 + 2 * DRIFT);
-  if (roomMs <= 0)
+function deriveSilence(cancelS: number, leaseMs: number, reportMs: number): { silentAfterMs: number; cautions: string[] } {
+  const availableMs = cancelS * 1000 * (1 - DRIFT) - leaseMs * (1 + 2 * DRIFT);
+  if (availableMs <= 0)
     throw new SettingsError(
       `deployment.workers.cancel_s: ${cancelS}: expected more than lease_s (${leaseMs / 1000}): tasks of a cancelled job may run until a lease is over`,
     );
-  const usualMs = reportMs * KEPT_REPORTS;
-  const silentAfterMs = roomMs - Math.min(usualMs, roomMs / 2);
-  const tight = roomMs / 2 < usualMs;
-  const told = `cancel_s is little more than lease_s: without the state service a controller leads for ${(silentAfterMs / 1000).toFixed(1)} s`;
-  return { silentAfterMs, cautions: tight ? [told] : [] };
+  const usualMarginMs = reportMs * MARGIN_REPORTS;
+  const silentAfterMs = availableMs - Math.min(usualMarginMs, availableMs / 2);
+  const isTight = availableMs / 2 < usualMarginMs;
+  const caution = `cancel_s is little more than lease_s: without the state service a controller leads for ${(silentAfterMs / 1000).toFixed(1)} s`;
+  return { silentAfterMs, cautions: isTight ? [caution] : [] };
 }
 
+/** Derives the settings of a controller. Throws SettingsError if the settings contradict each other. */
 export function derive(platform: PlatformSettings, operators: OperatorSettings): Settings {
   const { workers } = platform.deployment;
   const leaseMs = workers.lease_s * 1000;
   const reportMs = workers.report_s * 1000;
   const expiryMs = leaseMs * (1 + 2 * DRIFT) + reportMs / 5;
-  const { silentAfterMs, cautions } = silence(workers.cancel_s, leaseMs, reportMs);
+  const { silentAfterMs, cautions } = deriveSilence(workers.cancel_s, leaseMs, reportMs);
   const nodes = [platform.host_name, ...platform.known.map((peer) => peer.host_name)].sort();
   return {
     platform,
     operators,
     state: stateLimits(platform.deployment.state),
     self: platform.host_name,
-    mostMachines: Math.max(1, Math.floor(platform.deployment.quota.sockets * MACHINES_PER_SOCKET)),
+    maxMachines: Math.max(1, Math.floor(platform.deployment.quota.sockets * MACHINES_PER_SOCKET)),
     nodes,
     cautions,
     timing: {
@@ -113,11 +118,11 @@
   };
 }
 
-/** The least time the objectives of a kind allow a class; infinite: none. */
+/** Returns the tightest objective of a kind for a class, in seconds; Infinity if there is none. */
 export function aimS(platform: PlatformSettings, kind: string, klass: string | undefined): number {
-  let least = Infinity;
-  for (const aim of platform.deployment.objectives) {
-    if (aim.kind === kind && aim.class === klass && aim.within_s !== undefined) least = Math.min(least, aim.within_s);
+  let minS = Infinity;
+  for (const objective of platform.deployment.objectives) {
+    if (objective.kind === kind && objective.class === klass && objective.within_s !== undefined) minS = Math.min(minS, objective.within_s);
   }
-  return least;
+  return minS;
 }
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -12,19 +12,22 @@
   }
 }
 
-/** The operators' HCL is turned into JSON when the service is built, into `dir`. */
-export function load(dir: string, config: string): Settings {
+/**
+ * Loads the operators' settings, which the build converts from HCL to JSON in `dir`, and the platform's from `config`.
+ * Throws SettingsError.
+ */
+export function loadSettings(dir: string, config: string): Settings {
   const operators = checkOperators("deploy/operators.hcl", JSON.parse(read(join(dir, "operators.json"))));
   return derive(parsePlatform(config, read(config)), operators);
 }
 
-/** Faults of commands, by name: their classes live in packages that are not loaded unless asked for. */
-const EXITS: Record<string, number> = { SettingsError: 3, SettingsFault: 3, CommandFailed: 4, FolderError: 4 };
+/** Exit codes by class name of the error; the classes are in packages that are loaded only on demand. */
+const EXIT_CODES: Record<string, number> = { SettingsError: 3, SettingsFault: 3, CommandFailed: 4, FolderError: 4 };
 
-/** Says in one line what to do about it, and sets the exit code as in the README. What nobody foresaw is thrown on. */
-export function exitFor(error: unknown): void {
-  const exit = EXITS[(error as Error).constructor.name];
-  if (exit === undefined) throw error;
+/** Prints an expected error in one line and sets the exit code described in the README. Rethrows any other error. */
+export function reportError(error: unknown): void {
+  const exitCode = EXIT_CODES[(error as Error).constructor.name];
+  if (exitCode === undefined) throw error;
   process.stderr.write(`thorntrail: ${(error as Error).message}\n`);
-  process.exitCode = exit;
+  process.exitCode = exitCode;
 }
--- a/src/settings/operators.ts
+++ b/src/settings/operators.ts
@@ -4,7 +4,7 @@
 const seconds = z.number().finite().min(0);
 const ratio = z.number().finite().positive();
 
-/** What operators may tune; see docs/operations.md for the meaning of each. */
+/** Settings that operators may tune; docs/operations.md describes each of them. */
 const schema = z.strictObject({
   exchange: z
     .strictObject({
@@ -34,14 +34,14 @@
 
 export type OperatorSettings = z.infer<typeof schema>;
 
-/** Takes the tree an HCL parser yields: blocks are lists with one entry. */
+/** Checks the tree that the HCL parser returns, in which a block is a list with one entry. Throws SettingsError. */
 export function checkOperators(file: string, tree: unknown): OperatorSettings {
-  const flat: Record<string, unknown> = {};
+  const blocks: Record<string, unknown> = {};
   for (const [name, value] of Object.entries((tree ?? {}) as Record<string, unknown>)) {
     if (Array.isArray(value) && value.length > 1) throw new SettingsError(`${file}: ${name}: given more than once`);
-    flat[name] = Array.isArray(value) ? value[0] : value;
+    blocks[name] = Array.isArray(value) ? value[0] : value;
   }
-  const result = schema.safeParse(flat);
+  const result = schema.safeParse(blocks);
   if (!result.success) throw new SettingsError(describeIssues(file, result.error));
   return result.data;
 }
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -7,7 +7,7 @@
 
 const txnOps = z.number().int().min(4);
 
-/** A team's guarantees and limits; 0: none. */
+/** A team's guarantees and limits; 0 means that there is none. */
 export const teamSchema = z.object({
   name: z.string().min(1),
   cpus: amount.default(0),
@@ -16,7 +16,7 @@
   gpus_max: amount.default(0),
 });
 
-/** The file the platform hands over. Fields it does not name are ignored. */
+/** The platform's settings file. Unknown fields are ignored. */
 const schema = z.object({
   host_name: z.string().min(1),
   area: z.string().default(""),
@@ -51,7 +51,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: txnOps,
-      /** What the limits will be from some later moment on. */
+      /** Limits that will apply from an unspecified later time on. */
       next: z.object({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: txnOps }).partial().default({}),
     }),
     cloud: z.object({ rps: positive, list_lag_s: amount }),
@@ -62,12 +62,15 @@
 export type PlatformSettings = z.infer<typeof schema>;
 export type TeamSettings = PlatformSettings["deployment"]["teams"][number];
 
+/** Invalid settings; the message names the file and the field. */
 export class SettingsError extends Error {}
 
+/** Formats validation issues in one line. */
 export function describeIssues(file: string, error: z.ZodError): string {
   return error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; ");
 }
 
+/** Parses and checks the platform's settings (TOML). Throws SettingsError. */
 export function parsePlatform(file: string, text: string): PlatformSettings {
   let raw: unknown;
   try {
@@ -78,6 +81,7 @@
   return checkPlatform(file, raw);
 }
 
+/** Checks the platform's settings. Throws SettingsError. */
 export function checkPlatform(file: string, raw: unknown): PlatformSettings {
   const result = schema.safeParse(raw);
   if (!result.success) throw new SettingsError(describeIssues(file, result.error));
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -3,17 +3,17 @@
 import type { Span } from "../parts/recovery.js";
 import { estimateWaits } from "../queue/estimate.js";
 
-/** The figures as the usual collectors read them. */
+/** The controller's metrics in the Prometheus text format. */
 export class Exposition {
   private readonly registry = new Registry();
-  private readonly waits: Histogram;
+  private readonly waitSeconds: Histogram;
   private readonly recoveries: { spans: readonly Span[]; registers: Registry[] };
   private spread: Gauge | null = null;
 
-  /** `answers`: how many were given, by status. */
+  /** `answers`: number of responses to users by status. */
   constructor(controller: Controller, answers: ReadonlyMap<number, number>) {
     const registers = [this.registry];
-    this.waits = new Histogram({
+    this.waitSeconds = new Histogram({
       name: "thorntrail_wait_seconds",
       help: "From submission to running, by class",
       labelNames: ["class"],
@@ -41,18 +41,18 @@
         },
       });
     };
-    const sum = (read: (part: Parameters<typeof estimateWaits>[0]) => number) => () =>
-      [...leader.parts.values()].reduce((n, part) => n + read(part), 0);
+    const sum = (read: (partition: Parameters<typeof estimateWaits>[0]) => number) => () =>
+      [...leader.parts.values()].reduce((n, partition) => n + read(partition), 0);
     gauge("parts", "Parts led by this node", () => leader.parts.size);
     gauge(
       "machines",
       "Machines of this node's parts",
-      sum((part) => part.machines.size),
+      sum((partition) => partition.machines.size),
     );
     gauge(
       "queued_tasks",
       "Tasks waiting in this node's parts",
-      sum((part) => [...part.units.values()].reduce((n, u) => n + u.waiting.length, 0)),
+      sum((partition) => [...partition.units.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0)),
     );
     gauge("invariant_violations_total", "Invariants that did not hold, each logged at error", () => leader.scope.invariants.violations);
     gauge("ownership_proof_age_ms", "Since the newest read that found this node's terms began", () =>
@@ -124,17 +124,18 @@
     gauge(
       "price_per_hour",
       "Of the machines of this node's parts",
-      sum((part) => [...part.machines.values()].reduce((n, m) => n + leader.priceOf(m), 0)),
+      sum((partition) => [...partition.machines.values()].reduce((n, machine) => n + leader.priceOf(machine), 0)),
     );
   }
 
-  /** Seconds from submission to running. */
+  /** Records the time in seconds from submission to running. */
   countWait(klass: string, seconds: number): void {
-    this.waits.observe({ class: klass }, seconds);
+    this.waitSeconds.observe({ class: klass }, seconds);
   }
 
+  /** Returns the metrics as text. */
   async text(): Promise<string> {
-    this.spread ??= await spreadOf(this.recoveries.spans, this.recoveries.registers);
+    this.spread ??= await registerSpread(this.recoveries.spans, this.recoveries.registers);
     return this.registry.metrics();
   }
 }
@@ -142,10 +143,10 @@
 const PERCENTILES = [50, 90, 99, 100];
 
 /**
- * How long recoveries took, over those still remembered, by step. The histogram library
- * is loaded when somebody asks for the first time: start-up is short of processor time.
+ * Registers percentiles of the durations of the remembered recoveries, by step. The histogram
+ * library is loaded on the first request, because processor time is scarce at start-up.
  */
-async function spreadOf(spans: readonly Span[], registers: Registry[]): Promise<Gauge> {
+async function registerSpread(spans: readonly Span[], registers: Registry[]): Promise<Gauge> {
   const { build } = await import("hdr-histogram-js");
   return new Gauge({
     name: "thorntrail_recovery_spread_ms",
--- a/src/status/metrics.ts
+++ b/src/status/metrics.ts
@@ -2,12 +2,12 @@
 import type { Exposition } from "./exposition.js";
 
 const MAX_CLASSES = 50;
-/** Waits kept until somebody reads them: as many are handed over at once. */
-const MAX_PENDING = 1000;
+/** Maximum number of waits that are buffered before they are passed to the histogram. */
+const MAX_PENDING_WAITS = 1000;
 
 /**
- * Counts what the operators' collector asks for. The library that writes it out is loaded when somebody
- * asks, or much has been counted: start-up is short of processor time.
+ * Collects metrics. The library that formats them is loaded on the first request, or when the buffer of
+ * waits is full, because processor time is scarce at start-up.
  */
 export class Metrics {
   private readonly answers = new Map<number, number>();
@@ -17,19 +17,21 @@
 
   constructor(private readonly controller: Controller) {}
 
+  /** Counts a response to a user. */
   countAnswer(status: number): void {
     this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
   }
 
+  /** Records the time in seconds from submission to running. */
   countWait(klass: string, seconds: number): void {
-    // Class names come from users: a bounded set of labels, the rest together.
-    const known = this.classes.has(klass) || this.classes.size < MAX_CLASSES;
-    if (known) this.classes.add(klass);
-    this.pending.push([known ? klass : "(other)", seconds]);
-    if (this.pending.length >= MAX_PENDING) void this.handOver();
+    // Class names come from users: the number of labels is bounded, and further classes share one.
+    const hasOwnLabel = this.classes.has(klass) || this.classes.size < MAX_CLASSES;
+    if (hasOwnLabel) this.classes.add(klass);
+    this.pending.push([hasOwnLabel ? klass : "(other)", seconds]);
+    if (this.pending.length >= MAX_PENDING_WAITS) void this.flush();
   }
 
-  private async handOver(): Promise<Exposition> {
+  private async flush(): Promise<Exposition> {
     const { controller, answers } = this;
     this.exposition ??= import("./exposition.js").then(({ Exposition }) => new Exposition(controller, answers));
     const waits = this.pending;
@@ -39,7 +41,8 @@
     return exposition;
   }
 
+  /** Returns the metrics as text. */
   async text(): Promise<string> {
-    return (await this.handOver()).text();
+    return (await this.flush()).text();
   }
 }
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -4,10 +4,10 @@
 import fc from "fast-check";
 import { NoReply } from "@thorntrail/protocol/errors";
 import { HttpClient } from "../src/platform/http.js";
-import { AnswerReader } from "../src/platform/http-reading.js";
+import { ResponseParser } from "../src/platform/http-response-parser.js";
 
-// The client on `net` must read any server's answer however it is cut, and must never take
-// one call's answer, or its silence, for another's.
+// The client on `net` must parse any response regardless of how it is split into chunks, and must
+// never attribute a response or a timeout to a different call.
 
 const chunked = (...parts: string[]): string =>
   parts.map((part) => `${Buffer.byteLength(part).toString(16)}\r\n${part}\r\n`).join("") + "0\r\n\r\n";
@@ -19,24 +19,24 @@
   ["HTTP/1.1 409 No\r\ncontent-length: 0\r\n\r\n", 409, ""],
 ];
 
-test("an answer is read alike however the network cuts it", () => {
+test("a response is parsed the same regardless of how the network splits it", () => {
   fc.assert(
     fc.property(fc.constantFrom(...ANSWERS), fc.array(fc.nat(120), { maxLength: 6 }), ([text, status, body], cuts) => {
       const bytes = Buffer.from(text);
       const at = [0, ...cuts.map((cut) => Math.min(cut, bytes.length)).sort((a, b) => a - b), bytes.length];
-      const reader = new AnswerReader(1000);
+      const reader = new ResponseParser(1000);
       for (let i = 1; i < at.length; i++) {
         assert.ok(!reader.done || at[i] === at[i - 1] || at[i - 1] === bytes.length, "done before its end");
         if (at[i]! > at[i - 1]!) reader.push(bytes.subarray(at[i - 1], at[i]));
       }
       assert.ok(reader.done);
-      assert.deepEqual([reader.status, reader.body, reader.closes], [status, body, false]);
+      assert.deepEqual([reader.status, reader.body, reader.closesConnection], [status, body, false]);
     }),
     { seed: 1, numRuns: 2000 },
   );
 });
 
-test("what is no answer, or too long, is refused and not waited for", () => {
+test("invalid and too long responses are rejected immediately", () => {
   for (const bad of [
     "HTTP/2 200\r\n\r\n",
     "SSH-2.0\r\n\r\n",
@@ -48,7 +48,7 @@
     `HTTP/1.1 200 OK\r\nX: ${"y".repeat(40_000)}`,
     `HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n${"z".repeat(1500)}`,
   ])
-    assert.throws(() => new AnswerReader(1000).push(Buffer.from(bad)), Error, bad.slice(0, 60));
+    assert.throws(() => new ResponseParser(1000).push(Buffer.from(bad)), Error, bad.slice(0, 60));
 });
 
 async function serving(
@@ -64,7 +64,7 @@
     socket.on("end", () => socket.end());
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-  // A test that fails must not keep the run from ending.
+  // An open server must not keep the process alive if the test fails.
   server.unref();
   return { addr: `127.0.0.1:${(server.address() as AddressInfo).port}`, server, connections: () => connections };
 }
@@ -76,7 +76,7 @@
     (error: unknown) => (error instanceof NoReply ? error.kind : String(error)),
   );
 
-test("a connection serves call after call; no more are open to a host than allowed, the rest wait their turn", async () => {
+test("connections are reused; no more than the maximum are open per host, and further calls wait", async () => {
   let busy = 0;
   let most = 0;
   const { addr, server, connections } = await serving((socket, request) => {
@@ -97,7 +97,7 @@
   server.close();
 });
 
-test("a late answer is never taken for the next call's; what was written and not answered may have acted", async () => {
+test("a late response is never taken for the next call's; a request that was written and not answered counts as unanswered", async () => {
   const { addr, server, connections } = await serving((socket, _request, n) => {
     if (n === 1) setTimeout(() => socket.write(ok('{"late":true}')), 60);
     else if (n === 2) socket.write(ok('{"n":2}') + ok('{"too":"much"}'));
@@ -110,13 +110,13 @@
   assert.equal(await kindOf(ask()), "unanswered");
   assert.deepEqual((await ask()).body, { n: 2 });
   assert.equal(await kindOf(ask()), "unanswered", "cut short");
-  assert.deepEqual((await ask()).body, {}, "ends with its connection");
+  assert.deepEqual((await ask()).body, {}, "response ends with its connection");
   assert.equal(await kindOf(ask()), "unanswered", "not JSON");
-  assert.equal(connections(), 5, "each of these ends its connection");
+  assert.equal(connections(), 5, "each of these closes its connection");
   server.close();
 });
 
-test("what never left is refused: nobody listens, no turn in time, or not an address", async () => {
+test("a request that was never sent is refused: no listener, no free connection in time, or an invalid address", async () => {
   const { addr, server } = await serving(() => undefined);
   const client = new HttpClient(1);
   assert.equal(await kindOf(client.call("127.0.0.1:1", "GET", "/", undefined, 500)), "refused");
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -6,18 +6,18 @@
 import { hearing } from "../src/parts/fitness.js";
 import { newPart } from "../src/parts/part.js";
 import { HttpClient } from "../src/platform/http.js";
-import { WatchfulClock } from "../src/platform/stall.js";
+import { StallDetectingClock } from "../src/platform/stall.js";
 import { newMachine } from "../src/workers/machine.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { spawnController } from "../src/rehearsal/spawn.js";
 
-test("whoever asks the time first after a stall makes it known before going on", async () => {
+test("the first call of the clock after a stall notifies subscribers before it returns", async () => {
   const world = new VirtualClock();
-  const clock = new WatchfulClock(world, 1000);
+  const clock = new StallDetectingClock(world, 1000);
   const stalls: number[] = [];
   clock.stood$.subscribe((ms) => {
-    // A listener may ask the time itself.
+    // A subscriber may call the clock itself.
     clock.now();
     stalls.push(ms);
   });
@@ -25,14 +25,14 @@
   clock.now();
   await world.run(1800);
   assert.equal(clock.now(), 1800);
-  assert.deepEqual(stalls, [], "asked often enough");
+  assert.deepEqual(stalls, [], "no gap exceeds the limit");
   await world.run(9000);
   clock.now();
   clock.now();
   assert.deepEqual(stalls, [7200]);
 });
 
-test("a node judges what it hears of its machines by those that should report", () => {
+test("a node classifies the share of its machines that report, counting only those that should", () => {
   const part = newPart(0, 5, 0);
   const now = 100_000;
   const ages = [1000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000];
@@ -43,7 +43,7 @@
   });
   assert.equal(hearing([part], now, 5000), "few");
   part.since = now - 1000;
-  assert.equal(hearing([part], now, 5000), "unsure", "a part just taken says nothing yet");
+  assert.equal(hearing([part], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
   part.since = 0;
   for (const machine of part.machines.values()) if (machine.host > "i-6") machine.heardAt = machine.reportedAt = now;
   assert.equal(hearing([part], now, 5000), "unsure");
@@ -53,7 +53,7 @@
   assert.equal(hearing([part], now, 5000), "unsure");
 });
 
-test("a request that is connected only after its time is over is not sent", async () => {
+test("a request whose connection is established after its deadline is not sent", async () => {
   let served = 0;
   const server = createServer((_req, res) => {
     served++;
@@ -63,7 +63,7 @@
   const addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const client = new HttpClient(1);
   assert.equal((await client.call(addr, "GET", "/", undefined, 1000)).status, 200);
-  // On a kept connection, and on a new one, with no time left at all.
+  // With no time left, on an idle connection and on a new one.
   for (const one of [client, new HttpClient(1)]) {
     const late = one.call(addr, "POST", "/", {}, 0);
     await assert.rejects(late, (error: unknown) => error instanceof NoReply);
@@ -73,14 +73,14 @@
   server.closeAllConnections();
 });
 
-test("a leader that wakes is silent until it has read what happened meanwhile", async () => {
+test("an owner that wakes from a long stall is silent until it has read the current state", async () => {
   const world = new World(plainPlan(), spawnController);
   for (const name of world.nodes.keys()) world.startNode(name);
   await world.clock.run(5000);
   const { leader } = world.nodes.get("nest-0")!.controller!;
   assert.equal(leader.silent(), false);
   leader.stoodStill(1500);
-  assert.equal(leader.silent(), false, "its presence cannot have run out");
+  assert.equal(leader.silent(), false, "its presence cannot have expired");
   leader.stoodStill(10_000);
   assert.equal(leader.silent(), true);
   await world.clock.run(5500);
