--- a/test/doors.test.ts
+++ b/test/doors.test.ts
@@ -11,17 +11,17 @@
   return (server.address() as AddressInfo).port;
 }
 
-function shut(server: Server): void {
+function closeServer(server: Server): void {
   server.close();
   server.closeAllConnections();
 }
 
-test("more clients than sockets are all served, since a crowded place closes connections after the answer", async () => {
+test("more clients than sockets are all served, because connections are closed after the answer above the threshold", async () => {
   const server = createServer((_req, res) => {
-    if (doors.crowded()) res.shouldKeepAlive = false;
+    if (connections.crowded()) res.shouldKeepAlive = false;
     res.end("ok");
   });
-  const doors = new Doors(server, 20);
+  const connections = new Doors(server, 20);
   const port = await listen(server);
   const ask = (agent: Agent): Promise<string | undefined> =>
     new Promise((resolve, reject) => {
@@ -31,25 +31,25 @@
       }).on("error", reject);
     });
   const agents = Array.from({ length: 40 }, () => new Agent({ keepAlive: true }));
-  const said: (string | undefined)[] = [];
-  for (let round = 0; round < 2; round++) for (const agent of agents) said.push(await ask(agent));
-  assert.ok(said.slice(0, 10).every((header) => header !== "close"));
-  assert.ok(said.filter((header) => header === "close").length >= 50);
-  assert.ok(doors.count <= 17, String(doors.count));
+  const connectionHeaders: (string | undefined)[] = [];
+  for (let round = 0; round < 2; round++) for (const agent of agents) connectionHeaders.push(await ask(agent));
+  assert.ok(connectionHeaders.slice(0, 10).every((header) => header !== "close"));
+  assert.ok(connectionHeaders.filter((header) => header === "close").length >= 50);
+  assert.ok(connections.count <= 17, String(connections.count));
   for (const agent of agents) agent.destroy();
-  shut(server);
+  closeServer(server);
 });
 
-test("commands go to so many workers at a time; what waits too long for its turn is not sent", async () => {
-  let now = 0;
-  let most = 0;
+test("concurrent commands to workers are limited; a command that waits too long is not sent", async () => {
+  let active = 0;
+  let maxActive = 0;
   let served = 0;
   const report = JSON.stringify({ host: "i-1", shift: 1, tick: 1 });
   const answer = (_req: unknown, res: ServerResponse): void => {
     served++;
-    most = Math.max(most, ++now);
+    maxActive = Math.max(maxActive, ++active);
     setTimeout(() => {
-      now--;
+      active--;
       res.end(report);
     }, 30);
   };
@@ -58,12 +58,12 @@
   const workers = new HttpWorkers(2000, 2, "n");
   const replies = await Promise.all(ports.map((port) => workers.command(`127.0.0.1:${port}`, 1, 1, [])));
   assert.ok(replies.every((reply) => reply.executed));
-  assert.equal(most, 2);
+  assert.equal(maxActive, 2);
   const before = served;
-  const hurried = new HttpWorkers(45, 1, "n");
-  const settled = await Promise.allSettled(ports.map((port) => hurried.command(`127.0.0.1:${port}`, 1, 1, [])));
+  const impatient = new HttpWorkers(45, 1, "n");
+  const settled = await Promise.allSettled(ports.map((port) => impatient.command(`127.0.0.1:${port}`, 1, 1, [])));
   const refused = settled.filter((one) => one.status === "rejected" && one.reason instanceof NoReply && one.reason.kind === "refused");
   assert.ok(refused.length >= 2, String(refused.length));
   assert.ok(served - before < ports.length);
-  servers.forEach(shut);
+  servers.forEach(closeServer);
 });
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -9,9 +9,9 @@
 // The client on `net` must parse any response regardless of how it is split into chunks, and must
 // never attribute a response or a timeout to a different call.
 
-const chunked = (...parts: string[]): string =>
-  parts.map((part) => `${Buffer.byteLength(part).toString(16)}\r\n${part}\r\n`).join("") + "0\r\n\r\n";
-const ANSWERS: [string, number, string][] = [
+const chunked = (...chunks: string[]): string =>
+  chunks.map((chunk) => `${Buffer.byteLength(chunk).toString(16)}\r\n${chunk}\r\n`).join("") + "0\r\n\r\n";
+const RESPONSES: [string, number, string][] = [
   ['HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"é":1}', 200, '{"é":1}'],
   [`HTTP/1.1 503 Busy\r\ntransfer-encoding: chunked\r\n\r\n${chunked('{"a"', ":2}")}`, 503, '{"a":2}'],
   [`HTTP/1.1 200\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\n{} \r\n0\r\nTrailer: 1\r\n\r\n`, 200, "{} "],
@@ -21,7 +21,7 @@
 
 test("a response is parsed the same regardless of how the network splits it", () => {
   fc.assert(
-    fc.property(fc.constantFrom(...ANSWERS), fc.array(fc.nat(120), { maxLength: 6 }), ([text, status, body], cuts) => {
+    fc.property(fc.constantFrom(...RESPONSES), fc.array(fc.nat(120), { maxLength: 6 }), ([text, status, body], cuts) => {
       const bytes = Buffer.from(text);
       const at = [0, ...cuts.map((cut) => Math.min(cut, bytes.length)).sort((a, b) => a - b), bytes.length];
       const reader = new ResponseParser(1000);
@@ -37,7 +37,7 @@
 });
 
 test("invalid and too long responses are rejected immediately", () => {
-  for (const bad of [
+  for (const invalid of [
     "HTTP/2 200\r\n\r\n",
     "SSH-2.0\r\n\r\n",
     "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
@@ -48,10 +48,10 @@
     `HTTP/1.1 200 OK\r\nX: ${"y".repeat(40_000)}`,
     `HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n${"z".repeat(1500)}`,
   ])
-    assert.throws(() => new ResponseParser(1000).push(Buffer.from(bad)), Error, bad.slice(0, 60));
+    assert.throws(() => new ResponseParser(1000).push(Buffer.from(invalid)), Error, invalid.slice(0, 60));
 });
 
-async function serving(
+async function startServer(
   onRequest: (socket: Socket, request: string, n: number) => void,
 ): Promise<{ addr: string; server: Server; connections: () => number }> {
   let connections = 0;
@@ -78,9 +78,9 @@
 
 test("connections are reused; no more than the maximum are open per host, and further calls wait", async () => {
   let busy = 0;
-  let most = 0;
-  const { addr, server, connections } = await serving((socket, request) => {
-    most = Math.max(most, ++busy);
+  let maxBusy = 0;
+  const { addr, server, connections } = await startServer((socket, request) => {
+    maxBusy = Math.max(maxBusy, ++busy);
     setTimeout(() => {
       busy--;
       socket.write(ok(`{"path":"${/^GET (\S+) /.exec(request)![1]}"}`));
@@ -93,12 +93,12 @@
     replies.map(({ body }) => body["path"]),
     paths,
   );
-  assert.deepEqual([most, connections()], [2, 2]);
+  assert.deepEqual([maxBusy, connections()], [2, 2]);
   server.close();
 });
 
 test("a late response is never taken for the next call's; a request that was written and not answered counts as unanswered", async () => {
-  const { addr, server, connections } = await serving((socket, _request, n) => {
+  const { addr, server, connections } = await startServer((socket, _request, n) => {
     if (n === 1) setTimeout(() => socket.write(ok('{"late":true}')), 60);
     else if (n === 2) socket.write(ok('{"n":2}') + ok('{"too":"much"}'));
     else if (n === 3) socket.write('HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{"cut', () => socket.destroy());
@@ -106,24 +106,24 @@
     else socket.end("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\n[}");
   });
   const client = new HttpClient(1);
-  const ask = (): Promise<{ body: Record<string, unknown> }> => client.call(addr, "POST", "/x", {}, 40);
-  assert.equal(await kindOf(ask()), "unanswered");
-  assert.deepEqual((await ask()).body, { n: 2 });
-  assert.equal(await kindOf(ask()), "unanswered", "cut short");
-  assert.deepEqual((await ask()).body, {}, "response ends with its connection");
-  assert.equal(await kindOf(ask()), "unanswered", "not JSON");
+  const send = (): Promise<{ body: Record<string, unknown> }> => client.call(addr, "POST", "/x", {}, 40);
+  assert.equal(await kindOf(send()), "unanswered");
+  assert.deepEqual((await send()).body, { n: 2 });
+  assert.equal(await kindOf(send()), "unanswered", "cut short");
+  assert.deepEqual((await send()).body, {}, "response ends with its connection");
+  assert.equal(await kindOf(send()), "unanswered", "not JSON");
   assert.equal(connections(), 5, "each of these closes its connection");
   server.close();
 });
 
 test("a request that was never sent is refused: no listener, no free connection in time, or an invalid address", async () => {
-  const { addr, server } = await serving(() => undefined);
+  const { addr, server } = await startServer(() => undefined);
   const client = new HttpClient(1);
   assert.equal(await kindOf(client.call("127.0.0.1:1", "GET", "/", undefined, 500)), "refused");
-  const both = [60, 30].map((ms) => kindOf(client.call(addr, "GET", "/", undefined, ms)));
-  assert.deepEqual(await Promise.all(both), ["unanswered", "refused"]);
-  for (const odd of ["", "nowhere", "h:99999", "h:1\r\nx: y", "a b:1"])
-    assert.equal(await kindOf(client.call(odd, "GET", "/", undefined, 500)), "refused", odd);
+  const outcomes = [60, 30].map((ms) => kindOf(client.call(addr, "GET", "/", undefined, ms)));
+  assert.deepEqual(await Promise.all(outcomes), ["unanswered", "refused"]);
+  for (const invalid of ["", "nowhere", "h:99999", "h:1\r\nx: y", "a b:1"])
+    assert.equal(await kindOf(client.call(invalid, "GET", "/", undefined, 500)), "refused", invalid);
   assert.equal(await kindOf(client.call(addr, "GET", "/a b", undefined, 500)), "refused");
   server.close();
 });
--- a/test/intake.test.ts
+++ b/test/intake.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { decodeJob } from "@thorntrail/protocol/jobs";
 
-const good = {
+const valid = {
   ref: "run-000412",
   lane: "train",
   desk: "vision",
@@ -25,27 +25,27 @@
   closeS: 900,
 };
 
-test("a good submission is taken, with null and omitted alike", () => {
-  assert.ok("spec" in decodeJob(good));
-  const { yard: _yard, closeS: _closeS, builds: _builds, ...rest } = good;
+test("a valid submission is accepted; null and an omitted field are equivalent", () => {
+  assert.ok("spec" in decodeJob(valid));
+  const { yard: _yard, closeS: _closeS, builds: _builds, ...rest } = valid;
   assert.ok("spec" in decodeJob({ ...rest, novel: { any: 1 } }));
 });
 
-test("each missing or invalid field is a fault that names it", () => {
+test("a missing or invalid field is rejected with an error that names it", () => {
   const optional = new Set(["yard", "closeS", "builds"]);
-  for (const field of Object.keys(good)) {
+  for (const field of Object.keys(valid)) {
     if (!optional.has(field)) {
-      const { [field as "ref"]: _gone, ...rest } = good;
+      const { [field as "ref"]: _gone, ...rest } = valid;
       const answer = decodeJob(rest);
       assert.ok("fault" in answer && answer.fault.startsWith(field), field);
     }
     for (const value of [
       {},
       [1],
-      true === (good as Record<string, unknown>)[field] ? "yes" : Symbol.iterator.toString() + "\u0000".repeat(300),
+      true === (valid as Record<string, unknown>)[field] ? "yes" : Symbol.iterator.toString() + "\u0000".repeat(300),
     ]) {
       if (field === "ref" || field !== "bundle")
-        assert.ok("fault" in decodeJob({ ...good, [field]: value }), `${field} = ${String(value)}`);
+        assert.ok("fault" in decodeJob({ ...valid, [field]: value }), `${field} = ${String(value)}`);
     }
   }
   for (const [field, value] of [
@@ -60,7 +60,7 @@
     ["shape", "array"],
     ["urgency", "high"],
   ] as const) {
-    assert.ok("fault" in decodeJob({ ...good, [field]: value }), `${field} = ${value}`);
+    assert.ok("fault" in decodeJob({ ...valid, [field]: value }), `${field} = ${value}`);
   }
   for (const raw of [null, [], "text", 7]) assert.ok("fault" in decodeJob(raw));
 });
--- a/test/launch.test.ts
+++ b/test/launch.test.ts
@@ -11,8 +11,8 @@
 const node = (args: string[]) => spawnSync(process.execPath, args, { encoding: "utf8" });
 const name = /service-[0-9a-f]{16}\.cjs/.exec(readFileSync("target/main.js", "utf8"))![0];
 
-/** Whether V8 takes the cache over in a process with these flags. */
-function taken(withFlags: string[]): boolean {
+/** Whether V8 accepts the code cache in a process with these flags. */
+function cacheAccepted(withFlags: string[]): boolean {
   const code = `
     const { Script } = require("node:vm"), { readFileSync } = require("node:fs");
     const source = "(function(exports,require,module,__filename,__dirname){" + readFileSync("target/${name}", "latin1") + "\\n})";
@@ -21,24 +21,24 @@
   return node([...withFlags, "-e", code]).stdout === "false";
 }
 
-// A cache that V8 refuses makes every start dearer than none at all, and nothing else would show it.
-test("the code cache of the build is taken by a process with the flags of run, and by no other", () => {
+// A cache that V8 rejects makes each start slower than without a cache, and no other test would detect it.
+test("the build's code cache is accepted by a process with the flags of `run`, and rejected with other flags", () => {
   assert.ok(readdirSync("target").includes(`${name}.cache`), "the build made no cache");
-  assert.ok(taken(flags));
-  assert.ok(!taken([...flags, "--no-lazy"]));
+  assert.ok(cacheAccepted(flags));
+  assert.ok(!cacheAccepted([...flags, "--no-lazy"]));
 });
 
-test("serve says what is wrong in one line, with a cache, without one, and with a broken one", () => {
+test("serve reports a settings error in one line with a code cache, without one, and with an invalid one", () => {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-launch-"));
   for (const file of ["main.js", "package.json", "operators.json", name]) cpSync(`target/${file}`, join(dir, file));
   const serve = () => node([...flags, join(dir, "main.js"), "serve", "--config", join(dir, "none.toml")]);
-  const seen = [
+  const caches = [
     undefined,
     readFileSync(`target/${name}.cache`),
     Buffer.from("not a cache"),
     readFileSync(`target/${name}.cache`).subarray(0, 5000),
   ];
-  for (const cache of seen) {
+  for (const cache of caches) {
     if (cache !== undefined) writeFileSync(join(dir, `${name}.cache`), cache);
     const { status, stderr } = serve();
     assert.equal(status, 3, stderr);
@@ -47,7 +47,7 @@
   rmSync(dir, { recursive: true });
 });
 
-test("a wrong command line is told, not taken for a start", () => {
+test("an invalid command line is reported and does not start the service", () => {
   for (const args of [["serve"], ["serve", "--config"], ["serve", "--config", "a", "b"], ["serve", "--confg", "a"]]) {
     const { status, stderr } = node(["target/main.js", ...args]);
     assert.equal(status, 2, `${args.join(" ")}: ${stderr}`);
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -22,23 +22,23 @@
 
 const base = await loadPlan("deploy/rehearsal.hcl");
 
-type Raw = Record<string, unknown>;
+type FaultFields = Record<string, unknown>;
 const seconds = (min: number, max: number): fc.Arbitrary<number> => fc.double({ min, max, noNaN: true });
-const raw = (fields: Record<string, fc.Arbitrary<unknown> | string>): fc.Arbitrary<Raw> =>
+const faultFields = (fields: Record<string, fc.Arbitrary<unknown> | string>): fc.Arbitrary<FaultFields> =>
   fc.record(Object.fromEntries(Object.entries(fields).map(([k, v]) => [k, typeof v === "string" ? fc.constant(v) : v])));
 
-/** Controllers that end and are back at once, late copies of what they sent, and machines that go with them. */
-const drawn = fc.array(
+/** Randomised faults: controllers that end and restart at once, late copies of their messages, and machines lost meanwhile. */
+const randomFaults = fc.array(
   fc.tuple(
     seconds(4, 70),
     fc.oneof(
       {
         weight: 6,
-        arbitrary: raw({ kind: "restart", target: fc.constantFrom("leader", "all", "nest-0", "nest-1"), for: seconds(0.05, 1.2) }),
+        arbitrary: faultFields({ kind: "restart", target: fc.constantFrom("leader", "all", "nest-0", "nest-1"), for: seconds(0.05, 1.2) }),
       },
       {
         weight: 2,
-        arbitrary: raw({
+        arbitrary: faultFields({
           kind: "late",
           target: "all",
           by: "state",
@@ -47,18 +47,24 @@
           ms: fc.integer({ min: 100, max: 20_000 }),
         }),
       },
-      raw({ kind: "late", target: "all", by: "cloud", what: fc.constantFrom("hire", "remove"), ms: fc.integer({ min: 500, max: 20_000 }) }),
-      raw({ kind: "cut", from: fc.constantFrom("state", "workers"), for: seconds(1, 25) }),
-      raw({ kind: "cut-machine", for: seconds(1, 25) }),
-      raw({ kind: "delay", target: "all", to: "workers", ms: fc.integer({ min: 500, max: 9000 }), for: seconds(1, 4) }),
-      raw({ kind: "lose" }),
-      raw({ kind: "outage", of: "state", for: seconds(1, 10) }),
+      faultFields({
+        kind: "late",
+        target: "all",
+        by: "cloud",
+        what: fc.constantFrom("hire", "remove"),
+        ms: fc.integer({ min: 500, max: 20_000 }),
+      }),
+      faultFields({ kind: "cut", from: fc.constantFrom("state", "workers"), for: seconds(1, 25) }),
+      faultFields({ kind: "cut-machine", for: seconds(1, 25) }),
+      faultFields({ kind: "delay", target: "all", to: "workers", ms: fc.integer({ min: 500, max: 9000 }), for: seconds(1, 4) }),
+      faultFields({ kind: "lose" }),
+      faultFields({ kind: "outage", of: "state", for: seconds(1, 10) }),
     ),
   ),
   { minLength: 3, maxLength: 12 },
 );
 
-function planWith(faults: [number, Raw][]): RehearsalPlan {
+function planWith(faults: [number, FaultFields][]): RehearsalPlan {
   const fault = faults.map(([at, one]) => {
     const decoded = decodeFault(one);
     if ("wrong" in decoded) throw new Error(decoded.wrong);
@@ -67,9 +73,9 @@
   return { ...base, fault };
 }
 
-test("whenever controllers end and are back at once, no rule breaks and every job comes to its end", async () => {
+test("with controllers that end and restart at once at any time, no rule is broken and every job finishes", async () => {
   await fc.assert(
-    fc.asyncProperty(drawn, fc.nat(1000), async (faults, seed) => {
+    fc.asyncProperty(randomFaults, fc.nat(1000), async (faults, seed) => {
       const report = await playVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf });
       assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
     }),
@@ -77,10 +83,10 @@
   );
 });
 
-test("orders come only from a life that claimed the part itself", async () => {
+test("orders are sent only by the incarnation that claimed the partition", async () => {
   let answers = 0;
-  const spawn: typeof spawnController = (asked) => {
-    const controller = spawnController(asked);
+  const spawn: typeof spawnController = (request) => {
+    const controller = spawnController(request);
     const { onReport } = controller;
     controller.onReport = (report) => {
       const answer = onReport(report);
@@ -88,32 +94,32 @@
       answers++;
       const claims = controller.settings.nodes.map((_, part) => controller.mirror.get<OwnerRecord>(keys.owner(part)));
       const claim = claims.find((entry) => entry?.stamp === answer.token);
-      assert.deepEqual([claim?.v.life, claim?.v.owner], [asked.life, asked.platform["host_name"]]);
+      assert.deepEqual([claim?.v.life, claim?.v.owner], [request.life, request.platform["host_name"]]);
       return answer;
     };
     return controller;
   };
-  const faults = [12, 14, 20, 21, 22, 30].map((at): [number, Raw] => [at, { kind: "restart", target: "all", for: 0.1 }]);
+  const faults = [12, 14, 20, 21, 22, 30].map((at): [number, FaultFields] => [at, { kind: "restart", target: "all", for: 0.1 }]);
   const report = await playVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf });
   assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
   assert.ok(answers > 100);
 });
 
-test("reports of a worker that was away for a moment, doubled and late, tell what the newest of them tells", () => {
+test("duplicate and late reports of a worker that was briefly down have the effect of the newest one", () => {
   const states = ["fetching", "running", "exited"] as const;
   const report = fc.record({ session: fc.integer({ min: 1, max: 2 }), seq: fc.integer({ min: 1, max: 12 }) });
   fc.assert(
     fc.property(fc.array(report, { minLength: 1, maxLength: 40 }), (reports) => {
       const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
-      const unit = queueUp(part, specOf({ ref: "run-000001", tasks: 1 }));
+      const taskSet = queueUp(part, specOf({ ref: "run-000001", tasks: 1 }));
       runPass(part, pass);
       const machine = [...part.machines.values()][0]!;
-      const [placement] = [...unit.placed.values()];
+      const [placement] = [...taskSet.placed.values()];
       placement!.direct = "answered";
       let newest = { session: machine.session, seq: machine.seq };
       let finished = 0;
       for (const one of reports) {
-        // In its first session the task goes on with the numbers; the next session knows nothing of it.
+        // In the worker's first session the task progresses with the sequence number; its second session does not have the task.
         const state = states[Math.min(2, Math.floor(one.seq / 4))]!;
         const cause = state === "exited" ? "done" : null;
         const task: ReportedTask = { piece: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
@@ -126,7 +132,7 @@
           viaReport: true,
           leaseMs: 18_000,
           coolMs: 2500,
-          placeholderFor: () => unit,
+          placeholderFor: () => taskSet,
         };
         assert.equal(takeReport(part, machine, seen, context, findings), newer);
         finished += findings.finished.size;
@@ -135,19 +141,19 @@
         if (!newer) assert.equal(findings.changed || findings.ended.length > 0, false);
         const here = machine.placements.size > 0;
         if (newer && one.session === 2) assert.equal(here, false);
-        if (newer && state === "exited" && one.session === 1) assert.ok(unit.done.has(0) && !here);
-        assert.equal(unit.waiting.length + unit.placed.size + unit.done.count, 1, "in one place, and in no two");
+        if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !here);
+        assert.equal(taskSet.waiting.length + taskSet.placed.size + taskSet.done.count, 1, "the task is in exactly one state");
       }
     }),
     { seed: 5, numRuns: 300 },
   );
 });
 
-test("a new life that went on under its former term would be found", async () => {
-  // What is guarded against: a life that takes the record of the one before it for its own.
-  const spawn: typeof spawnController = (asked) => spawnController({ ...asked, life: String(asked.platform["host_name"]) });
+test("a new incarnation that continued under its predecessor's term would be detected", async () => {
+  // Guards against an incarnation that takes its predecessor's record for its own.
+  const spawn: typeof spawnController = (request) => spawnController({ ...request, life: String(request.platform["host_name"]) });
   const plan = planWith(
-    [12, 16, 20, 24, 28, 32].flatMap((at): [number, Raw][] => [
+    [12, 16, 20, 24, 28, 32].flatMap((at): [number, FaultFields][] => [
       [at, { kind: "delay", target: "all", to: "workers", ms: 6000, for: 2 }],
       [at + 2, { kind: "restart", target: "all", for: 0.1 }],
     ]),
@@ -157,12 +163,12 @@
     const report = await playVirtual({ plan, seed, spawn, momentOf });
     if (report.broken.length + report.jobs.unfinished.length > 0) found++;
   }
-  assert.ok(found > 0, "six rehearsals under former terms, and none broke a rule or left work");
+  assert.ok(found > 0, "six rehearsals under former terms, none of which broke a rule or left a job unfinished");
 });
 
-test("lives that end young are counted in a row; one that grew older starts the count anew", () => {
+test("consecutive incarnations that end early are counted; one that lives longer resets the count", () => {
   assert.equal(endsBefore(undefined), 0);
-  assert.equal(endsBefore({ life: "a" }), 0, "of an old life, or of a version that does not count");
+  assert.equal(endsBefore({ life: "a" }), 0, "record of a long-lived incarnation, or of a version that does not count");
   let record = shown("l0", false, 0, true);
   for (let n = 1; n <= 5; n++) {
     assert.equal(endsBefore(record), n);
@@ -179,10 +185,10 @@
   );
 });
 
-test("a peer's answer to a former life's question is nobody's, though it comes on a new connection", async () => {
+test("a peer's answer to a request of a former incarnation is ignored, even on a new connection", async () => {
   const clock = new VirtualClock();
   const incoming$ = new Subject<{ from: string; message: Message }>();
-  const lifeOf = (life: string): { relay: Relay; asked: { to: string; id: number }[] } => {
+  const startIncarnation = (life: string): { relay: Relay; asked: { to: string; id: number }[] } => {
     const asked: { to: string; id: number }[] = [];
     const send = (to: string, message: Message): boolean => {
       if ("Relay" in message) asked.push({ to, id: message.Relay.id });
@@ -196,10 +202,10 @@
     return { relay, asked };
   };
   const body = (ref: string): string => JSON.stringify({ ref, status: "done" });
-  const former = lifeOf("former");
+  const former = startIncarnation("former");
   void former.relay.answer("poll", "run-000001");
   await clock.run(500);
-  const present = lifeOf("present");
+  const present = startIncarnation("present");
   const answer = present.relay.answer("poll", "run-000002");
   await clock.run(1000);
   const [old, own] = [former.asked[0]!, present.asked[0]!];
@@ -211,25 +217,25 @@
   assert.deepEqual((await answer).body, { ref: "run-000002", status: "done" });
 });
 
-test("what a peer relays that is no request, or of a kind that is not known, is ignored and named: it cancels nothing", async () => {
+test("a relayed message that is no valid request or of an unknown kind is ignored and logged, and cancels nothing", async () => {
   const incoming$ = new Subject<{ from: string; message: Message }>();
-  const done: string[] = [];
-  const named: unknown[] = [];
-  const jobs = { poll: async () => (done.push("poll"), { status: 200, body: {} }), cancel: async () => done.push("cancel") };
-  const log = { warn: (line: { what: string }) => void named.push(line.what) } as unknown as Log;
+  const calls: string[] = [];
+  const loggedReasons: unknown[] = [];
+  const jobs = { poll: async () => (calls.push("poll"), { status: 200, body: {} }), cancel: async () => calls.push("cancel") };
+  const log = { warn: (line: { what: string }) => void loggedReasons.push(line.what) } as unknown as Log;
   const scope = new Scope(Object.assign(new VirtualClock(), { stood$: NEVER }), log);
   const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
   new Relay(settings, jobs as unknown as Jobs, { incoming$, send: () => true }, () => [], scope, "l").start();
-  const asked = (kind: string, body: string): void => incoming$.next({ from: "nest-1", message: { Relay: { id: 1, kind, body } } });
-  asked("drain", '"run-000001"');
-  asked("poll", "{");
-  asked("poll", '"run-000001"');
+  const sendRelay = (kind: string, body: string): void => incoming$.next({ from: "nest-1", message: { Relay: { id: 1, kind, body } } });
+  sendRelay("drain", '"run-000001"');
+  sendRelay("poll", "{");
+  sendRelay("poll", '"run-000001"');
   await Promise.resolve();
-  assert.deepEqual([done, named], [["poll"], ["kind drain", "not JSON"]]);
+  assert.deepEqual([calls, loggedReasons], [["poll"], ["kind drain", "not JSON"]]);
 });
 
-test("a node that is asked for a word of its own again and again keeps its key all the same", async () => {
-  // What is guarded against: words written under a permit that seemed extended each time, and never was.
+test("a node that renews its presence far more often than needed keeps its presence key", async () => {
+  // Guards against presence records written under a lease that seemed extended by each renewal but never was.
   const world = new World(plainPlan(), spawnController);
   for (const name of world.nodes.keys()) world.startNode(name);
   await world.clock.run(5000);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,7 +4,7 @@
 import { checkOperators } from "../src/settings/operators.js";
 import { parsePlatform } from "../src/settings/platform-file.js";
 
-const good = `
+const valid = `
 host_name = "nest-1"
 front = "10.0.0.1:8080"
 peer_listen = "10.0.0.1:8081"
@@ -37,17 +37,17 @@
 sockets = 1500
 `;
 
-test("unknown fields of the platform's file are ignored, faults name file and field", () => {
-  assert.equal(parsePlatform("s.toml", good).host_name, "nest-1");
+test("unknown fields of the platform's file are ignored, and errors name the file and the field", () => {
+  assert.equal(parsePlatform("s.toml", valid).host_name, "nest-1");
   assert.throws(
-    () => parsePlatform("s.toml", good.replace("lease_s = 18.0", 'lease_s = "long"')),
+    () => parsePlatform("s.toml", valid.replace("lease_s = 18.0", 'lease_s = "long"')),
     /s\.toml: deployment\.workers\.lease_s: /,
   );
-  assert.throws(() => parsePlatform("s.toml", good.replace("txn_ops = 16", "")), /s\.toml: deployment\.state\.txn_ops: /);
+  assert.throws(() => parsePlatform("s.toml", valid.replace("txn_ops = 16", "")), /s\.toml: deployment\.state\.txn_ops: /);
   assert.throws(() => parsePlatform("s.toml", "host_name = "), /s\.toml: not TOML/);
 });
 
-test("unknown operators' settings are refused, known ones checked", () => {
+test("unknown operators' settings are rejected, and known ones are checked", () => {
   assert.equal(checkOperators("o.hcl", {}).exchange.phi, 5);
   assert.equal(checkOperators("o.hcl", { exchange: [{ phi: 9 }] }).exchange.phi, 9);
   assert.throws(() => checkOperators("o.hcl", { exchange: [{ fi: 9 }] }), /o\.hcl: exchange.*fi/);
@@ -55,12 +55,12 @@
   assert.throws(() => checkOperators("o.hcl", { queue: [{}, {}] }), /given more than once/);
 });
 
-test("where cancel_s leaves little room silence comes sooner, and where it leaves none the settings are refused", () => {
+test("if cancel_s leaves little margin, silence begins earlier; if it leaves none, the settings are rejected", () => {
   const of = (cancel: number) =>
-    derive(parsePlatform("s.toml", good.replace("cancel_s = 43.0", `cancel_s = ${cancel.toFixed(2)}`)), checkOperators("o.hcl", {}));
+    derive(parsePlatform("s.toml", valid.replace("cancel_s = 43.0", `cancel_s = ${cancel.toFixed(2)}`)), checkOperators("o.hcl", {}));
   for (const cancel of [18.1, 18.5, 19, 20, 21, 23, 24.1, 30, 60]) {
     const { timing, cautions } = of(cancel);
-    // Clocks that are slow, the leader's and the worker's.
+    // The clocks of both the owner and the worker run slow by the maximum drift.
     const gone = (timing.silentAfterMs + timing.leaseMs) / (1 - 0.0005);
     assert.ok(timing.silentAfterMs > 0 && gone < cancel * 1000, `${cancel}: gone after ${gone}`);
     assert.equal(cautions.length, cancel < 24 ? 1 : 0, `${cancel}`);
@@ -68,8 +68,8 @@
   for (const cancel of [10, 18, 18.02]) assert.throws(() => of(cancel), /deployment\.workers\.cancel_s: .* expected more than lease_s/);
 });
 
-test("a silent leader's workers have lost their leases before a cancellation is due", () => {
-  const { timing, nodes } = derive(parsePlatform("s.toml", good), checkOperators("o.hcl", {}));
+test("the leases of a silent owner's workers expire before the deadline of a cancellation", () => {
+  const { timing, nodes } = derive(parsePlatform("s.toml", valid), checkOperators("o.hcl", {}));
   assert.ok(timing.silentAfterMs + timing.expiryMs < 43_000);
   assert.deepEqual(nodes, ["nest-0", "nest-1"]);
 });
