--- a/src/controller.ts
+++ b/src/controller.ts
@@ -264,6 +264,7 @@
     return { version, term: fencing.length > 0 ? Math.min(...fencing) : Math.max(0, ...partitions.map(({ term }) => term)) };
   }
 
+  /** Notifies all components of a stall of this process. */
   private onStall(ms: number): void {
     this.stalls.count++;
     this.stalls.ms += Math.round(ms);
@@ -274,10 +275,12 @@
     this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.parts.keys()] }, "this process stood still while its clocks ran on");
   }
 
+  /** Whether the replica cache proves recent contact with the state service. */
   private stateReachable(): boolean {
     return this.mirror.loaded && this.mirror.ageMs() < this.settings.timing.contactMs;
   }
 
+  /** Peers that reported within the last report interval that they reach the state service. */
   private peersReachingState(): string[] {
     const now = this.scope.clock.now();
     return [...this.stateReportedAt].filter(([, at]) => now - at < this.settings.timing.reportMs).map(([node]) => node);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -38,6 +38,7 @@
     this.reconciler.start();
   }
 
+  /** Must be called after this process stalled for `ms`. */
   onStall(ms: number): void {
     this.reconciler.onStall(ms);
   }
--- a/src/fleet/offering-availability.ts
+++ b/src/fleet/offering-availability.ts
@@ -26,11 +26,13 @@
     });
   }
 
+  /** Whether the offering is not in a pause after a refusal. */
   isAvailable(offering: Offer): boolean {
     const refusal = this.refused.get(offeringKey(offering));
     return refusal === undefined || refusal.until <= this.deps.scope.clock.now();
   }
 
+  /** Ends the pause of an offering after a rental that was granted in full. */
   recordGrant(offering: Offer): void {
     this.refused.delete(offeringKey(offering));
   }
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -99,6 +99,7 @@
     return bootWaitS <= Math.min(...objectivesS) / 2 ? bootWaitS * 1000 : 0;
   }
 
+  /** Records a rental under a new name, then executes it. */
   private async beginRental(partition: Part, offer: Offer, count: number): Promise<void> {
     const name = `${partition.id}.${partition.term}.${++this.rentalCount}`;
     const value: RentalRecord = {
@@ -125,6 +126,7 @@
     if (outcome === "done") await this.executeRental(partition, name, value);
   }
 
+  /** Calls the cloud for a recorded rental and records the result. Does nothing if the rental is already in progress. */
   private async executeRental(partition: Part, name: string, rental: RentalRecord): Promise<void> {
     if (this.inProgress.has(name) || this.deps.leader.silent()) return;
     this.inProgress.add(name);
@@ -152,6 +154,7 @@
     }
   }
 
+  /** Records the hosts of a completed rental, or removes its record if there are none. */
   private async recordRental(partition: Part, name: string, rental: RentalRecord, hosts: string[]): Promise<void> {
     const key = keys.rental(name);
     const at = this.deps.scope.clock.wall();
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -41,6 +41,7 @@
   return n <= partition.machines.size * MAX_DELETED_SHARE;
 }
 
+/** Whether a machine that is up has not reported for more than `ms`. */
 function silentFor(machine: Machine, now: number, ms: number): boolean {
   return machine.up && now - machine.heardAt > ms;
 }
@@ -65,6 +66,7 @@
     );
   }
 
+  /** Returns why the machine should be returned, or null. */
   private returnReason(partition: Part, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
     const now = this.deps.scope.clock.now();
     const type = this.deps.leader.typeOf(machine.type);
--- a/src/intake/relay.ts
+++ b/src/intake/relay.ts
@@ -5,6 +5,7 @@
 import type { Jobs, Response } from "./jobs.js";
 
 const REQUEST_KINDS = ["submit", "poll", "cancel"] as const;
+/** Kind of a user's request that peers relay to each other. */
 export type RequestKind = (typeof REQUEST_KINDS)[number];
 
 interface PendingRequest {
--- a/src/platform/costs.ts
+++ b/src/platform/costs.ts
@@ -1,7 +1,7 @@
 import { performance } from "node:perf_hooks";
 
 /** Activities whose processor time is accounted. The rest of the process's time is HTTP, timers, garbage collection and other code. */
-export const DUTIES = [
+export const ACTIVITIES = [
   "report",
   "order",
   "pass",
@@ -15,7 +15,8 @@
   "peers",
   "watch",
 ] as const;
-export type Activity = (typeof DUTIES)[number];
+/** An activity whose processor time is accounted. */
+export type Activity = (typeof ACTIVITIES)[number];
 
 /** Processor time spent on one activity since the start. */
 export interface ActivityCost {
@@ -31,8 +32,8 @@
  * another is charged to itself only. Each run costs two reads of the clock.
  */
 export class Costs {
-  private readonly ms = new Float64Array(DUTIES.length);
-  private readonly runs = new Float64Array(DUTIES.length);
+  private readonly ms = new Float64Array(ACTIVITIES.length);
+  private readonly runs = new Float64Array(ACTIVITIES.length);
   private readonly stack: number[] = [];
   private chargedUntil = 0;
 
@@ -40,7 +41,7 @@
 
   /** Runs the synchronous function `act` and charges its time to the activity. */
   spend<T>(activity: Activity, act: () => T): T {
-    const index = DUTIES.indexOf(activity);
+    const index = ACTIVITIES.indexOf(activity);
     const { stack } = this;
     const outer = stack.at(-1);
     // A cycle over all partitions contains one for each: they count as one run together.
@@ -62,6 +63,6 @@
 
   /** Returns the totals of all activities. */
   all(): ActivityCost[] {
-    return DUTIES.map((activity, i) => ({ activity, runs: this.runs[i]!, ms: this.ms[i]! }));
+    return ACTIVITIES.map((activity, i) => ({ activity, runs: this.runs[i]!, ms: this.ms[i]! }));
   }
 }
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -138,7 +138,7 @@
     socket.on("close", () => this.onClose(connection, fault));
   }
 
-  /** Writes the request to a connection that is free for it. */
+  /** Writes the request to a free connection, or refuses it if its deadline has passed. */
   private send(connection: Connection, request: PendingRequest): void {
     connection.request = request;
     request.connection = connection;
--- a/src/settings/operators.ts
+++ b/src/settings/operators.ts
@@ -32,6 +32,7 @@
     .prefault({}),
 });
 
+/** The operators' settings after validation. */
 export type OperatorSettings = z.infer<typeof schema>;
 
 /** Checks the tree that the HCL parser returns, in which a block is a list with one entry. Throws SettingsError. */
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -59,7 +59,9 @@
   }),
 });
 
+/** The platform's settings after validation. */
 export type PlatformSettings = z.infer<typeof schema>;
+/** Guarantees and limits of one team. */
 export type TeamSettings = PlatformSettings["deployment"]["teams"][number];
 
 /** Invalid settings; the message names the file and the field. */
