--- a/src/workers/blame.ts
+++ b/src/workers/blame.ts
@@ -1,38 +1,39 @@
-/** Whether a failed task counts against its machine or its job. */
+/** Failure attribution: decides whether a failed task counts against its machine or against its job. */
 import type { Part } from "../parts/part.js";
 import { suspect, type Unit } from "../queue/unit.js";
 import type { Machine } from "./machine.js";
 
-/** Times in ms. */
-export interface BlameTiming {
+/** Times that failure attribution depends on: `now` on the controller's steady clock, the lease duration and the base back-off, all in ms. */
+export interface FailureTiming {
   now: number;
   leaseMs: number;
   coolMs: number;
 }
 
-/** The job was at fault, not the machines that it failed on. */
-export function clearBlame(part: Part, unit: Unit): void {
-  for (const host of unit.failedOn.keys()) {
-    const machine = part.machines.get(host);
-    if (machine?.errors.delete(unit.spec.ref) === true) machine.avoidUntil = -Infinity;
+/** Removes the failures of a job from the machines that it failed on, because the job caused them. */
+export function clearBlame(partition: Part, taskSet: Unit): void {
+  for (const host of taskSet.failedOn.keys()) {
+    const machine = partition.machines.get(host);
+    if (machine?.errors.delete(taskSet.spec.ref) === true) machine.avoidUntil = -Infinity;
   }
 }
 
 /**
- * A failure is either the machine's or the job's. A job that fails on several
- * machines and never gets a task done is held to be at fault: its machines are
- * cleared, and it tries again ever less often. Otherwise jobs with a mistake would
- * have good machines set aside one after the other. A machine that fails several
- * jobs which are not at fault, with none done in between, is sick.
+ * Attributes a failed task to its machine or to its job. A job that fails on more than
+ * one machine without completing a task is considered faulty: its failures are removed
+ * from the machines, and it is retried with exponential back-off. Otherwise a faulty job
+ * would take healthy machines out of service one after another. A machine on which
+ * more than one job fails that is not considered faulty, with no task completed in
+ * between, is drained.
  */
-export function blame(part: Part, machine: Machine, unit: Unit, { now, leaseMs, coolMs }: BlameTiming): void {
-  unit.failedOn.set(machine.host, (unit.failedOn.get(machine.host) ?? 0) + 1);
-  if (suspect(unit)) {
-    unit.notBefore = now + Math.min(leaseMs * 3, coolMs * 2 ** Math.min(unit.failedOn.size, 8));
-    clearBlame(part, unit);
+export function attributeFailure(partition: Part, machine: Machine, taskSet: Unit, { now, leaseMs, coolMs }: FailureTiming): void {
+  taskSet.failedOn.set(machine.host, (taskSet.failedOn.get(machine.host) ?? 0) + 1);
+  if (suspect(taskSet)) {
+    taskSet.notBefore = now + Math.min(leaseMs * 3, coolMs * 2 ** Math.min(taskSet.failedOn.size, 8));
+    clearBlame(partition, taskSet);
     return;
   }
-  machine.errors.set(unit.spec.ref, (machine.errors.get(unit.spec.ref) ?? 0) + 1);
+  machine.errors.set(taskSet.spec.ref, (machine.errors.get(taskSet.spec.ref) ?? 0) + 1);
   if (machine.errors.size > 1) machine.draining = true;
   else machine.avoidUntil = now + coolMs * 2;
 }
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -9,11 +9,13 @@
 import { attemptKey, type Machine } from "./machine.js";
 import { ordersFor } from "./orders.js";
 
-const MAX_DIRECT = 100;
+/** Maximum number of orders in one command. */
+const MAX_DIRECT_ORDERS = 100;
 
 /**
- * Sends orders straight to workers, for speed; every order also goes out with
- * the answer to the next report. While fencing, sends the new token alone.
+ * Sends orders directly to workers to reduce latency; every order is also part of the
+ * answer to the worker's next report. While a machine is being fenced, the command
+ * carries the new token and no orders.
  */
 export class Dispatch {
   constructor(
@@ -23,72 +25,78 @@
     private readonly scope: Scope,
   ) {}
 
+  /** Sends a command whenever the partition owner requests one for a machine. */
   start(): void {
-    this.scope.listen(this.leader.dispatch$, ({ part, machine }) => void this.scope.costs.spend("order", () => this.send(part, machine)));
+    this.scope.listen(
+      this.leader.dispatch$,
+      ({ part: partition, machine }) => void this.scope.costs.spend("order", () => this.send(partition, machine)),
+    );
   }
 
-  private async send(part: Part, machine: Machine): Promise<void> {
+  private async send(partition: Part, machine: Machine): Promise<void> {
     const now = this.scope.clock.now();
-    if (machine.directBusy || machine.addr === null || machine.deleting || this.leader.silent()) return;
-    if (this.leader.parts.get(part.id) !== part) return;
+    if (machine.commandInFlight || machine.addr === null || machine.deleting || this.leader.silent()) return;
+    if (this.leader.parts.get(partition.id) !== partition) return;
     const fencing = !machine.fenced;
-    if (!machine.up || now < machine.directUntil || (!fencing && machine.lost)) return;
+    if (!machine.up || now < machine.nextCommandAt || (!fencing && machine.lost)) return;
     const orders = fencing
       ? []
       : ordersFor(machine, "direct", {
           now,
           leaseMs: this.leader.settings.timing.leaseMs,
           clearable: () => false,
-          refused: (placement, others) => this.leader.startGuard.refused(part, placement, others),
-          max: MAX_DIRECT,
+          refused: (placement, others) => this.leader.startGuard.refused(partition, placement, others),
+          max: MAX_DIRECT_ORDERS,
         });
     if (!fencing && orders.length === 0) return;
-    machine.directBusy = true;
+    machine.commandInFlight = true;
     const caller = this.calls.of(fencing ? "worker.fence" : "worker.order");
     let failed = false;
-    const fail = (why: string): void => {
+    const recordFailure = (why: string): void => {
       failed = true;
       machine.directError = why;
-      machine.directUntil = this.scope.clock.now() + caller.pauseMs(++machine.directFailures);
+      machine.nextCommandAt = this.scope.clock.now() + caller.pauseMs(++machine.directFailures);
     };
     const session = Math.max(1, machine.session);
-    const starts = orders.filter((o) => o.verb === "start").map((o) => attemptKey(o.piece, o.attempt));
-    for (const key of starts) {
-      machine.unsettledStarts.add(key);
+    const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
+    for (const key of startKeys) {
+      machine.unresolvedStarts.add(key);
       machine.placements.get(key)!.direct = "flying";
     }
-    const settle = (direct: "none" | "unresolved" | "answered"): void => {
-      if (machine.session !== session) return; // a new session: nothing of this can take effect
-      for (const key of starts) {
-        if (direct !== "unresolved") machine.unsettledStarts.delete(key);
+    const resolveStarts = (direct: "none" | "unresolved" | "answered"): void => {
+      if (machine.session !== session) return; // a new session has begun, so the command can no longer take effect
+      for (const key of startKeys) {
+        if (direct !== "unresolved") machine.unresolvedStarts.delete(key);
         const placement = machine.placements.get(key);
         if (placement !== undefined && placement.direct === "flying") placement.direct = direct;
       }
     };
-    let again = false;
+    let retryNow = false;
     try {
-      const reply = await workersThrough(this.workers, caller).command(machine.addr, part.term, session, orders);
-      settle(reply.executed ? "answered" : "none");
-      again = fencing && !reply.executed && reply.report.session !== session;
-      // Refused: a higher token or another session. Asking again at once would
-      // only repeat that; the next report tells how things stand.
-      if (!reply.executed && !again) fail(`refused: token ${reply.report.token}, session ${reply.report.session}`);
+      const reply = await workersThrough(this.workers, caller).command(machine.addr, partition.term, session, orders);
+      resolveStarts(reply.executed ? "answered" : "none");
+      retryNow = fencing && !reply.executed && reply.report.session !== session;
+      // The worker refused because it has a higher token or another session. An immediate
+      // retry would be refused again; the next report carries the current state.
+      if (!reply.executed && !retryNow) recordFailure(`refused: token ${reply.report.token}, session ${reply.report.session}`);
       else Object.assign(machine, { directFailures: 0, directError: null });
       if (fencing && reply.executed && machine.answeredAt > now) machine.answeredAt = this.scope.clock.now();
-      this.leader.onCommandReply(part, machine, reply.report);
+      this.leader.onCommandReply(partition, machine, reply.report);
     } catch (error) {
       if (!(error instanceof NoReply)) throw error;
-      settle(caller.mayHaveActed(error) ? "unresolved" : "none");
-      fail(error.message);
+      resolveStarts(caller.mayHaveActed(error) ? "unresolved" : "none");
+      recordFailure(error.message);
     } finally {
-      machine.directBusy = false;
+      machine.commandInFlight = false;
     }
-    const more = [...machine.placements.values()].some(
+    const hasUnsentOrders = [...machine.placements.values()].some(
       (p) =>
         (p.state === null && p.direct === "none" && p.stop === null) ||
         (p.stop !== null &&
-          !orders.some((o) => o.verb === "stop" && attemptKey(o.piece, o.attempt) === attemptKey(pieceName(p.unit, p.task), p.attempt))),
+          !orders.some(
+            (order) => order.verb === "stop" && attemptKey(order.piece, order.attempt) === attemptKey(pieceName(p.unit, p.task), p.attempt),
+          )),
     );
-    if (again || (more && !failed)) void this.send(part, machine);
+    if (retryNow || (hasUnsentOrders && !failed)) void this.send(partition, machine);
   }
 }
--- a/src/workers/fence.ts
+++ b/src/workers/fence.ts
@@ -1,11 +1,14 @@
-/** When a machine counts as fenced: nothing that a former owner ordered can begin there any more. */
+/** Marks machines as fenced: no start that a former owner ordered can take effect on a fenced machine. */
 import type { Part } from "../parts/part.js";
 import type { FenceProof, Machine } from "./machine.js";
 
-/** The only place where a machine becomes fenced. */
-export function fence(part: Part, machine: Machine, proof: FenceProof, fenced: { machine: Machine; proof: FenceProof }[]): void {
+/**
+ * Marks a machine as fenced and adds it to `fenced` together with the proof; does nothing if it is fenced already.
+ * No other code sets `machine.fenced`.
+ */
+export function fence(partition: Part, machine: Machine, proof: FenceProof, fenced: { machine: Machine; proof: FenceProof }[]): void {
   if (machine.fenced) return;
   machine.fenced = true;
-  part.fencedBy[proof]++;
+  partition.fencedBy[proof]++;
   fenced.push({ machine, proof });
 }
--- a/src/workers/gone.ts
+++ b/src/workers/gone.ts
@@ -1,28 +1,30 @@
 /**
- * What proves that an attempt is gone from its machine. A task starts again because of such a proof, so each conclusion
- * carries one, and with it until when the controller was provably the owner. Knows nothing of how it was come by.
+ * Proofs that an attempt no longer exists on its machine. A task is restarted because of such a proof, so every proof
+ * also carries the data that shows whether the controller still owned the partition. How a proof is obtained is the
+ * caller's concern.
  */
 
-/** Times are in ms of the controller's steady clock. */
+/** Proof that an attempt no longer exists on its machine. Times are in ms of the controller's steady clock. */
 export type GoneProof =
-  /** The lease of its machine ended, and a read that began later (`provenAt`) still found this owner's term. */
+  /** The machine's lease expired, and a read that began after the expiry (`provenAt`) still found this owner's term. */
   | { by: "lease over"; answeredAt: number; expiryMs: number; provenAt: number }
-  /** The worker is in a later session, and forgot everything when the former one ended. */
+  /** The worker is in a later session and discarded all attempts when the former session ended. */
   | { by: "new session"; token: number }
-  /** The newest report of its session lists it no longer. */
+  /** The newest report of the worker's session no longer lists the attempt. */
   | { by: "not listed"; token: number }
+  /** The worker reported that the attempt has exited. */
   | { by: "exited"; token: number }
-  /** The cloud confirmed that the machine is gone. */
+  /** The cloud confirmed that the machine was deleted. */
   | { by: "machine deleted" };
 
-/** An attempt that is gone, as it is told when its task starts again. */
+/** An attempt that no longer exists, as it is logged when its task starts again. */
 export interface GoneAttempt {
   attempt: number;
   host: string;
   by: GoneProof["by"];
 }
 
-/** Why the proof does not hold for the owner of this term; null: it holds. */
+/** Returns why the proof is not valid for the owner of this term, or null if it is valid. */
 export function flawOf(proof: GoneProof, term: number): string | null {
   switch (proof.by) {
     case "lease over":
@@ -30,7 +32,7 @@
     case "new session":
     case "not listed":
     case "exited":
-      return proof.token <= term ? null : "the worker was under a newer owner, who may have started the task again";
+      return proof.token <= term ? null : "the worker had a newer owner, which may have restarted the task";
     case "machine deleted":
       return null;
   }
--- a/src/workers/lease.ts
+++ b/src/workers/lease.ts
@@ -1,21 +1,23 @@
-/** Until when a worker's lease may last, as far as its partition's owner can prove. */
+/** Upper bound on how long a worker's lease may last, as far as the partition's owner can prove. */
 import type { Machine } from "./machine.js";
 
 /**
- * Until when the machine's lease may have been renewed, once a report of it has been answered. An answer to what is
- * no news renews nothing: a lease counts from when a report was sent, and that one was sent before the newest that
- * came. A machine that has not shown our term may not hear us and go on under the former owner, whose last
- * answer may come long after ours: its time is never cut short by hearing from it.
+ * Updates the latest time at which the machine's lease may have been renewed, after a report has been answered. A lease
+ * is counted from the time at which a report was sent, so the answer to an outdated report extends nothing: that report
+ * was sent before the newest one was received. A machine that has not reported this owner's term may not receive this
+ * owner's answers and may continue under the former owner, whose last answer may reach it much later; a report from such
+ * a machine therefore never moves the time back.
  */
-export function noteAnswer(machine: Machine, newer: boolean, now: number): void {
-  const sentBy = newer ? now : machine.heardAt;
-  machine.answeredAt = machine.fenced && newer ? sentBy : Math.max(machine.answeredAt, sentBy);
+export function noteAnswer(machine: Machine, isNewReport: boolean, now: number): void {
+  const renewedAt = isNewReport ? now : machine.heardAt;
+  machine.answeredAt = machine.fenced && isNewReport ? renewedAt : Math.max(machine.answeredAt, renewedAt);
 }
 
 /**
- * Nobody can have renewed its lease before it ended: whatever was on it is gone. `provenAt`: when the newest read of the
- * state service began that found this owner's term. Up to then nobody else owned the partition; since then an heir may
- * have answered the machine, so a lease that ended after that moment may have been renewed, whatever the clock says.
+ * Returns whether the machine's lease has provably expired, so that no attempt is left on it. `provenAt` is when the
+ * newest read of the state service that found this owner's term began. Until then no other controller owned the
+ * partition; since then a new owner may have answered the machine. A lease that expires after `provenAt` may therefore
+ * have been renewed, even if it has expired by the local clock.
  */
 export function leaseOver(machine: Machine, provenAt: number, expiryMs: number): boolean {
   return machine.up && provenAt > machine.answeredAt + expiryMs;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -2,6 +2,7 @@
 import { AttemptRegistry } from "../queue/attempts.js";
 import type { Placement } from "../queue/unit.js";
 
+/** Resources of a machine or of a share of it; `ram` in GB. */
 export interface Capacity {
   cpus: number;
   gpus: number;
@@ -9,9 +10,10 @@
 }
 
 /**
- * A machine of a part as its leader sees it. `placements` holds everything
- * that is, or may be, on the machine; exited attempts stay listed until the
- * worker has been told to clear them.
+ * A machine of a partition, as recorded by the partition's owner. `placements` holds every
+ * attempt that is or may be on the machine. Exited attempts stay in `exited` until a report
+ * no longer lists them, which is after the worker has executed a `clear` order. Times are in
+ * ms of the controller's steady clock.
  */
 export interface Machine {
   host: string;
@@ -20,65 +22,70 @@
   spot: boolean;
   capacity: Capacity;
   addr: string | null;
-  /** The durable record says so: a later leader knows it must fence it. */
+  /** The durable record marks the machine as up, so a later owner will know that it must be fenced. */
   up: boolean;
-  /** It has seen our token, or can hold no tasks: nothing older can start. */
+  /** The worker has seen this owner's token, or can hold no tasks: no start ordered by a former owner can take effect. */
   fenced: boolean;
   session: number;
   seq: number;
   token: number;
-  /** Its newest word came then, be it a report or the body of an answer to us. */
+  /** When the newest state of the worker was received, in a report or in the reply to a command. */
   heardAt: number;
-  /** It last reached us by itself then; until it has, when we took its part: only reports renew its lease. */
+  /** When the last report was received; before the first one, when this owner took the partition. Only reports renew the lease. */
   reportedAt: number;
-  /** Until then its lease may have been renewed, or begun anew. */
+  /** Latest time at which the machine's lease may have been renewed, or a new one may have begun. */
   answeredAt: number;
-  /** Its lease ran out, as far as we can prove. */
+  /** The lease has provably expired. */
   lost: boolean;
   noticeAt: number | null;
   hiredAt: number;
   idleSince: number;
   deleting: boolean;
   draining: boolean;
+  /** Failures by job reference since the last completed task. */
   errors: Map<string, number>;
   avoidUntil: number;
   images: Set<string>;
   placements: Map<string, Placement>;
   exited: Map<string, ReportedTask>;
-  /** Attempts whose direct start may still arrive in this session. */
-  unsettledStarts: Set<string>;
-  directBusy: boolean;
-  /** Direct commands that failed in a row, and until when none is sent. */
+  /** Attempts whose direct start order may still arrive in this session. */
+  unresolvedStarts: Set<string>;
+  commandInFlight: boolean;
+  /** Number of consecutive direct commands that failed; `nextCommandAt` is when the next one may be sent. */
   directFailures: number;
-  /** Why the last direct command failed; null: it did not. */
+  /** Why the last direct command failed; null if it succeeded. */
   directError: string | null;
-  directUntil: number;
+  nextCommandAt: number;
+  /** Sum and number of the logarithms of actual to expected run time of its tasks, to detect slow machines. */
   pace: { sum: number; count: number };
-  /** What `placements` take of it, kept up as they come and go. */
+  /** Resources that `placements` use, updated with each attempt that is added or removed. */
   used: Capacity;
-  /** Of its part: what each team's tasks use; kept up together with `used`. */
+  /** Usage by team in the whole partition; an object shared by its machines and updated together with `used`. */
   teamUsage: Map<string, Usage>;
-  /** Of its part: every attempt that may be on one of its machines; kept up together with `used`. */
+  /** Every attempt that may be on a machine of the partition; shared by its machines and updated together with `used`. */
   attempts: AttemptRegistry<Placement>;
 }
 
 /**
- * What proves that nothing a former owner ordered can begin on a machine. `token`: it showed the owner's token. `lease`:
- * its lease is over, whoever answered it. `unused`: by its record it was never up, so nobody gave it work. `deleted`: the
- * cloud confirmed that it is gone.
+ * Proof that no start ordered by a former owner can take effect on a machine. `token`: the worker reported the owner's
+ * token. `lease`: the machine's lease has expired, whichever owner renewed it. `unused`: according to its record the
+ * machine was never up, so no owner placed work on it. `deleted`: the cloud confirmed that the machine was deleted.
  */
 export type FenceProof = "token" | "lease" | "unused" | "deleted";
 
+/** CPUs and accelerators that a team uses or is granted. */
 export interface Usage {
   cpus: number;
   gpus: number;
 }
 
-export function attemptKey(piece: string, attempt: number): string {
-  return `${piece}#${attempt}`;
+/** Returns the key of an attempt in the maps of a machine. */
+export function attemptKey(taskId: string, attempt: number): string {
+  return `${taskId}#${attempt}`;
 }
 
-export function newMachine(host: string, type: string, zone: string, spot: boolean, capacity: Capacity, hiredAt: number): Machine {
+/** Creates the record of a machine that is not known to be up and has no attempts. */
+export function newMachine(host: string, type: string, zone: string, spot: boolean, capacity: Capacity, rentedAt: number): Machine {
   return {
     host,
     type,
@@ -96,8 +103,8 @@
     answeredAt: -Infinity,
     lost: false,
     noticeAt: null,
-    hiredAt,
-    idleSince: hiredAt,
+    hiredAt: rentedAt,
+    idleSince: rentedAt,
     deleting: false,
     draining: false,
     errors: new Map(),
@@ -105,11 +112,11 @@
     images: new Set(),
     placements: new Map(),
     exited: new Map(),
-    unsettledStarts: new Set(),
-    directBusy: false,
+    unresolvedStarts: new Set(),
+    commandInFlight: false,
     directFailures: 0,
     directError: null,
-    directUntil: -Infinity,
+    nextCommandAt: -Infinity,
     pace: { sum: 0, count: 0 },
     used: { cpus: 0, gpus: 0, ram: 0 },
     teamUsage: new Map(),
@@ -117,7 +124,7 @@
   };
 }
 
-function count(machine: Machine, { unit: { spec } }: Placement, sign: 1 | -1): void {
+function adjustUsage(machine: Machine, { unit: { spec } }: Placement, sign: 1 | -1): void {
   const { used, teamUsage } = machine;
   if (sign < 0 && machine.placements.size === 0) machine.used = { cpus: 0, gpus: 0, ram: 0 };
   else {
@@ -133,27 +140,34 @@
   }
 }
 
-/** Every attempt goes on and off a machine through these two, so that sums need not be made anew. */
+/**
+ * Registers an attempt on a machine. Attempts are registered and removed only by this function and `removeAttempt`,
+ * which keep the usage sums current, so that they need not be recomputed.
+ */
 export function addAttempt(machine: Machine, key: string, placement: Placement): void {
   machine.placements.set(key, placement);
   machine.attempts.add(placement);
-  count(machine, placement, 1);
+  adjustUsage(machine, placement, 1);
 }
 
+/** Removes an attempt from a machine; does nothing if it is not registered. */
 export function removeAttempt(machine: Machine, key: string): void {
   const placement = machine.placements.get(key);
   if (placement === undefined) return;
   machine.placements.delete(key);
   machine.attempts.remove(placement);
-  count(machine, placement, -1);
+  adjustUsage(machine, placement, -1);
 }
 
-/** What is left on a machine once all that may be on it is counted. */
+/** Returns the capacity of a machine that no registered attempt uses. */
 export function freeRoom({ capacity, used }: Machine): Capacity {
   return { cpus: capacity.cpus - used.cpus, gpus: capacity.gpus - used.gpus, ram: capacity.ram - used.ram };
 }
 
-/** May new work go there now? Not if it answers us and reaches nobody: its lease ends, and all that was started with it. */
+/**
+ * Returns whether new work may be placed on the machine. A machine that replies to commands but whose reports reach no
+ * controller is excluded, because its lease will expire and end everything started on it.
+ */
 export function usable(machine: Machine, now: number, silentMs: number): boolean {
   return (
     machine.up &&
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -1,37 +1,45 @@
+/** Decodes workers' reports and encodes the answers, independently of the HTTP server that received them. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Costs } from "../platform/costs.js";
 import { type ReportAnswer, decodeReport, encodeOrders, type Report } from "@thorntrail/protocol/worker";
 
+/** HTTP path to which workers post their reports. */
 export const REPORT_PATH = "/v1/report";
-/** Of a body that is refused, what the log shows. */
-const SHOWN = 120;
-export const MAX_REPORT = 64 * 1024;
+/** Number of bytes of an invalid body that are logged. */
+const MAX_LOGGED_BYTES = 120;
+/** Maximum size of a report body. */
+export const MAX_REPORT_BYTES = 64 * 1024;
 
+/** Dependencies of the report endpoint. */
 export interface ReportDoor {
+  /** Applies a report and returns the answer. */
   onReport: (report: Report) => ReportAnswer;
+  /** Counts a response by its HTTP status. */
   count: (status: number) => void;
-  /** A body that is no report, and how it begins. */
-  refused: (why: string, begins: string) => void;
+  /** Called for a body that is not a valid report, with the reason and the beginning of the body. */
+  refused: (why: string, bodyStart: string) => void;
   costs: Costs;
 }
 
-export interface Reply {
+/** HTTP response to a report. */
+export interface ReportResponse {
   status: number;
-  /** JSON. */
+  /** JSON body. */
   text: string;
   retryAfterS?: number;
 }
 
-const reply = (status: number, body: unknown): Reply => ({ status, text: JSON.stringify(body) });
+const jsonResponse = (status: number, body: unknown): ReportResponse => ({ status, text: JSON.stringify(body) });
 
-export const TOO_LONG = reply(400, { error: "a report has at most 64 KiB" });
+/** Response to a report that exceeds `MAX_REPORT_BYTES`. */
+export const REPORT_TOO_LARGE = jsonResponse(400, { error: "a report has at most 64 KiB" });
 
-/** What a body that was posted to the report path is answered, whichever way it came. */
-export function answerReport(door: ReportDoor, body: Buffer): Reply {
+/** Decodes the body of a request to the report path, has the report applied and returns the response. */
+export function answerReport(door: ReportDoor, body: Buffer): ReportResponse {
   return door.costs.spend("report", () => {
-    const refuse = (error: string): Reply => {
-      door.refused(error, body.toString("utf8", 0, SHOWN));
-      return reply(400, { error });
+    const refuse = (error: string): ReportResponse => {
+      door.refused(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
+      return jsonResponse(400, { error });
     };
     let raw: unknown;
     try {
@@ -41,14 +49,19 @@
     }
     const report = decodeReport(raw);
     if (report === null) return refuse("not a report");
-    const said = door.onReport(report);
-    if (said.kind === "silent") return { ...reply(503, { error: "not entitled to lead" }), retryAfterS: 1 };
-    if (said.kind === "elsewhere") return reply(421, said.boss === null ? {} : { boss: said.boss });
-    return reply(200, { baton: said.token, orders: encodeOrders(said.orders) });
+    const answer = door.onReport(report);
+    if (answer.kind === "silent") return { ...jsonResponse(503, { error: "not entitled to lead" }), retryAfterS: 1 };
+    if (answer.kind === "elsewhere") return jsonResponse(421, answer.boss === null ? {} : { boss: answer.boss });
+    return jsonResponse(200, { baton: answer.token, orders: encodeOrders(answer.orders) });
   });
 }
 
-function send(door: ReportDoor, res: ServerResponse, { status, text, retryAfterS }: Reply, headers: Record<string, string> = {}): void {
+function send(
+  door: ReportDoor,
+  res: ServerResponse,
+  { status, text, retryAfterS }: ReportResponse,
+  headers: Record<string, string> = {},
+): void {
   if (res.headersSent) return;
   door.count(status);
   const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
@@ -57,20 +70,20 @@
 }
 
 /**
- * Takes in one report that came through Node's HTTP server: those whose form the
- * report lane leaves to it. They do not pass through express, whose routing and
- * body parsing cost more processor time than the report itself.
+ * Handles a report that was received by Node's HTTP server, to which the fast path for
+ * reports leaves all requests that are not in the plain form. Express is bypassed because
+ * its routing and body parsing cost more processor time than the report itself.
  */
 export function serveReport(door: ReportDoor, req: IncomingMessage, res: ServerResponse): void {
   const chunks: Buffer[] = [];
   let size = 0;
   req.on("data", (chunk: Buffer) => {
     size += chunk.length;
-    if (size <= MAX_REPORT) chunks.push(chunk);
+    if (size <= MAX_REPORT_BYTES) chunks.push(chunk);
     else {
       chunks.length = 0;
-      // The rest is not read: whoever sends this much is no worker.
-      send(door, res, TOO_LONG, { connection: "close" });
+      // The rest of the body is not read, because no worker sends a report of this size.
+      send(door, res, REPORT_TOO_LARGE, { connection: "close" });
       req.removeAllListeners("data").resume();
       res.on("finish", () => req.destroy());
     }
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,4 +1,4 @@
-/** Brings an owner's view of its machines up to what they report. Decides nothing about what to start. */
+/** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
 import { findUnit, type Part } from "../parts/part.js";
 import { taskNumber } from "../queue/attempts.js";
@@ -15,142 +15,157 @@
   type Unit,
 } from "../queue/unit.js";
 import type { End, Ended } from "../served/account.js";
-import { blame, type BlameTiming } from "./blame.js";
+import { attributeFailure, type FailureTiming } from "./blame.js";
 import { fence } from "./fence.js";
 import { flawOf, type GoneProof } from "./gone.js";
 import { addAttempt, attemptKey, removeAttempt, type FenceProof, type Machine } from "./machine.js";
 
-/** What a report brought about, for the shell to act on. */
+/** Effects of a report, or of the loss of a machine, for the caller to act on. */
 export interface Findings {
-  /** Something changed that may let queued work start. */
+  /** Something changed that may allow queued work to start. */
   changed: boolean;
-  /** Slices with tasks done that are not yet recorded. */
+  /** Task sets with completed tasks that are not yet recorded in the state service. */
   finished: Set<Unit>;
-  /** Run times of tasks seen from running to done, for the estimator. */
+  /** Run times of tasks that were observed from start to completion, for the estimator. */
   runs: { unit: Unit; seconds: number; host: string }[];
-  /** Attempts that were first seen running. */
+  /** Attempts that were reported as running for the first time. */
   began: Placement[];
-  /** Attempts that were not ordered by this owner, as far as it knew; `wanted`: they may go on. */
+  /** Attempts that this owner has no record of ordering; `wanted` if they may continue. */
   adopted: { placement: Placement; wanted: boolean }[];
-  /** Attempts that are proven gone, and how they ended. */
+  /** Attempts that provably no longer exist, and how they ended. */
   ended: Ended[];
-  /** Attempts that were to be counted as gone by a proof that does not hold: they still count. */
+  /** Attempts that were to be removed on the basis of an invalid proof, and therefore remain registered. */
   unproven: { placement: Placement; proof: GoneProof; flaw: string }[];
-  /** Machines that count as fenced from now on, and what proves it. */
+  /** Machines that have become fenced, and the proof. */
   fenced: { machine: Machine; proof: FenceProof }[];
-  /** Gangs that lost a member and must come down before they can start again. */
+  /** Gangs that lost a member and must be stopped before they can start again. */
   broken: Set<Unit>;
 }
 
-export interface ReportContext extends BlameTiming {
-  /** Sent by the worker itself, not the body of an answer to us. */
+/** Inputs for applying a report besides the report itself. */
+export interface ReportContext extends FailureTiming {
+  /** True for a report that the worker sent by itself, false for the body of a reply to a command. */
   viaReport: boolean;
-  /** A stand-in for work that belongs elsewhere or has ended, so that its use counts. */
+  /** Returns a placeholder task set for a job that is not queued in this partition or has ended, so that its usage is counted. */
   placeholderFor: (ref: string) => Unit;
 }
 
+/** Returns findings without any entry. */
 export function newFindings(): Findings {
   return { changed: false, finished: new Set(), runs: [], began: [], adopted: [], ended: [], unproven: [], fenced: [], broken: new Set() };
 }
 
-/** What dropping an attempt needs to know beside the attempt. */
-export interface Drop {
+/** Arguments for removing attempts that all attempts of a machine share. */
+export interface DropContext {
   part: Part;
   machine: Machine;
   now: number;
   findings: Findings;
 }
 
-/** How an attempt ended, and what proves that it is gone. */
-interface Ending {
+/** How an attempt ended, and the proof that it no longer exists. */
+interface AttemptEnd {
   proof: GoneProof;
   end: End;
-  /** Its progress was saved. */
+  /** The attempt's progress was saved. */
   kept?: boolean;
 }
 
-/** The only place where an attempt stops to count: it is proven gone from its machine. One by a flawed proof goes on counting. */
-function dropAttempt({ part, machine, now, findings }: Drop, key: string, placement: Placement, ending: Ending): void {
-  const { unit, runningAt, timed, attempt, host } = placement;
+/**
+ * Removes an attempt that provably no longer exists on its machine; no other code removes attempts. If the proof is
+ * invalid, the attempt remains registered and is reported in `findings.unproven`.
+ */
+function dropAttempt(
+  { part: partition, machine, now, findings }: DropContext,
+  key: string,
+  placement: Placement,
+  ending: AttemptEnd,
+): void {
+  const { unit: taskSet, runningAt, timed, attempt, host } = placement;
   const { proof, end, kept = false } = ending;
-  const flaw = flawOf(proof, part.term);
+  const flaw = flawOf(proof, partition.term);
   if (flaw !== null) {
     findings.unproven.push({ placement, proof, flaw });
     return;
   }
   findings.ended.push({ placement, end, proof, kept, ranS: runningAt === null || !timed ? 0 : Math.max(0, now - runningAt) / 1000 });
   removeAttempt(machine, key);
-  release(unit, placement);
-  noteGone(unit, placement.task, { attempt, host, by: proof.by });
-  // Seen before its job was known here, or while another unit had the task.
-  const found = findUnit(part, unit.spec.ref, taskNumber(placement));
-  if (found !== null && found.unit !== unit) {
+  release(taskSet, placement);
+  noteGone(taskSet, placement.task, { attempt, host, by: proof.by });
+  // The attempt was registered before its job was queued here, or while another task set contained the task.
+  const found = findUnit(partition, taskSet.spec.ref, taskNumber(placement));
+  if (found !== null && found.unit !== taskSet) {
     requeue(found.unit, found.task);
     noteGone(found.unit, found.task, { attempt, host, by: proof.by });
   }
   findings.changed = true;
-  if (isBrokenGang(unit)) findings.broken.add(unit);
+  if (isBrokenGang(taskSet)) findings.broken.add(taskSet);
   if (machine.placements.size === 0) machine.idleSince = now;
 }
 
-/** The worker's lease ran out, the machine was deleted, or a new session began. */
-export function dropAll(drop: Drop, proof: GoneProof): void {
-  const { machine } = drop;
-  for (const [key, placement] of [...machine.placements]) dropAttempt(drop, key, placement, { proof, end: "machine" });
+/** Removes all attempts of a machine, after its lease expired, it was deleted or its worker began a new session. */
+export function dropAll(dropContext: DropContext, proof: GoneProof): void {
+  const { machine } = dropContext;
+  for (const [key, placement] of [...machine.placements]) dropAttempt(dropContext, key, placement, { proof, end: "machine" });
   machine.exited.clear();
 }
 
-/** The task is done: what else of it may be on machines is of no use to anybody. */
-function stopOthers(unit: Unit, task: number): void {
-  for (const other of unit.attempts.ofTask(unit.spec.ref, unit.lo + task)) other.stop ??= { graceS: 0 };
+/** Stops all attempts at a completed task that may still be on machines. */
+function stopOtherAttempts(taskSet: Unit, task: number): void {
+  for (const other of taskSet.attempts.ofTask(taskSet.spec.ref, taskSet.lo + task)) other.stop ??= { graceS: 0 };
 }
 
-/** The attempt has exited: what that says of its job and its machine. */
-function noteExit({ part, machine, now, findings }: Drop, placement: Placement, task: ReportedTask, timing: BlameTiming): void {
-  const { unit } = placement;
+/** Updates the job and the machine of an attempt that has exited, according to the cause. */
+function recordExit(
+  { part: partition, machine, now, findings }: DropContext,
+  placement: Placement,
+  task: ReportedTask,
+  timing: FailureTiming,
+): void {
+  const { unit: taskSet } = placement;
   switch (task.cause) {
     case "done":
       if (placement.runningAt !== null && placement.timed)
-        findings.runs.push({ unit, seconds: (now - placement.runningAt) / 1000, host: machine.host });
-      markFinished(unit, placement.task);
-      stopOthers(unit, placement.task);
+        findings.runs.push({ unit: taskSet, seconds: (now - placement.runningAt) / 1000, host: machine.host });
+      markFinished(taskSet, placement.task);
+      stopOtherAttempts(taskSet, placement.task);
       machine.errors.clear();
-      findings.finished.add(unit);
+      findings.finished.add(taskSet);
       break;
     case "error":
-      blame(part, machine, unit, timing);
+      attributeFailure(partition, machine, taskSet, timing);
       break;
     case "no_room":
       machine.avoidUntil = Math.max(machine.avoidUntil, now + timing.coolMs);
       break;
-    // Busy: the worker means another attempt, which the same report lists and the registry counts.
+    // `busy` refers to another attempt at the task, which the same report lists and the registry counts.
     case "busy":
     case "no_such":
-      unit.failures++;
-      unit.notBefore = now + Math.min(timing.leaseMs * 3, timing.coolMs * 2 ** Math.min(unit.failures, 6));
+      taskSet.failures++;
+      taskSet.notBefore = now + Math.min(timing.leaseMs * 3, timing.coolMs * 2 ** Math.min(taskSet.failures, 6));
       break;
     default:
       break;
   }
 }
 
-function endOf({ cause }: ReportedTask, unit: Unit): End {
+function attemptOutcome({ cause }: ReportedTask, taskSet: Unit): End {
   if (cause === "done" || cause === "error") return cause;
-  if (unit.ended) return "withdrawn";
+  if (taskSet.ended) return "withdrawn";
   if (cause === "stopped") return "stopped";
   return cause === "mates_gone" || cause === "alone" ? "mates" : "refused";
 }
 
-/** May an attempt that this owner did not order go on? */
-function isWanted(unit: Unit, task: number, attempt: number): boolean {
-  if (unit.ended || unit.leaving || task >= unit.leavingFrom || unit.done.has(task) || unit.placed.has(task)) return false;
-  return unit.spec.kind !== "gang" || [...unit.placed.values()].every((mate) => mate.attempt === attempt);
+/** Returns whether an attempt that this owner did not order may continue. */
+function isWanted(taskSet: Unit, task: number, attempt: number): boolean {
+  if (taskSet.ended || taskSet.leaving || task >= taskSet.leavingFrom || taskSet.done.has(task) || taskSet.placed.has(task)) return false;
+  return taskSet.spec.kind !== "gang" || [...taskSet.placed.values()].every((member) => member.attempt === attempt);
 }
 
-/** Counts an attempt that this owner did not order. One that is not wanted is told to stop, and keeps its task from starting. */
-function adopt(part: Part, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
+/** Registers an attempt that this owner did not order. An unwanted one is stopped, and its task does not start until it is gone. */
+function adoptAttempt(partition: Part, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
   const { ref, task: number } = splitPiece(task.piece);
-  const found = findUnit(part, ref, number);
+  const found = findUnit(partition, ref, number);
   const placement: Placement = {
     unit: found?.unit ?? context.placeholderFor(ref),
     task: found?.task ?? number,
@@ -177,15 +192,16 @@
 }
 
 /**
- * Finished under a former owner who did not live to record it. Looked at in each report that lists it: its job may
- * become known only later, and then its task must not start again.
+ * Marks a task as completed whose attempt is not registered, because a former owner ordered it and stopped before
+ * recording the result. This is repeated for each report that lists the attempt: its job may be queued here only after
+ * the first one, and the task must not start again.
  */
-function noteResult(part: Part, { piece }: ReportedTask, findings: Findings): void {
-  const { ref, task: number } = splitPiece(piece);
-  const found = findUnit(part, ref, number);
+function recordUnorderedCompletion(partition: Part, { piece: taskId }: ReportedTask, findings: Findings): void {
+  const { ref, task: number } = splitPiece(taskId);
+  const found = findUnit(partition, ref, number);
   if (found === null || found.unit.done.has(found.task)) return;
   markFinished(found.unit, found.task);
-  stopOthers(found.unit, found.task);
+  stopOtherAttempts(found.unit, found.task);
   findings.finished.add(found.unit);
 }
 
@@ -193,21 +209,25 @@
   return report.session > machine.session || (report.session === machine.session && report.seq > machine.seq);
 }
 
-/** The worker killed and forgot everything when its lease ran out; what was on its way to the former session has no effect. */
-function beginSession(drop: Drop, { session, token }: Report): void {
-  const { machine, now, findings } = drop;
-  if (machine.session > 0) dropAll(drop, { by: "new session", token });
-  machine.unsettledStarts.clear();
+/**
+ * Begins a new session. The worker killed and discarded all attempts when its lease expired, and orders that were on
+ * their way to the former session have no effect.
+ */
+function beginSession(dropContext: DropContext, { session, token }: Report): void {
+  const { machine, now, findings } = dropContext;
+  if (machine.session > 0) dropAll(dropContext, { by: "new session", token });
+  machine.unresolvedStarts.clear();
   machine.session = session;
-  // A session is a lease of its own, whoever answers: it began by now at the latest, and what is started in it by direct
-  // commands lives until it ends. Counted from the last answer alone, a machine that reaches no controller, and whose new
-  // session we know from its reply to a command, seemed to have lost what ran there for most of a lease more.
+  // A session begins with a full lease without any answer. It began no later than now, and attempts started in it by
+  // direct commands live until that lease expires. When the lease was counted from the last answer alone, a machine that
+  // reaches no controller, and whose new session is known from its reply to a command, was considered lost while its
+  // attempts continued to run for most of another lease.
   machine.answeredAt = Math.max(machine.answeredAt, now);
   findings.changed = true;
 }
 
-/** What the report says of the machine itself. */
-function noteMachine(part: Part, machine: Machine, report: Report, { now, viaReport }: ReportContext, findings: Findings): void {
+/** Updates the machine's own state from a report: sequence number, token, address, fencing and preemption notice. */
+function updateMachine(partition: Part, machine: Machine, report: Report, { now, viaReport }: ReportContext, findings: Findings): void {
   machine.seq = report.seq;
   machine.token = report.token;
   machine.addr = report.addr;
@@ -215,8 +235,8 @@
   machine.heardAt = now;
   if (viaReport) machine.reportedAt = now;
   machine.lost = false;
-  if (report.token >= part.term && !machine.fenced) {
-    fence(part, machine, "token", findings.fenced);
+  if (report.token >= partition.term && !machine.fenced) {
+    fence(partition, machine, "token", findings.fenced);
     findings.changed = true;
   }
   if (report.noticeS !== null && machine.noticeAt === null) {
@@ -225,20 +245,24 @@
   }
 }
 
-/** A task that the report lists. */
-function noteTask(drop: Drop, task: ReportedTask, token: number, context: ReportContext): void {
-  const { part, machine, findings } = drop;
+/** Applies the state of one task that a report lists. */
+function applyTaskReport(dropContext: DropContext, task: ReportedTask, token: number, context: ReportContext): void {
+  const { part: partition, machine, findings } = dropContext;
   const key = attemptKey(task.piece, task.attempt);
-  const known = machine.placements.get(key);
+  const registered = machine.placements.get(key);
   if (task.state === "exited") {
     machine.exited.set(key, task);
-    if (known !== undefined) {
-      noteExit(drop, known, task, context);
-      dropAttempt(drop, key, known, { proof: { by: "exited", token }, end: endOf(task, known.unit), kept: task.saved });
-    } else if (task.cause === "done") noteResult(part, task, findings);
+    if (registered !== undefined) {
+      recordExit(dropContext, registered, task, context);
+      dropAttempt(dropContext, key, registered, {
+        proof: { by: "exited", token },
+        end: attemptOutcome(task, registered.unit),
+        kept: task.saved,
+      });
+    } else if (task.cause === "done") recordUnorderedCompletion(partition, task, findings);
     return;
   }
-  const placement = known ?? adopt(part, machine, task, context, findings);
+  const placement = registered ?? adoptAttempt(partition, machine, task, context, findings);
   if (task.state !== "fetching") machine.images.add(placement.unit.spec.image);
   if (task.state === "running" && placement.state !== "running") {
     placement.runningAt = context.now;
@@ -247,39 +271,40 @@
   placement.state = task.state;
 }
 
-/** Attempts that are counted on the machine and that the report does not list. */
-function noteUnlisted(drop: Drop, listed: ReadonlySet<string>, report: Report, viaReport: boolean): void {
-  const { machine } = drop;
-  const unseen: Ending = { proof: { by: "not listed", token: report.token }, end: "unseen" };
+/** Removes registered attempts that the report does not list, where this proves that they no longer exist. */
+function dropUnlistedAttempts(dropContext: DropContext, listed: ReadonlySet<string>, report: Report, viaReport: boolean): void {
+  const { machine } = dropContext;
+  const unlistedEnd: AttemptEnd = { proof: { by: "not listed", token: report.token }, end: "unseen" };
   for (const key of [...machine.exited.keys()]) if (!listed.has(key)) machine.exited.delete(key);
   for (const [key, placement] of [...machine.placements]) {
     if (listed.has(key)) continue;
     if (placement.state !== null) {
-      // It was there and is no longer listed, within one session: only `clear` does that.
-      dropAttempt(drop, key, placement, unseen);
+      // An attempt that was reported and is no longer listed in the same session has been removed by `clear`.
+      dropAttempt(dropContext, key, placement, unlistedEnd);
       continue;
     }
-    // An order in an answer is executed before the next report or never; a direct
-    // one without an answer may still come, so its attempt stays counted.
+    // An order in an answer is executed before the next report or never. A direct
+    // order without a reply may still arrive, so its attempt remains registered.
     const settled = placement.direct === "none" && viaReport && report.seq > placement.offeredSeq;
-    if (settled && (placement.stop !== null || placement.unit.ended)) dropAttempt(drop, key, placement, unseen);
+    if (settled && (placement.stop !== null || placement.unit.ended)) dropAttempt(dropContext, key, placement, unlistedEnd);
   }
 }
 
 /**
- * Brings a machine up to a report. Reports may come late and out of order; an
- * older one changes nothing. Returns false for those.
+ * Updates a machine and its attempts from a report and adds the effects to `findings`.
+ * Reports may arrive late and out of order; one that is not newer than the last applied
+ * report changes nothing. Returns whether the report was applied.
  */
-export function takeReport(part: Part, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
+export function takeReport(partition: Part, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
   if (!isNewer(machine, report)) return false;
-  const drop: Drop = { part, machine, now: context.now, findings };
-  if (report.session > machine.session) beginSession(drop, report);
-  noteMachine(part, machine, report, context, findings);
+  const dropContext: DropContext = { part: partition, machine, now: context.now, findings };
+  if (report.session > machine.session) beginSession(dropContext, report);
+  updateMachine(partition, machine, report, context, findings);
   const listed = new Set<string>();
   for (const task of report.tasks) {
     listed.add(attemptKey(task.piece, task.attempt));
-    noteTask(drop, task, report.token, context);
+    applyTaskReport(dropContext, task, report.token, context);
   }
-  noteUnlisted(drop, listed, report, context.viaReport);
+  dropUnlistedAttempts(dropContext, listed, report, context.viaReport);
   return true;
 }
--- a/src/workers/report-lane.ts
+++ b/src/workers/report-lane.ts
@@ -1,170 +1,178 @@
+/** Fast path for workers' reports: parses plain HTTP/1.1 report requests without Node's HTTP server. */
 import type { Server as HttpServer } from "node:http";
 import type { Server, Socket } from "node:net";
 import type { Clock } from "../platform/clock.js";
 import type { Scope } from "../platform/scope.js";
-import { answerReport, MAX_REPORT, REPORT_PATH, TOO_LONG, type Reply, type ReportDoor } from "./report-endpoint.js";
+import { answerReport, MAX_REPORT_BYTES, REPORT_PATH, REPORT_TOO_LARGE, type ReportResponse, type ReportDoor } from "./report-endpoint.js";
 
-const REQUEST = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`, "latin1");
+const REQUEST_LINE = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = "\r\n\r\n";
-const MAX_HEAD = 8 * 1024;
-/** Answers a connection may hold unread: two of the longest. A sender that does not read waits for nothing of ours. */
-const MOST_UNREAD = 2 * 64 * 1024;
-const HEADER = /^([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\0\r\n]*?)[ \t]*$/;
-/** What makes a request more than a head and so many bytes: left to Node's parser. */
-const NOT_OURS = new Set(["transfer-encoding", "expect", "upgrade", "trailer"]);
-const REASONS: Record<number, string> = { 200: "OK", 400: "Bad Request", 421: "Misdirected Request", 503: "Service Unavailable" };
+const MAX_HEAD_BYTES = 8 * 1024;
+/** Limit for answers that a sender has not read, in bytes: two of the longest. A connection beyond it is closed. */
+const MAX_UNREAD_ANSWER_BYTES = 2 * 64 * 1024;
+const HEADER_FIELD = /^([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\0\r\n]*?)[ \t]*$/;
+/** Headers that make a request more than a head and a body of known length; such requests are left to Node's parser. */
+const UNSUPPORTED_HEADERS = new Set(["transfer-encoding", "expect", "upgrade", "trailer"]);
+const REASON_PHRASES: Record<number, string> = { 200: "OK", 400: "Bad Request", 421: "Misdirected Request", 503: "Service Unavailable" };
 
-/** What stands at the beginning of a connection's bytes. */
-export type Reading =
-  /** Not enough of it yet to tell. */
+/** Result of parsing the beginning of a connection's unprocessed bytes. */
+export type ParseResult =
+  /** The bytes are the beginning of a request that is incomplete. */
   | { kind: "more" }
-  /** Anything but a plain report: Node's HTTP server is to read it. */
+  /** Anything other than a plain report; Node's HTTP server must parse it. */
   | { kind: "other" }
+  /** A plain report whose declared length exceeds `MAX_REPORT_BYTES`. */
   | { kind: "too-long" }
-  /** A report, body from `from` to `to`; `close`: the sender wants no further answer after this one. */
-  | { kind: "report"; from: number; to: number; close: boolean };
+  /** A complete report with its body from `bodyStart` to `bodyEnd`; `close` if the sender asks to close the connection after the answer. */
+  | { kind: "report"; bodyStart: number; bodyEnd: number; close: boolean };
 
-/** Reads the next request of a connection, of which all bytes not yet dealt with are given. */
-export function readRequest(bytes: Buffer): Reading {
-  const shown = Math.min(bytes.length, REQUEST.length);
-  if (bytes.compare(REQUEST, 0, shown, 0, shown) !== 0) return { kind: "other" };
-  const end = bytes.indexOf(HEAD_END, 0, "latin1");
-  if (end < 0) return { kind: bytes.length > MAX_HEAD ? "other" : "more" };
-  if (end > MAX_HEAD) return { kind: "other" };
-  let length = -1;
+/** Parses the next request of a connection. `bytes` holds everything received on it that has not been processed. */
+export function parseRequest(bytes: Buffer): ParseResult {
+  const compared = Math.min(bytes.length, REQUEST_LINE.length);
+  if (bytes.compare(REQUEST_LINE, 0, compared, 0, compared) !== 0) return { kind: "other" };
+  const headEnd = bytes.indexOf(HEAD_END, 0, "latin1");
+  if (headEnd < 0) return { kind: bytes.length > MAX_HEAD_BYTES ? "other" : "more" };
+  if (headEnd > MAX_HEAD_BYTES) return { kind: "other" };
+  let contentLength = -1;
   let close = false;
-  for (const line of bytes.toString("latin1", REQUEST.length, end).split("\r\n")) {
-    const header = HEADER.exec(line);
+  for (const line of bytes.toString("latin1", REQUEST_LINE.length, headEnd).split("\r\n")) {
+    const header = HEADER_FIELD.exec(line);
     if (header === null) return { kind: "other" };
     const name = header[1]!.toLowerCase();
     const value = header[2]!;
-    if (NOT_OURS.has(name)) return { kind: "other" };
+    if (UNSUPPORTED_HEADERS.has(name)) return { kind: "other" };
     if (name === "connection") close = value.toLowerCase() !== "keep-alive";
     if (name === "content-length") {
-      if (length >= 0 || !/^\d{1,9}$/.test(value)) return { kind: "other" };
-      length = Number(value);
+      if (contentLength >= 0 || !/^\d{1,9}$/.test(value)) return { kind: "other" };
+      contentLength = Number(value);
     }
   }
-  if (length < 0) return { kind: "other" };
-  if (length > MAX_REPORT) return { kind: "too-long" };
-  const from = end + HEAD_END.length;
-  return bytes.length < from + length ? { kind: "more" } : { kind: "report", from, to: from + length, close };
+  if (contentLength < 0) return { kind: "other" };
+  if (contentLength > MAX_REPORT_BYTES) return { kind: "too-long" };
+  const start = headEnd + HEAD_END.length;
+  return bytes.length < start + contentLength
+    ? { kind: "more" }
+    : { kind: "report", bodyStart: start, bodyEnd: start + contentLength, close };
 }
 
-function head({ status, retryAfterS }: Reply, length: number, close: boolean): string {
-  const retry = retryAfterS === undefined ? "" : `retry-after: ${retryAfterS}\r\n`;
-  const end = close ? "connection: close\r\n" : "";
-  return `HTTP/1.1 ${status} ${REASONS[status]}\r\ncontent-type: application/json\r\ncontent-length: ${length}\r\n${retry}${end}\r\n`;
+function responseHead({ status, retryAfterS }: ReportResponse, length: number, close: boolean): string {
+  const retryHeader = retryAfterS === undefined ? "" : `retry-after: ${retryAfterS}\r\n`;
+  const closeHeader = close ? "connection: close\r\n" : "";
+  return `HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\ncontent-type: application/json\r\ncontent-length: ${length}\r\n${retryHeader}${closeHeader}\r\n`;
 }
 
-/** Whom the report lane works with. */
-export interface LaneAround {
+/** Dependencies of the fast path for reports. */
+export interface ReportFastPathDependencies {
+  /** Receives the reports and builds the answers. */
   door: ReportDoor;
-  /** Reads whatever is not a plain report; it does not listen itself. */
+  /** Server that handles connections with any other request; it does not listen itself. */
   others: HttpServer;
-  /** Connections are closed after an answer while this holds. */
+  /** While this returns true, each connection is closed after its answer. */
   crowded: () => boolean;
   scope: Scope;
-  /** A connection on which nothing came for so long is closed. */
+  /** Time without received data after which a connection is closed, in ms. */
   idleMs: number;
 }
 
-interface Lane {
+interface ReportConnection {
   socket: Socket;
-  /** Takes this lane's own listeners off the connection. */
-  leave: () => void;
+  /** Removes the fast path's listeners from the socket. */
+  detach: () => void;
+  /** Beginning of a request that is incomplete. */
   pending: Buffer | null;
-  heardAt: number;
+  lastReceivedAt: number;
 }
 
 /**
- * HTTP/1.1 on bare connections, for the one kind of request of which there are hundreds a
- * second. Node's HTTP server makes some dozen objects, streams and events of each, which costs
- * several times what a report does. Whatever is not a plain report to the letter, from the first
- * byte of any request on, goes to that server together with its connection and stays there.
+ * Handles HTTP/1.1 report requests directly on sockets, because they arrive at hundreds per
+ * second. Node's HTTP server creates about a dozen objects, streams and events for each
+ * request, which costs several times as much as processing the report. A connection with any
+ * request that is not exactly a plain report is handed to that server, including the bytes
+ * of that request received so far, and stays there.
  */
 export class ReportLanes {
-  private readonly lanes = new Set<Lane>();
+  private readonly connections = new Set<ReportConnection>();
 
-  constructor(private readonly around: LaneAround) {}
+  constructor(private readonly dependencies: ReportFastPathDependencies) {}
 
+  /** Handles the connections that `server` accepts and closes idle ones. */
   start(server: Server): void {
     server.on("connection", (socket) => this.accept(socket));
-    this.around.scope.routine(
+    this.dependencies.scope.routine(
       "idle connections",
-      () => this.around.idleMs / 2,
-      () => this.sweep(),
+      () => this.dependencies.idleMs / 2,
+      () => this.closeIdleConnections(),
     );
   }
 
   private get clock(): Clock {
-    return this.around.scope.clock;
+    return this.dependencies.scope.clock;
   }
 
-  /** Machines that died never close theirs: without this, every one would hold a socket for ever. */
-  private sweep(): void {
+  /** Closes idle connections. Machines that fail never close theirs, so each would otherwise hold a socket forever. */
+  private closeIdleConnections(): void {
     const now = this.clock.now();
-    for (const { socket, heardAt } of this.lanes) if (now - heardAt > this.around.idleMs) socket.destroy();
+    for (const { socket, lastReceivedAt } of this.connections) if (now - lastReceivedAt > this.dependencies.idleMs) socket.destroy();
   }
 
   private accept(socket: Socket): void {
-    const data = (chunk: Buffer): void => this.take(lane, chunk);
+    const data = (chunk: Buffer): void => this.onData(connection, chunk);
     const end = (): void => void socket.end();
     const error = (): void => void socket.destroy();
-    const leave = (): void => {
-      socket.off("data", data).off("end", end).off("error", error).off("close", leave);
-      this.lanes.delete(lane);
+    const detach = (): void => {
+      socket.off("data", data).off("end", end).off("error", error).off("close", detach);
+      this.connections.delete(connection);
     };
-    const lane: Lane = { socket, leave, pending: null, heardAt: this.clock.now() };
-    this.lanes.add(lane);
-    socket.on("data", data).on("end", end).on("error", error).on("close", leave);
+    const connection: ReportConnection = { socket, detach, pending: null, lastReceivedAt: this.clock.now() };
+    this.connections.add(connection);
+    socket.on("data", data).on("end", end).on("error", error).on("close", detach);
   }
 
-  private take(lane: Lane, chunk: Buffer): void {
-    lane.heardAt = this.clock.now();
-    if (lane.socket.writableLength > MOST_UNREAD) {
-      lane.socket.destroy();
+  private onData(connection: ReportConnection, chunk: Buffer): void {
+    connection.lastReceivedAt = this.clock.now();
+    if (connection.socket.writableLength > MAX_UNREAD_ANSWER_BYTES) {
+      connection.socket.destroy();
       return;
     }
-    let bytes = lane.pending === null ? chunk : Buffer.concat([lane.pending, chunk]);
-    lane.pending = null;
-    while (bytes.length > 0 && !lane.socket.destroyed) {
-      const reading = readRequest(bytes);
-      if (reading.kind === "more") {
-        lane.pending = bytes;
+    let bytes = connection.pending === null ? chunk : Buffer.concat([connection.pending, chunk]);
+    connection.pending = null;
+    while (bytes.length > 0 && !connection.socket.destroyed) {
+      const request = parseRequest(bytes);
+      if (request.kind === "more") {
+        connection.pending = bytes;
         return;
       }
-      if (reading.kind === "other") return this.handOver(lane, bytes);
-      // The rest is not read: whoever sends this much is no worker.
-      if (reading.kind === "too-long") return this.send(lane, TOO_LONG, true);
-      const close = reading.close || this.around.crowded();
-      this.send(lane, answerReport(this.around.door, bytes.subarray(reading.from, reading.to)), close);
+      if (request.kind === "other") return this.handOff(connection, bytes);
+      // The rest of the request is not read, because no worker sends a report of this size.
+      if (request.kind === "too-long") return this.send(connection, REPORT_TOO_LARGE, true);
+      const close = request.close || this.dependencies.crowded();
+      this.send(connection, answerReport(this.dependencies.door, bytes.subarray(request.bodyStart, request.bodyEnd)), close);
       if (close) return;
-      bytes = bytes.subarray(reading.to);
+      bytes = bytes.subarray(request.bodyEnd);
     }
   }
 
-  private send(lane: Lane, answer: Reply, close: boolean): void {
-    const { socket } = lane;
-    this.around.door.count(answer.status);
+  private send(connection: ReportConnection, answer: ReportResponse, close: boolean): void {
+    const { socket } = connection;
+    this.dependencies.door.count(answer.status);
     const length = Buffer.byteLength(answer.text);
-    const text = head(answer, length, close) + answer.text;
+    const text = responseHead(answer, length, close) + answer.text;
     const encoding = length === answer.text.length ? "latin1" : "utf8";
     if (!close) {
       socket.write(text, encoding);
       return;
     }
-    // What comes after it is not read.
-    lane.leave();
+    // Data after this request is discarded.
+    connection.detach();
     socket.on("error", () => socket.destroy());
     socket.resume();
     socket.end(text, encoding, () => socket.destroySoon());
   }
 
-  private handOver(lane: Lane, bytes: Buffer): void {
-    const { socket } = lane;
-    lane.leave();
-    this.around.others.emit("connection", socket);
+  private handOff(connection: ReportConnection, bytes: Buffer): void {
+    const { socket } = connection;
+    connection.detach();
+    this.dependencies.others.emit("connection", socket);
     socket.unshift(bytes);
   }
 }
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -5,31 +5,36 @@
 import { decodeReport, encodeOrders, type CommandReply, type Order, type WorkerApi } from "@thorntrail/protocol/worker";
 
 /**
- * A part may have more machines than this node has sockets to spare, each with a
- * connection of its own for reports: commands go to so many at a time, and no more
- * connections are kept. What waited too long for its turn is not sent.
+ * HTTP client for commands to workers. A partition may have more machines than the node
+ * has spare sockets, and each machine also keeps a connection for its reports. The number
+ * of concurrent commands and of idle connections is therefore limited to `maxConcurrent`.
+ * A command whose time limit expires while it waits is not sent.
  */
 export class HttpWorkers implements WorkerApi {
   private readonly http: HttpClient;
-  private readonly turns$ = new Subject<() => Promise<unknown>>();
+  private readonly calls$ = new Subject<() => Promise<unknown>>();
 
   constructor(
     private readonly timeoutMs: number,
-    most: number,
-    asker: string,
+    maxConcurrent: number,
+    clientName: string,
   ) {
-    this.http = new HttpClient(1, most, asker);
-    this.turns$.pipe(mergeMap((turn) => turn(), most)).subscribe();
+    this.http = new HttpClient(1, maxConcurrent, clientName);
+    this.calls$.pipe(mergeMap((call) => call(), maxConcurrent)).subscribe();
   }
 
+  /**
+   * Sends orders to a worker. `limitMs` includes the time spent waiting for other commands. Rejects with `NoReply` if the
+   * command was not sent or got no valid reply.
+   */
   command(addr: string, token: number, session: number, orders: Order[], limitMs = this.timeoutMs): Promise<CommandReply> {
     const deadline = performance.now() + limitMs;
     return new Promise((resolve, reject) => {
-      this.turns$.next(async () => {
-        // What was left of the time when it was asked for, not the whole of it once more.
-        const leftMs = deadline - performance.now();
-        if (leftMs <= 0) return reject(new NoReply("refused", "no turn in time"));
-        await this.call(addr, token, session, orders, leftMs).then(resolve, reject);
+      this.calls$.next(async () => {
+        // The time limit runs from the call of `command`, so the time spent waiting is deducted.
+        const remainingMs = deadline - performance.now();
+        if (remainingMs <= 0) return reject(new NoReply("refused", "no turn in time"));
+        await this.call(addr, token, session, orders, remainingMs).then(resolve, reject);
       });
     });
   }
--- a/test/report-endpoint.test.ts
+++ b/test/report-endpoint.test.ts
@@ -7,17 +7,17 @@
 
 const report = { host: "i-1", addr: "10.0.0.1:1", shift: 1, tick: 1, baton: 0, pieces: [] };
 
-test("reports are answered at once, malformed and oversized ones too", async () => {
-  const seen: string[] = [];
+test("reports are answered immediately, including malformed and oversized ones", async () => {
+  const reportedHosts: string[] = [];
   const refused: string[] = [];
   const server = createServer((req, res) =>
     serveReport(
       {
         count: () => undefined,
-        refused: (why, begins) => void refused.push(`${why}: ${begins}`),
+        refused: (why, bodyStart) => void refused.push(`${why}: ${bodyStart}`),
         costs: new Costs(),
         onReport: ({ host }) => {
-          seen.push(host);
+          reportedHosts.push(host);
           if (host === "i-2") return { kind: "elsewhere", boss: "nest-1" };
           return host === "i-3" ? { kind: "silent" } : { kind: "orders", token: 7, orders: [] };
         },
@@ -47,7 +47,7 @@
     }
     assert.equal((await post(JSON.stringify({ ...report, more: "x".repeat(70_000) }))).status, 400);
     assert.deepEqual([refused.length, refused[1], refused[6]!.slice(0, 12)], [7, "not JSON: {", "not a report"]);
-    assert.deepEqual(seen, ["i-1", "i-2", "i-3"]);
+    assert.deepEqual(reportedHosts, ["i-1", "i-2", "i-3"]);
   } finally {
     server.close();
   }
