--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -4,51 +4,57 @@
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
 import { newUnit } from "../queue/unit.js";
-import { estimateContext, spareOf, type ExchangeAround } from "./around.js";
+import { estimateContext, unusedQuota, type ExchangeDependencies } from "./around.js";
 
-/** Says what a part would make of a job that another asks about. */
-export class Answers {
-  constructor(private readonly around: ExchangeAround) {}
+/** Answers bid requests of other partitions: estimates when and how fast a partition would run their job. */
+export class BidResponder {
+  constructor(private readonly dependencies: ExchangeDependencies) {}
 
-  onQuery(query: Query): void {
-    const part = this.around.leader.parts.get(query.part);
-    const job = this.around.mirror.get<JobRecord>(keys.job(query.job))?.v;
+  /**
+   * Sends a bid for the job. The bid has an infinite wait if the partition is not served here, the job's record is not
+   * available, or this controller lacks proof of authority or sheds load.
+   */
+  onBidRequest(query: Query): void {
+    const partition = this.dependencies.leader.parts.get(query.part);
+    const job = this.dependencies.mirror.get<JobRecord>(keys.job(query.job))?.v;
     if (
-      part === undefined ||
-      part.phase !== "serving" ||
+      partition === undefined ||
+      partition.phase !== "serving" ||
       job === undefined ||
-      this.around.leader.silent() ||
-      this.around.overload.sheds("volunteering")
+      this.dependencies.leader.silent() ||
+      this.dependencies.overload.sheds("volunteering")
     ) {
-      this.around.peers.send(query.from, {
+      this.dependencies.peers.send(query.from, {
         Answer: { id: query.id, part: query.part, waitMs: Infinity, runMs: 0, utilization: 1, atOnce: 0 },
       });
       return;
     }
-    const probe = newUnit(
+    const candidate = newUnit(
       keys.job(query.job),
       job.spec,
       0,
       job.hi,
       new Bits(job.hi),
-      this.around.needs.sinceWall(job),
-      this.around.scope.clock.now(),
+      this.dependencies.needs.sinceWall(job),
+      this.dependencies.scope.clock.now(),
     );
-    probe.urgency = this.around.needs.urgency(query.job);
+    candidate.urgency = this.dependencies.needs.urgency(query.job);
     const atOnce = new Map<string, number>();
-    const context = estimateContext(this.around);
-    const waits = this.around.scope.costs.spend("estimate", () => estimateWaits(part, context, [probe], (unit) => unit === probe, atOnce));
-    const waitMs = waits.get(probe.key) ?? Infinity;
-    const runMs = this.around.leader.history.expectS(job.spec) * 1000;
-    const within = tasksWithin(job.spec, spareOf(this.around, part, job.spec.team));
-    this.around.peers.send(query.from, {
+    const context = estimateContext(this.dependencies);
+    const waits = this.dependencies.scope.costs.spend("estimate", () =>
+      estimateWaits(partition, context, [candidate], (taskSet) => taskSet === candidate, atOnce),
+    );
+    const waitMs = waits.get(candidate.key) ?? Infinity;
+    const runMs = this.dependencies.leader.history.expectS(job.spec) * 1000;
+    const tasksWithinQuota = tasksWithin(job.spec, unusedQuota(this.dependencies, partition, job.spec.team));
+    this.dependencies.peers.send(query.from, {
       Answer: {
         id: query.id,
-        part: part.id,
+        part: partition.id,
         waitMs,
         runMs,
-        utilization: utilization(part),
-        atOnce: Math.min(within, atOnce.get(probe.key) ?? 0),
+        utilization: utilization(partition),
+        atOnce: Math.min(tasksWithinQuota, atOnce.get(candidate.key) ?? 0),
       },
     });
   }
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -12,8 +12,8 @@
 import { PREEMPT_AFTER_PHI } from "../queue/preempt.js";
 import type { Settings } from "../settings/derived.js";
 
-/** Whom the duties of the exchange work with. */
-export interface ExchangeAround {
+/** Dependencies of the exchange. */
+export interface ExchangeDependencies {
   settings: Settings;
   life: string;
   leader: Leader;
@@ -27,32 +27,34 @@
   scope: Scope;
 }
 
-export function tuningOf({ settings }: ExchangeAround): Settings["operators"]["exchange"] {
+/** Returns the operators' settings of the exchange. */
+export function exchangeSettings({ settings }: ExchangeDependencies): Settings["operators"]["exchange"] {
   return settings.operators.exchange;
 }
 
-export function estimateContext({ scope, settings, leader }: ExchangeAround): EstimateContext {
+/** Returns the inputs of wait estimates as of now. */
+export function estimateContext({ scope, settings, leader }: ExchangeDependencies): EstimateContext {
   return {
     now: scope.clock.now(),
     silentMs: settings.timing.silentMs,
     order: leader.order(),
     history: leader.history,
-    guaranteed: (unit) => leader.guarantees.within(unit.spec.ref),
+    guaranteed: (taskSet) => leader.guarantees.within(taskSet.spec.ref),
     excess: leader.guarantees.excess(leader.use()),
     preemptAfterMs: settings.operators.exchange.phi * PREEMPT_AFTER_PHI * 1000,
     bootMs: (machine) => leader.bootMs(machine),
   };
 }
 
-/** The live node that leads the part; null: nobody, as far as is known. */
-export function ownerOf({ ownership }: ExchangeAround, part: number): string | null {
-  const owner = ownership.owner(part)?.owner;
+/** Returns the node that owns the partition; null if there is no owner, or it is absent or suspected. */
+export function liveOwnerOf({ ownership }: ExchangeDependencies, partition: number): string | null {
+  const owner = ownership.owner(partition)?.owner;
   return owner !== undefined && ownership.trusts(owner) ? owner : null;
 }
 
-/** Of the team's allotment in the part, what nothing uses. */
-export function spareOf({ quotaShares }: ExchangeAround, part: Part, team: string): Usage {
-  const held = quotaShares.held(part.id, team);
-  const used = usageOf(part, team);
-  return { cpus: held.cpus - used.cpus, gpus: held.gpus - used.gpus };
+/** Returns the portion of the team's quota share in the partition that no task uses. */
+export function unusedQuota({ quotaShares }: ExchangeDependencies, partition: Part, team: string): Usage {
+  const granted = quotaShares.held(partition.id, team);
+  const used = usageOf(partition, team);
+  return { cpus: granted.cpus - used.cpus, gpus: granted.gpus - used.gpus };
 }
--- a/src/exchange/choice.ts
+++ b/src/exchange/choice.ts
@@ -1,28 +1,32 @@
-/** What a part offers a job: when it would start there and how long it would run. */
+/**
+ * Bid of a partition for a job: when the job would start there and how long it would run. The members are those of the
+ * `Answer` message between controllers.
+ */
 export interface Bid {
   part: number;
   waitMs: number;
   runMs: number;
   utilization: number;
-  /** Tasks it could start now, if not all. */
+  /** Number of tasks that could start now if the others have to wait. */
   atOnce: number;
 }
 
 const turnaround = (bid: Bid): number => bid.waitMs + bid.runMs;
 
 /**
- * The least wait plus run time; bids within `epsilon` of it are a tie, which the
- * lowest utilization wins. The job moves only to a part that beats home.
+ * Returns the bid with the shortest turnaround (wait plus run time) among those that are
+ * shorter than the home partition's, or the home bid if there are none. Bids within the
+ * fraction `epsilon` of the shortest count as equal, and the lowest utilization decides.
  */
-export function best(home: Bid, bids: Bid[], epsilon: number): Bid {
-  const better = bids.filter((bid) => turnaround(bid) < turnaround(home));
-  if (better.length === 0) return home;
-  const least = Math.min(...better.map(turnaround));
-  const tied = better.filter((bid) => turnaround(bid) <= least * (1 + epsilon));
-  return tied.reduce((a, b) => (b.utilization < a.utilization ? b : a));
+export function selectBid(homeBid: Bid, bids: Bid[], epsilon: number): Bid {
+  const betterBids = bids.filter((bid) => turnaround(bid) < turnaround(homeBid));
+  if (betterBids.length === 0) return homeBid;
+  const minTurnaround = Math.min(...betterBids.map(turnaround));
+  const tiedBids = betterBids.filter((bid) => turnaround(bid) <= minTurnaround * (1 + epsilon));
+  return tiedBids.reduce((a, b) => (b.utilization < a.utilization ? b : a));
 }
 
-/** Where the most tasks of an array could start now; null: nowhere. */
-export function roomiest(bids: Bid[]): Bid | null {
-  return bids.reduce<Bid | null>((most, bid) => (bid.atOnce > (most?.atOnce ?? 0) ? bid : most), null);
+/** Returns the bid with the most tasks of an array that could start now; null if none could start anywhere. */
+export function bidWithMostFreeCapacity(bids: Bid[]): Bid | null {
+  return bids.reduce<Bid | null>((largest, bid) => (bid.atOnce > (largest?.atOnce ?? 0) ? bid : largest), null);
 }
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -1,8 +1,8 @@
-import { tuningOf, estimateContext, ownerOf, type ExchangeAround } from "./around.js";
-import { Answers } from "./answers.js";
+import { exchangeSettings, estimateContext, liveOwnerOf, type ExchangeDependencies } from "./around.js";
+import { BidResponder } from "./answers.js";
 import { QuotaTransfers } from "./quota-transfers.js";
-import { best, roomiest, type Bid } from "./choice.js";
-import { Moving } from "./moving.js";
+import { selectBid, bidWithMostFreeCapacity, type Bid } from "./choice.js";
+import { Migration } from "./moving.js";
 import { Volunteers } from "./volunteers.js";
 import type { Part } from "../parts/part.js";
 import { firstId } from "../peers/ids.js";
@@ -12,186 +12,220 @@
 import { suspect, tailOf, type Unit } from "../queue/unit.js";
 import { aimS } from "../settings/derived.js";
 
-interface Asking {
+/** Bid request that has been sent and not decided. */
+interface PendingBidRequest {
   id: number;
-  part: Part;
-  unit: Unit;
-  home: Bid;
-  open: Set<number>;
+  partition: Part;
+  taskSet: Unit;
+  homeBid: Bid;
+  /** Partitions whose bid has not arrived. */
+  unanswered: Set<number>;
   bids: Bid[];
-  rest: number[];
+  /** Partitions to ask next if none of the bids is better than the home partition's. */
+  remainingPartitions: number[];
   decide?: () => void;
 }
 
 /**
- * The superscheduler proper, symmetrically initiated: jobs whose wait at home
- * is short stay; others go to a volunteer that beats home, or, when nobody
- * volunteers, every peer is asked. One query is out at a time.
+ * Superscheduler with symmetric initiation. Jobs with a short expected wait in their
+ * home partition stay. For the others, bids are requested first from volunteers; if there
+ * are none or none is better than the home partition, from all other partitions. At most
+ * one bid request is pending at a time.
  */
 export class Exchange {
   private readonly volunteers: Volunteers;
-  private readonly answers: Answers;
-  private readonly moving: Moving;
+  private readonly bidResponder: BidResponder;
+  private readonly migration: Migration;
   private readonly quotaTransfers: QuotaTransfers;
-  private readonly asked = new Map<string, number>();
-  private asking: Asking | null = null;
-  private lastId: number;
+  private readonly nextRequestAt = new Map<string, number>();
+  private pendingRequest: PendingBidRequest | null = null;
+  private lastRequestId: number;
+  /** Counters for metrics. */
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
-  constructor(private readonly around: ExchangeAround) {
-    this.lastId = firstId(around.life);
-    this.volunteers = new Volunteers(around);
-    this.answers = new Answers(around);
-    this.moving = new Moving(around, (unit) => this.asked.delete(unit.key));
-    this.quotaTransfers = new QuotaTransfers(around);
+  constructor(private readonly dependencies: ExchangeDependencies) {
+    this.lastRequestId = firstId(dependencies.life);
+    this.volunteers = new Volunteers(dependencies);
+    this.bidResponder = new BidResponder(dependencies);
+    this.migration = new Migration(dependencies, (taskSet) => this.nextRequestAt.delete(taskSet.key));
+    this.quotaTransfers = new QuotaTransfers(dependencies);
   }
 
+  /** Returns the inputs of wait estimates as of now. */
   estimateContext(): EstimateContext {
-    return estimateContext(this.around);
+    return estimateContext(this.dependencies);
   }
 
+  /** Handles messages of other controllers and starts the periodic search for better partitions. */
   start(): void {
-    const { peers, scope, settings } = this.around;
+    const { peers, scope, settings } = this.dependencies;
     scope.listen(peers.incoming$, ({ message }) => {
-      if ("Volunteer" in message) this.volunteers.hear(message.Volunteer);
-      else if ("Query" in message) this.answers.onQuery(message.Query);
-      else if ("Answer" in message) this.onAnswer(message.Answer);
-      else if ("Want" in message) this.quotaTransfers.onWant(message.Want);
+      if ("Volunteer" in message) this.volunteers.onVolunteer(message.Volunteer);
+      else if ("Query" in message) this.bidResponder.onBidRequest(message.Query);
+      else if ("Answer" in message) this.onBid(message.Answer);
+      else if ("Want" in message) this.quotaTransfers.onQuotaRequest(message.Want);
     });
     this.quotaTransfers.start();
     this.volunteers.start();
     scope.routine(
       "exchange",
       () => settings.timing.reportMs / 5,
-      () => scope.costs.spend("exchange", () => this.consider()),
+      () => scope.costs.spend("exchange", () => this.requestBidsForWaitingJobs()),
     );
   }
 
-  private movable(unit: Unit): boolean {
+  /** Returns whether the whole job may migrate: nothing of it has started, and it has not migrated before. */
+  private isMigratable(taskSet: Unit): boolean {
     return (
-      !unit.moved &&
-      !unit.started &&
-      !unit.ended &&
-      !unit.leaving &&
-      unit.lo === 0 &&
-      unit.hi === unit.spec.tasks &&
-      unit.done.count === 0 &&
-      !unit.attempts.hasJob(unit.spec.ref) &&
-      unit.waiting.length > 0 &&
-      !suspect(unit)
+      !taskSet.moved &&
+      !taskSet.started &&
+      !taskSet.ended &&
+      !taskSet.leaving &&
+      taskSet.lo === 0 &&
+      taskSet.hi === taskSet.spec.tasks &&
+      taskSet.done.count === 0 &&
+      !taskSet.attempts.hasJob(taskSet.spec.ref) &&
+      taskSet.waiting.length > 0 &&
+      !suspect(taskSet)
     );
   }
 
-  /** Waiting tasks at the end of an array may go elsewhere though the rest has started here. */
-  private sliceable(unit: Unit): boolean {
-    const { kind, oneZone, spread, klass } = unit.spec;
-    // Other parts would have to find out anew that it fails everywhere.
-    if (suspect(unit)) return false;
-    // What is late already would take room from what can still start in time.
-    if (this.around.scope.clock.wall() - unit.submittedWall > aimS(this.around.settings.platform, "wait", klass) * 1000) return false;
-    return kind === "array" && !oneZone && !spread && !unit.moved && !unit.ended && !unit.leaving && unit.lo === 0 && tailOf(unit, 1) > 0;
+  /** Returns whether waiting tasks at the end of an array may migrate as a slice, even if others have started here. */
+  private isSliceable(taskSet: Unit): boolean {
+    const { kind, oneZone, spread, klass } = taskSet.spec;
+    // Other partitions would repeat the failures before they consider the job faulty.
+    if (suspect(taskSet)) return false;
+    // A job that is late already would take capacity from jobs that can still start in time.
+    if (this.dependencies.scope.clock.wall() - taskSet.submittedWall > aimS(this.dependencies.settings.platform, "wait", klass) * 1000)
+      return false;
+    return (
+      kind === "array" &&
+      !oneZone &&
+      !spread &&
+      !taskSet.moved &&
+      !taskSet.ended &&
+      !taskSet.leaving &&
+      taskSet.lo === 0 &&
+      tailOf(taskSet, 1) > 0
+    );
   }
 
-  private consider(): void {
-    if (tuningOf(this.around).mode === "off" || this.asking !== null || this.around.leader.silent()) return;
-    const now = this.around.scope.clock.now();
-    for (const part of this.around.leader.parts.values()) {
-      if (part.phase !== "serving") continue;
-      // One query is out at a time, so in a burst the most urgent job must ask first.
+  /** Requests bids for the first waiting job, in queue order, whose expected wait is too long. */
+  private requestBidsForWaitingJobs(): void {
+    if (exchangeSettings(this.dependencies).mode === "off" || this.pendingRequest !== null || this.dependencies.leader.silent()) return;
+    const now = this.dependencies.scope.clock.now();
+    for (const partition of this.dependencies.leader.parts.values()) {
+      if (partition.phase !== "serving") continue;
+      // Only one bid request is pending at a time, so the most urgent job of a burst must come first.
       const candidates = inOrder(
-        [...part.units.values()].filter((unit) => (this.movable(unit) || this.sliceable(unit)) && now >= (this.asked.get(unit.key) ?? 0)),
-        this.around.leader.order(),
+        [...partition.units.values()].filter(
+          (taskSet) => (this.isMigratable(taskSet) || this.isSliceable(taskSet)) && now >= (this.nextRequestAt.get(taskSet.key) ?? 0),
+        ),
+        this.dependencies.leader.order(),
       );
       if (candidates.length === 0) continue;
-      const asked = new Set(candidates);
-      const context = estimateContext(this.around);
-      const waits = this.around.scope.costs.spend("estimate", () => estimateWaits(part, context, [], (unit) => asked.has(unit)));
-      for (const unit of candidates) {
-        const wait = waits.get(unit.key) ?? Infinity;
-        if (wait < tuningOf(this.around).phi * 1000) {
-          unit.weighed = true;
-          this.asked.set(unit.key, now + this.around.settings.timing.reportMs);
+      const candidateSet = new Set(candidates);
+      const context = estimateContext(this.dependencies);
+      const waits = this.dependencies.scope.costs.spend("estimate", () =>
+        estimateWaits(partition, context, [], (taskSet) => candidateSet.has(taskSet)),
+      );
+      for (const taskSet of candidates) {
+        const wait = waits.get(taskSet.key) ?? Infinity;
+        if (wait < exchangeSettings(this.dependencies).phi * 1000) {
+          taskSet.weighed = true;
+          this.nextRequestAt.set(taskSet.key, now + this.dependencies.settings.timing.reportMs);
           continue;
         }
-        if (this.ask(part, unit, wait)) return;
+        if (this.requestBids(partition, taskSet, wait)) return;
       }
     }
-    if (this.asked.size > 10_000) this.asked.clear();
+    if (this.nextRequestAt.size > 10_000) this.nextRequestAt.clear();
   }
 
-  private ask(part: Part, unit: Unit, waitMs: number): boolean {
-    const now = this.around.scope.clock.now();
-    const { sigma, mode } = tuningOf(this.around);
-    this.asked.set(unit.key, now + sigma * 1000);
-    const others = this.around.settings.nodes.map((_, id) => id).filter((id) => id !== part.id && ownerOf(this.around, id) !== null);
-    const volunteers = mode === "ask" ? [] : others.filter((id) => this.volunteers.has(id));
-    if (volunteers.length === 0 && others.length === 0) unit.weighed = true;
-    if (volunteers.length === 0) return mode !== "volunteers" && this.query(part, unit, waitMs, others, []);
-    // Volunteers first; if none of them beats home, it is as if none had announced.
-    const rest = mode === "volunteers" ? [] : others.filter((id) => !volunteers.includes(id));
-    return this.query(part, unit, waitMs, volunteers, rest);
+  /** Requests bids for a job from volunteers, or from all other partitions if there are none. Returns whether a request was sent. */
+  private requestBids(partition: Part, taskSet: Unit, waitMs: number): boolean {
+    const now = this.dependencies.scope.clock.now();
+    const { sigma, mode } = exchangeSettings(this.dependencies);
+    this.nextRequestAt.set(taskSet.key, now + sigma * 1000);
+    const others = this.dependencies.settings.nodes
+      .map((_, id) => id)
+      .filter((id) => id !== partition.id && liveOwnerOf(this.dependencies, id) !== null);
+    const volunteers = mode === "ask" ? [] : others.filter((id) => this.volunteers.isVolunteer(id));
+    if (volunteers.length === 0 && others.length === 0) taskSet.weighed = true;
+    if (volunteers.length === 0) return mode !== "volunteers" && this.sendBidRequest(partition, taskSet, waitMs, others, []);
+    // If no volunteer is better than the home partition, the others are asked as if there were no volunteers.
+    const remainingPartitions = mode === "volunteers" ? [] : others.filter((id) => !volunteers.includes(id));
+    return this.sendBidRequest(partition, taskSet, waitMs, volunteers, remainingPartitions);
   }
 
-  /** Asks the parts given; `rest`: whom to ask next if none of them beats home. */
-  private query(part: Part, unit: Unit, waitMs: number, targets: number[], rest: number[]): boolean {
-    const id = ++this.lastId;
-    const runMs = this.around.leader.history.expectS(unit.spec) * 1000;
-    this.asking = {
+  /** Sends a bid request to `targets`; `remainingPartitions` are asked next if no target is better. Returns whether it was sent to any. */
+  private sendBidRequest(partition: Part, taskSet: Unit, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
+    const id = ++this.lastRequestId;
+    const runMs = this.dependencies.leader.history.expectS(taskSet.spec) * 1000;
+    this.pendingRequest = {
       id,
-      part,
-      unit,
-      home: { part: part.id, waitMs, runMs, utilization: utilization(part), atOnce: 0 },
-      open: new Set(),
+      partition,
+      taskSet,
+      homeBid: { part: partition.id, waitMs, runMs, utilization: utilization(partition), atOnce: 0 },
+      unanswered: new Set(),
       bids: [],
-      rest,
+      remainingPartitions,
     };
     this.stats.queries++;
     for (const target of targets) {
-      // By the time the rest is asked, its owner may be gone or in doubt.
-      const owner = ownerOf(this.around, target);
+      // The owner of a remaining partition may have failed or become suspected since the partition was selected.
+      const owner = liveOwnerOf(this.dependencies, target);
       if (owner === null) continue;
-      const message = { Query: { id, part: target, job: unit.spec.ref, from: this.around.settings.self } };
-      if (this.around.peers.send(owner, message)) this.asking.open.add(target);
+      const message = { Query: { id, part: target, job: taskSet.spec.ref, from: this.dependencies.settings.self } };
+      if (this.dependencies.peers.send(owner, message)) this.pendingRequest.unanswered.add(target);
     }
-    if (this.asking.open.size === 0) {
-      this.asking = null;
-      unit.weighed = true;
+    if (this.pendingRequest.unanswered.size === 0) {
+      this.pendingRequest = null;
+      taskSet.weighed = true;
       return false;
     }
-    this.asking.decide = () => this.decide(id);
-    this.around.scope.clock.after(tuningOf(this.around).answer_limit * 1000, () => this.decide(id));
+    this.pendingRequest.decide = () => this.decide(id);
+    this.dependencies.scope.clock.after(exchangeSettings(this.dependencies).answer_limit * 1000, () => this.decide(id));
     return true;
   }
 
-  private onAnswer(answer: Answer): void {
-    const asking = this.asking;
-    if (asking === null || asking.id !== answer.id || !asking.open.delete(answer.part)) return;
-    asking.bids.push(answer);
-    if (asking.open.size === 0) asking.decide?.();
+  /** Records a bid and decides once all have arrived. */
+  private onBid(answer: Answer): void {
+    const request = this.pendingRequest;
+    if (request === null || request.id !== answer.id || !request.unanswered.delete(answer.part)) return;
+    request.bids.push(answer);
+    if (request.unanswered.size === 0) request.decide?.();
   }
 
+  /** Migrates the job, or a slice of it, to the best bid, asks the remaining partitions, or keeps the job here. */
   private decide(id: number): void {
-    const asking = this.asking;
-    if (asking === null || asking.id !== id) return;
-    this.asking = null;
-    const { part, unit } = asking;
-    if (this.around.leader.parts.get(part.id) !== part || !(this.movable(unit) || this.sliceable(unit))) return;
-    const choice = best(asking.home, asking.bids, tuningOf(this.around).epsilon);
-    const soon = choice.waitMs < tuningOf(this.around).phi * 1000;
-    const most = this.sliceable(unit) && !(soon && this.movable(unit)) ? roomiest(asking.bids) : null;
-    if (most !== null) {
+    const request = this.pendingRequest;
+    if (request === null || request.id !== id) return;
+    this.pendingRequest = null;
+    const { partition, taskSet } = request;
+    if (this.dependencies.leader.parts.get(partition.id) !== partition || !(this.isMigratable(taskSet) || this.isSliceable(taskSet)))
+      return;
+    const selected = selectBid(request.homeBid, request.bids, exchangeSettings(this.dependencies).epsilon);
+    const startsSoon = selected.waitMs < exchangeSettings(this.dependencies).phi * 1000;
+    const sliceBid =
+      this.isSliceable(taskSet) && !(startsSoon && this.isMigratable(taskSet)) ? bidWithMostFreeCapacity(request.bids) : null;
+    if (sliceBid !== null) {
       this.stats.slices++;
-      unit.weighed = true;
-      this.moving.moveSlice(part, unit, most.part, most.atOnce);
+      taskSet.weighed = true;
+      this.migration.migrateSlice(partition, taskSet, sliceBid.part, sliceBid.atOnce);
       return;
     }
-    if (!this.movable(unit) || choice.part === part.id) {
-      if (asking.rest.length > 0 && this.query(part, unit, asking.home.waitMs, asking.rest, [])) return;
+    if (!this.isMigratable(taskSet) || selected.part === partition.id) {
+      if (
+        request.remainingPartitions.length > 0 &&
+        this.sendBidRequest(partition, taskSet, request.homeBid.waitMs, request.remainingPartitions, [])
+      )
+        return;
       this.stats.home++;
-      unit.weighed = true;
+      taskSet.weighed = true;
       return;
     }
-    this.stats[this.volunteers.has(choice.part) ? "volunteer" : "asked"]++;
-    this.moving.move(part, unit, choice.part);
+    this.stats[this.volunteers.isVolunteer(selected.part) ? "volunteer" : "asked"]++;
+    this.migration.migrate(partition, taskSet, selected.part);
   }
 }
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -2,118 +2,138 @@
 import { allotted, type Part, type Usage } from "../parts/part.js";
 import type { Want } from "../peers/messages.js";
 import type { Shortage } from "../queue/pass.js";
-import { ownerOf, spareOf, type ExchangeAround } from "./around.js";
+import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./around.js";
 
-/** Of the report interval, the time between two givers' turns: longer than a transaction usually takes. */
-const TURN = 1 / 50;
+/** Interval between the turns of two giving partitions, as a fraction of the report interval: longer than a transaction usually takes. */
+const TURN_INTERVAL_SHARE = 1 / 50;
 
-interface Asked {
-  part: Part;
-  want: Want;
-  /** What the asking partition held when it asked. */
-  heldBefore: Usage;
+/** Quota request of another partition that waits for the giving partition's turn. */
+interface PendingQuotaRequest {
+  givingPartition: Part;
+  request: Want;
+  /** Granted share of the requesting partition when the request arrived. */
+  grantedBefore: Usage;
 }
 
 /**
- * Partitions short of a team's quota ask all others. Those that can spare some give it in turn, the one with the largest
- * share first, and only what is still wanted by then: all shares of a team are one record, and givers that write it at
- * the same moment would only fail each other's transactions.
+ * Transfers a team's quota between partitions. A partition with a shortage sends a request to all others. Those with
+ * unused quota give in turn, the one with the largest share first, and only what is still needed by then. They take
+ * turns because all shares of a team are in one record, so that concurrent writes would make each other's transactions
+ * fail.
  */
 export class QuotaTransfers {
-  private readonly askedAgainAt = new Map<string, number>();
-  /** By partition that gives, team and partition that asks: the newest request, until its turn. */
-  private readonly waiting = new Map<string, Asked>();
+  /** When the next request may be sent, by partition and team. */
+  private readonly nextRequestAt = new Map<string, number>();
+  /** The newest request for each combination of giving partition, team and requesting partition, until its turn. */
+  private readonly pendingRequests = new Map<string, PendingQuotaRequest>();
 
-  constructor(private readonly around: ExchangeAround) {}
+  constructor(private readonly dependencies: ExchangeDependencies) {}
 
+  /** Sends a request for each shortage that the owned partitions report. */
   start(): void {
-    this.around.scope.listen(this.around.leader.short$, ({ part, team, want }) => this.ask(part, team, want));
+    this.dependencies.scope.listen(this.dependencies.leader.short$, ({ part: partition, team, want: shortage }) =>
+      this.requestQuota(partition, team, shortage),
+    );
   }
 
-  private ask(part: Part, team: string, want: Shortage): void {
-    const now = this.around.scope.clock.now();
-    const label = `${part.id}|${team}`;
-    if (now < (this.askedAgainAt.get(label) ?? 0)) return;
-    this.askedAgainAt.set(label, now + this.around.settings.timing.reportMs / 2);
-    for (let id = 0; id < this.around.settings.nodes.length; id++) {
-      const owner = ownerOf(this.around, id);
-      if (id !== part.id && owner !== null)
-        this.around.peers.send(owner, {
-          Want: { part: part.id, team, cpus: want.cpus, gpus: want.gpus, nowCpus: want.now.cpus, nowGpus: want.now.gpus },
+  private requestQuota(partition: Part, team: string, shortage: Shortage): void {
+    const now = this.dependencies.scope.clock.now();
+    const label = `${partition.id}|${team}`;
+    if (now < (this.nextRequestAt.get(label) ?? 0)) return;
+    this.nextRequestAt.set(label, now + this.dependencies.settings.timing.reportMs / 2);
+    for (let id = 0; id < this.dependencies.settings.nodes.length; id++) {
+      const owner = liveOwnerOf(this.dependencies, id);
+      if (id !== partition.id && owner !== null)
+        this.dependencies.peers.send(owner, {
+          Want: {
+            part: partition.id,
+            team,
+            cpus: shortage.cpus,
+            gpus: shortage.gpus,
+            nowCpus: shortage.now.cpus,
+            nowGpus: shortage.now.gpus,
+          },
         });
     }
   }
 
-  onWant(want: Want): void {
-    for (const part of this.around.leader.parts.values()) {
-      if (part.id === want.part || part.phase !== "serving") continue;
-      const label = `${part.id}|${want.team}|${want.part}`;
-      const isWaiting = this.waiting.has(label);
-      this.waiting.set(label, { part, want, heldBefore: this.held(want.part, want.team) });
+  /** Schedules the transfer from each owned partition to the requesting one, at the partition's turn. */
+  onQuotaRequest(request: Want): void {
+    for (const partition of this.dependencies.leader.parts.values()) {
+      if (partition.id === request.part || partition.phase !== "serving") continue;
+      const label = `${partition.id}|${request.team}|${request.part}`;
+      const isWaiting = this.pendingRequests.has(label);
+      this.pendingRequests.set(label, {
+        givingPartition: partition,
+        request,
+        grantedBefore: this.grantedShare(request.part, request.team),
+      });
       if (isWaiting) continue;
-      const waitMs = this.turnOf(part.id, want) * this.around.settings.timing.reportMs * TURN;
-      if (waitMs === 0) this.give(label);
-      else this.around.scope.clock.after(waitMs, () => this.give(label));
+      const waitMs = this.givingOrder(partition.id, request) * this.dependencies.settings.timing.reportMs * TURN_INTERVAL_SHARE;
+      if (waitMs === 0) this.transferQuota(label);
+      else this.dependencies.scope.clock.after(waitMs, () => this.transferQuota(label));
     }
   }
 
-  private record(team: string): AllotmentRecord | undefined {
-    return this.around.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
+  private quotaRecord(team: string): AllotmentRecord | undefined {
+    return this.dependencies.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
   }
 
-  private held(part: number, team: string): Usage {
-    return allotted(this.record(team), part);
+  private grantedShare(partition: number, team: string): Usage {
+    return allotted(this.quotaRecord(team), partition);
   }
 
-  /** How many partitions with more to give come before this one; all see the same record. */
-  private turnOf(giver: number, { part, team, cpus }: Want): number {
-    const record = this.record(team);
-    if (record === undefined) return 0;
-    const shares = cpus > 0 ? record.cpus : record.gpus;
-    const own = shares[giver] ?? 0;
-    const isBefore = (share: number | null, id: number): boolean => (share ?? 0) > own || ((share ?? 0) === own && id < giver);
-    return shares.filter((share, id) => id !== giver && id !== part && isBefore(share, id)).length;
+  /** Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. All read the same record. */
+  private givingOrder(giver: number, { part: partition, team, cpus }: Want): number {
+    const quotaRecord = this.quotaRecord(team);
+    if (quotaRecord === undefined) return 0;
+    const shares = cpus > 0 ? quotaRecord.cpus : quotaRecord.gpus;
+    const ownShare = shares[giver] ?? 0;
+    const isBefore = (share: number | null, id: number): boolean => (share ?? 0) > ownShare || ((share ?? 0) === ownShare && id < giver);
+    return shares.filter((share, id) => id !== giver && id !== partition && isBefore(share, id)).length;
   }
 
-  private give(label: string): void {
-    const asked = this.waiting.get(label);
-    this.waiting.delete(label);
-    if (asked === undefined || this.around.scope.closed) return;
-    const { part, want, heldBefore } = asked;
-    // It may have been taken over, or deposed, while it waited for its turn.
-    if (this.around.leader.parts.get(part.id) !== part || part.phase !== "serving") return;
-    const left = this.stillWanted(want, heldBefore);
-    this.around.quotaShares.cede(part, want.part, want.team, left, this.spare(part, left));
+  /** Transfers what is still needed and available. */
+  private transferQuota(label: string): void {
+    const pending = this.pendingRequests.get(label);
+    this.pendingRequests.delete(label);
+    if (pending === undefined || this.dependencies.scope.closed) return;
+    const { givingPartition: partition, request, grantedBefore } = pending;
+    // Ownership of the partition may have been lost while the request waited for its turn.
+    if (this.dependencies.leader.parts.get(partition.id) !== partition || partition.phase !== "serving") return;
+    const remaining = this.remainingRequest(request, grantedBefore);
+    this.dependencies.quotaShares.cede(partition, request.part, request.team, remaining, this.availableQuota(partition, remaining));
   }
 
-  /** What others have given meanwhile is not given again. */
-  private stillWanted(want: Want, heldBefore: Usage): Want {
-    const held = this.held(want.part, want.team);
-    const given = (name: "cpus" | "gpus"): number => {
-      const more = held[name] - heldBefore[name];
+  /** Returns the request reduced by what the requesting partition has been granted since it arrived. */
+  private remainingRequest(request: Want, grantedBefore: Usage): Want {
+    const granted = this.grantedShare(request.part, request.team);
+    const received = (resource: "cpus" | "gpus"): number => {
+      const more = granted[resource] - grantedBefore[resource];
       return Number.isFinite(more) ? Math.max(0, more) : 0;
     };
-    const less = (amount: number, name: "cpus" | "gpus"): number => Math.max(0, amount - given(name));
+    const reduce = (amount: number, resource: "cpus" | "gpus"): number => Math.max(0, amount - received(resource));
     return {
-      ...want,
-      ...{ cpus: less(want.cpus, "cpus"), nowCpus: less(want.nowCpus, "cpus") },
-      ...{ gpus: less(want.gpus, "gpus"), nowGpus: less(want.nowGpus, "gpus") },
+      ...request,
+      ...{ cpus: reduce(request.cpus, "cpus"), nowCpus: reduce(request.nowCpus, "cpus") },
+      ...{ gpus: reduce(request.gpus, "gpus"), nowGpus: reduce(request.nowGpus, "gpus") },
     };
   }
 
-  private spare(part: Part, { team, nowCpus, nowGpus }: Want): Usage {
-    // What waits here and has no room does not use the quota either: a partition that
-    // has room for the team at this moment may have it.
-    const unused = spareOf(this.around, part, team);
-    const free = { ...unused };
-    for (const unit of part.units.values()) {
-      if (unit.spec.team !== team) continue;
-      free.cpus -= unit.spec.cpus * unit.waiting.length;
-      free.gpus -= unit.spec.gpus * unit.waiting.length;
+  /** Returns how much of the team's quota the partition can give. */
+  private availableQuota(partition: Part, { team, nowCpus, nowGpus }: Want): Usage {
+    // Quota for tasks that wait here because of missing capacity is unused as well, so it
+    // may go to a partition that has capacity for the team now.
+    const unused = unusedQuota(this.dependencies, partition, team);
+    const available = { ...unused };
+    for (const taskSet of partition.units.values()) {
+      if (taskSet.spec.team !== team) continue;
+      available.cpus -= taskSet.spec.cpus * taskSet.waiting.length;
+      available.gpus -= taskSet.spec.gpus * taskSet.waiting.length;
     }
     return {
-      cpus: Math.max(free.cpus, Math.min(unused.cpus, nowCpus)),
-      gpus: Math.max(free.gpus, Math.min(unused.gpus, nowGpus)),
+      cpus: Math.max(available.cpus, Math.min(unused.cpus, nowCpus)),
+      gpus: Math.max(available.gpus, Math.min(unused.gpus, nowGpus)),
     };
   }
 }
--- a/src/exchange/volunteers.ts
+++ b/src/exchange/volunteers.ts
@@ -1,40 +1,42 @@
 import type { Volunteer } from "../peers/messages.js";
 import { utilization } from "../queue/estimate.js";
-import { tuningOf, type ExchangeAround } from "./around.js";
+import { exchangeSettings, type ExchangeDependencies } from "./around.js";
 
-/** Parts with room say so, every sigma. */
+/** Announces partitions with free capacity every `sigma` seconds, and records the announcements of others. */
 export class Volunteers {
-  private readonly heard = new Map<number, { utilization: number; at: number }>();
+  private readonly announcements = new Map<number, { utilization: number; receivedAt: number }>();
 
-  constructor(private readonly around: ExchangeAround) {}
+  constructor(private readonly dependencies: ExchangeDependencies) {}
 
+  /** Starts the periodic announcements. */
   start(): void {
-    this.around.scope.routine(
+    this.dependencies.scope.routine(
       "announce",
-      () => tuningOf(this.around).sigma * 1000,
+      () => exchangeSettings(this.dependencies).sigma * 1000,
       () => this.announce(),
     );
   }
 
   private announce(): void {
-    // Room on machines is of no use to others if this process can't keep up with what it has.
-    if (this.around.overload.sheds("volunteering")) return;
-    for (const part of this.around.leader.parts.values()) {
-      if (part.phase !== "serving") continue;
-      const used = utilization(part);
-      if (used >= tuningOf(this.around).delta || part.machines.size === 0) continue;
-      const message = { Volunteer: { part: part.id, utilization: used } };
-      for (const node of this.around.settings.nodes) this.around.peers.send(node, message);
+    // Free machines are of no use to other partitions while this process is overloaded.
+    if (this.dependencies.overload.sheds("volunteering")) return;
+    for (const partition of this.dependencies.leader.parts.values()) {
+      if (partition.phase !== "serving") continue;
+      const used = utilization(partition);
+      if (used >= exchangeSettings(this.dependencies).delta || partition.machines.size === 0) continue;
+      const message = { Volunteer: { part: partition.id, utilization: used } };
+      for (const node of this.dependencies.settings.nodes) this.dependencies.peers.send(node, message);
     }
   }
 
-  hear(message: Volunteer): void {
-    this.heard.set(message.part, { utilization: message.utilization, at: this.around.scope.clock.now() });
+  /** Records an announcement. */
+  onVolunteer(message: Volunteer): void {
+    this.announcements.set(message.part, { utilization: message.utilization, receivedAt: this.dependencies.scope.clock.now() });
   }
 
-  /** An announcement counts until half an interval after the next was due. */
-  has(part: number): boolean {
-    const at = this.heard.get(part)?.at ?? -Infinity;
-    return this.around.scope.clock.now() - at < tuningOf(this.around).sigma * 1500;
+  /** Returns whether the partition is a volunteer: an announcement is valid until half an interval after the next one was due. */
+  isVolunteer(partition: number): boolean {
+    const receivedAt = this.announcements.get(partition)?.receivedAt ?? -Infinity;
+    return this.dependencies.scope.clock.now() - receivedAt < exchangeSettings(this.dependencies).sigma * 1500;
   }
 }
