--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -10,57 +10,61 @@
 import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
 
 const base = await loadPlan("deploy/meetings.hcl");
-const keyOf = (op: Op): string => ("write" in op ? op.write : op.remove);
-/** Presence, jobs, owners and so on: the first two parts of a key. */
-const writerOf = (op: Op): string => `${"write" in op ? "write" : "remove"} ${keyOf(op).split("/").slice(0, 2).join("/")}`;
+const changedKey = (op: Op): string => ("write" in op ? op.write : op.remove);
+/** Returns the operation and the table of its key (presence, jobs, owners and so on), which is the first two segments of the key. */
+const tableWrite = (op: Op): string => `${"write" in op ? "write" : "remove"} ${changedKey(op).split("/").slice(0, 2).join("/")}`;
 
-const RENTAL_BEGUN = "write t/m";
+const RENTAL_WRITE = "write t/m";
 
-/** What a state service in trouble does to all transactions of all controllers, and what was seen of them. */
-class LateWrites {
+/** Injects faults of the state service into all transactions of all controllers, and records what happened. */
+class StateFaults {
+  /** Writes without a condition on the key that they change. */
   readonly unconditional = new Set<string>();
-  /** Copies of transactions that had been applied, and were applied once more. */
-  readonly again: string[] = [];
-  readonly writers = new Set<string>();
-  /** Whose answers were lost though the transaction was carried out at once. */
-  readonly lost = new Set<string>();
-  late = 0;
+  /** Writes of duplicates that were applied although the original had been applied. */
+  readonly appliedTwice: string[] = [];
+  readonly writes = new Set<string>();
+  /** Writes whose transaction was applied immediately but whose answer was lost. */
+  readonly lostAnswers = new Set<string>();
+  lateTransactions = 0;
 
   constructor(
-    private readonly luck: () => number,
-    /** Of the transactions, those that get no answer and are carried out later, or at once; of the others, those of which a copy comes. */
-    private readonly share: { late: number; lost?: number; copied: number },
-    private readonly mostMs: number,
+    private readonly random: () => number,
+    /**
+     * Fractions of transactions: `late` get no answer and are applied later; of the others, `lost` are applied but get no
+     * answer; of the rest, `copied` are submitted a second time later.
+     */
+    private readonly fractions: { late: number; lost?: number; copied: number },
+    private readonly maxDelayMs: number,
   ) {}
 
-  around(asked: Spawned): StateApi {
-    const { state, clock } = asked;
-    const laterMs = (): number => 500 + this.luck() * this.mostMs;
+  wrapState(options: Spawned): StateApi {
+    const { state, clock } = options;
+    const delayMs = (): number => 500 + this.random() * this.maxDelayMs;
     return {
       ...state,
       txn: async (conditions: Condition[], apply: Op[], limitMs?: number) => {
         const conditional = new Set(conditions.map(({ k }) => k));
         for (const op of apply) {
-          this.writers.add(writerOf(op));
-          if (!conditional.has(keyOf(op))) this.unconditional.add(writerOf(op));
+          this.writes.add(tableWrite(op));
+          if (!conditional.has(changedKey(op))) this.unconditional.add(tableWrite(op));
         }
-        const carryOut = (): Promise<Awaited<ReturnType<StateApi["txn"]>> | null> => state.txn(conditions, apply).catch(() => null);
-        if (this.luck() < this.share.late) {
-          this.late++;
-          clock.after(laterMs(), () => void carryOut());
+        const applyTransaction = (): Promise<Awaited<ReturnType<StateApi["txn"]>> | null> => state.txn(conditions, apply).catch(() => null);
+        if (this.random() < this.fractions.late) {
+          this.lateTransactions++;
+          clock.after(delayMs(), () => void applyTransaction());
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
           throw new NoReply("unanswered", "held");
         }
         const answer = await state.txn(conditions, apply, limitMs);
-        if (answer.ok && this.luck() < (this.share.lost ?? 0)) {
-          for (const op of apply) this.lost.add(writerOf(op));
+        if (answer.ok && this.random() < (this.fractions.lost ?? 0)) {
+          for (const op of apply) this.lostAnswers.add(tableWrite(op));
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
           throw new NoReply("unanswered", "the answer was lost");
         }
-        if (answer.ok && this.luck() < this.share.copied)
+        if (answer.ok && this.random() < this.fractions.copied)
           clock.after(
-            laterMs(),
-            () => void carryOut().then((second) => second?.ok === true && this.again.push(apply.map(writerOf).join())),
+            delayMs(),
+            () => void applyTransaction().then((second) => second?.ok === true && this.appliedTwice.push(apply.map(tableWrite).join())),
           );
         return answer;
       },
@@ -68,113 +72,118 @@
   }
 }
 
-async function play(plan: RehearsalPlan, seed: number, trouble: LateWrites) {
+async function runPlan(plan: RehearsalPlan, seed: number, faults: StateFaults) {
   let last: Rehearsed | undefined;
-  const spawn = (asked: Spawned): Rehearsed => (last = spawnController({ ...asked, state: trouble.around(asked) }));
+  const spawn = (options: Spawned): Rehearsed => (last = spawnController({ ...options, state: faults.wrapState(options) }));
   const report = await playVirtual({ plan, seed, spawn, momentOf });
   return { report, last: last! };
 }
 
-/** What must hold of the records in the end, whatever became of transactions. */
-function soundRecords({ mirror, settings }: Rehearsed): void {
+/** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
+function assertConsistentRecords({ mirror, settings }: Rehearsed): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
     const { cpus } = mirror.get<AllotmentRecord>(keys.allotment(name))!.v;
     const sum = cpus.reduce<number>((all, one) => all + (one ?? 0), 0);
-    assert.equal(sum, cpus_max, `the parts' shares of ${name} are its limit`);
+    assert.equal(sum, cpus_max, `the quota shares of ${name} add up to its limit`);
     assert.ok(cpus.every((one) => one === null || one >= 0));
   }
   for (const [key, { v: job }] of mirror.rows<JobRecord>(keys.jobs)) {
     const slices = mirror.slicesOf(job.spec.ref).map(([, { v }]: [string, { v: SliceRecord }]) => v);
     let covered = job.hi;
     for (const { lo, hi } of slices.sort((a, b) => a.lo - b.lo)) {
-      assert.equal(lo, covered, `${key}: slices are neither apart nor over one another`);
+      assert.equal(lo, covered, `${key}: slices neither overlap nor leave gaps`);
       covered = hi;
     }
-    assert.equal(covered, job.spec.tasks, `${key}: every task stands in one slice`);
+    assert.equal(covered, job.spec.tasks, `${key}: every task is in one slice`);
   }
 }
 
-test("transactions carried out late, in any order, and copies of those that were applied change nothing for anybody", async () => {
-  const writers = new Set<string>();
-  let late = 0;
+test("transactions applied late and in any order, and duplicates of applied ones, have no visible effect", async () => {
+  const writes = new Set<string>();
+  let lateTransactions = 0;
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    const trouble = new LateWrites(seeded(seed), { late: 0.15, copied: 0.5 }, 20_000);
+    const faults = new StateFaults(seeded(seed), { late: 0.15, copied: 0.5 }, 20_000);
     const plan = seed % 2 === 0 ? drawnPlan(base, seed) : { ...base, fault: [] };
-    const { report, last } = await play(plan, seed, trouble);
+    const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
-    assert.deepEqual([...trouble.unconditional], [], "every write is conditional on the key that it changes");
-    // A rental's record goes with its last machine, so that a copy of its first writing finds no record once more.
+    assert.deepEqual([...faults.unconditional], [], "every write has a condition on the key that it changes");
+    // A rental's record is removed with its last machine, so a duplicate of its first write finds no record again.
     assert.deepEqual(
-      trouble.again.filter((what) => what !== RENTAL_BEGUN),
+      faults.appliedTwice.filter((what) => what !== RENTAL_WRITE),
       [],
-      "a copy of what was applied finds its conditions gone",
+      "the conditions of a duplicate no longer hold",
     );
-    soundRecords(last);
-    for (const one of trouble.writers) writers.add(one);
-    late += trouble.late;
+    assertConsistentRecords(last);
+    for (const one of faults.writes) writes.add(one);
+    lateTransactions += faults.lateTransactions;
   }
-  assert.ok(late > 150, `${late} were late`);
-  // A writer that is new has to be looked at, in docs/design/meetings.md, before it stands here.
-  const known = ["j", "l", "m", "n", "o", "q", "s", "x"].map((table) => `write t/${table}`).concat("remove t/m");
+  assert.ok(lateTransactions > 150, `${lateTransactions} late transactions`);
+  // A new kind of write must be analysed in docs/design/meetings.md before it is added here.
+  const expectedWrites = ["j", "l", "m", "n", "o", "q", "s", "x"].map((table) => `write t/${table}`).concat("remove t/m");
   assert.deepEqual(
-    [...writers].filter((one) => !known.includes(one)),
+    [...writes].filter((one) => !expectedWrites.includes(one)),
     [],
   );
-  assert.ok(writers.size >= 7, [...writers].join());
+  assert.ok(writes.size >= 7, [...writes].join());
 });
 
-test("transactions carried out at once whose answers are lost, while others read what they wrote, are told and counted once", async () => {
-  const lost = new Set<string>();
+test("transactions applied immediately whose answers are lost, while others read the result, are reported and counted once", async () => {
+  const lostAnswers = new Set<string>();
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    // Users ask everywhere about what only the service and those who read it know yet.
-    const looks: RehearsalPlan["fault"] = [
+    // Users ask every node about changes that so far only the state service and its readers have.
+    const requestFaults: RehearsalPlan["fault"] = [
       { at: 5, fault: { kind: "close-looks", for: 90 } },
       { at: 10, fault: { kind: "cancel-at-end", share: 0.4, for: 80 } },
     ];
-    const trouble = new LateWrites(seeded(seed), { late: 0.05, lost: 0.3, copied: 0.2 }, 12_000);
-    const plan = { ...base, fault: seed % 2 === 0 ? [...looks, ...drawnPlan(base, seed).fault] : looks };
-    const { report, last } = await play(plan, seed, trouble);
+    const faults = new StateFaults(seeded(seed), { late: 0.05, lost: 0.3, copied: 0.2 }, 12_000);
+    const plan = { ...base, fault: seed % 2 === 0 ? [...requestFaults, ...drawnPlan(base, seed).fault] : requestFaults };
+    const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
-    soundRecords(last);
-    for (const one of trouble.lost) lost.add(one);
+    assertConsistentRecords(last);
+    for (const one of faults.lostAnswers) lostAnswers.add(one);
   }
-  // Jobs and their slices, presence, rentals and their end, owners, shares of limits, suspicion.
-  for (const table of ["j", "l", "m", "o", "q"]) assert.ok(lost.has(`write t/${table}`), `none lost of ${table}: ${[...lost].join()}`);
-  assert.ok(lost.has("remove t/m"), "none lost of a rental's end");
+  // Jobs, presence, rentals and their removal, owners, quota shares.
+  for (const table of ["j", "l", "m", "o", "q"])
+    assert.ok(lostAnswers.has(`write t/${table}`), `no lost answer for ${table}: ${[...lostAnswers].join()}`);
+  assert.ok(lostAnswers.has("remove t/m"), "no lost answer for the removal of a rental");
 });
 
-test("a rental whose end was written, with only the answer lost, is not asked for again when its first record comes back", async () => {
-  // What is guarded against: the writer found its change already made, did not count the name as over, and asked the
-  // cloud once more under it when a late copy of its first record came, as if nothing had been rented.
-  let over = 0;
-  let back = 0;
-  const again: string[] = [];
-  const ended = new Set<string>();
-  const spawn = (asked: Spawned): Rehearsed => {
-    const { state, cloud, clock } = asked;
-    const rentalOf = (op: Op): string | null => (keyOf(op).startsWith(keys.rentals) ? keyOf(op).slice(keys.rentals.length) : null);
+test("a rental whose removal was applied with a lost answer is not requested again when a duplicate restores its first record", async () => {
+  // Guards against this failure: the writer found its change already applied, did not register the name as ended, and
+  // requested machines under the same name again when a late duplicate of the first record arrived, as if nothing had
+  // been rented.
+  let removedCount = 0;
+  let restoredCount = 0;
+  const requestedAgain: string[] = [];
+  const endedNames = new Set<string>();
+  const spawn = (options: Spawned): Rehearsed => {
+    const { state, cloud, clock } = options;
+    const rentalOf = (op: Op): string | null =>
+      changedKey(op).startsWith(keys.rentals) ? changedKey(op).slice(keys.rentals.length) : null;
     return spawnController({
-      ...asked,
+      ...options,
       state: {
         ...state,
         txn: async (conditions, apply, limitMs) => {
           const answer = await state.txn(conditions, apply, limitMs);
-          const names = apply.filter((op) => "remove" in op).map(rentalOf);
+          const removedNames = apply.filter((op) => "remove" in op).map(rentalOf);
           if (!answer.ok) return answer;
-          const begun = apply.some((op) => rentalOf(op) !== null && "write" in op && (op.v as { hosts?: unknown }).hosts === undefined);
-          if (begun)
+          const isFirstRecord = apply.some(
+            (op) => rentalOf(op) !== null && "write" in op && (op.v as { hosts?: unknown }).hosts === undefined,
+          );
+          if (isFirstRecord)
             clock.after(
               6000,
               () =>
                 void state.txn(conditions, apply).then(
-                  ({ ok }) => (back += Number(ok)),
+                  ({ ok }) => (restoredCount += Number(ok)),
                   () => undefined,
                 ),
             );
-          const removed = names.filter((name) => name !== null);
+          const removed = removedNames.filter((name) => name !== null);
           if (removed.length === 0) return answer;
-          over += removed.length;
-          for (const name of removed) ended.add(name);
+          removedCount += removed.length;
+          for (const name of removed) endedNames.add(name);
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
           throw new NoReply("unanswered", "the answer was lost");
         },
@@ -182,15 +191,15 @@
       cloud: {
         ...cloud,
         hire: (name, offer, count) => {
-          if (ended.has(name)) again.push(name);
+          if (endedNames.has(name)) requestedAgain.push(name);
           return cloud.hire(name, offer, count);
         },
       },
     });
   };
-  // There are no machines of one kind: its rentals bring nothing, and their records go.
+  // One type has no machines, so its rentals yield nothing and their records are removed.
   const plan = { ...base, machine: base.machine.map((one) => ({ ...one, count: one.name === "fotolab" ? 0 : 2, spot: 0 })), fault: [] };
   await playVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf });
-  assert.ok(over > 3 && back > 3, `${over} ended, ${back} came back`);
-  assert.deepEqual(again, []);
+  assert.ok(removedCount > 3 && restoredCount > 3, `${removedCount} removed, ${restoredCount} restored`);
+  assert.deepEqual(requestedAgain, []);
 });
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -7,8 +7,8 @@
 const TEAMS = 8;
 const teams = Array.from({ length: TEAMS }, (_, i) => ({ name: `team-${i}`, cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 }));
 
-/** Six controllers, and jobs of every team at one of them at the same time. */
-async function played(tasks: number, cpus: number): Promise<{ transfers: number; conflicts: number; used: number[] }> {
+/** Runs six controllers with one job of each team, all submitted at the same time; the teams' jobs are spread over the controllers. */
+async function runCluster(tasks: number, cpus: number): Promise<{ transfers: number; conflicts: number; used: number[] }> {
   const cluster = new Cluster({ seed: 3, controllers: 6, teams, types: [type], capacity: new Map([["m/a/ordinary", 60]]) });
   const { world } = cluster;
   let transfers = 0;
@@ -24,15 +24,15 @@
   return result;
 }
 
-test("a gang that needs all of its team's quota gets it from all others in turn, with next to no conflicts", async () => {
-  const { transfers, conflicts, used } = await played(30, 2);
+test("a gang that needs its team's whole quota receives it from all other partitions in turn, with few conflicts", async () => {
+  const { transfers, conflicts, used } = await runCluster(30, 2);
   assert.deepEqual(used, Array<number>(TEAMS).fill(60));
   assert.ok(transfers >= 5 * TEAMS && transfers <= 8 * TEAMS, `${transfers} transfers`);
   assert.ok(conflicts <= transfers / 4, `${conflicts} conflicts, ${transfers} transfers`);
 });
 
-test("what one partition can give is not given by others too", async () => {
-  const { transfers, used } = await played(9, 2);
+test("quota that one partition can give is not given by others as well", async () => {
+  const { transfers, used } = await runCluster(9, 2);
   assert.deepEqual(used, Array<number>(TEAMS).fill(18));
   assert.ok(transfers <= TEAMS, `${transfers} transfers for ${TEAMS} teams`);
 });
--- a/test/told.test.ts
+++ b/test/told.test.ts
@@ -9,10 +9,11 @@
 import { playScenario } from "./world/scenario.js";
 
 /**
- * What users are told, judged in real time over all nodes: they ask everywhere within milliseconds after a job was
- * accepted, ended or cancelled, repeat the submission, cancel what has just ended and what was just accepted.
+ * Checks the answers that users receive, by the real-time order of all requests to all nodes. Within milliseconds of a
+ * job being accepted, ended or cancelled, users poll it at every node, repeat its submission and cancel it. Guards
+ * against a node answering from state that is older than an earlier answer.
  */
-const TROUBLES = [
+const FAULTS = [
   (s: number) => [`${s} refuse nest-0 for 12`],
   (s: number) => [`${s} refuse nest-1 for 3`, `${s + 1} freeze nest-2 for 1.5`],
   (s: number) => [`${s} delay nest-1 to state by 0.6 for 12`],
@@ -25,17 +26,17 @@
   (s: number) => [`${s} fault restart-store for=1`],
 ];
 
-/** `troubles`: so many of them, one after another; with none, it is the end of jobs alone that questions meet. */
-function textOf(seed: number, troubles: number): string {
-  const luck = seeded(seed);
-  const controllers = 3 + Math.floor(luck() * 3);
-  const lines = Array.from({ length: troubles }, (_, i) =>
-    TROUBLES[Math.floor(luck() * TROUBLES.length)]!(12 + i * 9 + Math.round(luck() * 5)),
+/** Returns a scenario with `faultCount` faults in sequence. Without faults, requests only coincide with the end of jobs. */
+function scenarioText(seed: number, faultCount: number): string {
+  const random = seeded(seed);
+  const controllers = 3 + Math.floor(random() * 3);
+  const lines = Array.from({ length: faultCount }, (_, i) =>
+    FAULTS[Math.floor(random() * FAULTS.length)]!(12 + i * 9 + Math.round(random() * 5)),
   );
   return [
     `seed ${seed}`,
     `given controllers ${controllers}`,
-    // Little room in a record: lists of needs and slices are written ahead of their jobs.
+    // With records this small, lists of needs and slices are written before their jobs.
     ...(seed % 3 === 0 ? ["given state value-kb 2 changes 5 writes 40"] : []),
     "given team ops most-cpus 900",
     "given type m cpus 16 boot 1 count 40",
@@ -53,67 +54,67 @@
   ].join("\n");
 }
 
-async function judged(text: string, spawn?: (asked: Spawned) => Rehearsed) {
+async function playAndCheck(text: string, spawn?: (options: Spawned) => Rehearsed) {
   const { world, failures } = await playScenario(text, spawn);
-  const told = world.history.filter((one): one is Extract<Happening, { kind: "told" }> => one.kind === "told");
-  return { broken: brokenRules(world.history, world.limits()), failures, errors: world.errors, told, met: world.crowd.met };
+  const answers = world.history.filter((one): one is Extract<Happening, { kind: "told" }> => one.kind === "told");
+  return { broken: brokenRules(world.history, world.limits()), failures, errors: world.errors, answers, met: world.crowd.met };
 }
 
-test("asked everywhere at once, with no other trouble: a cancellation, a question or a repetition meets the end of a job", async () => {
-  let atEnd = 0;
+test("requests to all nodes at once, without faults: cancellations, polls and repeated submissions coincide with the end of a job", async () => {
+  let cancelledAtEnd = 0;
   const outcomes = new Set<string>();
   for (const seed of [1, 2, 3]) {
-    const text = textOf(seed, 0);
-    const { broken, failures, errors, told, met } = await judged(text);
+    const text = scenarioText(seed, 0);
+    const { broken, failures, errors, answers, met } = await playAndCheck(text);
     assert.deepEqual([broken, failures, errors], [[], [], []], text);
-    atEnd += met.cancelledAtEnd;
-    for (const { what } of told) outcomes.add(what);
+    cancelledAtEnd += met.cancelledAtEnd;
+    for (const { what } of answers) outcomes.add(what);
   }
-  assert.ok(atEnd > 80, `${atEnd} cancellations met an end`);
+  assert.ok(cancelledAtEnd > 80, `${cancelledAtEnd} cancellations at the end of a job`);
   assert.deepEqual([...outcomes].sort(), ["done", "queued", "refused", "running", "withdrawn"]);
 });
 
-test("asked everywhere at once, amid troubles of the state service and of controllers: no answer is older than one before it", async () => {
-  let questions = 0;
+test("requests to all nodes at once, during faults of the state service and of controllers: no answer is older than an earlier one", async () => {
+  let answerCount = 0;
   const runs = Number(process.env["TOLD"] ?? 5);
   const first = Number(process.env["TOLD_SEED"] ?? 20);
   for (let seed = first; seed < first + runs; seed++) {
-    const text = textOf(seed, 3);
-    const { broken, failures, errors, told } = await judged(text);
+    const text = scenarioText(seed, 3);
+    const { broken, failures, errors, answers } = await playAndCheck(text);
     assert.deepEqual([broken, failures, errors], [[], [], []], text);
-    questions += told.length;
+    answerCount += answers.length;
   }
-  assert.ok(questions > 1500 * runs, `${questions} answers`);
+  assert.ok(answerCount > 1500 * runs, `${answerCount} answers`);
 });
 
-/** The service, as one that writes jobs in a wrong way would use it. */
-const through =
-  (txn: (state: StateApi, asked: Spawned) => StateApi["txn"]) =>
-  (asked: Spawned): Rehearsed =>
-    spawnController({ ...asked, state: { ...asked.state, txn: txn(asked.state, asked) } });
+/** Returns a function that starts a controller whose transactions are replaced, as if it wrote jobs incorrectly. */
+const withTransactions =
+  (txn: (state: StateApi, options: Spawned) => StateApi["txn"]) =>
+  (options: Spawned): Rehearsed =>
+    spawnController({ ...options, state: { ...options.state, txn: txn(options.state, options) } });
 const isJob = (key: string): boolean => key.startsWith(keys.jobs);
 
-const WRONG: Record<string, { spawn: (asked: Spawned) => Rehearsed; what: RegExp }> = {
-  "polls are answered without a read that began after them": {
-    spawn: (asked) => {
-      const controller = spawnController(asked);
+const FAULTY_VARIANTS: Record<string, { spawn: (options: Spawned) => Rehearsed; what: RegExp }> = {
+  "polls are answered without a read that began after the poll": {
+    spawn: (options) => {
+      const controller = spawnController(options);
       controller.mirror.fresh = () => Promise.resolve();
       return controller;
     },
     what: /went_back|forgotten/,
   },
-  "a cancellation is told before it is durable": {
-    spawn: through((state, { clock }) => async (conditions, apply, limitMs) => {
-      const ends = apply.some((op) => "write" in op && isJob(op.write) && (op.v as { end?: string }).end === "withdrawn");
-      if (!ends) return state.txn(conditions, apply, limitMs);
+  "a cancellation is acknowledged before it is durable": {
+    spawn: withTransactions((state, { clock }) => async (conditions, apply, limitMs) => {
+      const endsAsWithdrawn = apply.some((op) => "write" in op && isJob(op.write) && (op.v as { end?: string }).end === "withdrawn");
+      if (!endsAsWithdrawn) return state.txn(conditions, apply, limitMs);
       const answer = state.txn([], [], limitMs);
       clock.after(400, () => void state.txn(conditions, apply).catch(() => undefined));
       return answer;
     }),
     what: /went_back/,
   },
-  "the end of a job is written whatever its record has become": {
-    spawn: through(
+  "the end of a job is written without a condition on its record": {
+    spawn: withTransactions(
       (state) => (conditions, apply, limitMs) =>
         state.txn(
           conditions.filter(({ k }) => !isJob(k)),
@@ -125,9 +126,9 @@
   },
 };
 
-for (const [name, { spawn, what }] of Object.entries(WRONG))
+for (const [name, { spawn, what }] of Object.entries(FAULTY_VARIANTS))
   test(`wrong variant found: ${name}`, async () => {
     const found: string[] = [];
-    for (const seed of [1, 2, 3]) found.push(...(await judged(textOf(seed, 0), spawn)).broken);
+    for (const seed of [1, 2, 3]) found.push(...(await playAndCheck(scenarioText(seed, 0), spawn)).broken);
     assert.match(found.join("\n"), what);
   });
