--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -1,3 +1,4 @@
+/** Bids for jobs of other partitions. */
 import { keys, type JobRecord } from "../ledger/records.js";
 import { tasksWithin } from "../parts/part.js";
 import type { Query } from "../peers/messages.js";
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -1,3 +1,4 @@
+/** Dependencies of the exchange, and helpers that its modules share. */
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
--- a/src/exchange/choice.ts
+++ b/src/exchange/choice.ts
@@ -1,3 +1,5 @@
+/** Comparison of bids. */
+
 /**
  * Bid of a partition for a job: when the job would start there and how long it would run. The members are those of the
  * `Answer` message between controllers.
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -1,3 +1,4 @@
+/** Search for better partitions for waiting jobs. */
 import { exchangeSettings, estimateContext, liveOwnerOf, type ExchangeDependencies } from "./around.js";
 import { BidResponder } from "./answers.js";
 import { QuotaTransfers } from "./quota-transfers.js";
--- a/src/exchange/moving.ts
+++ b/src/exchange/moving.ts
@@ -1,3 +1,4 @@
+/** Transactions that move jobs and slices to other partitions. */
 import { fitting, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
 import type { Part } from "../parts/part.js";
 import { tailOf, type Unit } from "../queue/unit.js";
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -1,3 +1,4 @@
+/** Transfers of team quota between partitions. */
 import { keys, type AllotmentRecord } from "../ledger/records.js";
 import { allotted, type Part, type Usage } from "../parts/part.js";
 import type { Want } from "../peers/messages.js";
--- a/src/exchange/volunteers.ts
+++ b/src/exchange/volunteers.ts
@@ -1,3 +1,4 @@
+/** Announcements of partitions with free capacity. */
 import type { Volunteer } from "../peers/messages.js";
 import { utilization } from "../queue/estimate.js";
 import { exchangeSettings, type ExchangeDependencies } from "./around.js";
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -1,3 +1,4 @@
+/** Direct commands from a partition's owner to its workers. */
 import type { Leader } from "../parts/leader.js";
 import type { Part } from "../parts/part.js";
 import { NoReply } from "@thorntrail/protocol/errors";
@@ -90,11 +91,13 @@
       machine.commandInFlight = false;
     }
     const hasUnsentOrders = [...machine.placements.values()].some(
-      (p) =>
-        (p.state === null && p.direct === "none" && p.stop === null) ||
-        (p.stop !== null &&
+      (placement) =>
+        (placement.state === null && placement.direct === "none" && placement.stop === null) ||
+        (placement.stop !== null &&
           !orders.some(
-            (order) => order.verb === "stop" && attemptKey(order.piece, order.attempt) === attemptKey(pieceName(p.unit, p.task), p.attempt),
+            (order) =>
+              order.verb === "stop" &&
+              attemptKey(order.piece, order.attempt) === attemptKey(pieceName(placement.unit, placement.task), placement.attempt),
           )),
     );
     if (retryNow || (hasUnsentOrders && !failed)) void this.send(partition, machine);
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,3 +1,4 @@
+/** The owner's record of a machine: capacity, session, lease, attempts and usage. */
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { AttemptRegistry } from "../queue/attempts.js";
 import type { Placement } from "../queue/unit.js";
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,3 +1,4 @@
+/** HTTP client for the workers' command interface. */
 import { performance } from "node:perf_hooks";
 import { mergeMap, Subject } from "rxjs";
 import { NoReply } from "@thorntrail/protocol/errors";
