--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -3,7 +3,7 @@
 import { brokenRules } from "@thorntrail/emulator/checker";
 import { Cluster } from "./world/cluster.js";
 
-/** A configuration that changes while several controllers serve and machines, controllers and services fail. */
+/** Changes of the configuration while several controllers serve and machines, controllers and services fail. */
 
 const ops = { name: "ops", cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 };
 const lab = { name: "lab", cpus: 0, cpus_max: 40, gpus: 0, gpus_max: 0 };
@@ -15,28 +15,28 @@
   assert.ok(asked.outcome !== undefined && !(asked.outcome instanceof Error), String(asked.outcome));
   return asked.outcome.version;
 };
-/** Commands that were on their way when a version came into force have arrived. */
+/** Time after which commands that were in flight when a version came into force have arrived. */
 const ARRIVED_S = 1;
 
-/** No fault was logged, and no rule broken but for limits, which the tests here watch by themselves. */
+/** Asserts that no error was logged and no rule broken. Team limits are left out, since the tests check them themselves. */
 function assertSound(cluster: Cluster): void {
   const { world } = cluster;
   const broken = brokenRules(world.history, { ...world.limits(), teams: new Map() });
   assert.deepEqual([broken, world.errors], [[], []]);
 }
 
-/** Plays on, and watches that what a team uses never grows above the limit: what ran above it may only end. */
-async function assertNeverPassed(cluster: Cluster, team: string, limit: number, untilS: number): Promise<void> {
-  let before = Infinity;
+/** Runs until `untilS` and asserts that a team's usage never grows above the limit: tasks above it may only end. */
+async function assertNeverExceeded(cluster: Cluster, team: string, limit: number, untilS: number): Promise<void> {
+  let previous = Infinity;
   for (let at = cluster.world.clock.now() / 1000; at < untilS; at += 0.1) {
     await cluster.until(at);
     const used = cluster.usedBy(team);
-    assert.ok(used <= Math.max(limit, before) + 1e-6, `${team} uses ${used} at ${at.toFixed(1)} s, ${before} before, limit ${limit}`);
-    before = used;
+    assert.ok(used <= Math.max(limit, previous) + 1e-6, `${team} uses ${used} at ${at.toFixed(1)} s, ${previous} before, limit ${limit}`);
+    previous = used;
   }
 }
 
-test("a lowered limit is in force within seconds and never passed after; what runs above it ends, and is not started again", async () => {
+test("a lowered limit is in force within seconds and not exceeded afterwards; tasks above it end and are not started again", async () => {
   const cluster = new Cluster(plan(1));
   cluster.submit({ ref: "run-000001", team: "ops", tasks: 200, cpus: 2 }, 12, "nest-0");
   cluster.submit({ ref: "run-000002", team: "ops", tasks: 200, cpus: 2 }, 12, "nest-1");
@@ -46,7 +46,7 @@
   await cluster.until(41);
   assert.ok((await cluster.inForce(version(asked), 40, 20)) <= 6);
   await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
-  await assertNeverPassed(cluster, "ops", 12, 90);
+  await assertNeverExceeded(cluster, "ops", 12, 90);
   assert.ok(cluster.usedBy("ops") > 6, "the lower limit is used");
   assertSound(cluster);
   cluster.close();
@@ -65,7 +65,7 @@
   cluster.close();
 });
 
-test("a limit where there was none, and none where there was one", async () => {
+test("a limit is introduced where there was none, and removed again", async () => {
   const cluster = new Cluster({ ...plan(3), teams: [{ ...ops, cpus_max: 0 }, lab] });
   cluster.submit({ ref: "run-000001", team: "ops", tasks: 3000, cpus: 2 }, 10, "nest-0");
   await cluster.until(30);
@@ -73,7 +73,7 @@
   await cluster.until(31);
   assert.ok((await cluster.inForce(version(lowered), 30, 20)) <= 6);
   await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
-  await assertNeverPassed(cluster, "ops", 20, 70);
+  await assertNeverExceeded(cluster, "ops", 20, 70);
   const raised = cluster.set({ set: [{ ...ops, cpus_max: 0 }] });
   await cluster.until(90);
   version(raised);
@@ -82,7 +82,7 @@
   cluster.close();
 });
 
-test("an added team's jobs are accepted; a removed one's accepted jobs end, and new ones are refused once that is in force", async () => {
+test("an added team's jobs are accepted; a removed team's accepted jobs finish, and new ones are refused once the removal is in force", async () => {
   const cluster = new Cluster(plan(4));
   cluster.submit({ ref: "run-000001", team: "lab", tasks: 30, cpus: 2 }, 20, "nest-0");
   await cluster.until(20);
@@ -111,7 +111,7 @@
   return asked;
 }
 
-test("a controller that ends as a limit is lowered: in force once its partition is fenced, within six seconds", async () => {
+test("a controller exits while a limit is lowered: the limit is in force once its partition is fenced, within six seconds", async () => {
   for (const seed of [5, 6, 7]) {
     const cluster = new Cluster(plan(seed, 4));
     for (const i of [0, 1, 2, 3]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 100, cpus: 2 }, 15, `nest-${i}`);
@@ -122,19 +122,19 @@
     const seconds = await cluster.inForce(version(asked), 40, 30);
     assert.ok(seconds <= 6 && seconds > 1, `${seconds} s`);
     await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
-    await assertNeverPassed(cluster, "ops", 16, 80);
+    await assertNeverExceeded(cluster, "ops", 16, 80);
     cluster.world.startNode("nest-2");
-    await assertNeverPassed(cluster, "ops", 16, 120);
+    await assertNeverExceeded(cluster, "ops", 16, 120);
     assertSound(cluster);
     cluster.close();
   }
 });
 
-test("a controller that is cut off from the state service and the others counts only once it has fallen silent or was fenced", async () => {
+test("with a controller cut off from the state service and its peers, a version is in force only once that controller is silent or fenced", async () => {
   const cluster = new Cluster(plan(8));
   for (const i of [0, 1, 2]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 200, cpus: 2 }, 8, `nest-${i}`);
   await cluster.until(40);
-  const mend = ["state", "nest-0", "nest-2"].map((to) => cluster.world.links.add({ from: "nest-1", to, effect: { kind: "cut" } }));
+  const repairs = ["state", "nest-0", "nest-2"].map((to) => cluster.world.links.add({ from: "nest-1", to, effect: { kind: "cut" } }));
   const asked = cluster.set({ set: [{ ...ops, cpus_max: 12 }] });
   await cluster.until(40.5);
   const early = await cluster.standings(version(asked), 500);
@@ -142,14 +142,14 @@
   const seconds = await cluster.inForce(version(asked), 40, 40);
   assert.ok(seconds <= 22.5, `${seconds} s`);
   await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
-  await assertNeverPassed(cluster, "ops", 12, 90);
-  for (const end of mend) end();
-  await assertNeverPassed(cluster, "ops", 12, 120);
+  await assertNeverExceeded(cluster, "ops", 12, 90);
+  for (const end of repairs) end();
+  await assertNeverExceeded(cluster, "ops", 12, 120);
   assertSound(cluster);
   cluster.close();
 });
 
-test("changes amid transfers of quota, cancellations, an outage, late transactions and a rolling restart: in force, and never passed", async () => {
+test("limits changed during quota transfers, cancellations, an outage, late transactions and a rolling restart come into force and are never exceeded", async () => {
   for (const seed of [11, 12, 13, 14]) {
     const cluster = new Cluster(plan(seed, 3));
     const { world } = cluster;
@@ -172,15 +172,15 @@
     const first = version(lowered);
     assert.ok((await cluster.inForce(first, 30, 30)) < 30);
     await cluster.until(world.clock.now() / 1000 + ARRIVED_S);
-    await assertNeverPassed(cluster, "ops", 24, 62);
+    await assertNeverExceeded(cluster, "ops", 24, 62);
     world.state.outage = true;
-    await assertNeverPassed(cluster, "ops", 24, 66);
+    await assertNeverExceeded(cluster, "ops", 24, 66);
     world.state.outage = false;
     for (const [i, name] of ["nest-0", "nest-1", "nest-2"].entries()) {
       world.killNode(name);
-      await assertNeverPassed(cluster, "ops", 24, 70 + i * 8);
+      await assertNeverExceeded(cluster, "ops", 24, 70 + i * 8);
       world.startNode(name);
-      await assertNeverPassed(cluster, "ops", 24, 74 + i * 8);
+      await assertNeverExceeded(cluster, "ops", 24, 74 + i * 8);
     }
     const raised = cluster.set({ set: [{ ...ops, cpus_max: 50 }] });
     await cluster.until(105);
@@ -191,12 +191,12 @@
   }
 });
 
-test("a job that a change would strand is not accepted while the change is decided, and an undecided change is abandoned", async () => {
+test("a job that could not run under a prepared change is not accepted until the change is decided, and an undecided change is abandoned", async () => {
   const cluster = new Cluster(plan(15));
   await cluster.until(15);
-  // Whoever prepared it has ended: only the first write was made.
-  const dead = cluster.world.links.add({ from: "operator", to: "state", what: "range", effect: { kind: "cut" } });
-  dead();
+  // The operator's command ends after its first write, which prepares the change.
+  const cut = cluster.world.links.add({ from: "operator", to: "state", what: "range", effect: { kind: "cut" } });
+  cut();
   let writes = 0;
   cluster.world.seen$.subscribe(({ node, what }) => {
     if (node === "operator" && what === "txn" && ++writes === 1)
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -16,7 +16,7 @@
 const base = [ops, lab];
 const LIMITS = { rps: 1000, writeRps: 1000, valueKb: 32, txnOps: 16 };
 
-test("a change file that does not hold is refused with file, field and what was expected", () => {
+test("an invalid change file is refused with the file, the field and the expected value", () => {
   const refused = (text: string): string => {
     try {
       parseChange("c.toml", text);
@@ -31,15 +31,15 @@
   assert.match(refused("remove = [3]"), /^c\.toml: remove\.0: /);
 });
 
-test("a change is checked as a whole against the teams there are", () => {
+test("a change is checked as a whole against the existing teams", () => {
   const teams = mergeTeams(base, []);
-  const faults = (change: Parameters<typeof changeErrors>[0], most = 13): string => changeErrors(change, teams, most).join("; ");
-  assert.equal(faults({ set: [{ ...ops, cpus_max: 50 }], remove: ["lab"] }), "");
-  assert.match(faults({ set: [], remove: [] }), /expected teams to set or to remove/);
-  assert.match(faults({ set: [{ ...ops, cpus: 41 }], remove: [] }), /teams\.0\.cpus: 41: expected at most cpus_max, 40/);
-  assert.match(faults({ set: [ops, ops], remove: [] }), /teams\.1\.name: ops: expected each team once/);
-  assert.match(faults({ set: [], remove: ["nobody"] }), /remove\.0: nobody: expected the name of a team/);
-  assert.match(faults({ set: [ops, lab], remove: [] }, 1), /expected at most 1 in one change/);
+  const errors = (change: Parameters<typeof changeErrors>[0], maxTeams = 13): string => changeErrors(change, teams, maxTeams).join("; ");
+  assert.equal(errors({ set: [{ ...ops, cpus_max: 50 }], remove: ["lab"] }), "");
+  assert.match(errors({ set: [], remove: [] }), /expected teams to set or to remove/);
+  assert.match(errors({ set: [{ ...ops, cpus: 41 }], remove: [] }), /teams\.0\.cpus: 41: expected at most cpus_max, 40/);
+  assert.match(errors({ set: [ops, ops], remove: [] }), /teams\.1\.name: ops: expected each team once/);
+  assert.match(errors({ set: [], remove: ["nobody"] }), /remove\.0: nobody: expected the name of a team/);
+  assert.match(errors({ set: [ops, lab], remove: [] }, 1), /expected at most 1 in one change/);
   const gang = specOf({ kind: "gang", team: "ops", tasks: 6, cpus: 5 });
   assert.match(
     String(unrunnableJob({ set: [{ ...ops, cpus_max: 29 }], remove: [] }, [gang])),
@@ -50,9 +50,9 @@
   assert.deepEqual(removed, { ...lab, name: "old", removed: true });
 });
 
-test("in force where the owner shows the version and has fenced its partition, or has provably fallen silent", () => {
+test("in force where the owner has published the version and fenced its partition, or provably starts nothing any more", () => {
   const owner = { v: { owner: "nest-0", life: "l1" }, stamp: 40 };
-  const seen = (presence: PresenceRecord | undefined, elapsedMs = 0): string => {
+  const statusFor = (presence: PresenceRecord | undefined, elapsedMs = 0): string => {
     const evidence: InForceEvidence = {
       version: 3,
       partitions: 1,
@@ -63,13 +63,13 @@
     };
     return standingsOf(evidence)[0]!.standing;
   };
-  assert.equal(seen({ life: "l1", acts: { version: 3, term: 40 } }), "in force");
-  assert.equal(seen({ life: "l1", acts: { version: 2, term: 40 } }), "behind");
-  assert.equal(seen({ life: "l2", acts: { version: 3, term: 50 } }), "behind");
-  assert.equal(seen({ life: "l1", acts: { version: 3, term: 39 } }), "taking over");
-  assert.equal(seen({ life: "l1" }, 99_000), "of an older program");
-  assert.equal(seen(undefined, 21_999), "away");
-  assert.equal(seen(undefined, 22_000), "in force");
+  assert.equal(statusFor({ life: "l1", acts: { version: 3, term: 40 } }), "in force");
+  assert.equal(statusFor({ life: "l1", acts: { version: 2, term: 40 } }), "behind");
+  assert.equal(statusFor({ life: "l2", acts: { version: 3, term: 50 } }), "behind");
+  assert.equal(statusFor({ life: "l1", acts: { version: 3, term: 39 } }), "taking over");
+  assert.equal(statusFor({ life: "l1" }, 99_000), "of an older program");
+  assert.equal(statusFor(undefined, 21_999), "away");
+  assert.equal(statusFor(undefined, 22_000), "in force");
   assert.ok(
     isInForce(
       standingsOf({ version: 3, partitions: 2, owner: () => undefined, presence: () => undefined, elapsedMs: 0, silentAfterMs: 1 }),
@@ -77,26 +77,26 @@
   );
 });
 
-/** A state service in virtual time, and the configuration in it. */
-function place(through: (state: StateApi) => StateApi = (state) => state) {
+/** A configuration store on a virtual state service. `settled` runs the clock until the promise has an outcome. */
+function createStore(wrapState: (state: StateApi) => StateApi = (state) => state) {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 5, LIMITS).client("operator", (fn) => fn());
-  const rest = (ms: number): Promise<void> => new Promise((resolve) => clock.after(ms, resolve));
-  const store = new ConfigurationStore(through(state), base, LIMITS, () => clock.wall(), rest);
-  const played = async <T>(work: Promise<T>): Promise<T | Error> => {
+  const sleep = (ms: number): Promise<void> => new Promise((resolve) => clock.after(ms, resolve));
+  const store = new ConfigurationStore(wrapState(state), base, LIMITS, () => clock.wall(), sleep);
+  const settled = async <T>(work: Promise<T>): Promise<T | Error> => {
     const caught = work.catch((error: Error) => error);
     for (let i = 0; i < 400; i++) await clock.run(clock.now() + 50);
     return caught;
   };
-  return { clock, state, store, played };
+  return { clock, state, store, settled };
 }
 
-test("versions: each change is one, repeated it is none, a step back is a new one, and the history is bounded", async () => {
-  const { store, state, played } = place();
-  assert.deepEqual(await played(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: true });
-  assert.deepEqual(await played(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: false });
-  assert.deepEqual(await played(store.set({ set: [ops], remove: ["lab"] })), { version: 2, changed: true });
-  const read = await played(store.read());
+test("each change makes one version, a repeated one makes none, a reverted one makes a new one, and the history is bounded", async () => {
+  const { store, state, settled } = createStore();
+  assert.deepEqual(await settled(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: true });
+  assert.deepEqual(await settled(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: false });
+  assert.deepEqual(await settled(store.set({ set: [ops], remove: ["lab"] })), { version: 2, changed: true });
+  const read = await settled(store.read());
   assert.ok(!(read instanceof Error));
   assert.deepEqual(
     read.teams.map(({ name, cpus_max, removed }) => [name, cpus_max, removed]),
@@ -109,26 +109,26 @@
     read.history.map(({ version }) => version),
     [1, 2],
   );
-  for (let i = 0; i < HISTORY_VERSIONS + 2; i++) await played(store.set({ set: [{ ...ops, cpus_max: 100 + i }], remove: [] }));
-  const rows = await played(state.range(keys.configurationHistory, undefined, 500));
+  for (let i = 0; i < HISTORY_VERSIONS + 2; i++) await settled(store.set({ set: [{ ...ops, cpus_max: 100 + i }], remove: [] }));
+  const rows = await settled(state.range(keys.configurationHistory, undefined, 500));
   assert.ok(!(rows instanceof Error) && rows.rows.length === HISTORY_VERSIONS);
 });
 
-test("two writers are never mixed: one of two changes at once is refused, and says so", async () => {
-  const { store, played } = place();
-  const both = Promise.all([
+test("of two concurrent changes, one is refused with a conflict", async () => {
+  const { store, settled } = createStore();
+  const bothChanges = Promise.all([
     store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] }).catch((error: Error) => error),
     store.set({ set: [{ ...ops, cpus_max: 70 }], remove: [] }).catch((error: Error) => error),
   ]);
-  const done = (await played(both)) as (Error | { version: number })[];
-  const refused = done.filter((one) => one instanceof ChangeRefused);
+  const outcomes = (await settled(bothChanges)) as (Error | { version: number })[];
+  const refused = outcomes.filter((one) => one instanceof ChangeRefused);
   assert.equal(refused.length, 1);
   assert.match((refused[0] as Error).message, /another change came first, now version 1/);
 });
 
-test("an answer that is lost, and the write applied late once more: one version, one effect", async () => {
+test("a write whose answer is lost and which is applied again late makes one version and has one effect", async () => {
   const copies: (() => Promise<unknown>)[] = [];
-  const { store, played } = place((state) => ({
+  const { store, settled } = createStore((state) => ({
     ...state,
     range: (...asked) => state.range(...asked),
     txn: async (conditions, apply) => {
@@ -138,22 +138,22 @@
       throw new NoReply("unanswered", "lost");
     },
   }));
-  assert.deepEqual(await played(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: true });
-  assert.deepEqual(await played(store.set({ set: [{ ...ops, cpus_max: 90 }], remove: [] })), { version: 2, changed: true });
-  for (const copy of copies) await played(copy());
-  const read = await played(store.read());
+  assert.deepEqual(await settled(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: true });
+  assert.deepEqual(await settled(store.set({ set: [{ ...ops, cpus_max: 90 }], remove: [] })), { version: 2, changed: true });
+  for (const copy of copies) await settled(copy());
+  const read = await settled(store.read());
   assert.ok(!(read instanceof Error));
   assert.deepEqual([read.head?.version, read.teams[0]!.cpus_max], [2, 90]);
 });
 
-test("lower limits that an accepted job could not run within are refused, and nothing stays prepared", async () => {
-  const { store, state, played } = place();
+test("lower limits that an accepted job could not run within are refused, and no prepared change remains", async () => {
+  const { store, state, settled } = createStore();
   const record = { spec: specOf({ ref: "run-000007", kind: "gang", team: "ops", tasks: 10, cpus: 4 }), part: 0, hi: 10, done: "", at: 1 };
-  await played(state.txn([], [{ write: keys.job("run-000007"), v: record }]));
-  const refused = await played(store.set({ set: [{ ...ops, cpus_max: 39 }], remove: [] }));
+  await settled(state.txn([], [{ write: keys.job("run-000007"), v: record }]));
+  const refused = await settled(store.set({ set: [{ ...ops, cpus_max: 39 }], remove: [] }));
   assert.ok(refused instanceof ChangeRefused && refused.code === "invalid");
   assert.match(refused.message, /run-000007 of team ops was accepted and needs more CPUs/);
-  const read = await played(store.read());
+  const read = await settled(store.read());
   assert.ok(!(read instanceof Error));
   assert.deepEqual([read.head?.version, read.head?.prepared], [0, undefined]);
 });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -3,8 +3,8 @@
 import fc from "fast-check";
 import { nextLevel, sheds, overloadThresholds, type Level, type OverloadMetrics, type SheddableWork } from "../src/overload/levels.js";
 
-const from = overloadThresholds({ reportMs: 2500 }, 5);
-const quiet: OverloadMetrics = { lagMs: 0, memory: 0.3, backlogS: 0 };
+const thresholds = overloadThresholds({ reportMs: 2500 }, 5);
+const idle: OverloadMetrics = { lagMs: 0, memory: 0.3, backlogS: 0 };
 const ORDER: SheddableWork[] = ["view", "volunteering", "growth", "submission", "urgent submission"];
 const measured = fc.record({
   lagMs: fc.double({ min: 0, max: 10_000, noNaN: true }),
@@ -13,47 +13,47 @@
 });
 const level = fc.integer({ min: 0, max: 4 }) as fc.Arbitrary<Level>;
 
-test("what is shed is shed in one order, urgent submissions last", () => {
+test("higher levels shed more kinds of work in a fixed order, urgent submissions last", () => {
   for (let at = 0 as Level; at <= 4; at++) {
-    const gone = ORDER.map((what) => sheds(at, what));
+    const shed = ORDER.map((what) => sheds(at, what));
     assert.deepEqual(
-      gone,
-      [...gone].sort((a, b) => Number(b) - Number(a)),
+      shed,
+      [...shed].sort((a, b) => Number(b) - Number(a)),
       `level ${at}`,
     );
   }
   assert.ok(ORDER.every((what) => !sheds(0, what)) && ORDER.every((what) => sheds(4, what)));
 });
 
-test("each cause alone raises the level as far as it calls for, and at once", () => {
-  assert.equal(nextLevel(0, { ...quiet, memory: 0.96 }, from), 4);
-  assert.equal(nextLevel(0, { ...quiet, lagMs: 2500 }, from), 4);
-  assert.equal(nextLevel(0, { ...quiet, backlogS: 20 }, from), 3);
-  assert.equal(nextLevel(4, quiet, from), 0);
+test("each cause alone raises the level at once, as far as its value requires", () => {
+  assert.equal(nextLevel(0, { ...idle, memory: 0.96 }, thresholds), 4);
+  assert.equal(nextLevel(0, { ...idle, lagMs: 2500 }, thresholds), 4);
+  assert.equal(nextLevel(0, { ...idle, backlogS: 20 }, thresholds), 3);
+  assert.equal(nextLevel(4, idle, thresholds), 0);
 });
 
-test("a level is not left by a cause that stays about where it began: no flapping", () => {
+test("a level is kept while its cause stays near the threshold: no flapping", () => {
   fc.assert(
     fc.property(level, measured, (before, seen) => {
-      const up = nextLevel(0, seen, from);
-      const now = nextLevel(before, seen, from);
-      // Never below what the figures call for, never above both that and what held before.
+      const up = nextLevel(0, seen, thresholds);
+      const now = nextLevel(before, seen, thresholds);
+      // Never below the level that the measurements require, never above both that and the previous level.
       assert.ok(now >= up && now <= Math.max(before, up));
-      // The same figures again change nothing.
-      assert.equal(nextLevel(now, seen, from), now);
-      // A little less of everything keeps it.
+      // The same measurements again change nothing.
+      assert.equal(nextLevel(now, seen, thresholds), now);
+      // Slightly lower measurements keep the level.
       const less = { lagMs: seen.lagMs * 0.97, memory: seen.memory * 0.97, backlogS: seen.backlogS * 0.97 };
-      assert.equal(nextLevel(now, less, from), now);
+      assert.equal(nextLevel(now, less, thresholds), now);
     }),
     { seed: 31, numRuns: 2000 },
   );
 });
 
-test("worse figures never make for a lower level", () => {
+test("worse measurements never lead to a lower level", () => {
   fc.assert(
     fc.property(level, measured, measured, (before, a, b) => {
       const worse = { lagMs: Math.max(a.lagMs, b.lagMs), memory: Math.max(a.memory, b.memory), backlogS: Math.max(a.backlogS, b.backlogS) };
-      assert.ok(nextLevel(before, worse, from) >= nextLevel(before, a, from));
+      assert.ok(nextLevel(before, worse, thresholds) >= nextLevel(before, a, thresholds));
     }),
     { seed: 32, numRuns: 2000 },
   );
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -9,34 +9,34 @@
 const team = { name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
 const MB = 1e6;
 
-/** Three controllers; what each holds of memory is set by the test. */
-function place(rate = 100): { world: World<Rehearsed>; held: Map<string, number>; heap: Map<string, number> } {
+/** Three controllers in the emulator. `memory` and `heap` set the shares in use per controller. */
+function createWorld(rate = 100): { world: World<Rehearsed>; memory: Map<string, number>; heap: Map<string, number> } {
   const plan = plainPlan();
   plan.teams = [team];
   plan.types = [TYPE];
   plan.state = { ...plan.state, rps: rate, writeRps: rate / 4 };
   plan.capacity = new Map([["m/a/ordinary", 20]]);
-  const held = new Map<string, number>();
+  const memory = new Map<string, number>();
   const heap = new Map<string, number>();
   const world = new World(plan, (asked) => {
     const name = String(asked.platform["host_name"]);
     const quota = (asked.platform["deployment"] as { quota: { mem_mb: number } }).quota.mem_mb;
     return spawnController(asked, () => ({
-      resident: (held.get(name) ?? 0.3) * quota * MB,
+      resident: (memory.get(name) ?? 0.3) * quota * MB,
       heap: heap.get(name) ?? 0,
       heapMost: 1,
     }));
   });
   for (const name of world.nodes.keys()) world.startNode(name);
-  return { world, held, heap };
+  return { world, memory, heap };
 }
 
 const wireOf = (ref: string, urgency: "low" | "urgent"): Record<string, unknown> =>
   encodeJob(specOf({ ref, urgency, tasks: 4, guessS: 10 }));
 const controllerOf = (world: World<Rehearsed>, name: string): Rehearsed => world.nodes.get(name)!.controller!;
 
-/** What a user is told, without the retries that users make. */
-async function told(world: World<Rehearsed>, kind: "submit" | "poll" | "cancel", body: unknown) {
+/** Sends one request to nest-0, without a user's retries, and returns the answer. */
+async function ask(world: World<Rehearsed>, kind: "submit" | "poll" | "cancel", body: unknown) {
   let answer: { status: number; retryAfterS?: number; body: Record<string, unknown> } | undefined;
   void controllerOf(world, "nest-0")
     .answer(kind, body)
@@ -45,39 +45,39 @@
   return answer!;
 }
 
-test("memory near its bound: low submissions first, urgent ones last; polls, cancellations and reports go on", async () => {
-  const { world, held } = place();
+test("memory near its limit: low submissions are shed first, urgent ones last; polls, cancellations and reports continue", async () => {
+  const { world, memory } = createWorld();
   await world.clock.run(8000);
-  assert.equal((await told(world, "submit", wireOf("run-000001", "low"))).status, 201);
+  assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   await world.clock.run(40_000);
-  held.set("nest-0", 0.92);
+  memory.set("nest-0", 0.92);
   await world.clock.run(45_000);
-  const low = await told(world, "submit", wireOf("run-000002", "low"));
+  const low = await ask(world, "submit", wireOf("run-000002", "low"));
   assert.equal(low.status, 429);
   assert.ok(low.retryAfterS! >= 1 && low.retryAfterS! <= 30);
-  assert.equal((await told(world, "submit", wireOf("run-000003", "urgent"))).status, 201);
-  held.set("nest-0", 0.97);
+  assert.equal((await ask(world, "submit", wireOf("run-000003", "urgent"))).status, 201);
+  memory.set("nest-0", 0.97);
   await world.clock.run(52_000);
-  assert.equal((await told(world, "submit", wireOf("run-000004", "urgent"))).status, 429);
-  // A job that is known already is no new load: its user must not be told to come back.
-  assert.equal((await told(world, "submit", wireOf("run-000001", "low"))).status, 200);
-  assert.equal((await told(world, "poll", "run-000003")).status, 200);
-  assert.equal((await told(world, "cancel", "run-000003")).body["status"], "withdrawn");
+  assert.equal((await ask(world, "submit", wireOf("run-000004", "urgent"))).status, 429);
+  // A job that is already recorded is no new load, so its submission must not be answered with 429.
+  assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 200);
+  assert.equal((await ask(world, "poll", "run-000003")).status, 200);
+  assert.equal((await ask(world, "cancel", "run-000003")).body["status"], "withdrawn");
   assert.equal(
     controllerOf(world, "nest-0").unready(),
     null,
-    "a busy node is still healthy: sent elsewhere, its users would drown the others",
+    "a busy node is still healthy: if its users were sent elsewhere, they would overload the others",
   );
-  held.set("nest-0", 0.6);
+  memory.set("nest-0", 0.6);
   await world.clock.run(60_000);
   void world.submit(wireOf("run-000004", "urgent"), specOf({ ref: "run-000004", urgency: "urgent", tasks: 4 }), "nest-0");
   await world.clock.run(120_000);
-  assert.equal((await told(world, "poll", "run-000004")).body["status"], "done");
+  assert.equal((await ask(world, "poll", "run-000004")).body["status"], "done");
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-test("garbage is not memory in use: one look at a full heap sheds nothing, a heap that stays full does", async () => {
-  const { world, heap } = place();
+test("garbage does not count as memory in use: one sample of a full heap sheds nothing, a heap that stays full does", async () => {
+  const { world, heap } = createWorld();
   await world.clock.run(12_000);
   const { overload } = controllerOf(world, "nest-0");
   heap.set("nest-0", 0.97);
@@ -91,14 +91,14 @@
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-test("a controller behind neither volunteers nor bids, and takes no machines beyond those it has", async () => {
-  const { world, held } = place();
+test("a controller at level 3 neither volunteers nor bids, and rents no further machines", async () => {
+  const { world, memory } = createWorld();
   await world.clock.run(8000);
-  held.set("nest-0", 0.92);
+  memory.set("nest-0", 0.92);
   await world.clock.run(12_000);
   const { leader, fleet, overload } = controllerOf(world, "nest-0");
   assert.equal(overload.level, 3);
-  // Jobs come in through another node, which may ask around; none ends up with the one that is late.
+  // Jobs arrive at another node, which may request bids; none is placed with the overloaded one.
   for (let i = 10; i < 22; i++)
     void world.submit(wireOf(`run-0000${i}`, "low"), specOf({ ref: `run-0000${i}`, tasks: 4, guessS: 10 }), "nest-1");
   await world.clock.run(60_000);
@@ -108,12 +108,12 @@
     0,
   );
   await world.clock.run(200_000);
-  for (let i = 10; i < 22; i++) assert.equal((await told(world, "poll", `run-0000${i}`)).body["status"], "done");
+  for (let i = 10; i < 22; i++) assert.equal((await ask(world, "poll", `run-0000${i}`)).body["status"], "done");
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-test("a process that stood still has no lag to shed for", async () => {
-  const { world } = place();
+test("a stall of the process does not count as lag", async () => {
+  const { world } = createWorld();
   await world.clock.run(12_000);
   world.freeze("nest-0", 6000);
   await world.clock.run(40_000);
@@ -121,12 +121,12 @@
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-// Each poll of a job that is not over needs a read that began after it was asked; a read each would be
-// more than the state service takes, and what it answers is the same.
-test("a storm of polls shares reads, and all are answered", async () => {
-  const { world } = place();
+// Each poll of an unfinished job needs a read that began after the poll. One read per poll would exceed the state
+// service's request rate, so polls must share reads.
+test("a burst of polls shares reads, and all are answered", async () => {
+  const { world } = createWorld();
   await world.clock.run(8000);
-  assert.equal((await told(world, "submit", wireOf("run-000001", "low"))).status, 201);
+  assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   let reads = 0;
   const { mirror } = controllerOf(world, "nest-0");
   const fresh = mirror.fresh.bind(mirror);
@@ -153,11 +153,11 @@
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-// After a freeze everything that happened meanwhile comes in one answer.
-test("ten thousand changes in one answer are taken in, and the node leads and answers on", async () => {
-  const { world } = place(400_000);
+// After a stall, all changes of that time arrive in one answer.
+test("ten thousand changes in one answer are applied, and the node continues to own its partition and to answer", async () => {
+  const { world } = createWorld(400_000);
   await world.clock.run(8000);
-  const strange = world.state.client("elsewhere", (fn) => fn());
+  const otherClient = world.state.client("elsewhere", (fn) => fn());
   world.freeze("nest-0", 20_000);
   await world.clock.run(9000);
   const PER_TXN = 16;
@@ -166,13 +166,13 @@
       const ref = `run-${500_000 + i + k}`;
       return { write: `t/j/${ref}`, v: { spec: specOf({ ref }), part: 1, hi: 1, done: "gA==", at: 1, end: "done" } };
     });
-    void strange.txn([], apply);
+    void otherClient.txn([], apply);
   }
   await world.clock.run(60_000);
   const node = controllerOf(world, "nest-0");
   assert.equal(node.unready(), null);
-  assert.equal((await told(world, "poll", "run-509999")).body["status"], "done");
+  assert.equal((await ask(world, "poll", "run-509999")).body["status"], "done");
   assert.equal(node.mirror.openJobs().size, 0);
-  assert.equal((await told(world, "submit", wireOf("run-000001", "low"))).status, 201);
+  assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   for (const name of world.nodes.keys()) world.killNode(name);
 });
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,7 +6,7 @@
 import { mirrorByHand } from "./world/mirror.js";
 import { specOf } from "./world/parts.js";
 
-// Frames as version 0.3.0 writes them: it drops a peer whose hello or schema is another.
+// Frames as version 0.3.0 writes them. It closes the connection to a peer with another hello or schema.
 const FRAMES: [string, Message][] = [
   ["0000000900060c6e6573742d31", { Hello: { version: 3, node: "nest-1" } }],
   ["00000015040e041472756e2d3030303431320c6e6573742d30", { Query: { id: 7, part: 2, job: "run-000412", from: "nest-0" } }],
@@ -25,21 +25,21 @@
   }
 });
 
-test("a job that version 0.3.0 recorded is needed, led and written on like any other", () => {
-  const mirror = mirrorByHand();
-  const needs = new Needs(mirror);
+test("a job recorded by version 0.3.0 can be needed, owned and updated like any other", () => {
+  const replica = mirrorByHand();
+  const needs = new Needs(replica);
   const old: JobRecord = { spec: specOf({ ref: "run-000001", tasks: 9 }), part: 2, hi: 9, done: "/w==", at: 70 };
-  mirror.put(keys.job("run-000001"), old, 1);
+  replica.put(keys.job("run-000001"), old, 1);
   const later: JobRecord = { spec: specOf({ ref: "run-000002", needs: ["run-000001"] }), part: -1, home: 1, hi: 1, done: "", at: 50 };
-  mirror.put(keys.job("run-000002"), later, 2);
+  replica.put(keys.job("run-000002"), later, 2);
   assert.equal(partOf(old), 2);
   assert.equal(doneOf(old, 9).count, 8);
   assert.deepEqual(settled(old), old);
   assert.ok(needs.waits("run-000002"));
-  // 0.3.0 writes the end without its time, and keeps fields it does not know when it writes a record back.
-  mirror.put(keys.job("run-000001"), { ...old, end: "done" }, 3);
+  // 0.3.0 writes the end without its time, and keeps members it does not support when it writes a record back.
+  replica.put(keys.job("run-000001"), { ...old, end: "done" }, 3);
   assert.ok(!needs.waits("run-000002"));
   assert.equal(needs.sinceWall(later), 70);
-  mirror.put(keys.job("run-000002"), { ...later, end: "withdrawn" }, 4);
+  replica.put(keys.job("run-000002"), { ...later, end: "withdrawn" }, 4);
   assert.equal(needs.fate("run-000002"), "withdrawn");
 });
