--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Records an answer. Also called directly for operations that do not use `ask`, such as persistent links. */
+  /** Records an answer. Also called directly for persistent links, whose messages are no calls. */
   answered(): void {
     this.stats.answered++;
     this.failures = 0;
--- a/src/calls/pauses.ts
+++ b/src/calls/pauses.ts
@@ -9,13 +9,9 @@
  * fixed, so that none retries immediately.
  * @param random a number from 0 up to 1
  */
-export function backoffMs(
-  { initialMs: firstMs, maxMs: mostMs }: Pick<CallPolicy, "initialMs" | "maxMs">,
-  failures: number,
-  random: number,
-): number {
+export function backoffMs({ initialMs, maxMs }: Pick<CallPolicy, "initialMs" | "maxMs">, failures: number, random: number): number {
   const doublings = Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
-  return Math.min(mostMs, firstMs * 2 ** doublings) * (1 / 2 + random / 2);
+  return Math.min(maxMs, initialMs * 2 ** doublings) * (1 / 2 + random / 2);
 }
 
 /**
--- a/src/configuration/current.ts
+++ b/src/configuration/current.ts
@@ -91,13 +91,13 @@
 
   /** Whether the newest version is in force everywhere, according to this controller's replica. */
   inForce(): boolean {
-    const { version, replica: mirror, settings } = this;
+    const { version, replica, settings } = this;
     if (version === this.inForceVersion) return true;
     const statuses = standingsOf({
       version,
       partitions: settings.nodes.length,
-      owner: (partition) => mirror.get<OwnerRecord>(keys.owner(partition)),
-      presence: (node) => mirror.get<PresenceRecord>(keys.alive(node))?.v,
+      owner: (partition) => replica.get<OwnerRecord>(keys.owner(partition)),
+      presence: (node) => replica.get<PresenceRecord>(keys.alive(node))?.v,
       elapsedMs: this.scope.clock.now() - this.newestSeen.at,
       silentAfterMs: settings.timing.silentAfterMs,
     });
--- a/src/configuration/in-force.ts
+++ b/src/configuration/in-force.ts
@@ -54,6 +54,6 @@
 }
 
 /** Whether the version is in force in all partitions. */
-export function isInForce(standings: readonly PartitionStanding[]): boolean {
-  return standings.every(({ standing }) => standing === "in force");
+export function isInForce(statuses: readonly PartitionStanding[]): boolean {
+  return statuses.every(({ standing }) => standing === "in force");
 }
--- a/src/ledger/committer.ts
+++ b/src/ledger/committer.ts
@@ -82,7 +82,7 @@
     private readonly writes: Rate,
     /** Backoff between repeated transactions. */
     private readonly calls: Caller,
-    /** `txnOps`: changes in one transaction. `laneMs`: after this long in flight, a transaction no longer holds back the next one. */
+    /** Maximum number of changes in one transaction, and the time in flight (ms) after which a transaction no longer holds back the next one. */
     private readonly limits: { txnOps: number; laneMs: number },
     private readonly log: Log,
     private readonly costs = new Costs(),
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Queues a write; `draft` returns null when nothing is left to write. `alone`: shares its transaction, hence its
-   * stamp, with no other write. `shedAfterMs`: shed if not sent within this time. `turn`: `later` by default.
+   * Queues a write; `draft` returns null when nothing is left to write. An exclusive write shares its transaction, hence
+   * its stamp, with no other write. A write is shed if it is not sent within `shedAfterMs`. The default priority is `later`.
    */
   commit(
     label: string,
--- a/src/membership/detector.ts
+++ b/src/membership/detector.ts
@@ -49,14 +49,14 @@
 
   /** Starts listening to peers and to suspicions, and evaluates the evidence ten times per report interval. */
   start(): void {
-    const { scope, peers, settings, mirror, presence } = this.dependencies;
+    const { scope, peers, settings, mirror: replica, presence } = this.dependencies;
     scope.listen(peers.incoming$, ({ from, message }) => {
       if (!("Health" in message)) return;
       const observation = this.observation(from);
       observation.statelessAt = message.Health.stateOk ? null : (observation.statelessAt ?? scope.clock.now());
     });
     // A suspicion of this node is refuted as soon as it is read, because the verdict limit of its observers is running.
-    scope.listen(mirror.changes$, (key) => {
+    scope.listen(replica.changes$, (key) => {
       if (!key.startsWith(keys.suspicions)) return;
       this.observation(key.slice(keys.suspicions.length)).lastSuspectedAt = scope.clock.now();
       if (presence.isSuspected()) void presence.renew();
@@ -93,8 +93,8 @@
 
   /** Whether this node's own observations are reliable. */
   private health(): OwnHealth {
-    const { presence, mirror, settings } = this.dependencies;
-    return { informed: presence.own() && mirror.ageMs() < settings.timing.contactMs, late: this.dependencies.late() };
+    const { presence, mirror: replica, settings } = this.dependencies;
+    return { informed: presence.own() && replica.ageMs() < settings.timing.contactMs, late: this.dependencies.late() };
   }
 
   /** Age of the evidence against a peer, counting only the time in which this node's own view was up to date. */
@@ -109,15 +109,15 @@
 
   /** Updates the status of each peer and writes a suspicion where the evidence requires one. */
   private evaluate(): void {
-    const { settings, mirror, scope } = this.dependencies;
+    const { settings, mirror: replica, scope } = this.dependencies;
     const now = scope.clock.now();
     this.upToDateSince = this.health().informed ? (this.upToDateSince ?? now) : null;
     const limits = this.limits();
     const own = settings.nodes.indexOf(settings.self);
     settings.nodes.forEach((node, i) => {
       if (node === settings.self) return;
-      const recorded = mirror.get<SuspicionRecord>(keys.suspicion(node))?.v;
-      const presence = mirror.get<PresenceRecord>(keys.alive(node))?.v;
+      const recorded = replica.get<SuspicionRecord>(keys.suspicion(node))?.v;
+      const presence = replica.get<PresenceRecord>(keys.alive(node))?.v;
       const observation = this.observation(node);
       this.trackSuspicion(node, observation, recorded, stands(recorded, presence), now);
       // One suspicion is enough: nodes further from the peer in the node order wait longer, so the first usually writes it.
@@ -166,12 +166,12 @@
   private writeSuspicion(node: string, record: SuspicionRecord): void {
     if (this.writing.has(node)) return;
     this.writing.add(node);
-    const { mirror, committer, settings } = this.dependencies;
+    const { mirror: replica, committer, settings } = this.dependencies;
     const key = keys.suspicion(node);
-    const suspicionStamp = mirror.stamp(key);
-    const presenceStamp = mirror.stamp(keys.alive(node));
+    const suspicionStamp = replica.stamp(key);
+    const presenceStamp = replica.stamp(keys.alive(node));
     const draft = () =>
-      mirror.stamp(key) !== suspicionStamp || mirror.stamp(keys.alive(node)) !== presenceStamp
+      replica.stamp(key) !== suspicionStamp || replica.stamp(keys.alive(node)) !== presenceStamp
         ? null
         : {
             conditions: [
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -56,9 +56,9 @@
 
   /** Starts the routine that renews the presence key four times per lease. */
   start(): void {
-    const { scope, mirror, settings } = this.dependencies;
+    const { scope, mirror: replica, settings } = this.dependencies;
     // The former incarnation's key can only be evaluated once all records are loaded.
-    scope.listen(mirror.changes$, (key) => {
+    scope.listen(replica.changes$, (key) => {
       if (key === "" && this.earlyExits === null) void this.renew();
       else if (key === keys.configuration) void this.renew();
     });
@@ -73,23 +73,23 @@
   async renew(): Promise<void> {
     if (this.renewing) return;
     this.renewing = true;
-    const { settings, state, mirror, rate, scope } = this.dependencies;
+    const { settings, state, mirror: replica, rate, scope } = this.dependencies;
     const key = keys.alive(settings.self);
     try {
       while (!rate.take()) await new Promise<void>((resolve) => scope.clock.after(rate.waitMs(), resolve));
       await this.extend();
-      if (!mirror.loaded) return;
-      const before = mirror.get<PresenceRecord>(key);
+      if (!replica.loaded) return;
+      const before = replica.get<PresenceRecord>(key);
       if (this.earlyExits === null) this.countEarlyExits(before?.v);
       const value = this.desiredRecord();
       if (this.attachedLeaseId === this.leaseId && isDeepStrictEqual(before?.v, value)) return;
       const result = await state.txn([{ k: key, stamp: before?.stamp ?? 0 }], [{ write: key, v: value, permit: this.leaseId! }]);
       if (result.ok) {
         this.attachedLeaseId = this.leaseId;
-        return mirror.put(key, value, result.ledger);
+        return replica.put(key, value, result.ledger);
       }
       // The key was just written by the former incarnation, or by a late copy of this one's write.
-      await mirror.fresh();
+      await replica.fresh();
       this.scheduleRenewal();
     } catch (error) {
       scope.log.debug({ err: (error as Error).message }, "presence not renewed");
@@ -141,8 +141,8 @@
 
   /** Number up to which this incarnation has to refute suspicions. */
   private refutation(): number {
-    const { mirror, settings, life } = this.dependencies;
-    return refutation(mirror.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, life);
+    const { mirror: replica, settings, life: incarnation } = this.dependencies;
+    return refutation(replica.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, incarnation);
   }
 
   /** Whether a suspicion of this incarnation has not been refuted yet. */
--- a/src/membership/returns.ts
+++ b/src/membership/returns.ts
@@ -21,9 +21,9 @@
  * Time after its start, in ms, for which a node that keeps exiting leaves its partitions to others. Otherwise each of
  * its incarnations would raise the terms and have all machines fenced again without placing any task.
  */
-export function restMs(ends: number, leaseMs: number): number {
-  if (ends < EARLY_EXITS_BEFORE_BACKOFF) return 0;
-  return leaseMs * Math.min(MAX_BACKOFF, MIN_BACKOFF * 2 ** Math.min(ends - EARLY_EXITS_BEFORE_BACKOFF, 10));
+export function restMs(earlyExits: number, leaseMs: number): number {
+  if (earlyExits < EARLY_EXITS_BEFORE_BACKOFF) return 0;
+  return leaseMs * Math.min(MAX_BACKOFF, MIN_BACKOFF * 2 ** Math.min(earlyExits - EARLY_EXITS_BEFORE_BACKOFF, 10));
 }
 
 /** Builds the presence record of a node. `ends` is included only while the incarnation is `young`. */
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -46,8 +46,8 @@
 }
 
 /** Number that the incarnation has to publish in `refutes` to refute all suspicions of it. */
-export function refutation(suspicion: SuspicionRecord | undefined, life: string): number {
-  return suspicion?.life === life ? suspicion.n : 0;
+export function refutation(suspicion: SuspicionRecord | undefined, incarnation: string): number {
+  return suspicion?.life === incarnation ? suspicion.n : 0;
 }
 
 /**
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -121,8 +121,8 @@
   private memory(): number {
     const { settings, memory } = this.dependencies;
     if (this.sampleCount++ % SAMPLES_PER_REPORT > 0) return this.measured.memory;
-    const { resident, heap, heapMost } = memory();
-    this.heapSamples.push(heapMost > 0 ? heap / heapMost : 0);
+    const { resident, heap, heapMost: heapMax } = memory();
+    this.heapSamples.push(heapMax > 0 ? heap / heapMax : 0);
     if (this.heapSamples.length > HEAP_SAMPLES) this.heapSamples.shift();
     return Math.max(resident / (settings.platform.deployment.quota.mem_mb * MB), Math.min(...this.heapSamples));
   }
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -70,8 +70,8 @@
   await clock.run(60_000);
   const late = asked.filter(({ operation, at }) => operation === "state.txn" && at > 30_000).map(({ at }) => at);
   const gaps = late.slice(1).map((at, i) => at - late[i]!);
-  const { initialMs: firstMs, maxMs: mostMs } = policies["state.txn"];
-  assert.ok(Math.min(...gaps) >= mostMs / 2, `${Math.min(...gaps)}`);
+  const { initialMs, maxMs } = policies["state.txn"];
+  assert.ok(Math.min(...gaps) >= maxMs / 2, `${Math.min(...gaps)}`);
   const from = clock.now();
   down = false;
   await clock.run(from + 10_000);
@@ -79,7 +79,7 @@
   assert.ok(after("state.read") <= policies["state.read"].maxMs);
   // Lease renewals paused for up to 2.2 s; the read that found the service available again ended the pause.
   assert.ok(after("state.lease") <= policies["state.read"].maxMs + policies["state.lease"].initialMs, `${after("state.lease")}`);
-  assert.ok(after("state.txn") <= policies["state.read"].maxMs + firstMs);
+  assert.ok(after("state.txn") <= policies["state.read"].maxMs + initialMs);
   assert.ok(calls.of("state.lease").stats.woken > 0);
 });
 
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -57,7 +57,7 @@
         if (recorded !== undefined && now - lastAt >= answerMs) presence = { life: "a", refutes: refutation(recorded, "a") };
         if (stands(recorded, presence)) assert.equal(verdict(now - lastAt, unlinked, healthy, limits), "suspected");
       }
-      // The pauses are 1, 2, 4, 8 and then always 16 times half a lease (`againMs`).
+      // The pauses are 1, 2, 4, 8 and then always 16 times half a lease.
       assert.ok(suspicions <= 5 + seconds / 144, `${suspicions} in ${seconds} s`);
     }),
     { seed: 28, numRuns: 50 },
