--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { encodeFrame, FrameReader, MAX_FRAME, type Message } from "../src/peers/messages.js";
+import { encodeFrame, FrameReader, MAX_FRAME_BYTES, type Message } from "../src/peers/messages.js";
 
 const messages: Message[] = [
   { Hello: { version: 1, node: "nest-0" } },
@@ -9,16 +9,16 @@
   { Relay: { id: 1, kind: "poll", body: '"run-000001"' } },
 ];
 
-test("messages survive being cut into single bytes", () => {
+test("messages are decoded from a stream that arrives byte by byte", () => {
   const reader = new FrameReader();
-  const seen: Message[] = [];
-  for (const byte of Buffer.concat(messages.map(encodeFrame))) seen.push(...reader.push(Buffer.from([byte])));
-  assert.deepEqual(JSON.parse(JSON.stringify(seen)), JSON.parse(JSON.stringify(messages)));
+  const decoded: Message[] = [];
+  for (const byte of Buffer.concat(messages.map(encodeFrame))) decoded.push(...reader.push(Buffer.from([byte])));
+  assert.deepEqual(JSON.parse(JSON.stringify(decoded)), JSON.parse(JSON.stringify(messages)));
 });
 
 test("an oversized or malformed frame is refused", () => {
   const head = Buffer.alloc(4);
-  head.writeUInt32BE(MAX_FRAME + 1);
+  head.writeUInt32BE(MAX_FRAME_BYTES + 1);
   assert.throws(() => new FrameReader().push(head));
   assert.throws(() => new FrameReader().push(Buffer.from([0, 0, 0, 2, 0xff, 0xff])));
 });
