--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -4,40 +4,40 @@
 import { keys, type JobRecord, type NeedListRecord } from "../ledger/records.js";
 import { rank } from "../queue/order.js";
 
-/** How a job ended. */
-export type Fate = "done" | "withdrawn";
+/** Terminal state of a job. */
+export type Outcome = "done" | "withdrawn";
 
-/** A job that needs others or is needed by them. */
-interface Node {
+/** A job that depends on others or that others depend on. */
+interface JobNode {
   ref: string;
-  /** From its own record; null while that has not been seen. */
+  /** Urgency from its own record; null until that has been received. */
   own: Urgency | null;
-  /** Its own, or that of a job that needs it if that is higher. */
+  /** The job's own urgency, or that of a job that depends on it if that is higher. */
   urgency: Urgency;
   needs: string[];
-  /** Of these, those that are not done. */
-  open: Set<string>;
-  neededBy: Set<string>;
-  fate: Fate | undefined;
+  /** The dependencies that are not done. */
+  pending: Set<string>;
+  dependants: Set<string>;
+  fate: Outcome | undefined;
 }
 
 /**
- * Which jobs wait for which. Nothing of it is stored: that a job may start, or is
- * cancelled with one that it needs, follows from the records of the jobs themselves.
- * So what any node says of a job, it says from the moment it knows of the cancellation,
- * and there is no second transaction that an outage could keep from being made.
+ * Dependencies between jobs. Nothing of this is stored: whether a job may start, or is cancelled together with one
+ * that it depends on, follows from the records of the jobs themselves. So every controller applies a cancellation to
+ * all dependants as soon as it receives the cancelled job's record, and no second transaction is needed that an
+ * outage could prevent.
  */
 export class Needs {
-  /** Jobs whose last need is done: their tasks may start. */
+  /** Emits jobs whose last dependency is done: their tasks may start. */
   readonly ready$ = new Subject<string>();
-  /** Jobs whose urgency changed for the sake of those that need them. */
+  /** Emits jobs whose effective urgency has changed because of jobs that depend on them. */
   readonly lifted$ = new Subject<string>();
-  private readonly nodes = new Map<string, Node>();
+  private readonly nodes = new Map<string, JobNode>();
 
   constructor(private readonly mirror: Mirror) {
     mirror.changes$.subscribe((key) => {
-      if (key.startsWith(keys.jobs)) this.review(key);
-      else if (key.startsWith(keys.needLists)) this.review(keys.job(mirror.get<NeedListRecord>(key)?.v.ref ?? ""));
+      if (key.startsWith(keys.jobs)) this.applyRecord(key);
+      else if (key.startsWith(keys.needLists)) this.applyRecord(keys.job(mirror.get<NeedListRecord>(key)?.v.ref ?? ""));
     });
   }
 
@@ -45,30 +45,34 @@
     return this.mirror.get<JobRecord>(keys.job(ref))?.v;
   }
 
-  /** How the job ended, by its own record or by that of one it needs; final once it is known. */
-  fate(ref: string): Fate | undefined {
+  /** Terminal state of the job, from its own record or that of a job it depends on; it never changes once set. */
+  fate(ref: string): Outcome | undefined {
     const node = this.nodes.get(ref);
     return node === undefined ? this.record(ref)?.end : node.fate;
   }
 
-  /** Some job that it needs is not done, so none of its tasks may start. */
+  /** True if some job that it depends on is not done, so none of its tasks may start. */
   waits(ref: string): boolean {
     const node = this.nodes.get(ref);
-    return node !== undefined && node.fate !== "done" && node.open.size > 0;
+    return node !== undefined && node.fate !== "done" && node.pending.size > 0;
   }
 
-  /** Jobs that wait for others, for the view. */
+  /** Number of jobs that wait for others, for the status view. */
   get waiting(): number {
     let n = 0;
-    for (const node of this.nodes.values()) if (node.fate === undefined && node.open.size > 0) n++;
+    for (const node of this.nodes.values()) if (node.fate === undefined && node.pending.size > 0) n++;
     return n;
   }
 
+  /** Effective urgency of the job: its own or inherited; `low` if the job is unknown. */
   urgency(ref: string): Urgency {
     return this.nodes.get(ref)?.urgency ?? this.record(ref)?.spec.urgency ?? "low";
   }
 
-  /** Times other than the deadline count from here: its submission, or when the last job that it needs was done. */
+  /**
+   * Start of the job's times other than the deadline: its submission, or the completion of the last job that it
+   * depends on.
+   */
   sinceWall(job: JobRecord): number {
     let since = job.at;
     for (const ref of this.nodes.get(job.spec.ref)?.needs ?? []) {
@@ -78,18 +82,18 @@
     return since;
   }
 
-  private node(ref: string): Node {
+  private node(ref: string): JobNode {
     let node = this.nodes.get(ref);
     if (node === undefined) {
       const record = this.record(ref);
       const own = record?.spec.urgency ?? null;
-      node = { ref, own, urgency: own ?? "low", needs: [], open: new Set(), neededBy: new Set(), fate: record?.end };
+      node = { ref, own, urgency: own ?? "low", needs: [], pending: new Set(), dependants: new Set(), fate: record?.end };
       this.nodes.set(ref, node);
     }
     return node;
   }
 
-  private review(key: string): void {
+  private applyRecord(key: string): void {
     const record = this.mirror.get<JobRecord>(key)?.v;
     if (record === undefined) return;
     const { ref, needs, urgency } = record.spec;
@@ -98,21 +102,22 @@
     const node = known ?? this.node(ref);
     if (known === undefined || node.own === null) {
       node.own = urgency;
-      const all = this.allNeeds(record);
-      // Not all of its lists are here yet: it waits for one more than can be named.
-      if (all === null) node.open.add(ref);
-      else this.join(node, all);
-      this.weigh([ref, ...node.needs]);
-    } else if (node.open.has(ref)) {
-      const all = this.allNeeds(record);
-      if (all !== null) this.complete(node, all);
+      const all = this.allDependencies(record);
+      // Some of its dependency lists have not been received: an entry for the job itself keeps it waiting until they
+      // have.
+      if (all === null) node.pending.add(ref);
+      else this.addDependencies(node, all);
+      this.updateUrgencies([ref, ...node.needs]);
+    } else if (node.pending.has(ref)) {
+      const all = this.allDependencies(record);
+      if (all !== null) this.completeDependencies(node, all);
     }
-    if (record.end !== undefined) this.settle(node, record.end);
-    else if (node.needs.some((need) => this.fate(need) === "withdrawn")) this.settle(node, "withdrawn");
+    if (record.end !== undefined) this.setOutcome(node, record.end);
+    else if (node.needs.some((need) => this.fate(need) === "withdrawn")) this.setOutcome(node, "withdrawn");
   }
 
-  /** Null: some list is not known yet. */
-  private allNeeds({ spec, needLists }: JobRecord): string[] | null {
+  /** All dependencies of a job; null if some list has not been received. */
+  private allDependencies({ spec, needLists }: JobRecord): string[] | null {
     const all = [...(spec.needs ?? [])];
     for (let i = 0; i < (needLists?.count ?? 0); i++) {
       const list = this.mirror.get<NeedListRecord>(keys.needList(spec.ref, needLists!.name, i))?.v;
@@ -122,50 +127,50 @@
     return all;
   }
 
-  private complete(node: Node, needs: string[]): void {
-    this.join(node, needs);
-    node.open.delete(node.ref);
-    this.weigh(needs);
-    if (node.open.size === 0 && node.fate === undefined) this.ready$.next(node.ref);
+  private completeDependencies(node: JobNode, needs: string[]): void {
+    this.addDependencies(node, needs);
+    node.pending.delete(node.ref);
+    this.updateUrgencies(needs);
+    if (node.pending.size === 0 && node.fate === undefined) this.ready$.next(node.ref);
   }
 
-  private join(node: Node, needs: string[]): void {
+  private addDependencies(node: JobNode, needs: string[]): void {
     node.needs = needs;
     for (const ref of needs) {
       const need = this.node(ref);
-      need.neededBy.add(node.ref);
-      if (need.fate !== "done") node.open.add(ref);
+      need.dependants.add(node.ref);
+      if (need.fate !== "done") node.pending.add(ref);
     }
   }
 
-  /** Not by recursion: a chain of jobs may be as long as users care to make it. */
-  private settle(first: Node, fate: Fate): void {
+  /** Iterative, since a chain of jobs may be arbitrarily long. */
+  private setOutcome(first: JobNode, fate: Outcome): void {
     if (first.fate !== undefined) return;
     first.fate = fate;
     const ended = [first];
     const ready: string[] = [];
     for (const node of ended) {
-      for (const ref of node.neededBy) {
+      for (const ref of node.dependants) {
         const after = this.node(ref);
         if (after.fate !== undefined) continue;
         if (fate === "withdrawn") {
           after.fate = fate;
           ended.push(after);
-        } else if (after.open.delete(node.ref) && after.open.size === 0) ready.push(ref);
+        } else if (after.pending.delete(node.ref) && after.pending.size === 0) ready.push(ref);
       }
     }
-    this.weigh(ended.flatMap((node) => node.needs));
+    this.updateUrgencies(ended.flatMap((node) => node.needs));
     for (const ref of ready) this.ready$.next(ref);
   }
 
-  /** Works urgencies out anew, and wherever that changes one, those of what it needs. */
-  private weigh(refs: string[]): void {
+  /** Recomputes effective urgencies and, where one changes, those of the dependencies. */
+  private updateUrgencies(refs: string[]): void {
     const due = new Set(refs);
     for (const ref of due) {
       due.delete(ref);
       const node = this.node(ref);
       let urgency = node.own ?? "low";
-      for (const later of node.neededBy) {
+      for (const later of node.dependants) {
         const after = this.node(later);
         if (after.fate === undefined && rank(after.urgency) < rank(urgency)) urgency = after.urgency;
       }
--- a/src/queue/attempts.ts
+++ b/src/queue/attempts.ts
@@ -1,22 +1,23 @@
-/** What the registry has to know of an attempt: its job, and its task as counted from the beginning of its unit. */
+/** The data of an attempt that the registry needs: its job, and its task number within its task set. */
 export interface Attempt {
   unit: { spec: { ref: string }; lo: number };
   task: number;
 }
 
-/** The number of the attempt's task within its job. */
-export function taskNumber({ unit, task }: Attempt): number {
-  return unit.lo + task;
+/** Number of the attempt's task within its job. */
+export function taskNumber({ unit: taskSet, task }: Attempt): number {
+  return taskSet.lo + task;
 }
 
 /**
- * Every attempt that may exist on a machine of one partition, from its start order until it is proven gone: placed by
- * the scheduling cycle or adopted from a report, wanted or not, of a job that is known here or not. It alone answers
- * whether a task may start: a unit knows only the placement that it wants, and a machine only what is on itself.
- * Kept up as attempts come and go on machines, each time at constant cost.
+ * Registry of every attempt that may exist on a machine of one partition, from its start order until it is proven
+ * gone: placed by the scheduling cycle or adopted from a report, current or superseded, of a registered job or an
+ * unknown one. It is the only source for whether a task may start: a task set records only its current attempts, and
+ * a machine only the attempts on itself. It is updated as attempts come and go on machines, each time at constant
+ * cost.
  */
 export class AttemptRegistry<A extends Attempt> {
-  /** By job, then by the number of the task. */
+  /** Attempts by job reference, then by task number. */
   private readonly jobs = new Map<string, Map<number, A[]>>();
 
   add(attempt: A): void {
@@ -43,12 +44,12 @@
     return this.jobs.get(ref)?.get(number) ?? NONE;
   }
 
-  /** May an attempt of the task be on some machine? */
+  /** True if an attempt of the task may be on some machine. */
   hasTask(ref: string, number: number): boolean {
     return this.jobs.get(ref)?.has(number) === true;
   }
 
-  /** May an attempt of any task of the job be on some machine? */
+  /** True if an attempt of any task of the job may be on some machine. */
   hasJob(ref: string): boolean {
     return this.jobs.has(ref);
   }
@@ -58,7 +59,7 @@
     return this.jobs.get(ref)?.keys() ?? [];
   }
 
-  /** Other attempts of the same task: while there is one, it must not start. */
+  /** Other attempts of the same task; the task must not start while there is one. */
   others(attempt: A): readonly A[] {
     const all = this.ofTask(attempt.unit.spec.ref, taskNumber(attempt));
     return all.length === 1 && all[0] === attempt ? NONE : all.filter((other) => other !== attempt);
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -6,37 +6,44 @@
 import { allowed, copies } from "./placement.js";
 import { ready } from "./pass.js";
 import { shift } from "./room.js";
-import { PreemptibleCapacity, type Room, type PreemptionRights } from "./preemptible-capacity.js";
+import { PreemptibleCapacity, type SimulatedMachine, type PreemptionRights } from "./preemptible-capacity.js";
 import { suspect, type Unit } from "./unit.js";
 
+/** Inputs of the wait estimate. */
 export interface EstimateContext extends PreemptionRights {
   now: number;
   silentMs: number;
   order: LocalOrder;
   history: RunHistory;
   bootMs: (machine: Machine) => number;
-  /** After this long, lower work is stopped for a job that waits. */
+  /** Time after which lower-priority work is stopped for a waiting job, in ms. */
   preemptAfterMs: number;
 }
 
-/** Room that comes free; `times` tasks of the same size at once. */
-interface Event {
+/** Capacity that becomes free on a machine; `times` tasks of the same size at once. */
+interface CapacityEvent {
   at: number;
-  room: Room;
+  room: SimulatedMachine;
   freed: Capacity;
   times: number;
 }
 
-/** Of the age at which a machine counts as silent: what comes free within it comes free together. */
-const MOMENT = 1 / 5;
-const MAX_MOMENTS = 400;
+/**
+ * Time step of the simulation, as a fraction of the age at which a machine counts as silent. Capacity that becomes
+ * free within one step is handled together.
+ */
+const STEP_FRACTION = 1 / 5;
+const MAX_STEPS = 400;
 const MAX_QUEUE = 60;
 
-/** Parts of all resources in use, by the scarcest of CPUs and accelerators. */
-export function utilization(part: Part): number {
+/**
+ * Utilization of the partition: the share of its resources in use, for CPUs or accelerators, whichever is higher. 1
+ * if it has no CPUs.
+ */
+export function utilization(partition: Part): number {
   const all = { cpus: 0, gpus: 0 };
   const used = { cpus: 0, gpus: 0 };
-  for (const machine of part.machines.values()) {
+  for (const machine of partition.machines.values()) {
     if (machine.lost || machine.deleting) continue;
     all.cpus += machine.capacity.cpus;
     all.gpus += machine.capacity.gpus;
@@ -48,91 +55,91 @@
 }
 
 /** More copies than any job has tasks. */
-const MOST_COPIES = 1e6;
+const MAX_COPIES = 1e6;
 
 /**
- * Where gangs of one size of task fit, kept up as rooms change. Editions are cut alike: were this
- * kept for each waiting gang, every change of a machine would cost a step for each of them.
+ * Number of tasks of one shape that each machine and zone can hold, updated as free capacity changes. It is shared by
+ * all gangs of that shape: editions submit many identical gangs, and keeping it for each waiting gang would cost a
+ * step per gang for every change of a machine.
  */
-class Shape {
-  private readonly held: Float64Array;
-  private readonly perZone: Float64Array;
+class ShapeCapacity {
+  private readonly tasksPerMachine: Float64Array;
+  private readonly tasksPerZone: Float64Array;
 
   constructor(
     private readonly spec: JobSpec,
-    private readonly rooms: Room[],
+    private readonly rooms: SimulatedMachine[],
     zones: number,
   ) {
-    this.held = new Float64Array(rooms.length);
-    this.perZone = new Float64Array(zones);
+    this.tasksPerMachine = new Float64Array(rooms.length);
+    this.tasksPerZone = new Float64Array(zones);
     for (let i = 0; i < rooms.length; i++) {
-      if (allowed(spec, rooms[i]!.machine)) this.review(i);
-      else this.held[i] = -1;
+      if (allowed(spec, rooms[i]!.machine)) this.update(i);
+      else this.tasksPerMachine[i] = -1;
     }
   }
 
-  /** Room number `i` has changed. */
-  review(i: number): void {
-    const before = this.held[i]!;
+  /** Updates the counts after the free capacity of machine number `i` has changed. */
+  update(i: number): void {
+    const before = this.tasksPerMachine[i]!;
     if (before < 0) return;
     const room = this.rooms[i]!;
-    const now = Math.min(MOST_COPIES, copies(this.spec, room.free));
-    this.perZone[this.spec.oneZone ? room.zone : 0]! += now - before;
-    this.held[i] = now;
+    const now = Math.min(MAX_COPIES, copies(this.spec, room.free));
+    this.tasksPerZone[this.spec.oneZone ? room.zone : 0]! += now - before;
+    this.tasksPerMachine[i] = now;
   }
 
-  /** The zone in which so many tasks fit now; -1: any zone will do; null: none. */
+  /** The zone that can hold that many tasks now; -1 if any zone will do, null if there is none. */
   zoneFor(tasks: number): number | null {
-    if (!this.spec.oneZone) return this.perZone[0]! >= tasks ? -1 : null;
-    const zone = this.perZone.findIndex((n) => n >= tasks);
+    if (!this.spec.oneZone) return this.tasksPerZone[0]! >= tasks ? -1 : null;
+    const zone = this.tasksPerZone.findIndex((n) => n >= tasks);
     return zone < 0 ? null : zone;
   }
 
-  /** Tasks that room number `i` holds. */
-  in(i: number): number {
-    return Math.max(0, this.held[i]!);
+  /** Number of tasks that machine number `i` can hold. */
+  tasksOn(i: number): number {
+    return Math.max(0, this.tasksPerMachine[i]!);
   }
 }
 
-/** A job of the queue while it is played forward. */
-interface Entry {
+/** A job of the queue during the simulation. */
+interface QueueEntry {
   unit: Unit;
   tasks: number;
-  /** Of a gang, which needs room for all at once. */
-  shape: Shape | null;
+  /** Set for a gang, which needs capacity for all of its tasks at once. */
+  shape: ShapeCapacity | null;
 }
 
 /**
- * Plays the queue forward: machines free up as running tasks are expected to
- * end, booting ones count from when they should be up. Gives the wait in ms of
- * the slices asked for (`wanted`; all if not given); infinite if the part cannot
- * hold it. What is behind the last of them in the queue does not matter, and once
- * all are known nothing more is played: a burst must not make every question dear.
- * `atOnce` is told how many tasks there is room for now of those that have to wait.
+ * Simulates the queue: machines free up as running tasks are expected to end, and booting ones count from when they
+ * should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given), Infinity if the
+ * partition cannot hold it. Jobs behind the last requested one do not matter, and the simulation ends once all
+ * requested waits are known, so that a burst of submissions does not make every estimate expensive. `atOnce`
+ * receives, for each task set that has to wait, the number of tasks for which there is free capacity now.
  */
 export function estimateWaits(
-  part: Part,
+  partition: Part,
   context: EstimateContext,
   extra: Unit[] = [],
-  wanted: ((unit: Unit) => boolean) | null = null,
+  wanted: ((taskSet: Unit) => boolean) | null = null,
   atOnce: Map<string, number> = new Map(),
 ): Map<string, number> {
   const { now, history } = context;
-  const moment = context.silentMs * MOMENT;
-  const rooms: Room[] = [];
+  const stepMs = context.silentMs * STEP_FRACTION;
+  const machines: SimulatedMachine[] = [];
   const zones = new Map<string, number>();
-  const events: Event[] = [];
+  const events: CapacityEvent[] = [];
   const runMs = new Map<JobSpec, number>();
-  const holdsMs = (spec: JobSpec): number => {
+  const expectedRunMs = (spec: JobSpec): number => {
     let ms = runMs.get(spec);
     if (ms === undefined) runMs.set(spec, (ms = history.leftS(spec, 0) * 1000));
     return ms;
   };
-  const due = (at: number): number => now + Math.ceil((at - now) / moment) * moment;
-  for (const machine of part.machines.values()) {
+  const due = (at: number): number => now + Math.ceil((at - now) / stepMs) * stepMs;
+  for (const machine of partition.machines.values()) {
     if (machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     if (!zones.has(machine.zone)) zones.set(machine.zone, zones.size);
-    const room: Room = { machine, free: freeRoom(machine), zone: zones.get(machine.zone)!, index: rooms.length };
+    const room: SimulatedMachine = { machine, free: freeRoom(machine), zone: zones.get(machine.zone)!, index: machines.length };
     if (!usable(machine, now, context.silentMs)) {
       const readyAt = machine.up
         ? Math.max(now + 1000, machine.avoidUntil)
@@ -140,84 +147,88 @@
       events.push({ at: due(readyAt), room, freed: { ...room.free }, times: 1 });
       room.free = { cpus: 0, gpus: 0, ram: 0 };
     }
-    rooms.push(room);
-    for (const { unit, runningAt } of machine.placements.values()) {
-      const left = runningAt === null ? holdsMs(unit.spec) : history.leftS(unit.spec, (now - runningAt) / 1000) * 1000;
-      events.push({ at: due(now + left), room, freed: unit.spec, times: 1 });
+    machines.push(room);
+    for (const { unit: taskSet, runningAt } of machine.placements.values()) {
+      const left = runningAt === null ? expectedRunMs(taskSet.spec) : history.leftS(taskSet.spec, (now - runningAt) / 1000) * 1000;
+      events.push({ at: due(now + left), room, freed: taskSet.spec, times: 1 });
     }
   }
   events.sort((a, b) => a.at - b.at);
   const all = [...extra];
-  for (const u of part.units.values()) {
+  for (const u of partition.units.values()) {
     if (!u.ended && !u.leaving && u.waiting.length > 0 && !suspect(u) && (ready(u, now) || u.notBefore > now)) all.push(u);
   }
   const queue = inOrder(all, context.order);
   let length = Math.min(queue.length, MAX_QUEUE);
   if (wanted !== null) while (length > 0 && !wanted(queue[length - 1]!)) length--;
   const waits = new Map<string, number>();
-  const shapes = new Map<string, Shape>();
-  const shapeOf = (unit: Unit): Shape => {
-    let shape = shapes.get(unit.shape);
-    if (shape === undefined) shapes.set(unit.shape, (shape = new Shape(unit.spec, rooms, Math.max(1, zones.size))));
+  const shapes = new Map<string, ShapeCapacity>();
+  const shapeOf = (taskSet: Unit): ShapeCapacity => {
+    let shape = shapes.get(taskSet.shape);
+    if (shape === undefined) shapes.set(taskSet.shape, (shape = new ShapeCapacity(taskSet.spec, machines, Math.max(1, zones.size))));
     return shape;
   };
-  const entryOf = (unit: Unit): Entry => ({ unit, tasks: unit.waiting.length, shape: unit.spec.kind === "gang" ? shapeOf(unit) : null });
+  const entryOf = (taskSet: Unit): QueueEntry => ({
+    unit: taskSet,
+    tasks: taskSet.waiting.length,
+    shape: taskSet.spec.kind === "gang" ? shapeOf(taskSet) : null,
+  });
   let left = queue.slice(0, length).map(entryOf);
   let open = wanted === null ? left.length : left.filter((entry) => wanted(entry.unit)).length;
-  const known = (entry: Entry, ms: number): void => {
+  const setWait = (entry: QueueEntry, ms: number): void => {
     waits.set(entry.unit.key, ms);
     if (wanted === null || wanted(entry.unit)) open--;
   };
 
-  const take = (room: Room, entry: Entry, n: number, at: number): void => {
+  const occupyMachine = (room: SimulatedMachine, entry: QueueEntry, n: number, at: number): void => {
     const { spec } = entry.unit;
     shift(room.free, spec, -n);
     entry.tasks -= n;
-    insert(events, { at: due(at + holdsMs(spec)), room, freed: spec, times: n });
-    for (const shape of shapes.values()) shape.review(room.index);
+    insert(events, { at: due(at + expectedRunMs(spec)), room, freed: spec, times: n });
+    for (const shape of shapes.values()) shape.update(room.index);
   };
-  /** Places what it can of the entry; `only`: the machines that have changed. */
-  const settle = (entry: Entry, at: number, only: Iterable<Room>): boolean => {
+  /** Places as many tasks of the entry as possible; `only`: the machines that have changed. */
+  const placeEntry = (entry: QueueEntry, at: number, only: Iterable<SimulatedMachine>): boolean => {
     const { shape } = entry;
     if (shape !== null) {
       const zone = shape.zoneFor(entry.tasks);
       if (zone === null) return false;
-      for (let i = 0; i < rooms.length && entry.tasks > 0; i++) {
-        const n = Math.min(entry.tasks, shape.in(i));
-        if (n > 0 && (zone < 0 || rooms[i]!.zone === zone)) take(rooms[i]!, entry, n, at);
+      for (let i = 0; i < machines.length && entry.tasks > 0; i++) {
+        const n = Math.min(entry.tasks, shape.tasksOn(i));
+        if (n > 0 && (zone < 0 || machines[i]!.zone === zone)) occupyMachine(machines[i]!, entry, n, at);
       }
     } else {
       for (const room of only) {
         const n = allowed(entry.unit.spec, room.machine) ? Math.min(entry.tasks, copies(entry.unit.spec, room.free)) : 0;
-        if (n > 0) take(room, entry, n, at);
+        if (n > 0) occupyMachine(room, entry, n, at);
         if (entry.tasks === 0) break;
       }
     }
     if (entry.tasks > 0) return false;
-    known(entry, Math.max(0, at - now));
+    setWait(entry, Math.max(0, at - now));
     return true;
   };
-  left = left.filter((entry) => !settle(entry, now, rooms));
+  left = left.filter((entry) => !placeEntry(entry, now, machines));
   for (const entry of left) atOnce.set(entry.unit.key, entry.unit.waiting.length - entry.tasks);
-  const soft = new PreemptibleCapacity(part, rooms, context);
+  const preemptible = new PreemptibleCapacity(partition, machines, context);
   left = left.filter((entry) => {
-    if (!soft.makeRoom(entry.unit, entry.tasks)) return true;
-    known(entry, context.preemptAfterMs);
+    if (!preemptible.reserve(entry.unit, entry.tasks)) return true;
+    setWait(entry, context.preemptAfterMs);
     return false;
   });
-  for (let i = 0, moments = 0; moments < MAX_MOMENTS && i < events.length && open > 0; moments++) {
+  for (let i = 0, steps = 0; steps < MAX_STEPS && i < events.length && open > 0; steps++) {
     const { at } = events[i]!;
-    const changed: Room[] = [];
-    // What comes free at one moment is given out together, or the first small job
-    // would take from under a gang what is there for all of it.
+    const changed: SimulatedMachine[] = [];
+    // Capacity that becomes free in the same step is assigned together; otherwise the first small job would take
+    // capacity that is sufficient for a whole gang.
     for (; i < events.length && events[i]!.at === at; i++) {
       const { room, freed, times } = events[i]!;
       shift(room.free, freed, times);
       if (changed.at(-1) !== room && !changed.includes(room)) changed.push(room);
     }
-    for (const shape of shapes.values()) for (const room of changed) shape.review(room.index);
+    for (const shape of shapes.values()) for (const room of changed) shape.update(room.index);
     let gone = 0;
-    for (const entry of left) if (settle(entry, at, changed)) gone++;
+    for (const entry of left) if (placeEntry(entry, at, changed)) gone++;
     if (gone > 0) left = left.filter((entry) => entry.tasks > 0);
   }
   for (const entry of left) waits.set(entry.unit.key, Infinity);
@@ -225,7 +236,7 @@
 }
 
 /** Keeps `events` in order of time. */
-function insert(events: Event[], event: Event): void {
+function insert(events: CapacityEvent[], event: CapacityEvent): void {
   let low = 0;
   let high = events.length;
   while (low < high) {
--- a/src/queue/history.ts
+++ b/src/queue/history.ts
@@ -1,29 +1,29 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 
-/** Owners' guesses are often wrong by half: what a class counts as before it has shown anything. */
-const USUAL_SPREAD = Math.log(1.5);
-const MOST_WEIGHT = 50;
-/** A replica holds its room until its job is withdrawn: longer than anything is waited for, in seconds. */
+/** Initial spread of a class without observed run times: users' estimates are often wrong by half. */
+const INITIAL_SPREAD = Math.log(1.5);
+const MAX_WEIGHT = 50;
+/** A replica of a service holds its capacity until its job is cancelled: longer than any wait, in seconds. */
 const FOREVER_S = 1e9;
-/** Of the spread, by which a task that runs longer than expected goes on, in the middle. */
-const GOES_ON = 0.7;
+/** Fraction of the spread by which a task that runs longer than expected continues, at the median. */
+const OVERRUN_FRACTION = 0.7;
 
 /**
- * Run times by class. Owners' guesses are off by half or more and on some days
- * all to one side, so the guess is corrected by what the class has shown. Also
- * by how much single tasks differ from that: one that has outrun what was expected
- * is no likelier to end at once for it. Taken as if it were, a full part would seem
- * about to be free, and jobs would gather where they wait the longest.
+ * Run-time statistics by class. Users' estimates are off by half or more, and on some days all in the same direction,
+ * so estimates are corrected by the run times observed for the class. The spread of single tasks counts as well: a
+ * task that has outrun its expected time is not more likely to end at once. If it were treated so, a full partition
+ * would appear to be about to become free, and jobs would gather where they wait the longest.
  */
 export class RunHistory {
   private readonly ratios = new Map<string, { log: number; square: number; weight: number }>();
 
   constructor(private readonly mode: "learned" | "owner") {}
 
+  /** Records an observed run time in seconds. */
   note(spec: JobSpec, seconds: number): void {
     if (spec.guessS <= 0 || seconds <= 0) return;
-    const entry = this.ratios.get(spec.klass) ?? { log: 0, square: USUAL_SPREAD ** 2, weight: 1 };
-    const weight = Math.min(entry.weight + 1, MOST_WEIGHT);
+    const entry = this.ratios.get(spec.klass) ?? { log: 0, square: INITIAL_SPREAD ** 2, weight: 1 };
+    const weight = Math.min(entry.weight + 1, MAX_WEIGHT);
     const off = Math.log(seconds / spec.guessS) - entry.log;
     entry.log += off / weight;
     entry.square += (off ** 2 - entry.square) / weight;
@@ -31,19 +31,21 @@
     this.ratios.set(spec.klass, entry);
   }
 
+  /** Expected run time in seconds of a task: the user's estimate, corrected in mode `learned`. */
   expectS(spec: JobSpec): number {
     const entry = this.mode === "learned" ? this.ratios.get(spec.klass) : undefined;
     return Math.max(1, spec.guessS * Math.exp(entry?.log ?? 0));
   }
 
   /**
-   * For how many seconds yet a task holds its room that has run for so long; 0: it has not begun. Owners
-   * guess 0 for services (PROTOCOL). Taken for a run time, their room would seem about to come
-   * free: jobs wait for it, nothing is rented, and what is idle beside it is returned.
+   * Expected remaining time in seconds for which a task holds its capacity after it has run for `ranS` seconds; 0
+   * means that it has not begun. Users state an estimate of 0 for services (PROTOCOL). If that were taken for a run
+   * time, the capacity of services would appear to be about to become free: jobs would wait for it, nothing would be
+   * rented, and idle machines beside it would be returned.
    */
   leftS(spec: JobSpec, ranS: number): number {
     if (spec.kind === "service") return FOREVER_S;
-    const spread = Math.sqrt(this.ratios.get(spec.klass)?.square ?? USUAL_SPREAD ** 2);
-    return Math.max(1, this.expectS(spec) - ranS, ranS * spread * GOES_ON);
+    const spread = Math.sqrt(this.ratios.get(spec.klass)?.square ?? INITIAL_SPREAD ** 2);
+    return Math.max(1, this.expectS(spec) - ranS, ranS * spread * OVERRUN_FRACTION);
   }
 }
--- a/src/queue/order.ts
+++ b/src/queue/order.ts
@@ -3,108 +3,123 @@
 
 const RANK: Record<Urgency, number> = { critical: 0, urgent: 1, normal: 2, low: 3 };
 
+/** Numeric rank of an urgency; lower is more urgent. */
 export function rank(urgency: Urgency): number {
   return RANK[urgency];
 }
 
+/** Queue order: by objectives within an urgency, by urgency, or by arrival alone. */
 export type OrderMode = "aims" | "urgency" | "arrival";
 
-/** Its urgency is that of work which needs it. */
-const lifted = (unit: Unit): boolean => unit.urgency !== unit.spec.urgency;
+/** True if the task set inherits its urgency from a job that depends on it. */
+const inheritsUrgency = (taskSet: Unit): boolean => taskSet.urgency !== taskSet.spec.urgency;
 
-/** How a part's queue is ordered; the lesser first. */
+/** Sort keys of a partition's queue; lower values come first. */
 export interface LocalOrder {
-  rank: (unit: Unit) => number;
-  /** When the job counts as having come, in ms. */
-  arrival: (unit: Unit) => number;
-  /** How many of its tasks may start in its turn: of one that comes first only to begin, a single one. */
-  atOnce: (unit: Unit) => number;
+  rank: (taskSet: Unit) => number;
+  /** Effective arrival time in ms. */
+  arrival: (taskSet: Unit) => number;
+  /**
+   * Maximum number of tasks that may start when its turn comes; 1 for an array that comes first only to have begun.
+   */
+  atOnce: (taskSet: Unit) => number;
 }
 
+/** Inputs of the queue order. */
 export interface OrderContext {
   mode: OrderMode;
   nowWall: number;
-  /** Within how many seconds jobs of a class should be done; infinite: no such aim. */
+  /** Time in seconds within which jobs of a class should be done; Infinity if the class has no such objective. */
   finishS: (klass: string) => number;
-  /** Within how many seconds they should start; infinite: no such aim. */
+  /** Time in seconds within which jobs of a class should start; Infinity if the class has no such objective. */
   startS: (klass: string) => number;
-  expectS: (unit: Unit) => number;
-  /** What a job of a class without an aim for its end is put back for its size, at most, in seconds. */
+  expectS: (taskSet: Unit) => number;
+  /** Maximum delay in seconds that a job of a class without a completion objective gets for its size. */
   yieldS: number;
-  /** An array that has waited for so long, in seconds, without any of its tasks begun, begins. */
+  /** Time in seconds after which an array of which no task has begun starts its first one. */
   beginS: number;
-  /** Within its team's guarantee, and has seconds to start for that: such work need not wait for other teams. */
-  guaranteed: (unit: Unit) => boolean;
-  /** Of a team that runs less than its guarantee, or of a class served least: it comes before others', in its own order. */
-  owed: (unit: Unit) => boolean;
+  /**
+   * True for work within its team's guarantee that should start within seconds for that reason: it does not wait for
+   * other teams.
+   */
+  guaranteed: (taskSet: Unit) => boolean;
+  /**
+   * True for work of a team that runs less than its guarantee or of the most underserved class: it precedes other
+   * work of its priority and keeps its own order.
+   */
+  owed: (taskSet: Unit) => boolean;
 }
 
-/** Of a step between priorities: how far behind those that have it work comes that has it from others. */
-const LIFTED = 0.5;
+/**
+ * Fraction of a priority step by which work with inherited urgency ranks behind work that has that urgency itself.
+ */
+const INHERITED_RANK_OFFSET = 0.5;
 
-/** Longer than anything waits: what is guaranteed comes before the rest of its priority. */
-const AGES_MS = 1e9;
+/** Longer than any wait: puts guaranteed work before the rest of its priority. */
+const PRECEDENCE_MS = 1e9;
 
 /**
- * What is put back for its size may wait behind all that is smaller for longer than a user's day. So it begins
- * after a while, with one task, which takes next to nothing from the others; the rest keeps its turn.
+ * True for an array that should start its first task now. An array that is delayed for its size may wait behind all
+ * smaller ones for longer than a user's working day. So after a while it begins with one task, which takes next to
+ * nothing from the others; the rest keeps its position.
  */
-function beginsNow(unit: Unit, { mode, nowWall, beginS }: OrderContext): boolean {
-  const begun = unit.started || unit.done.count > 0 || unit.lo > 0;
-  return mode === "aims" && unit.spec.kind === "array" && !begun && nowWall - unit.submittedWall > beginS * 1000;
+function startsFirstTaskNow(taskSet: Unit, { mode, nowWall, beginS }: OrderContext): boolean {
+  const begun = taskSet.started || taskSet.done.count > 0 || taskSet.lo > 0;
+  return mode === "aims" && taskSet.spec.kind === "array" && !begun && nowWall - taskSet.submittedWall > beginS * 1000;
 }
 
-/** Tasks that may be expected to run at the same time; a wider gang takes as much as several. */
-const USUAL_WIDTH = 4;
+/** Number of tasks that are expected to run at the same time; a wider gang takes as much as several. */
+const EXPECTED_PARALLEL_TASKS = 4;
 
-/** Saturates at `most`: nothing is put back further than that, so nothing waits for ever. */
-const upTo = (most: number, seconds: number): number => (most * seconds) / (seconds + most);
+/** Saturates at `most`, which bounds every delay, so nothing waits forever. */
+const saturate = (limit: number, seconds: number): number => (limit * seconds) / (seconds + limit);
 
 /**
- * First come within a priority. With `aims`, among classes that should be done
- * in time, a large job counts as having come later, so that several small ones make
- * it instead: by the time its work takes, the less for each further task, up to the
- * time in which it should be done. What is late for its start yields by as much as
- * that aim to what can still make it, and what can no longer be done in time by as
- * much as the other. All are bounded: nothing waits for ever.
+ * Creates the queue order: first come, first served within a priority. In mode `aims`, a large job of a class with a
+ * completion objective counts as having arrived later, so that several small ones meet the objective instead. The
+ * delay grows with the time its work takes, less for each further task, up to the objective. A job that has missed
+ * its start objective is delayed further by that objective, in favour of jobs that can still meet it, and a job that
+ * can no longer be done in time by the completion objective. All delays are bounded, so nothing waits forever.
  *
- * Jobs of classes without such an aim are put back for all that is left of them: on a day
- * that is too full for all, first come begins everything and finishes little, and an array that is
- * half done serves nobody. What has few tasks left comes first, so what is begun is finished.
+ * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more
+ * work than capacity, first come, first served begins everything and finishes little, and a half-done array is of no
+ * use to anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
  */
 export function localOrder(context: OrderContext): LocalOrder {
   return {
-    // What only others need in a hurry must not crowd out what is urgent itself.
-    rank: (unit) => (context.mode === "arrival" ? 0 : rank(unit.urgency) + (lifted(unit) ? LIFTED : 0)),
-    atOnce: (unit) => (beginsNow(unit, context) ? 1 : Infinity),
-    arrival: (unit) => {
-      if (beginsNow(unit, context)) return unit.submittedWall - 2 * AGES_MS;
-      if (context.mode !== "arrival" && context.guaranteed(unit)) return unit.submittedWall - AGES_MS;
-      const first = context.mode !== "arrival" && context.owed(unit) ? AGES_MS : 0;
-      if (context.mode !== "aims") return unit.submittedWall - first;
-      return unit.submittedWall - first + 1000 * putBackS(unit, context);
+    // Work that is urgent only because of its dependants must not displace work that is urgent itself.
+    rank: (taskSet) => (context.mode === "arrival" ? 0 : rank(taskSet.urgency) + (inheritsUrgency(taskSet) ? INHERITED_RANK_OFFSET : 0)),
+    atOnce: (taskSet) => (startsFirstTaskNow(taskSet, context) ? 1 : Infinity),
+    arrival: (taskSet) => {
+      if (startsFirstTaskNow(taskSet, context)) return taskSet.submittedWall - 2 * PRECEDENCE_MS;
+      if (context.mode !== "arrival" && context.guaranteed(taskSet)) return taskSet.submittedWall - PRECEDENCE_MS;
+      const first = context.mode !== "arrival" && context.owed(taskSet) ? PRECEDENCE_MS : 0;
+      if (context.mode !== "aims") return taskSet.submittedWall - first;
+      return taskSet.submittedWall - first + 1000 * arrivalDelayS(taskSet, context);
     },
   };
 }
 
 /**
- * By how many seconds a job counts as having come later than it did. What urgent work waits for keeps its turn: the
- * jobs before one deadline are to be over together, not the small ones of many.
+ * Delay in seconds by which a job counts as having arrived later than it did. Work without a completion objective
+ * that urgent work depends on gets no delay: all jobs before one deadline should be finished together, instead of the
+ * small ones of many.
  */
-function putBackS(unit: Unit, context: OrderContext): number {
-  const within = context.finishS(unit.spec.klass);
-  const start = context.startS(unit.spec.klass);
-  const run = context.expectS(unit);
-  if (!Number.isFinite(within) && lifted(unit)) return 0;
-  // A class that should start in time is put back by less than that time.
-  if (!Number.isFinite(within)) return upTo(Math.min(context.yieldS, start), run * unit.waiting.length);
-  const work = run * Math.ceil(unit.waiting.length / USUAL_WIDTH);
-  const age = (context.nowWall - unit.submittedWall) / 1000;
-  return upTo(within, work) + (age > start ? start : 0) + (age + run > within ? within : 0);
+function arrivalDelayS(taskSet: Unit, context: OrderContext): number {
+  const within = context.finishS(taskSet.spec.klass);
+  const start = context.startS(taskSet.spec.klass);
+  const run = context.expectS(taskSet);
+  if (!Number.isFinite(within) && inheritsUrgency(taskSet)) return 0;
+  // The delay of a class with a start objective stays below that objective.
+  if (!Number.isFinite(within)) return saturate(Math.min(context.yieldS, start), run * taskSet.waiting.length);
+  const work = run * Math.ceil(taskSet.waiting.length / EXPECTED_PARALLEL_TASKS);
+  const age = (context.nowWall - taskSet.submittedWall) / 1000;
+  return saturate(within, work) + (age > start ? start : 0) + (age + run > within ? within : 0);
 }
 
-export function inOrder(units: Iterable<Unit>, order: LocalOrder): Unit[] {
-  const keyed = [...units].map((unit) => ({ unit, rank: order.rank(unit), arrival: order.arrival(unit) }));
+/** Sorts task sets by rank, then effective arrival, then key. */
+export function inOrder(taskSets: Iterable<Unit>, order: LocalOrder): Unit[] {
+  const keyed = [...taskSets].map((taskSet) => ({ unit: taskSet, rank: order.rank(taskSet), arrival: order.arrival(taskSet) }));
   keyed.sort((a, b) => a.rank - b.rank || a.arrival - b.arrival || (a.unit.key < b.unit.key ? -1 : 1));
-  return keyed.map(({ unit }) => unit);
+  return keyed.map(({ unit: taskSet }) => taskSet);
 }
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -3,159 +3,175 @@
 import { UnschedulableShapes } from "./unschedulable.js";
 import { inOrder, type LocalOrder } from "./order.js";
 import { occupy, placeTasks, type Slot } from "./placement.js";
-import { beside, reserve, type Reservation, type ReserveContext } from "./reserve.js";
-import { shift, stoppingRoom } from "./room.js";
+import { unreservedCandidates, reserve, type Reservation, type ReservationContext } from "./reserve.js";
+import { shift, stoppingCapacity } from "./room.js";
 import { mayStart, pieceName, place, suspect, type Placement, type Unit } from "./unit.js";
 
-export interface PassContext extends ReserveContext {
+/** Inputs of a scheduling cycle. */
+export interface PassContext extends ReservationContext {
   order: LocalOrder;
   backfill: boolean;
-  /** Of each team's limit, what this part holds at present. */
+  /** The quota share of a team that this partition holds at present. */
   allotment: (team: string) => Usage;
 }
 
+/** Outcome of a scheduling cycle. */
 export interface PassResult {
   /** Machines that have new orders. */
   touched: Set<Machine>;
-  /** What was placed. */
+  /** Attempts that were placed. */
   placed: Placement[];
-  /** Slices held up by their team's allotment here, with the tasks that wait. */
+  /** By team whose quota share in this partition is exhausted: the quota that its waiting tasks lack. */
   short: Map<string, Shortage>;
 }
 
-/** What a team lacks here; `now`: how much of it there is room for at this moment. */
+/** Quota that a team lacks in this partition; `now` is the amount for which there is free capacity at present. */
 export interface Shortage extends Usage {
   now: Usage;
 }
 
-/** Tasks that are tried for room on behalf of a team short of allotment. */
-const PROBE = 16;
+/** Maximum number of waiting tasks for which free capacity is checked on behalf of a team short of quota. */
+const MAX_PROBED_TASKS = 16;
 
-/** Where tasks of the same job are, or may be, whatever slice they belong to. */
-export function zonesInUse(part: Part, unit: Unit): Map<string, number> {
+/**
+ * Number of attempts of the job that are, or may be, on machines per zone, over all of its slices. Empty for a job
+ * without zone constraints.
+ */
+export function zonesInUse(partition: Part, taskSet: Unit): Map<string, number> {
   const zones = new Map<string, number>();
-  if (!unit.spec.oneZone && !unit.spec.spread) return zones;
-  for (const machine of part.machines.values()) {
+  if (!taskSet.spec.oneZone && !taskSet.spec.spread) return zones;
+  for (const machine of partition.machines.values()) {
     for (const placement of machine.placements.values()) {
-      if (placement.unit.spec.ref === unit.spec.ref) zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
+      if (placement.unit.spec.ref === taskSet.spec.ref) zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
     }
   }
   return zones;
 }
 
-export function usableSlots(part: Part, now: number, silentMs: number): Slot[] {
-  const slots: Slot[] = [];
-  for (const machine of part.machines.values()) {
-    if (usable(machine, now, silentMs)) slots.push({ machine, free: freeRoom(machine) });
+/** The usable machines of the partition with their free capacity, as placement candidates. */
+export function usableSlots(partition: Part, now: number, silentMs: number): Slot[] {
+  const candidates: Slot[] = [];
+  for (const machine of partition.machines.values()) {
+    if (usable(machine, now, silentMs)) candidates.push({ machine, free: freeRoom(machine) });
   }
-  return slots;
+  return candidates;
 }
 
-export function ready(unit: Unit, now: number): boolean {
-  if (unit.ended || unit.leaving || unit.waiting.length === 0 || unit.notBefore > now || mayStart(unit) === 0) return false;
-  // A gang starts anew only when all of its former attempts are gone, those included that nobody wanted.
-  return unit.spec.kind !== "gang" || !unit.attempts.hasJob(unit.spec.ref);
+/**
+ * True if tasks of the task set may start now: it has waiting tasks, is not ended, migrating or backing off after a
+ * failure.
+ */
+export function ready(taskSet: Unit, now: number): boolean {
+  if (taskSet.ended || taskSet.leaving || taskSet.waiting.length === 0 || taskSet.notBefore > now || mayStart(taskSet) === 0) return false;
+  // A gang restarts only when all of its former attempts are gone, including superseded ones.
+  return taskSet.spec.kind !== "gang" || !taskSet.attempts.hasJob(taskSet.spec.ref);
 }
 
-/** Machines on which tasks were told to stop, with the room that makes. */
-function stoppingOn(slots: Slot[]): Map<Machine, Capacity> {
-  const rooms = new Map<Machine, Capacity>();
-  for (const { machine } of slots) {
-    const room = stoppingRoom(machine);
-    if (room.cpus > 0 || room.gpus > 0 || room.ram > 0) rooms.set(machine, room);
+/** Capacity that tasks ordered to stop will release, for each machine that has such tasks. */
+function stoppingCapacityByMachine(candidates: Slot[]): Map<Machine, Capacity> {
+  const capacities = new Map<Machine, Capacity>();
+  for (const { machine } of candidates) {
+    const capacity = stoppingCapacity(machine);
+    if (capacity.cpus > 0 || capacity.gpus > 0 || capacity.ram > 0) capacities.set(machine, capacity);
   }
-  return rooms;
+  return capacities;
 }
 
 /**
- * Tasks are stopped for a job on several machines, and exit one by one. What the first
- * ones leave must not go to others that come later in the queue, or they would be stopped
- * for the same job again and again, and it would wait all the longer. So what fits once
- * all have exited is taken from what is free; how many tasks that is.
+ * Reserves the capacity of stopping tasks for the job that they were stopped for. Tasks stopped for a job on several
+ * machines exit one by one. If later jobs of the queue took what the first ones release, tasks would be stopped for
+ * the same job again and again, and it would wait even longer. So everything that fits once all of them have exited
+ * is deducted from the free capacity. Returns the number of tasks that fit.
  */
-function holdStopping(
-  unit: Unit,
+function reserveStoppingCapacity(
+  taskSet: Unit,
   count: number,
-  slots: Slot[],
+  candidates: Slot[],
   stopping: ReadonlyMap<Machine, Capacity>,
   zones: ReadonlyMap<string, number>,
 ): number {
   if (stopping.size === 0) return 0;
-  const real = new Map<Slot, Slot>();
-  for (const slot of slots) {
-    const soon: Slot = { machine: slot.machine, free: { ...slot.free } };
-    const room = stopping.get(slot.machine);
+  const originals = new Map<Slot, Slot>();
+  for (const candidate of candidates) {
+    const soon: Slot = { machine: candidate.machine, free: { ...candidate.free } };
+    const room = stopping.get(candidate.machine);
     if (room !== undefined) shift(soon.free, room, 1);
-    real.set(soon, slot);
+    originals.set(soon, candidate);
   }
-  const chosen = placeTasks(unit.spec, count, [...real.keys()], zones, unit.failedOn, unit.spec.kind === "gang");
-  for (const soon of chosen) occupy(real.get(soon)!, unit.spec);
+  const chosen = placeTasks(taskSet.spec, count, [...originals.keys()], zones, taskSet.failedOn, taskSet.spec.kind === "gang");
+  for (const soon of chosen) occupy(originals.get(soon)!, taskSet.spec);
   return chosen.length;
 }
 
-/** Goes over the queue once and gives out all the room there is. */
-export function runPass(part: Part, context: PassContext): PassResult {
+/**
+ * Runs one scheduling cycle: goes over the queue once in order and assigns free capacity to waiting tasks. Does
+ * nothing unless the partition is serving.
+ */
+export function runPass(partition: Part, context: PassContext): PassResult {
   const result: PassResult = { touched: new Set(), placed: [], short: new Map() };
-  if (part.phase !== "serving") return result;
-  const waiting = [...part.units.values()].filter((unit) => ready(unit, context.now));
+  if (partition.phase !== "serving") return result;
+  const waiting = [...partition.units.values()].filter((taskSet) => ready(taskSet, context.now));
   if (waiting.length === 0) return result;
-  const slots = usableSlots(part, context.now, context.silentMs);
-  const usage = usageByTeam(part);
+  const candidates = usableSlots(partition, context.now, context.silentMs);
+  const usage = usageByTeam(partition);
   const unschedulable = new Set<string>();
-  const noRoom = new UnschedulableShapes();
-  const kept: Reservation[] = [];
-  const keptFor = new Set<string>();
+  const unschedulableSizes = new UnschedulableShapes();
+  const reservations: Reservation[] = [];
+  const classesWithReservation = new Set<string>();
   let stopping: Map<Machine, Capacity> | null = null;
-  const lacking = new Map<string, { unit: Unit; missing: number }>();
-  for (const unit of inOrder(waiting, context.order)) {
-    const { spec } = unit;
-    const shape = `${spec.kind === "gang" ? unit.waiting.length : 1}|${unit.shape}`;
+  const firstShort = new Map<string, { unit: Unit; missing: number }>();
+  for (const taskSet of inOrder(waiting, context.order)) {
+    const { spec } = taskSet;
+    const shape = `${spec.kind === "gang" ? taskSet.waiting.length : 1}|${taskSet.shape}`;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
     const room = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
-    const wanted = Math.min(mayStart(unit), context.order.atOnce(unit));
-    const within = Math.min(wanted, room);
-    if (within < wanted) {
+    const wanted = Math.min(mayStart(taskSet), context.order.atOnce(taskSet));
+    const withinQuota = Math.min(wanted, room);
+    if (withinQuota < wanted) {
       const entry = result.short.get(spec.team) ?? { cpus: 0, gpus: 0, now: { cpus: 0, gpus: 0 } };
-      if (!lacking.has(spec.team)) lacking.set(spec.team, { unit, missing: wanted - within });
-      entry.cpus += spec.cpus * (wanted - within);
-      entry.gpus += spec.gpus * (wanted - within);
+      if (!firstShort.has(spec.team)) firstShort.set(spec.team, { unit: taskSet, missing: wanted - withinQuota });
+      entry.cpus += spec.cpus * (wanted - withinQuota);
+      entry.gpus += spec.gpus * (wanted - withinQuota);
       result.short.set(spec.team, entry);
     }
     const isGang = spec.kind === "gang";
-    // After what the team lacks has been noted: without a larger allotment no
-    // machines would be rented for this work either.
-    if (unit.failedOn.size === 0 && (unschedulable.has(shape) || (!isGang && noRoom.has(spec)))) continue;
-    if (within === 0 || (isGang && within < wanted)) continue;
-    const open = beside(unit, slots, kept, context);
-    const chosen = placeTasks(spec, within, open, zonesInUse(part, unit), unit.failedOn, isGang);
-    let held = 0;
-    if (chosen.length < within) {
-      stopping ??= stoppingOn(slots);
-      held = holdStopping(unit, within - chosen.length, open, stopping, zonesInUse(part, unit));
-      // Others of its shape may end in time to use what is kept.
-      if (held === 0 && open.length === slots.length && unit.failedOn.size === 0) {
+    // This check comes after the quota shortage has been recorded: without a larger quota share no machines would be
+    // rented for this work either.
+    if (taskSet.failedOn.size === 0 && (unschedulable.has(shape) || (!isGang && unschedulableSizes.has(spec)))) continue;
+    if (withinQuota === 0 || (isGang && withinQuota < wanted)) continue;
+    const open = unreservedCandidates(taskSet, candidates, reservations, context);
+    const chosen = placeTasks(spec, withinQuota, open, zonesInUse(partition, taskSet), taskSet.failedOn, isGang);
+    let reservedCount = 0;
+    if (chosen.length < withinQuota) {
+      stopping ??= stoppingCapacityByMachine(candidates);
+      reservedCount = reserveStoppingCapacity(taskSet, withinQuota - chosen.length, open, stopping, zonesInUse(partition, taskSet));
+      // Jobs with the same requirements may end early enough to use the reserved machines.
+      if (reservedCount === 0 && open.length === candidates.length && taskSet.failedOn.size === 0) {
         unschedulable.add(shape);
-        if (!isGang) noRoom.add(spec);
+        if (!isGang) unschedulableSizes.add(spec);
       }
-      const room = held === 0 && isGang && !keptFor.has(spec.klass) && !suspect(unit) ? reserve(part, unit, open, context) : null;
+      const room =
+        reservedCount === 0 && isGang && !classesWithReservation.has(spec.klass) && !suspect(taskSet)
+          ? reserve(partition, taskSet, open, context)
+          : null;
       if (room !== null) {
-        keptFor.add(spec.klass);
-        kept.push(room);
+        classesWithReservation.add(spec.klass);
+        reservations.push(room);
       }
-      if (chosen.length === 0 && held === 0) {
+      if (chosen.length === 0 && reservedCount === 0) {
         if (!context.backfill) break;
         continue;
       }
     }
-    const gangAttempt = isGang && chosen.length > 0 ? nextAttempt(part) : null;
-    const tasks = unit.waiting.slice(0, chosen.length);
-    chosen.forEach((slot, i) => {
+    const gangAttempt = isGang && chosen.length > 0 ? nextAttempt(partition) : null;
+    const tasks = taskSet.waiting.slice(0, chosen.length);
+    chosen.forEach((candidate, i) => {
       const placement: Placement = {
-        unit,
+        unit: taskSet,
         task: tasks[i]!,
-        attempt: gangAttempt ?? nextAttempt(part),
-        host: slot.machine.host,
+        attempt: gangAttempt ?? nextAttempt(partition),
+        host: candidate.machine.host,
         orderedAt: context.now,
         state: null,
         runningAt: null,
@@ -164,19 +180,26 @@
         stop: null,
         offeredSeq: -1,
       };
-      place(unit, placement);
-      addAttempt(slot.machine, attemptKey(pieceName(unit, placement.task), placement.attempt), placement);
-      result.touched.add(slot.machine);
+      place(taskSet, placement);
+      addAttempt(candidate.machine, attemptKey(pieceName(taskSet, placement.task), placement.attempt), placement);
+      result.touched.add(candidate.machine);
       result.placed.push(placement);
     });
-    const taken = chosen.length + held;
+    const taken = chosen.length + reservedCount;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * taken, gpus: used.gpus + spec.gpus * taken });
   }
-  for (const [team, { unit, missing }] of lacking) {
-    const count = unit.spec.kind === "gang" ? unit.waiting.length : Math.min(PROBE, missing);
-    const open = beside(unit, slots, kept, context);
-    const fit = placeTasks(unit.spec, count, open, zonesInUse(part, unit), unit.failedOn, unit.spec.kind === "gang").length;
-    result.short.get(team)!.now = { cpus: fit * unit.spec.cpus, gpus: fit * unit.spec.gpus };
+  for (const [team, { unit: taskSet, missing }] of firstShort) {
+    const count = taskSet.spec.kind === "gang" ? taskSet.waiting.length : Math.min(MAX_PROBED_TASKS, missing);
+    const open = unreservedCandidates(taskSet, candidates, reservations, context);
+    const fit = placeTasks(
+      taskSet.spec,
+      count,
+      open,
+      zonesInUse(partition, taskSet),
+      taskSet.failedOn,
+      taskSet.spec.kind === "gang",
+    ).length;
+    result.short.get(team)!.now = { cpus: fit * taskSet.spec.cpus, gpus: fit * taskSet.spec.gpus };
   }
   return result;
 }
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -1,27 +1,29 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Capacity, Machine } from "../workers/machine.js";
 
-/** Room on a machine while a placement pass is being worked out. */
+/** A candidate machine with its free capacity during one placement calculation. */
 export interface Slot {
   machine: Machine;
   free: Capacity;
 }
 
+/** True if one task fits into the free capacity. */
 export function fits(spec: JobSpec, free: Capacity): boolean {
   const slack = 1e-6;
   return spec.cpus <= free.cpus + slack && spec.gpus <= free.gpus + slack && spec.ram <= free.ram + slack;
 }
 
-/** How many copies of a task the room holds. */
+/** Number of copies of a task that fit into the free capacity. */
 export function copies(spec: Capacity, free: Capacity): number {
   const slack = 1e-6;
-  let most = Infinity;
-  if (spec.cpus > 0) most = Math.floor((free.cpus + slack) / spec.cpus);
-  if (spec.gpus > 0) most = Math.min(most, Math.floor((free.gpus + slack) / spec.gpus));
-  if (spec.ram > 0) most = Math.min(most, Math.floor((free.ram + slack) / spec.ram));
-  return Math.max(0, most);
+  let max = Infinity;
+  if (spec.cpus > 0) max = Math.floor((free.cpus + slack) / spec.cpus);
+  if (spec.gpus > 0) max = Math.min(max, Math.floor((free.gpus + slack) / spec.gpus));
+  if (spec.ram > 0) max = Math.min(max, Math.floor((free.ram + slack) / spec.ram));
+  return Math.max(0, max);
 }
 
+/** True if the job's machine type, zone and spot constraints allow the machine or machine offering. */
 export function allowed(spec: JobSpec, where: { type: string; zone: string; spot: boolean }): boolean {
   return (
     (spec.types === null || spec.types.includes(where.type)) &&
@@ -30,69 +32,75 @@
   );
 }
 
-/** Tasks a zone may still take of a job that must spread; null: as many as fit. */
+/** Maximum number of tasks per zone of a job that must spread over zones; null if the job need not spread. */
 export function zoneLimit(spec: JobSpec): number | null {
   return spec.spread ? Math.ceil(spec.tasks / 2) : null;
 }
 
 /**
- * The share of the machine left idle, by its tightest kind of resource. The
- * fullest machine is taken first, so that whole machines stay free for large
- * tasks or can be returned. Accelerators left idle weigh as much as CPUs: a task
- * without any goes to machines without any if it can.
+ * Share of the machine that would be left idle, summed over CPUs, accelerators and memory. The fullest machine is
+ * taken first, so that whole machines stay free for large tasks or can be returned. Idle accelerators count as much
+ * as CPUs, so a task that needs none goes to a machine without any if possible.
  */
-export function leftover(spec: JobSpec, slot: Slot): number {
-  const { capacity } = slot.machine;
+export function leftover(spec: JobSpec, candidate: Slot): number {
+  const { capacity } = candidate.machine;
   const share = (free: number, used: number, all: number): number => (all <= 0 ? 0 : (free - used) / all);
   return (
-    share(slot.free.cpus, spec.cpus, capacity.cpus) +
-    share(slot.free.gpus, spec.gpus, capacity.gpus) +
-    share(slot.free.ram, spec.ram, capacity.ram)
+    share(candidate.free.cpus, spec.cpus, capacity.cpus) +
+    share(candidate.free.gpus, spec.gpus, capacity.gpus) +
+    share(candidate.free.ram, spec.ram, capacity.ram)
   );
 }
 
-/** A machine that holds the image starts at once, which outweighs fullness. */
-function cost(spec: JobSpec, slot: Slot): number {
-  return leftover(spec, slot) + (slot.machine.images.has(spec.image) ? 0 : 3);
+/**
+ * Placement cost of a task on a machine. A machine that already holds the image starts the task at once, which
+ * outweighs fullness.
+ */
+function placementCost(spec: JobSpec, candidate: Slot): number {
+  return leftover(spec, candidate) + (candidate.machine.images.has(spec.image) ? 0 : 3);
 }
 
-export interface PlaceRules {
+/** Constraints for choosing one machine: a fixed zone, the remaining task limit per zone, and failures per host. */
+export interface PlacementConstraints {
   zone: string | null;
-  zoneRoom: (zone: string) => number;
+  zoneCapacity: (zone: string) => number;
   avoid: ReadonlyMap<string, number>;
 }
 
-/** The fullest fitting machine for one task, or null. */
-export function pick(spec: JobSpec, slots: Slot[], rules: PlaceRules): Slot | null {
+/**
+ * The fullest machine that fits one task, or null if there is none. Each earlier failure on a host adds to its cost.
+ */
+export function pickCandidate(spec: JobSpec, candidates: Slot[], constraints: PlacementConstraints): Slot | null {
   let best: Slot | null = null;
   let bestCost = Infinity;
-  for (const slot of slots) {
-    if (!fits(spec, slot.free) || !allowed(spec, slot.machine)) continue;
-    if (rules.zone !== null && slot.machine.zone !== rules.zone) continue;
-    if (rules.zoneRoom(slot.machine.zone) <= 0) continue;
-    const value = cost(spec, slot) + 10 * (rules.avoid.get(slot.machine.host) ?? 0);
+  for (const candidate of candidates) {
+    if (!fits(spec, candidate.free) || !allowed(spec, candidate.machine)) continue;
+    if (constraints.zone !== null && candidate.machine.zone !== constraints.zone) continue;
+    if (constraints.zoneCapacity(candidate.machine.zone) <= 0) continue;
+    const value = placementCost(spec, candidate) + 10 * (constraints.avoid.get(candidate.machine.host) ?? 0);
     if (value < bestCost) {
-      best = slot;
+      best = candidate;
       bestCost = value;
     }
   }
   return best;
 }
 
-export function occupy(slot: Slot, spec: Capacity, sign: 1 | -1 = 1): void {
-  slot.free.cpus -= sign * spec.cpus;
-  slot.free.gpus -= sign * spec.gpus;
-  slot.free.ram -= sign * spec.ram;
+/** Deducts one task from the candidate's free capacity, or adds it back with `sign` -1. */
+export function occupy(candidate: Slot, spec: Capacity, sign: 1 | -1 = 1): void {
+  candidate.free.cpus -= sign * spec.cpus;
+  candidate.free.gpus -= sign * spec.gpus;
+  candidate.free.ram -= sign * spec.ram;
 }
 
 /**
- * Places up to `count` tasks; what it chose is taken from the slots. `already`
- * counts tasks of the job per zone that are, or may be, on machines.
+ * Places up to `count` tasks and deducts them from the candidates' free capacity. `already` counts tasks of the job
+ * per zone that are, or may be, on machines. With `allOrNone`, places either all tasks or none.
  */
 export function placeTasks(
   spec: JobSpec,
   count: number,
-  slots: Slot[],
+  candidates: Slot[],
   already: ReadonlyMap<string, number>,
   avoid: ReadonlyMap<string, number>,
   allOrNone: boolean,
@@ -101,31 +109,32 @@
   const attempt = (zone: string | null): Slot[] => {
     const chosen: Slot[] = [];
     const inZone = new Map(already);
-    const zoneRoom = (name: string): number => (limit === null ? Infinity : limit - (inZone.get(name) ?? 0));
+    const zoneCapacity = (name: string): number => (limit === null ? Infinity : limit - (inZone.get(name) ?? 0));
     while (chosen.length < count) {
-      const slot = pick(spec, slots, { zone, zoneRoom, avoid });
-      if (slot === null) break;
-      // The fullest machine stays the fullest as it fills up, so it is filled in one
-      // go: looking at every machine for every task would cost tasks times machines.
-      const name = slot.machine.zone;
-      const n = Math.max(1, Math.min(count - chosen.length, copies(spec, slot.free), zoneRoom(name)));
+      const candidate = pickCandidate(spec, candidates, { zone, zoneCapacity: zoneCapacity, avoid });
+      if (candidate === null) break;
+      // The fullest machine stays the fullest as it fills up, so it is filled in one step: looking at every machine
+      // for every task would cost tasks times machines.
+      const name = candidate.machine.zone;
+      const n = Math.max(1, Math.min(count - chosen.length, copies(spec, candidate.free), zoneCapacity(name)));
       for (let i = 0; i < n; i++) {
-        occupy(slot, spec);
-        chosen.push(slot);
+        occupy(candidate, spec);
+        chosen.push(candidate);
       }
       inZone.set(name, (inZone.get(name) ?? 0) + n);
     }
     return chosen;
   };
-  const undo = (chosen: Slot[]): void => chosen.forEach((slot) => occupy(slot, spec, -1));
-  // Old attempts stay in their zones until they exit, so `samePlace` binds to them.
+  const undo = (chosen: Slot[]): void => chosen.forEach((candidate) => occupy(candidate, spec, -1));
+  // Old attempts stay in their zones until they exit, so `oneZone` (`samePlace` on the wire) binds the job to these
+  // zones.
   const bound = [...already].filter(([, n]) => n > 0).map(([zone]) => zone);
   if (spec.oneZone && bound.length > 1) return [];
   const zones: (string | null)[] = !spec.oneZone
     ? [null]
     : bound.length === 1
       ? bound
-      : [...new Set(slots.map((s) => s.machine.zone))].sort();
+      : [...new Set(candidates.map((s) => s.machine.zone))].sort();
   let best: Slot[] = [];
   for (const zone of zones) {
     const chosen = attempt(zone);
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -7,51 +7,51 @@
 import { shift } from "./room.js";
 import type { Unit } from "./unit.js";
 
-/** A machine while the queue is played forward. */
-export interface Room extends Slot {
+/** A machine during the simulation of the queue. */
+export interface SimulatedMachine extends Slot {
   zone: number;
   index: number;
 }
 
-/** Whose work may be stopped for whom. */
+/** Rights to stop other work: guarantees of teams, and what each team runs beyond its own. */
 export interface PreemptionRights {
-  guaranteed: (unit: Unit) => boolean;
+  guaranteed: (taskSet: Unit) => boolean;
   excess: ReadonlyMap<string, Usage>;
 }
 
 /**
- * Could lower work on the part's machines be stopped to hold a job? Without
- * counting that, urgent jobs flee from parts full of low work to parts where
- * nothing may be stopped for them, and there they stay put.
+ * Capacity of the partition's machines that could be made free by stopping lower-priority work. If this were ignored,
+ * urgent jobs would migrate from partitions full of low-priority work to partitions where nothing may be stopped for
+ * them, and stay there.
  */
 export class PreemptibleCapacity {
-  private readonly lists = new Map<string, { room: Room; free: Capacity }[]>();
+  private readonly lists = new Map<string, { room: SimulatedMachine; free: Capacity }[]>();
   private readonly lowest: number;
 
   constructor(
-    part: Part,
-    private readonly rooms: Room[],
+    partition: Part,
+    private readonly machines: SimulatedMachine[],
     private readonly context: PreemptionRights,
   ) {
     let lowest = -1;
-    for (const unit of part.units.values()) {
-      if (unit.placed.size > 0 && unit.spec.kind !== "gang") lowest = Math.max(lowest, rank(unit.urgency));
+    for (const taskSet of partition.units.values()) {
+      if (taskSet.placed.size > 0 && taskSet.spec.kind !== "gang") lowest = Math.max(lowest, rank(taskSet.urgency));
     }
     this.lowest = lowest;
   }
 
-  private for(unit: Unit, level: number, claims: boolean): { room: Room; free: Capacity }[] {
-    const name = `${level}|${claims ? unit.spec.team : ""}`;
+  private candidatesFor(taskSet: Unit, level: number, claims: boolean): { room: SimulatedMachine; free: Capacity }[] {
+    const name = `${level}|${claims ? taskSet.spec.team : ""}`;
     let list = this.lists.get(name);
     if (list === undefined) {
       list = [];
-      for (const room of this.rooms) {
+      for (const room of this.machines) {
         if (!room.machine.fenced || !room.machine.up) continue;
         const free = { ...room.free };
         for (const placement of room.machine.placements.values()) {
           const { spec, urgency } = placement.unit;
           const lower = spec.kind !== "gang" && rank(urgency) > level;
-          if (lower || (claims && beyond(placement, unit, this.context.excess))) shift(free, spec, 1);
+          if (lower || (claims && beyond(placement, taskSet, this.context.excess))) shift(free, spec, 1);
         }
         list.push({ room, free });
       }
@@ -60,19 +60,22 @@
     return list;
   }
 
-  /** If so, what it takes is not there for the next one. */
-  makeRoom(unit: Unit, tasks: number): boolean {
-    const { spec } = unit;
-    const level = rank(unit.urgency);
-    const claims = this.context.guaranteed(unit);
+  /**
+   * Returns true if that many tasks of the job fit once lower work is stopped, and deducts them, so that the capacity
+   * is not counted for another job.
+   */
+  reserve(taskSet: Unit, tasks: number): boolean {
+    const { spec } = taskSet;
+    const level = rank(taskSet.urgency);
+    const claims = this.context.guaranteed(taskSet);
     if (spec.spread || (!claims && level >= this.lowest)) return false;
-    const list = this.for(unit, level, claims);
+    const list = this.candidatesFor(taskSet, level, claims);
     const zones = spec.oneZone ? new Set(list.map(({ room }) => room.machine.zone)) : [null];
-    for (const zone of zones) if (this.makeRoomIn(zone, spec, tasks, list)) return true;
+    for (const zone of zones) if (this.reserveInZone(zone, spec, tasks, list)) return true;
     return false;
   }
 
-  private makeRoomIn(zone: string | null, spec: JobSpec, tasks: number, list: { room: Room; free: Capacity }[]): boolean {
+  private reserveInZone(zone: string | null, spec: JobSpec, tasks: number, list: { room: SimulatedMachine; free: Capacity }[]): boolean {
     const chosen: { free: Capacity; n: number }[] = [];
     let missing = tasks;
     for (const { room, free } of list) {
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -3,35 +3,36 @@
 import { allowed, copies, type Slot } from "./placement.js";
 import type { Unit } from "./unit.js";
 
-export interface ReserveContext {
+/** Inputs for reservations. */
+export interface ReservationContext {
   now: number;
   silentMs: number;
-  /** Expected run time of a job's tasks. */
-  expectS: (unit: Unit) => number;
-  /** What is left of one that has run for so long. */
-  leftS: (unit: Unit, ranS: number) => number;
-  /** When a machine that is not up should be. */
+  /** Expected run time of a job's tasks, in seconds. */
+  expectS: (taskSet: Unit) => number;
+  /** Expected remaining run time in seconds of a task that has run for `ranS` seconds. */
+  leftS: (taskSet: Unit, ranS: number) => number;
+  /** Expected time in ms between renting a machine and its being up. */
   bootMs: (machine: Machine) => number;
-  /** How long a wide gang of the class waits before room is kept for it. */
+  /** Time in ms that a wide gang of the class waits before capacity is reserved for it. */
   reserveAfterMs: (klass: string) => number;
 }
 
-/** Room kept for a gang; others may have it if they will be gone in time. */
+/** Machines reserved for a gang. Jobs that end before `until` may still use them. */
 export interface Reservation {
   slots: ReadonlySet<Slot>;
   until: number;
 }
 
-interface Gain {
+interface CapacityGain {
   at: number;
   copies: number;
 }
 
-/** When a machine will hold how many more tasks of the gang, as what runs on it ends. */
-function gains(machine: Machine, unit: Unit, free: Capacity, context: ReserveContext): Gain[] {
-  const list: Gain[] = [];
+/** When, as running tasks end, the machine will hold how many more tasks of the gang. */
+function capacityGains(machine: Machine, taskSet: Unit, free: Capacity, context: ReservationContext): CapacityGain[] {
+  const list: CapacityGain[] = [];
   const room = { ...free };
-  let held = copies(unit.spec, room);
+  let held = copies(taskSet.spec, room);
   const ends = [...machine.placements.values()]
     .map(({ unit: other, runningAt }) => ({
       spec: other.spec,
@@ -42,7 +43,7 @@
     room.cpus += spec.cpus;
     room.gpus += spec.gpus;
     room.ram += spec.ram;
-    const then = copies(unit.spec, room);
+    const then = copies(taskSet.spec, room);
     if (then > held) list.push({ at, copies: then - held });
     held = then;
   }
@@ -50,43 +51,44 @@
 }
 
 /**
- * A wide gang keeps room from several narrow ones, so it must have waited longer:
- * a gang as wide as those that wait for the same, half of the time.
+ * Factor on the time before a reservation, at most 1. A wide gang blocks capacity that several narrow ones could use,
+ * so it must have waited longer: a gang of the average width of the waiting gangs of its class waits half of the
+ * time.
  */
-function width(part: Part, unit: Unit): number {
+function widthFactor(partition: Part, taskSet: Unit): number {
   let tasks = 0;
   let gangs = 0;
-  for (const { spec, waiting } of part.units.values()) {
-    if (spec.kind !== "gang" || spec.klass !== unit.spec.klass || waiting.length === 0) continue;
+  for (const { spec, waiting } of partition.units.values()) {
+    if (spec.kind !== "gang" || spec.klass !== taskSet.spec.klass || waiting.length === 0) continue;
     tasks += spec.tasks;
     gangs++;
   }
-  return gangs === 0 ? 1 : Math.min(1, unit.spec.tasks / (2 * (tasks / gangs)));
+  return gangs === 0 ? 1 : Math.min(1, taskSet.spec.tasks / (2 * (tasks / gangs)));
 }
 
 /**
- * Backfilling as it should be: small jobs take whatever comes free, so a gang
- * that needs much at once would see machine after machine go to them and never
- * start. Room that is free now is kept for the first gang that has waited long,
- * where it should be complete the soonest; a job that ends before then may still use it.
+ * Reservation for backfilling. Small jobs take any capacity that becomes free, so a gang that needs much at once
+ * would lose machine after machine to them and never start. Free capacity is reserved for the first gang that has
+ * waited long, in the zone where the gang should be complete the soonest; a job that ends before then may still use
+ * it.
  */
-export function reserve(part: Part, unit: Unit, slots: Slot[], context: ReserveContext): Reservation | null {
-  const { spec } = unit;
+export function reserve(partition: Part, taskSet: Unit, candidates: Slot[], context: ReservationContext): Reservation | null {
+  const { spec } = taskSet;
   const { now } = context;
-  if (spec.spread || now - unit.arrivedAt < context.reserveAfterMs(spec.klass) * width(part, unit)) return null;
-  const free = new Map(slots.map((slot) => [slot.machine, slot]));
-  const byZone = new Map<string, { have: number; kept: Slot[]; gains: Gain[] }>();
-  for (const machine of part.machines.values()) {
+  if (spec.spread || now - taskSet.arrivedAt < context.reserveAfterMs(spec.klass) * widthFactor(partition, taskSet)) return null;
+  const free = new Map(candidates.map((candidate) => [candidate.machine, candidate]));
+  const byZone = new Map<string, { have: number; kept: Slot[]; gains: CapacityGain[] }>();
+  for (const machine of partition.machines.values()) {
     if (!allowed(spec, machine) || machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     const zone = spec.oneZone ? machine.zone : "";
     let entry = byZone.get(zone);
     if (entry === undefined) byZone.set(zone, (entry = { have: 0, kept: [], gains: [] }));
-    const slot = free.get(machine);
-    if (slot !== undefined) {
-      const held = copies(spec, slot.free);
+    const candidate = free.get(machine);
+    if (candidate !== undefined) {
+      const held = copies(spec, candidate.free);
       entry.have += held;
-      if (held > 0) entry.kept.push(slot);
-      entry.gains.push(...gains(machine, unit, slot.free, context));
+      if (held > 0) entry.kept.push(candidate);
+      entry.gains.push(...capacityGains(machine, taskSet, candidate.free, context));
     } else if (!machine.up) {
       const at = Math.max(now + 1000, machine.hiredAt + context.bootMs(machine));
       entry.gains.push({ at, copies: copies(spec, machine.capacity) });
@@ -100,18 +102,20 @@
     let held = have;
     let until = now;
     for (const gain of coming.sort((a, b) => a.at - b.at)) {
-      if (held >= unit.waiting.length) break;
+      if (held >= taskSet.waiting.length) break;
       held += gain.copies;
       until = gain.at;
     }
-    if (held >= unit.waiting.length && (best === null || until < best.until)) best = { slots: new Set(kept), until };
+    if (held >= taskSet.waiting.length && (best === null || until < best.until)) best = { slots: new Set(kept), until };
   }
   return best;
 }
 
-/** The slots a job may use beside what is kept for others. */
-export function beside(unit: Unit, slots: Slot[], kept: Reservation[], context: ReserveContext): Slot[] {
-  const end = context.now + context.leftS(unit, 0) * 1000;
+/** The candidates that a job may use, without machines reserved for others beyond the job's expected end. */
+export function unreservedCandidates(taskSet: Unit, candidates: Slot[], kept: Reservation[], context: ReservationContext): Slot[] {
+  const end = context.now + context.leftS(taskSet, 0) * 1000;
   const binding = kept.filter((reservation) => end > reservation.until);
-  return binding.length === 0 ? slots : slots.filter((slot) => !binding.some((reservation) => reservation.slots.has(slot)));
+  return binding.length === 0
+    ? candidates
+    : candidates.filter((candidate) => !binding.some((reservation) => reservation.slots.has(candidate)));
 }
--- a/src/queue/room.ts
+++ b/src/queue/room.ts
@@ -1,14 +1,15 @@
 import type { Capacity, Machine } from "../workers/machine.js";
 
-export function shift(room: Capacity, by: Capacity, times: number): void {
-  room.cpus += by.cpus * times;
-  room.gpus += by.gpus * times;
-  room.ram += by.ram * times;
+/** Adds `by`, multiplied by `times`, to the capacity `room` in place. */
+export function shift(capacity: Capacity, by: Capacity, times: number): void {
+  capacity.cpus += by.cpus * times;
+  capacity.gpus += by.gpus * times;
+  capacity.ram += by.ram * times;
 }
 
-/** What comes free on the machine as tasks that were told to stop exit. */
-export function stoppingRoom(machine: Machine): Capacity {
+/** Capacity that becomes free on the machine when the tasks that were ordered to stop have exited. */
+export function stoppingCapacity(machine: Machine): Capacity {
   const room = { cpus: 0, gpus: 0, ram: 0 };
-  for (const { stop, unit } of machine.placements.values()) if (stop !== null) shift(room, unit.spec, 1);
+  for (const { stop, unit: taskSet } of machine.placements.values()) if (stop !== null) shift(room, taskSet.spec, 1);
   return room;
 }
--- a/src/queue/unit.ts
+++ b/src/queue/unit.ts
@@ -4,81 +4,87 @@
 import type { GoneAttempt } from "../workers/gone.js";
 import { AttemptRegistry } from "./attempts.js";
 
-/** One attempt at one task on one machine, from its start order until proven gone. */
+/** One attempt at one task on one machine, from its start order until it is proven gone. */
 export interface Placement {
   unit: Unit;
   task: number;
   attempt: number;
   host: string;
   orderedAt: number;
-  /** As last reported; null until a report has shown it. */
+  /** Last reported state; null until a report has listed the attempt. */
   state: TaskState | null;
   runningAt: number | null;
-  /** Its times can be trusted: this process did not stand still meanwhile. */
+  /** False if this process was stalled during the attempt, which makes its observed times unreliable. */
   timed: boolean;
   /**
-   * `unresolved`: a direct start got no answer, so it may still arrive as long
-   * as the session lasts. Such an attempt is never cleared, or it would start anew.
+   * `unresolved`: a direct start got no answer, so it may still arrive as long as the session lasts. Such an attempt
+   * is never cleared, because a late start order would start it again.
    */
   direct: "none" | "flying" | "unresolved" | "answered";
   stop: { graceS: number } | null;
-  /** The newest report whose answer carried the start. */
+  /** Sequence number of the newest report whose answer carried the start order. */
   offeredSeq: number;
 }
 
-/** A slice of a job, the unit that parts own, queue and move. */
+/**
+ * The tasks of one job, or of one slice of an array, in one partition. Partitions own, queue and migrate task sets.
+ */
 export interface Unit {
   key: string;
   spec: JobSpec;
-  /** Its own, or that of a job that needs it if that is higher. */
+  /** The job's own urgency, or that of a job that depends on it if that is higher. */
   urgency: Urgency;
   lo: number;
   hi: number;
   done: Bits;
-  /** Tasks neither done nor with an attempt that may be on a machine, in the order they should start. */
+  /** Tasks that are neither done nor have an attempt that may be on a machine, in start order. */
   waiting: number[];
-  /** The attempt of each task that is wanted; others of it may still be on machines, see `attempts`. */
+  /** The current attempt of each task. Other attempts of a task may still be on machines, see `attempts`. */
   placed: Map<number, Placement>;
-  /** All attempts that may be on machines of its partition, of this job and others. */
+  /** All attempts that may be on machines of the partition, of this job and others. */
   attempts: AttemptRegistry<Placement>;
-  /** Of tasks that are not done: the last attempt that is gone, and what proves it. */
+  /** For tasks that are not done: the last attempt that is gone, with the proof. */
   lastGone: Map<number, GoneAttempt>;
   submittedWall: number;
   arrivedAt: number;
   moved: boolean;
-  /** The exchange has looked for a better place and found none so far. */
+  /** The exchange has looked for a better partition and has found none so far. */
   weighed: boolean;
-  /** A transaction that gives it away is under way: it must not be started. */
+  /** A transaction that gives the task set away is in progress: its tasks must not be started. */
   leaving: boolean;
-  /** Tasks from here on are being given away as a slice, and must not be started; infinite: none are. */
+  /**
+   * Tasks from this number on are being given away as a slice and must not be started; Infinity if there are none.
+   */
   leavingFrom: number;
   started: boolean;
   notBefore: number;
   failures: number;
-  /** Hosts on which it failed, so that the next try goes elsewhere. */
+  /** Number of failures per host, so that the next attempt goes to another host. */
   failedOn: Map<string, number>;
   ended: boolean;
   committing: boolean;
-  /** Its progress will be recorded before long. */
+  /** A write of its progress is scheduled. */
   recordDue: boolean;
-  /** Alike for tasks that fit the same room, whatever their job. */
+  /** Equal for task sets whose tasks fit the same free capacity, whatever their job. */
   shape: string;
 }
 
-export function pieceName(unit: Unit, task: number): string {
-  return `${unit.spec.ref}/${unit.lo + task}`;
+/** Task ID as used on the wire, such as `run-000412/3`, with the task number within the job. */
+export function pieceName(taskSet: Unit, task: number): string {
+  return `${taskSet.spec.ref}/${taskSet.lo + task}`;
 }
 
-/** Job and task number of a name as it is on the wire. */
+/** Splits a task ID as used on the wire into the job reference and the task number within the job. */
 export function splitPiece(piece: string): { ref: string; task: number } {
   const slash = piece.lastIndexOf("/");
   return { ref: piece.slice(0, slash), task: Number(piece.slice(slash + 1)) };
 }
 
-function shapeOf(spec: JobSpec): string {
+function schedulingShape(spec: JobSpec): string {
   return [spec.cpus, spec.gpus, spec.ram, spec.types?.join() ?? "", spec.zone ?? "", spec.spot, spec.oneZone, spec.spread].join("|");
 }
 
+/** Creates a task set for tasks `lo` to `hi` (exclusive) of a job; every task that is not done waits. */
 export function newUnit(key: string, spec: JobSpec, lo: number, hi: number, done: Bits, submittedWall: number, now: number): Unit {
   const waiting: number[] = [];
   for (let i = 0; i < hi - lo; i++) if (!done.has(i)) waiting.push(i);
@@ -106,88 +112,95 @@
     ended: false,
     committing: false,
     recordDue: false,
-    shape: shapeOf(spec),
+    shape: schedulingShape(spec),
   };
 }
 
-export function place(unit: Unit, placement: Placement): void {
-  unit.placed.set(placement.task, placement);
-  unit.started = true;
-  withhold(unit, placement.task);
+/** Records an attempt as the current one of its task, which no longer waits. */
+export function place(taskSet: Unit, placement: Placement): void {
+  taskSet.placed.set(placement.task, placement);
+  taskSet.started = true;
+  withhold(taskSet, placement.task);
 }
 
-/** An attempt of the task may be on a machine, wanted or not: it does not wait. */
-export function withhold(unit: Unit, task: number): void {
-  const at = unit.waiting.indexOf(task);
-  if (at >= 0) unit.waiting.splice(at, 1);
+/** Removes a task from the waiting tasks because an attempt of it, current or not, may be on a machine. */
+export function withhold(taskSet: Unit, task: number): void {
+  const at = taskSet.waiting.indexOf(task);
+  if (at >= 0) taskSet.waiting.splice(at, 1);
 }
 
-/** The attempt is proven gone, and off the registry. */
-export function release(unit: Unit, placement: Placement): void {
-  if (unit.placed.get(placement.task) === placement) unit.placed.delete(placement.task);
-  requeue(unit, placement.task);
+/** Detaches an attempt that is proven gone and already removed from the registry, and requeues its task. */
+export function release(taskSet: Unit, placement: Placement): void {
+  if (taskSet.placed.get(placement.task) === placement) taskSet.placed.delete(placement.task);
+  requeue(taskSet, placement.task);
 }
 
-/** The task waits again, unless it is done, being given away, or an attempt of it may still be on a machine. */
-export function requeue(unit: Unit, task: number): void {
-  if (unit.done.has(task) || task >= unit.leavingFrom || unit.attempts.hasTask(unit.spec.ref, unit.lo + task)) return;
-  if (!unit.waiting.includes(task)) unit.waiting.unshift(task);
+/**
+ * Puts the task back at the head of the waiting tasks, unless it is done, is being given away, or another attempt of
+ * it may still be on a machine.
+ */
+export function requeue(taskSet: Unit, task: number): void {
+  if (taskSet.done.has(task) || task >= taskSet.leavingFrom || taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task)) return;
+  if (!taskSet.waiting.includes(task)) taskSet.waiting.unshift(task);
 }
 
-/** Why the task may start again, for whoever reads of its next start. */
-export function noteGone(unit: Unit, task: number, gone: GoneAttempt): void {
-  if (!unit.done.has(task)) unit.lastGone.set(task, gone);
+/** Records the proof that allows the task to start again, for the log of its next start. */
+export function noteGone(taskSet: Unit, task: number, gone: GoneAttempt): void {
+  if (!taskSet.done.has(task)) taskSet.lastGone.set(task, gone);
 }
 
-function markDone(unit: Unit, task: number): void {
-  unit.done.set(task);
-  unit.lastGone.delete(task);
-  // What is on a machine does not wait: no need to look for it among tens of thousands.
-  if (!unit.placed.has(task)) withhold(unit, task);
+function markDone(taskSet: Unit, task: number): void {
+  taskSet.done.set(task);
+  taskSet.lastGone.delete(task);
+  // A task on a machine is not in `waiting`; skipping the search matters with tens of thousands of waiting tasks.
+  if (!taskSet.placed.has(task)) withhold(taskSet, task);
 }
 
-/** A task completed; a gang completes together: when one of its tasks is done, all are. */
-export function markFinished(unit: Unit, task: number): void {
-  // A job with a mistake never gets this far: what failed was the machines' doing.
-  unit.failedOn.clear();
-  unit.notBefore = -Infinity;
-  if (unit.spec.kind === "gang") for (let i = 0; i < unit.hi - unit.lo; i++) markDone(unit, i);
-  else markDone(unit, task);
+/** Marks a task as done. A gang completes together: when one of its tasks is done, all are. */
+export function markFinished(taskSet: Unit, task: number): void {
+  // A job with a mistake in its submission never completes a task, so the earlier failures were caused by machines.
+  taskSet.failedOn.clear();
+  taskSet.notBefore = -Infinity;
+  if (taskSet.spec.kind === "gang") for (let i = 0; i < taskSet.hi - taskSet.lo; i++) markDone(taskSet, i);
+  else markDone(taskSet, task);
 }
 
-/** A gang of which some tasks are placed, and others neither placed nor done: they will never be complete. */
-export function isBrokenGang(unit: Unit): boolean {
-  return unit.spec.kind === "gang" && unit.placed.size > 0 && unit.placed.size + unit.done.count < unit.hi - unit.lo;
+/** True for a gang with some tasks placed and others neither placed nor done: it can never be complete. */
+export function isBrokenGang(taskSet: Unit): boolean {
+  return taskSet.spec.kind === "gang" && taskSet.placed.size > 0 && taskSet.placed.size + taskSet.done.count < taskSet.hi - taskSet.lo;
 }
 
-/** How many of the last tasks wait, none of them done or with an attempt that may be on a machine; counts no further than `most`. */
-export function tailOf(unit: Unit, most: number): number {
-  const waits = (task: number): boolean => !unit.done.has(task) && !unit.attempts.hasTask(unit.spec.ref, unit.lo + task);
+/**
+ * Number of consecutive tasks at the end that are waiting, neither done nor with an attempt that may be on a machine;
+ * counts up to `most`.
+ */
+export function tailOf(taskSet: Unit, most: number): number {
+  const waits = (task: number): boolean => !taskSet.done.has(task) && !taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task);
   let n = 0;
-  for (let task = unit.hi - unit.lo - 1; task >= 0 && n < most && waits(task); task--) n++;
-  return Math.min(n, unit.waiting.length);
+  for (let task = taskSet.hi - taskSet.lo - 1; task >= 0 && n < most && waits(task); task--) n++;
+  return Math.min(n, taskSet.waiting.length);
 }
 
 /**
- * Failed on several machines and never done on any: the job is likely to have been
- * submitted with a mistake, and then fails wherever it goes until its user cancels it.
+ * True if the job failed on several machines and never completed a task: it was probably submitted with a mistake,
+ * and then fails on every machine until its user cancels it.
  */
-export function suspect(unit: Unit): boolean {
-  return unit.failedOn.size > 1 && unit.done.count === 0;
+export function suspect(taskSet: Unit): boolean {
+  return taskSet.failedOn.size > 1 && taskSet.done.count === 0;
 }
 
-/** How many of its waiting tasks may start together: one that is suspect tries with a single task. */
-export function mayStart(unit: Unit): number {
-  if (unit.spec.kind === "gang" || !suspect(unit)) return unit.waiting.length;
-  return unit.placed.size > 0 ? 0 : 1;
+/** Number of waiting tasks that may start together: a job that fails repeatedly is tried with a single task. */
+export function mayStart(taskSet: Unit): number {
+  if (taskSet.spec.kind === "gang" || !suspect(taskSet)) return taskSet.waiting.length;
+  return taskSet.placed.size > 0 ? 0 : 1;
 }
 
-/** The tasks from `hi` on have become a slice of their own. */
-export function shorten(unit: Unit, hi: number): void {
-  unit.hi = hi;
-  for (const task of [...unit.lastGone.keys()]) if (task >= hi - unit.lo) unit.lastGone.delete(task);
-  unit.waiting = unit.waiting.filter((task) => task < hi - unit.lo);
-  const done = new Bits(hi - unit.lo);
-  done.merge(unit.done);
-  unit.done = done;
+/** Truncates the task set after the tasks from `hi` on have become a slice of their own. */
+export function shorten(taskSet: Unit, hi: number): void {
+  taskSet.hi = hi;
+  for (const task of [...taskSet.lastGone.keys()]) if (task >= hi - taskSet.lo) taskSet.lastGone.delete(task);
+  taskSet.waiting = taskSet.waiting.filter((task) => task < hi - taskSet.lo);
+  const done = new Bits(hi - taskSet.lo);
+  done.merge(taskSet.done);
+  taskSet.done = done;
 }
--- a/src/queue/unschedulable.ts
+++ b/src/queue/unschedulable.ts
@@ -1,18 +1,17 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Capacity } from "../workers/machine.js";
 
-function smaller(a: Capacity, b: Capacity): boolean {
+function fitsWithin(a: Capacity, b: Capacity): boolean {
   return a.cpus <= b.cpus && a.gpus <= b.gpus && a.ram <= b.ram;
 }
 
 /**
- * Tasks that found no room while a queue is gone over, in which room is only taken:
- * what needs at least as much of everything, under the same conditions, will find none
- * either. A guest's hundreds of small jobs each need a little more or less, so asking
- * for each would look at every machine for every job.
+ * Task sizes that found no capacity during one cycle, in which free capacity only shrinks: a task that needs at least
+ * as much of everything, under the same conditions, finds none either. A team's hundreds of small jobs each need
+ * slightly different amounts, so trying each would look at every machine for every job.
  */
 export class UnschedulableShapes {
-  private readonly least = new Map<string, Capacity[]>();
+  private readonly minimalSizes = new Map<string, Capacity[]>();
 
   private key({ types, zone, spot }: JobSpec): string {
     return `${types?.join() ?? ""}|${zone ?? ""}|${spot}`;
@@ -22,15 +21,17 @@
     return !oneZone && !spread;
   }
 
+  /** Records that a task of this size found no capacity. Jobs with zone constraints are ignored. */
   add(spec: JobSpec): void {
     if (!this.applies(spec)) return;
     const key = this.key(spec);
-    const known = (this.least.get(key) ?? []).filter((one) => !smaller(spec, one));
+    const known = (this.minimalSizes.get(key) ?? []).filter((one) => !fitsWithin(spec, one));
     known.push({ cpus: spec.cpus, gpus: spec.gpus, ram: spec.ram });
-    this.least.set(key, known);
+    this.minimalSizes.set(key, known);
   }
 
+  /** True if a task that needs no more than this one has found no capacity. */
   has(spec: JobSpec): boolean {
-    return this.applies(spec) && (this.least.get(this.key(spec))?.some((one) => smaller(one, spec)) ?? false);
+    return this.applies(spec) && (this.minimalSizes.get(this.key(spec))?.some((one) => fitsWithin(one, spec)) ?? false);
   }
 }
--- a/src/served/account.ts
+++ b/src/served/account.ts
@@ -2,30 +2,34 @@
 import type { GoneProof } from "../workers/gone.js";
 
 /**
- * How an attempt at a task ended. `stopped`: by our order, for urgent work, a guarantee, a notice or with
- * its gang; `mates`: its gang came apart; `refused`: the worker did not take it; `machine`: gone with its
- * machine or its lease; `withdrawn`: its job is over or cancelled; `unseen`: it never came to be.
+ * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work, a guarantee, a notice
+ * or with its gang; `mates`: its gang came apart; `refused`: the worker did not accept it; `machine`: lost with its
+ * machine or the machine's lease; `withdrawn`: its job is finished or cancelled; `unseen`: it never existed on the
+ * machine.
  */
-export const ENDS = ["done", "stopped", "mates", "error", "refused", "machine", "withdrawn", "unseen"] as const;
-export type End = (typeof ENDS)[number];
+export const ATTEMPT_ENDS = ["done", "stopped", "mates", "error", "refused", "machine", "withdrawn", "unseen"] as const;
+export type End = (typeof ATTEMPT_ENDS)[number];
 
+/** An attempt that has ended, with its cause. */
 export interface Ended {
   placement: Placement;
   end: End;
-  /** What proves that it is gone. */
+  /** The proof that the attempt is gone. */
   proof: GoneProof;
-  /** Seconds it ran, as far as they were seen; 0: it never was seen to run. */
+  /** Observed run time in seconds; 0 if it was never seen to run. */
   ranS: number;
-  /** Its progress was saved when it was stopped. */
+  /** True if its progress was saved when it was stopped. */
   kept: boolean;
 }
 
-/** Of one class: attempts seen to begin, how they ended, and what they used in core and accelerator seconds. */
+/**
+ * Counters of one class: attempts seen to begin, how they ended, and what they used in core and accelerator seconds.
+ */
 export interface ClassAccount {
   begun: number;
-  /** Of those that were seen to run. */
+  /** How attempts that were seen to run have ended. */
   ends: Record<End, number>;
-  /** Ended before they ran: while fetching, or waiting for their gang. */
+  /** Attempts that ended before they ran: while fetching, or waiting for their gang. */
   neverRan: number;
   usefulCoreS: number;
   lostCoreS: number;
@@ -33,34 +37,36 @@
   lostGpuS: number;
 }
 
-/** Class names come from users: so many are told apart, the rest counts together. */
-const MOST_CLASSES = 50;
-const OTHERS = "(other)";
+/** Class names come from users, so their number is bounded: further classes are counted together. */
+const MAX_CLASSES = 50;
+const OTHER_CLASSES = "(other)";
 
-function fresh(): ClassAccount {
-  const ends = Object.fromEntries(ENDS.map((end) => [end, 0])) as Record<End, number>;
+function emptyAccount(): ClassAccount {
+  const ends = Object.fromEntries(ATTEMPT_ENDS.map((end) => [end, 0])) as Record<End, number>;
   return { begun: 0, ends, neverRan: 0, usefulCoreS: 0, lostCoreS: 0, usefulGpuS: 0, lostGpuS: 0 };
 }
 
 /**
- * What became of the work that this node led, by class, since it started: whether what is begun is
- * finished, and what the rest was lost to. Every attempt that is seen to begin is in exactly one of
- * its class's ends, or still runs.
+ * Counts by class what became of the work in the partitions that this controller owned, since it started: whether
+ * begun work is finished, and the cause of lost work. Every attempt seen to begin is counted under exactly one end of
+ * its class, or still runs.
  */
 export class Account {
   private readonly classes = new Map<string, ClassAccount>();
 
   private of(klass: string): ClassAccount {
-    const name = this.classes.has(klass) || this.classes.size < MOST_CLASSES ? klass : OTHERS;
+    const name = this.classes.has(klass) || this.classes.size < MAX_CLASSES ? klass : OTHER_CLASSES;
     let account = this.classes.get(name);
-    if (account === undefined) this.classes.set(name, (account = fresh()));
+    if (account === undefined) this.classes.set(name, (account = emptyAccount()));
     return account;
   }
 
-  began({ unit }: Placement): void {
-    this.of(unit.spec.klass).begun++;
+  /** Counts an attempt that was seen to begin running. */
+  began({ unit: taskSet }: Placement): void {
+    this.of(taskSet.spec.klass).begun++;
   }
 
+  /** Counts the end of an attempt and the time that it used. */
   ended({ placement, end, ranS, kept }: Ended): void {
     const { spec } = placement.unit;
     const account = this.of(spec.klass);
@@ -78,7 +84,7 @@
     }
   }
 
-  /** By class, seconds in whole ones. */
+  /** The counters by class, with seconds rounded to integers. */
   view(): Record<string, ClassAccount> {
     return Object.fromEntries(
       [...this.classes].map(([klass, account]) => {
--- a/src/served/shares.ts
+++ b/src/served/shares.ts
@@ -4,30 +4,34 @@
 import { rank } from "../queue/order.js";
 import type { Settings } from "../settings/derived.js";
 
-/** Of the jobs of a class: below this, and below the others of its priority, it comes before them. */
+/**
+ * Share of a class's jobs that should be done. A class below it that is also the least served of its priority comes
+ * first.
+ */
 const FLOOR = 0.6;
-/** Leases for which a job that is done counts: some ten minutes where they are usual. */
+/** Length of the window as a number of lease times; about ten minutes at usual settings. */
 const WINDOW_LEASES = 33;
-/** Parts of the window that are forgotten at a time. */
+/** Number of buckets in the window; the oldest is dropped at a time. */
 const BUCKETS = 11;
-/** Urgent work goes by its own aims. */
-const LEAST_RANK = rank("normal");
+/** Urgent work is ordered by its own objectives, so only ranks from here on are considered. */
+const MIN_RANK = rank("normal");
 
-export interface Count {
+/** Open and recently done jobs of a class, with the rank of its urgency. */
+export interface ClassCounts {
   rank: number;
   done: number;
   open: number;
 }
 
 /**
- * Classes that are served least of all of their priority, and less than the floor. Of one class alone in
- * its priority nothing follows: there is nobody to take from.
+ * Returns the classes that are the least served of their priority and below the floor. A class that is alone in its
+ * priority is never returned: there is no other class to take capacity from.
  */
-export function behind(counts: ReadonlyMap<string, Count>): Set<string> {
+export function underservedClasses(counts: ReadonlyMap<string, ClassCounts>): Set<string> {
   const result = new Set<string>();
-  const share = ({ done, open }: Count): number => done / Math.max(1, done + open);
+  const share = ({ done, open }: ClassCounts): number => done / Math.max(1, done + open);
   for (const [klass, count] of counts) {
-    if (count.rank < LEAST_RANK || count.open === 0 || share(count) >= FLOOR) continue;
+    if (count.rank < MIN_RANK || count.open === 0 || share(count) >= FLOOR) continue;
     const others = [...counts].filter(([other, { rank: theirs }]) => other !== klass && theirs === count.rank);
     if (others.length > 0 && others.every(([, other]) => share(count) <= share(other))) result.add(klass);
   }
@@ -35,15 +39,15 @@
 }
 
 /**
- * How much of each class has been served lately, told from the records that every controller has: so it is the
- * same for all, and outlives a takeover. A floor for classes: on a day too full for all, the order alone can
- * leave one class of several next to nothing.
+ * Tracks how much of each class has been served recently, from the job records that every controller receives: so the
+ * result is the same on all controllers and survives a takeover. The floor is needed because, with more work than
+ * capacity, the queue order alone can leave one of several classes with next to nothing.
  */
 export class Shares {
   private readonly open = new Set<string>();
-  /** Jobs done, by class, in the present part of the window and those before it. */
+  /** Jobs done by class, one map per bucket of the window, newest first. */
   private done: Map<string, number>[] = [new Map()];
-  private turnedAt = 0;
+  private bucketStartedAt = 0;
   private last: { at: number; set: Set<string> } = { at: -Infinity, set: new Set() };
 
   constructor(
@@ -53,7 +57,7 @@
   ) {}
 
   start(): void {
-    this.turnedAt = this.scope.clock.now();
+    this.bucketStartedAt = this.scope.clock.now();
     this.scope.listen(this.mirror.changes$, (key) => {
       if (key.startsWith(keys.jobs)) this.note(key);
     });
@@ -70,7 +74,9 @@
     }
   }
 
-  /** Read for the first time, by a controller that has just started. */
+  /**
+   * True for a job that ended within the window and is read for the first time by a controller that has just started.
+   */
   private endedLately({ endedAt }: JobRecord): boolean {
     return !this.mirror.loaded && endedAt !== undefined && this.scope.clock.wall() - endedAt < this.windowMs();
   }
@@ -79,15 +85,15 @@
     return this.settings.timing.leaseMs * WINDOW_LEASES;
   }
 
-  /** Classes whose work comes before the rest of its priority at present. */
+  /** Classes whose work currently comes before the rest of its priority. */
   behind(): Set<string> {
     const now = this.scope.clock.now();
     if (now - this.last.at < this.settings.timing.reportMs) return this.last.set;
-    for (; now - this.turnedAt >= this.windowMs() / BUCKETS; this.turnedAt += this.windowMs() / BUCKETS) {
+    for (; now - this.bucketStartedAt >= this.windowMs() / BUCKETS; this.bucketStartedAt += this.windowMs() / BUCKETS) {
       this.done.unshift(new Map());
       this.done.length = Math.min(this.done.length, BUCKETS);
     }
-    const counts = new Map<string, Count>();
+    const counts = new Map<string, ClassCounts>();
     for (const { v } of this.mirror.openJobs().values()) {
       const { klass, urgency } = v.spec;
       const count = counts.get(klass) ?? { rank: rank(urgency), done: 0, open: 0 };
@@ -98,7 +104,7 @@
         const count = counts.get(klass);
         if (count !== undefined) count.done += n;
       }
-    this.last = { at: now, set: behind(counts) };
+    this.last = { at: now, set: underservedClasses(counts) };
     return this.last.set;
   }
 }
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -3,13 +3,13 @@
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { spawnController } from "../src/rehearsal/spawn.js";
-import { Account, ENDS, type ClassAccount } from "../src/served/account.js";
+import { Account, ATTEMPT_ENDS, type ClassAccount } from "../src/served/account.js";
 import { newUnit, type Placement } from "../src/queue/unit.js";
 import { Bits } from "../src/platform/bits.js";
 import { specOf } from "./world/parts.js";
 
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
-const endsOf = (account: ClassAccount): number => ENDS.reduce((sum, end) => sum + account.ends[end], 0);
+const endsOf = (account: ClassAccount): number => ATTEMPT_ENDS.reduce((sum, end) => sum + account.ends[end], 0);
 
 // An account that loses attempts, or counts them twice, would send whoever reads it after the wrong cause.
 test("every attempt that began is still running or in exactly one end, through losses, cancellations and preemption", async () => {
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -7,7 +7,7 @@
 import { choosePreemptions } from "../src/queue/preempt.js";
 import { markFinished, release, type Unit } from "../src/queue/unit.js";
 import { removeAttempt } from "../src/workers/machine.js";
-import { behind, type Count } from "../src/served/shares.js";
+import { underservedClasses, type ClassCounts } from "../src/served/shares.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const RUN_S = 60;
@@ -148,17 +148,17 @@
 });
 
 test("of several classes of a priority the one served least comes first, while it is below the floor", () => {
-  const counts = (...list: [string, number, number, number][]): Map<string, Count> =>
+  const counts = (...list: [string, number, number, number][]): Map<string, ClassCounts> =>
     new Map(list.map(([klass, rank, done, open]) => [klass, { rank, done, open }]));
-  assert.deepEqual([...behind(counts(["fotos", 3, 75, 25], ["archivo", 3, 45, 55]))], ["archivo"]);
-  assert.deepEqual([...behind(counts(["fotos", 3, 75, 25], ["archivo", 3, 65, 35]))], [], "above the floor");
-  assert.deepEqual([...behind(counts(["fotos", 3, 10, 90]))], [], "nobody to take from");
-  assert.deepEqual([...behind(counts(["cierre", 1, 10, 90], ["portada", 1, 50, 50]))], [], "urgent work goes by its aims");
+  assert.deepEqual([...underservedClasses(counts(["fotos", 3, 75, 25], ["archivo", 3, 45, 55]))], ["archivo"]);
+  assert.deepEqual([...underservedClasses(counts(["fotos", 3, 75, 25], ["archivo", 3, 65, 35]))], [], "above the floor");
+  assert.deepEqual([...underservedClasses(counts(["fotos", 3, 10, 90]))], [], "nobody to take from");
+  assert.deepEqual([...underservedClasses(counts(["cierre", 1, 10, 90], ["portada", 1, 50, 50]))], [], "urgent work goes by its aims");
   const share = fc.record({ rank: fc.integer({ min: 0, max: 3 }), done: fc.nat(100), open: fc.nat(100) });
   fc.assert(
     fc.property(fc.uniqueArray(fc.tuple(fc.constantFrom("a", "b", "c", "d"), share), { selector: ([klass]) => klass }), (list) => {
-      const all = new Map<string, Count>(list);
-      for (const klass of behind(all)) {
+      const all = new Map<string, ClassCounts>(list);
+      for (const klass of underservedClasses(all)) {
         const { rank, done, open } = all.get(klass)!;
         assert.ok(rank >= 2 && done / (done + open) < 0.6);
         for (const [, other] of all)
