--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -5,7 +5,7 @@
 import { rank } from "../queue/order.js";
 
 /** Terminal state of a job. */
-export type Outcome = "done" | "withdrawn";
+export type JobOutcome = "done" | "withdrawn";
 
 /** A job that depends on others or that others depend on. */
 interface JobNode {
@@ -18,7 +18,7 @@
   /** The dependencies that are not done. */
   pending: Set<string>;
   dependants: Set<string>;
-  fate: Outcome | undefined;
+  fate: JobOutcome | undefined;
 }
 
 /**
@@ -46,7 +46,7 @@
   }
 
   /** Terminal state of the job, from its own record or that of a job it depends on; it never changes once set. */
-  fate(ref: string): Outcome | undefined {
+  fate(ref: string): JobOutcome | undefined {
     const node = this.nodes.get(ref);
     return node === undefined ? this.record(ref)?.end : node.fate;
   }
@@ -144,7 +144,7 @@
   }
 
   /** Iterative, since a chain of jobs may be arbitrarily long. */
-  private setOutcome(first: JobNode, fate: Outcome): void {
+  private setOutcome(first: JobNode, fate: JobOutcome): void {
     if (first.fate !== undefined) return;
     first.fate = fate;
     const ended = [first];
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -23,7 +23,7 @@
 /** Capacity that becomes free on a machine; `times` tasks of the same size at once. */
 interface CapacityEvent {
   at: number;
-  room: SimulatedMachine;
+  machine: SimulatedMachine;
   freed: Capacity;
   times: number;
 }
@@ -68,13 +68,13 @@
 
   constructor(
     private readonly spec: JobSpec,
-    private readonly rooms: SimulatedMachine[],
+    private readonly machines: SimulatedMachine[],
     zones: number,
   ) {
-    this.tasksPerMachine = new Float64Array(rooms.length);
+    this.tasksPerMachine = new Float64Array(machines.length);
     this.tasksPerZone = new Float64Array(zones);
-    for (let i = 0; i < rooms.length; i++) {
-      if (allowed(spec, rooms[i]!.machine)) this.update(i);
+    for (let i = 0; i < machines.length; i++) {
+      if (allowed(spec, machines[i]!.machine)) this.update(i);
       else this.tasksPerMachine[i] = -1;
     }
   }
@@ -83,9 +83,9 @@
   update(i: number): void {
     const before = this.tasksPerMachine[i]!;
     if (before < 0) return;
-    const room = this.rooms[i]!;
-    const now = Math.min(MAX_COPIES, copies(this.spec, room.free));
-    this.tasksPerZone[this.spec.oneZone ? room.zone : 0]! += now - before;
+    const simulated = this.machines[i]!;
+    const now = Math.min(MAX_COPIES, copies(this.spec, simulated.free));
+    this.tasksPerZone[this.spec.oneZone ? simulated.zone : 0]! += now - before;
     this.tasksPerMachine[i] = now;
   }
 
@@ -104,7 +104,7 @@
 
 /** A job of the queue during the simulation. */
 interface QueueEntry {
-  unit: Unit;
+  taskSet: Unit;
   tasks: number;
   /** Set for a gang, which needs capacity for all of its tasks at once. */
   shape: ShapeCapacity | null;
@@ -139,18 +139,18 @@
   for (const machine of partition.machines.values()) {
     if (machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     if (!zones.has(machine.zone)) zones.set(machine.zone, zones.size);
-    const room: SimulatedMachine = { machine, free: freeRoom(machine), zone: zones.get(machine.zone)!, index: machines.length };
+    const simulated: SimulatedMachine = { machine, free: freeRoom(machine), zone: zones.get(machine.zone)!, index: machines.length };
     if (!usable(machine, now, context.silentMs)) {
       const readyAt = machine.up
         ? Math.max(now + 1000, machine.avoidUntil)
         : Math.max(now + 1000, machine.hiredAt + context.bootMs(machine));
-      events.push({ at: due(readyAt), room, freed: { ...room.free }, times: 1 });
-      room.free = { cpus: 0, gpus: 0, ram: 0 };
+      events.push({ at: due(readyAt), machine: simulated, freed: { ...simulated.free }, times: 1 });
+      simulated.free = { cpus: 0, gpus: 0, ram: 0 };
     }
-    machines.push(room);
+    machines.push(simulated);
     for (const { unit: taskSet, runningAt } of machine.placements.values()) {
       const left = runningAt === null ? expectedRunMs(taskSet.spec) : history.leftS(taskSet.spec, (now - runningAt) / 1000) * 1000;
-      events.push({ at: due(now + left), room, freed: taskSet.spec, times: 1 });
+      events.push({ at: due(now + left), machine: simulated, freed: taskSet.spec, times: 1 });
     }
   }
   events.sort((a, b) => a.at - b.at);
@@ -169,23 +169,23 @@
     return shape;
   };
   const entryOf = (taskSet: Unit): QueueEntry => ({
-    unit: taskSet,
+    taskSet: taskSet,
     tasks: taskSet.waiting.length,
     shape: taskSet.spec.kind === "gang" ? shapeOf(taskSet) : null,
   });
   let left = queue.slice(0, length).map(entryOf);
-  let open = wanted === null ? left.length : left.filter((entry) => wanted(entry.unit)).length;
+  let openCount = wanted === null ? left.length : left.filter((entry) => wanted(entry.taskSet)).length;
   const setWait = (entry: QueueEntry, ms: number): void => {
-    waits.set(entry.unit.key, ms);
-    if (wanted === null || wanted(entry.unit)) open--;
+    waits.set(entry.taskSet.key, ms);
+    if (wanted === null || wanted(entry.taskSet)) openCount--;
   };
 
-  const occupyMachine = (room: SimulatedMachine, entry: QueueEntry, n: number, at: number): void => {
-    const { spec } = entry.unit;
-    shift(room.free, spec, -n);
+  const occupyMachine = (simulated: SimulatedMachine, entry: QueueEntry, n: number, at: number): void => {
+    const { spec } = entry.taskSet;
+    shift(simulated.free, spec, -n);
     entry.tasks -= n;
-    insert(events, { at: due(at + expectedRunMs(spec)), room, freed: spec, times: n });
-    for (const shape of shapes.values()) shape.update(room.index);
+    insert(events, { at: due(at + expectedRunMs(spec)), machine: simulated, freed: spec, times: n });
+    for (const shape of shapes.values()) shape.update(simulated.index);
   };
   /** Places as many tasks of the entry as possible; `only`: the machines that have changed. */
   const placeEntry = (entry: QueueEntry, at: number, only: Iterable<SimulatedMachine>): boolean => {
@@ -198,9 +198,9 @@
         if (n > 0 && (zone < 0 || machines[i]!.zone === zone)) occupyMachine(machines[i]!, entry, n, at);
       }
     } else {
-      for (const room of only) {
-        const n = allowed(entry.unit.spec, room.machine) ? Math.min(entry.tasks, copies(entry.unit.spec, room.free)) : 0;
-        if (n > 0) occupyMachine(room, entry, n, at);
+      for (const simulated of only) {
+        const n = allowed(entry.taskSet.spec, simulated.machine) ? Math.min(entry.tasks, copies(entry.taskSet.spec, simulated.free)) : 0;
+        if (n > 0) occupyMachine(simulated, entry, n, at);
         if (entry.tasks === 0) break;
       }
     }
@@ -209,29 +209,29 @@
     return true;
   };
   left = left.filter((entry) => !placeEntry(entry, now, machines));
-  for (const entry of left) atOnce.set(entry.unit.key, entry.unit.waiting.length - entry.tasks);
+  for (const entry of left) atOnce.set(entry.taskSet.key, entry.taskSet.waiting.length - entry.tasks);
   const preemptible = new PreemptibleCapacity(partition, machines, context);
   left = left.filter((entry) => {
-    if (!preemptible.reserve(entry.unit, entry.tasks)) return true;
+    if (!preemptible.reserve(entry.taskSet, entry.tasks)) return true;
     setWait(entry, context.preemptAfterMs);
     return false;
   });
-  for (let i = 0, steps = 0; steps < MAX_STEPS && i < events.length && open > 0; steps++) {
+  for (let i = 0, steps = 0; steps < MAX_STEPS && i < events.length && openCount > 0; steps++) {
     const { at } = events[i]!;
     const changed: SimulatedMachine[] = [];
     // Capacity that becomes free in the same step is assigned together; otherwise the first small job would take
     // capacity that is sufficient for a whole gang.
     for (; i < events.length && events[i]!.at === at; i++) {
-      const { room, freed, times } = events[i]!;
-      shift(room.free, freed, times);
-      if (changed.at(-1) !== room && !changed.includes(room)) changed.push(room);
+      const { machine: simulated, freed, times } = events[i]!;
+      shift(simulated.free, freed, times);
+      if (changed.at(-1) !== simulated && !changed.includes(simulated)) changed.push(simulated);
     }
-    for (const shape of shapes.values()) for (const room of changed) shape.update(room.index);
-    let gone = 0;
-    for (const entry of left) if (placeEntry(entry, at, changed)) gone++;
-    if (gone > 0) left = left.filter((entry) => entry.tasks > 0);
+    for (const shape of shapes.values()) for (const simulated of changed) shape.update(simulated.index);
+    let placedCount = 0;
+    for (const entry of left) if (placeEntry(entry, at, changed)) placedCount++;
+    if (placedCount > 0) left = left.filter((entry) => entry.tasks > 0);
   }
-  for (const entry of left) waits.set(entry.unit.key, Infinity);
+  for (const entry of left) waits.set(entry.taskSet.key, Infinity);
   return waits;
 }
 
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -58,8 +58,8 @@
 }
 
 /**
- * True if tasks of the task set may start now: it has waiting tasks, is not ended, migrating or backing off after a
- * failure.
+ * True if some task of the task set may start now: tasks wait, it is not ended, being given away, backing off after a
+ * failure or limited to a task that is already placed, and no former attempt of a gang may still be on a machine.
  */
 export function ready(taskSet: Unit, now: number): boolean {
   if (taskSet.ended || taskSet.leaving || taskSet.waiting.length === 0 || taskSet.notBefore > now || mayStart(taskSet) === 0) return false;
@@ -93,13 +93,13 @@
   if (stopping.size === 0) return 0;
   const originals = new Map<Slot, Slot>();
   for (const candidate of candidates) {
-    const soon: Slot = { machine: candidate.machine, free: { ...candidate.free } };
-    const room = stopping.get(candidate.machine);
-    if (room !== undefined) shift(soon.free, room, 1);
-    originals.set(soon, candidate);
+    const afterStopping: Slot = { machine: candidate.machine, free: { ...candidate.free } };
+    const capacity = stopping.get(candidate.machine);
+    if (capacity !== undefined) shift(afterStopping.free, capacity, 1);
+    originals.set(afterStopping, candidate);
   }
   const chosen = placeTasks(taskSet.spec, count, [...originals.keys()], zones, taskSet.failedOn, taskSet.spec.kind === "gang");
-  for (const soon of chosen) occupy(originals.get(soon)!, taskSet.spec);
+  for (const afterStopping of chosen) occupy(originals.get(afterStopping)!, taskSet.spec);
   return chosen.length;
 }
 
@@ -125,9 +125,9 @@
     const shape = `${spec.kind === "gang" ? taskSet.waiting.length : 1}|${taskSet.shape}`;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
-    const room = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaTasks = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const wanted = Math.min(mayStart(taskSet), context.order.atOnce(taskSet));
-    const withinQuota = Math.min(wanted, room);
+    const withinQuota = Math.min(wanted, quotaTasks);
     if (withinQuota < wanted) {
       const entry = result.short.get(spec.team) ?? { cpus: 0, gpus: 0, now: { cpus: 0, gpus: 0 } };
       if (!firstShort.has(spec.team)) firstShort.set(spec.team, { unit: taskSet, missing: wanted - withinQuota });
@@ -151,13 +151,13 @@
         unschedulable.add(shape);
         if (!isGang) unschedulableSizes.add(spec);
       }
-      const room =
+      const reservation =
         reservedCount === 0 && isGang && !classesWithReservation.has(spec.klass) && !suspect(taskSet)
           ? reserve(partition, taskSet, open, context)
           : null;
-      if (room !== null) {
+      if (reservation !== null) {
         classesWithReservation.add(spec.klass);
-        reservations.push(room);
+        reservations.push(reservation);
       }
       if (chosen.length === 0 && reservedCount === 0) {
         if (!context.backfill) break;
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -21,7 +21,7 @@
 }
 
 /** Work that is lost when a task is stopped, in seconds. */
-function lostS(placement: Placement, now: number): number {
+function lostWorkS(placement: Placement, now: number): number {
   if (placement.runningAt === null) return 0;
   const ran = (now - placement.runningAt) / 1000;
   const { checkpointS, flushS } = placement.unit.spec;
@@ -37,12 +37,12 @@
 }
 
 /** A start is useless if the task is stopped this soon after (PROTOCOL). */
-const START_COUNTS_S = 30;
+const MIN_USEFUL_RUN_S = 30;
 
 /** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
 function recentlyStarted(placement: Placement, now: number): number {
   const { runningAt, unit: taskSet } = placement;
-  return taskSet.spec.checkpointS > 0 && (runningAt === null || now - runningAt < START_COUNTS_S * 1000) ? 1 : 0;
+  return taskSet.spec.checkpointS > 0 && (runningAt === null || now - runningAt < MIN_USEFUL_RUN_S * 1000) ? 1 : 0;
 }
 
 /**
@@ -70,7 +70,7 @@
     return at;
   }
 
-  on(machine: Machine): Placement[] {
+  victimsOn(machine: Machine): Placement[] {
     let list = this.sorted.get(machine);
     if (list === undefined) {
       list = [...machine.placements.values()]
@@ -80,7 +80,7 @@
             rank(b.unit.urgency) - rank(a.unit.urgency) ||
             recentlyStarted(a, this.now) - recentlyStarted(b, this.now) ||
             this.arrival(b.unit) - this.arrival(a.unit) ||
-            lostS(a, this.now) - lostS(b, this.now),
+            lostWorkS(a, this.now) - lostWorkS(b, this.now),
         );
       this.sorted.set(machine, list);
     }
@@ -113,10 +113,11 @@
 export const PREEMPT_AFTER_PHI = 0.2;
 
 /**
- * Chooses tasks on one machine to stop for a job, or returns null if that does not make enough room. Only tasks that
- * `mayStop` allows are chosen; never a gang's, since all of it would stop. The order is lowest priority first, then
- * the latest effective arrival, since such tasks are the likeliest to be beyond their team's guarantee and the
- * farthest from completion, then the least work lost.
+ * Chooses tasks on one machine to stop for a job, or returns null if that does not free enough capacity. Only tasks
+ * that `mayStop` allows are chosen; never a gang's, since all of it would stop. The order is lowest priority first,
+ * then the latest effective arrival, since such tasks are the likeliest to be beyond their team's guarantee and the
+ * farthest from completion, then the least work lost. Tasks that can save their progress and have just started come
+ * after others of their priority.
  */
 function victimsOn(
   candidate: Slot,
@@ -127,7 +128,7 @@
 ): Placement[] | null {
   const afterStopping: Slot = { machine: candidate.machine, free: { ...candidate.free } };
   const victims: Placement[] = [];
-  for (const placement of stopOrder.on(candidate.machine)) {
+  for (const placement of stopOrder.victimsOn(candidate.machine)) {
     if (fits(taskSet.spec, afterStopping.free)) break;
     if (taken.has(placement) || !mayStop(placement)) continue;
     victims.push(placement);
@@ -139,7 +140,7 @@
 /** Where a job's tasks would go: free capacity, and capacity made by stopping other tasks. */
 interface PreemptionPlan {
   placed: Slot[];
-  cleared: { slot: Slot; victims: Placement[]; cost: number }[];
+  preempted: { slot: Slot; victims: Placement[]; cost: number }[];
 }
 
 /**
@@ -147,7 +148,7 @@
  * one where stopping others costs the least. If such jobs only waited for their turn, a team's long low-priority work
  * would keep urgent jobs from the only machines that can hold them.
  */
-function inBestZone(
+function preemptInBestZone(
   bound: ReadonlyMap<string, number>,
   candidateMachines: Slot[],
   attempt: (zone: string) => PreemptionPlan,
@@ -155,15 +156,15 @@
 ): PreemptionPlan {
   const zones =
     bound.size > 0 ? [...bound.keys()].slice(0, 1) : [...new Set(candidateMachines.map((candidate) => candidate.machine.zone))].sort();
-  let best: { zone: string; room: number; cost: number } | null = null;
+  let best: { zone: string; taskCount: number; cost: number } | null = null;
   for (const zone of bound.size > 1 ? [] : zones) {
     const clearing = attempt(zone);
     undo(clearing);
-    const room = clearing.placed.length + clearing.cleared.length;
-    const cost = clearing.cleared.reduce((sum, one) => sum + one.cost, 0);
-    if (best === null || room > best.room || (room === best.room && cost < best.cost)) best = { zone, room, cost };
+    const taskCount = clearing.placed.length + clearing.preempted.length;
+    const cost = clearing.preempted.reduce((sum, one) => sum + one.cost, 0);
+    if (best === null || taskCount > best.taskCount || (taskCount === best.taskCount && cost < best.cost)) best = { zone, taskCount, cost };
   }
-  return best === null ? { placed: [], cleared: [] } : attempt(best.zone);
+  return best === null ? { placed: [], preempted: [] } : attempt(best.zone);
 }
 
 /**
@@ -196,9 +197,9 @@
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
-    const room = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaTasks = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const isGang = spec.kind === "gang";
-    const wanted = Math.min(taskSet.waiting.length, room, context.order.atOnce(taskSet));
+    const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.atOnce(taskSet));
     // Free capacity only shrinks during a cycle: a shape that did not fit for one job does not fit for another.
     const usesGuarantee = context.guaranteed(taskSet) && now - taskSet.arrivedAt >= context.claimAfterMs;
     const shape = `${taskSet.urgency}|${usesGuarantee ? spec.team : ""}|${taskSet.shape}`;
@@ -211,7 +212,7 @@
     const attempt = (zone: string | null): PreemptionPlan => {
       const task = zone === null ? spec : { ...spec, zone, oneZone: false };
       const placed = placeTasks(task, wanted, candidateMachines, zones, taskSet.failedOn, false);
-      const cleared: PreemptionPlan["cleared"] = [];
+      const preempted: PreemptionPlan["preempted"] = [];
       // Stopping tasks for a job that spreads over zones would need the zones' balance as well; such jobs wait for
       // their turn.
       for (let missing = wanted - placed.length; missing > 0 && !spec.spread; missing--) {
@@ -221,7 +222,7 @@
           const victims = victimsOn(candidate, taskSet, taken, stopOrder, mayStop);
           if (victims === null || victims.length === 0) continue;
           const cost =
-            victims.reduce((sum, p) => sum + 1 + lostS(p, now) + delayS(p, context.expectS), 0) +
+            victims.reduce((sum, p) => sum + 1 + lostWorkS(p, now) + delayS(p, context.expectS), 0) +
             (candidate.machine.images.has(spec.image) ? 0 : spec.guessS);
           if (best === null || cost < best.cost) best = { slot: candidate, victims, cost };
         }
@@ -232,12 +233,12 @@
           occupy(best.slot, victim.unit.spec, -1);
         }
         occupy(best.slot, spec);
-        cleared.push(best);
+        preempted.push(best);
       }
-      return { placed, cleared };
+      return { placed, preempted };
     };
-    const undo = ({ placed, cleared }: PreemptionPlan): void => {
-      for (const { slot: candidate, victims } of cleared) {
+    const undo = ({ placed, preempted }: PreemptionPlan): void => {
+      for (const { slot: candidate, victims } of preempted) {
         occupy(candidate, spec, -1);
         for (const victim of victims) {
           taken.delete(victim);
@@ -247,15 +248,15 @@
       }
       for (const candidate of placed) occupy(candidate, spec, -1);
     };
-    const found = spec.oneZone ? inBestZone(zones, candidateMachines, attempt, undo) : attempt(null);
-    const missing = wanted - found.placed.length - found.cleared.length;
+    const found = spec.oneZone ? preemptInBestZone(zones, candidateMachines, attempt, undo) : attempt(null);
+    const missing = wanted - found.placed.length - found.preempted.length;
     if (missing > 0) unschedulable.set(shape, Math.min(unschedulable.get(shape) ?? Infinity, isGang ? wanted : 1));
     if (isGang && missing > 0) {
       undo(found);
       continue;
     }
-    const { cleared } = found;
-    for (const { victims } of cleared) chosen.push(...victims);
+    const { preempted } = found;
+    for (const { victims } of preempted) chosen.push(...victims);
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * wanted, gpus: used.gpus + spec.gpus * wanted });
   }
   return chosen;
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -25,7 +25,7 @@
  * them, and stay there.
  */
 export class PreemptibleCapacity {
-  private readonly lists = new Map<string, { room: SimulatedMachine; free: Capacity }[]>();
+  private readonly lists = new Map<string, { simulated: SimulatedMachine; free: Capacity }[]>();
   private readonly lowest: number;
 
   constructor(
@@ -40,20 +40,20 @@
     this.lowest = lowest;
   }
 
-  private candidatesFor(taskSet: Unit, level: number, claims: boolean): { room: SimulatedMachine; free: Capacity }[] {
+  private candidatesFor(taskSet: Unit, level: number, claims: boolean): { simulated: SimulatedMachine; free: Capacity }[] {
     const name = `${level}|${claims ? taskSet.spec.team : ""}`;
     let list = this.lists.get(name);
     if (list === undefined) {
       list = [];
-      for (const room of this.machines) {
-        if (!room.machine.fenced || !room.machine.up) continue;
-        const free = { ...room.free };
-        for (const placement of room.machine.placements.values()) {
+      for (const simulated of this.machines) {
+        if (!simulated.machine.fenced || !simulated.machine.up) continue;
+        const free = { ...simulated.free };
+        for (const placement of simulated.machine.placements.values()) {
           const { spec, urgency } = placement.unit;
           const lower = spec.kind !== "gang" && rank(urgency) > level;
           if (lower || (claims && beyond(placement, taskSet, this.context.excess))) shift(free, spec, 1);
         }
-        list.push({ room, free });
+        list.push({ simulated, free });
       }
       this.lists.set(name, list);
     }
@@ -70,18 +70,23 @@
     const claims = this.context.guaranteed(taskSet);
     if (spec.spread || (!claims && level >= this.lowest)) return false;
     const list = this.candidatesFor(taskSet, level, claims);
-    const zones = spec.oneZone ? new Set(list.map(({ room }) => room.machine.zone)) : [null];
+    const zones = spec.oneZone ? new Set(list.map(({ simulated }) => simulated.machine.zone)) : [null];
     for (const zone of zones) if (this.reserveInZone(zone, spec, tasks, list)) return true;
     return false;
   }
 
-  private reserveInZone(zone: string | null, spec: JobSpec, tasks: number, list: { room: SimulatedMachine; free: Capacity }[]): boolean {
+  private reserveInZone(
+    zone: string | null,
+    spec: JobSpec,
+    tasks: number,
+    list: { simulated: SimulatedMachine; free: Capacity }[],
+  ): boolean {
     const chosen: { free: Capacity; n: number }[] = [];
     let missing = tasks;
-    for (const { room, free } of list) {
+    for (const { simulated, free } of list) {
       if (missing === 0) break;
-      if (zone !== null && room.machine.zone !== zone) continue;
-      const n = allowed(spec, room.machine) ? Math.min(missing, copies(spec, free)) : 0;
+      if (zone !== null && simulated.machine.zone !== zone) continue;
+      const n = allowed(spec, simulated.machine) ? Math.min(missing, copies(spec, free)) : 0;
       if (n > 0) chosen.push({ free, n });
       missing -= n;
     }
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -25,14 +25,14 @@
 
 interface CapacityGain {
   at: number;
-  copies: number;
+  tasks: number;
 }
 
 /** When, as running tasks end, the machine will hold how many more tasks of the gang. */
 function capacityGains(machine: Machine, taskSet: Unit, free: Capacity, context: ReservationContext): CapacityGain[] {
   const list: CapacityGain[] = [];
-  const room = { ...free };
-  let held = copies(taskSet.spec, room);
+  const capacity = { ...free };
+  let held = copies(taskSet.spec, capacity);
   const ends = [...machine.placements.values()]
     .map(({ unit: other, runningAt }) => ({
       spec: other.spec,
@@ -40,11 +40,11 @@
     }))
     .sort((a, b) => a.at - b.at);
   for (const { spec, at } of ends) {
-    room.cpus += spec.cpus;
-    room.gpus += spec.gpus;
-    room.ram += spec.ram;
-    const then = copies(taskSet.spec, room);
-    if (then > held) list.push({ at, copies: then - held });
+    capacity.cpus += spec.cpus;
+    capacity.gpus += spec.gpus;
+    capacity.ram += spec.ram;
+    const then = copies(taskSet.spec, capacity);
+    if (then > held) list.push({ at, tasks: then - held });
     held = then;
   }
   return list;
@@ -67,54 +67,54 @@
 }
 
 /**
- * Reservation for backfilling. Small jobs take any capacity that becomes free, so a gang that needs much at once
- * would lose machine after machine to them and never start. Free capacity is reserved for the first gang that has
- * waited long, in the zone where the gang should be complete the soonest; a job that ends before then may still use
- * it.
+ * Reserves machines for a gang, so that backfilling does not starve it. Small jobs take any capacity that becomes free,
+ * so a gang that needs much at once would lose machine after machine to them and never start. Free capacity is reserved
+ * for the first gang that has waited long, where it should be complete the soonest; a job that ends before then may
+ * still use it. Returns null if the gang has not waited long enough or cannot be completed.
  */
 export function reserve(partition: Part, taskSet: Unit, candidates: Slot[], context: ReservationContext): Reservation | null {
   const { spec } = taskSet;
   const { now } = context;
   if (spec.spread || now - taskSet.arrivedAt < context.reserveAfterMs(spec.klass) * widthFactor(partition, taskSet)) return null;
   const free = new Map(candidates.map((candidate) => [candidate.machine, candidate]));
-  const byZone = new Map<string, { have: number; kept: Slot[]; gains: CapacityGain[] }>();
+  const byZone = new Map<string, { have: number; freeMachines: Slot[]; gains: CapacityGain[] }>();
   for (const machine of partition.machines.values()) {
     if (!allowed(spec, machine) || machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     const zone = spec.oneZone ? machine.zone : "";
     let entry = byZone.get(zone);
-    if (entry === undefined) byZone.set(zone, (entry = { have: 0, kept: [], gains: [] }));
+    if (entry === undefined) byZone.set(zone, (entry = { have: 0, freeMachines: [], gains: [] }));
     const candidate = free.get(machine);
     if (candidate !== undefined) {
       const held = copies(spec, candidate.free);
       entry.have += held;
-      if (held > 0) entry.kept.push(candidate);
+      if (held > 0) entry.freeMachines.push(candidate);
       entry.gains.push(...capacityGains(machine, taskSet, candidate.free, context));
     } else if (!machine.up) {
       const at = Math.max(now + 1000, machine.hiredAt + context.bootMs(machine));
-      entry.gains.push({ at, copies: copies(spec, machine.capacity) });
+      entry.gains.push({ at, tasks: copies(spec, machine.capacity) });
     } else if (!usable(machine, now, context.silentMs)) {
       continue;
     }
   }
   let best: Reservation | null = null;
-  for (const { have, kept, gains: coming } of byZone.values()) {
-    if (kept.length === 0) continue;
+  for (const { have, freeMachines, gains: coming } of byZone.values()) {
+    if (freeMachines.length === 0) continue;
     let held = have;
     let until = now;
     for (const gain of coming.sort((a, b) => a.at - b.at)) {
       if (held >= taskSet.waiting.length) break;
-      held += gain.copies;
+      held += gain.tasks;
       until = gain.at;
     }
-    if (held >= taskSet.waiting.length && (best === null || until < best.until)) best = { slots: new Set(kept), until };
+    if (held >= taskSet.waiting.length && (best === null || until < best.until)) best = { slots: new Set(freeMachines), until };
   }
   return best;
 }
 
 /** The candidates that a job may use, without machines reserved for others beyond the job's expected end. */
-export function unreservedCandidates(taskSet: Unit, candidates: Slot[], kept: Reservation[], context: ReservationContext): Slot[] {
+export function unreservedCandidates(taskSet: Unit, candidates: Slot[], reservations: Reservation[], context: ReservationContext): Slot[] {
   const end = context.now + context.leftS(taskSet, 0) * 1000;
-  const binding = kept.filter((reservation) => end > reservation.until);
+  const binding = reservations.filter((reservation) => end > reservation.until);
   return binding.length === 0
     ? candidates
     : candidates.filter((candidate) => !binding.some((reservation) => reservation.slots.has(candidate)));
--- a/src/queue/room.ts
+++ b/src/queue/room.ts
@@ -9,7 +9,7 @@
 
 /** Capacity that becomes free on the machine when the tasks that were ordered to stop have exited. */
 export function stoppingCapacity(machine: Machine): Capacity {
-  const room = { cpus: 0, gpus: 0, ram: 0 };
-  for (const { stop, unit: taskSet } of machine.placements.values()) if (stop !== null) shift(room, taskSet.spec, 1);
-  return room;
+  const released = { cpus: 0, gpus: 0, ram: 0 };
+  for (const { stop, unit: taskSet } of machine.placements.values()) if (stop !== null) shift(released, taskSet.spec, 1);
+  return released;
 }
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -11,7 +11,7 @@
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
 const endsOf = (account: ClassAccount): number => ATTEMPT_ENDS.reduce((sum, end) => sum + account.ends[end], 0);
 
-// An account that loses attempts, or counts them twice, would send whoever reads it after the wrong cause.
+// Accounting that loses attempts or counts them twice would point operators to the wrong cause.
 test("every attempt that began is still running or in exactly one end, through losses, cancellations and preemption", async () => {
   const plan = plainPlan();
   plan.teams = [{ name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
@@ -42,10 +42,10 @@
     await world.clock.run(at);
     for (const { controller } of world.nodes.values()) {
       const running = new Map<string, number>();
-      for (const part of controller!.leader.parts.values())
-        for (const machine of part.machines.values())
-          for (const { unit, runningAt } of machine.placements.values())
-            if (runningAt !== null) running.set(unit.spec.klass, (running.get(unit.spec.klass) ?? 0) + 1);
+      for (const partition of controller!.leader.parts.values())
+        for (const machine of partition.machines.values())
+          for (const { unit: taskSet, runningAt } of machine.placements.values())
+            if (runningAt !== null) running.set(taskSet.spec.klass, (running.get(taskSet.spec.klass) ?? 0) + 1);
       for (const [klass, account] of Object.entries(controller!.leader.account.view())) {
         assert.equal(endsOf(account) + (running.get(klass) ?? 0), account.begun, `${klass} at ${at}`);
         checked++;
@@ -60,11 +60,11 @@
   for (const name of world.nodes.keys()) world.killNode(name);
 });
 
-test("class names from users take bounded room", () => {
+test("the number of class names from users is bounded", () => {
   const account = new Account();
   for (let i = 0; i < 500; i++) {
-    const unit = newUnit("t/j/x", specOf({ klass: `class-${i}` }), 0, 1, new Bits(1), 0, 0);
-    account.began({ unit } as Placement);
+    const taskSet = newUnit("t/j/x", specOf({ klass: `class-${i}` }), 0, 1, new Bits(1), 0, 0);
+    account.began({ unit: taskSet } as Placement);
   }
   const view = account.view();
   assert.ok(Object.keys(view).length <= 51);
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -12,9 +12,8 @@
 import { newFindings, takeReport } from "../src/workers/report-intake.js";
 import { NOW, order, partOf, pass, queueUp, specOf, unlimited } from "./world/parts.js";
 
-// Hundreds of machines report every few seconds to controllers with a fifth of a
-// core. These tests count how often machines are looked at, so that work which
-// grows with machines times tasks shows up the same way on every computer.
+// Hundreds of machines report every few seconds to controllers with a fifth of a core. These tests count how often
+// machines are looked at, so that work which grows with machines times tasks is detected alike on every computer.
 
 class CountingMap<K, V> extends Map<K, V> {
   walks = 0;
@@ -29,24 +28,24 @@
 }
 
 test("placing an array looks at machines once for each machine filled, not once for each task", () => {
-  const { part, looks } = partOf(100, { cpus: 8, gpus: 0, ram: 64 });
-  const unit = queueUp(part, specOf({ tasks: 800 }));
-  runPass(part, pass);
-  assert.equal(unit.waiting.length, 0);
+  const { part: partition, looks } = partOf(100, { cpus: 8, gpus: 0, ram: 64 });
+  const taskSet = queueUp(partition, specOf({ tasks: 800 }));
+  runPass(partition, pass);
+  assert.equal(taskSet.waiting.length, 0);
   assert.ok(looks() <= 100 * 100, `${looks()} looks`);
-  assert.equal(usageByTeam(part).get("ops")?.cpus, 800);
+  assert.equal(usageByTeam(partition).get("ops")?.cpus, 800);
 });
 
-test("a report costs no walk over the part's machines", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const unit = queueUp(part, specOf({ tasks: 4 }));
-  const machines = new CountingMap(part.machines);
+test("taking in a report does not iterate over the partition's machines", () => {
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const taskSet = queueUp(partition, specOf({ tasks: 4 }));
+  const machines = new CountingMap(partition.machines);
   machines.walks = 0;
-  part.machines = machines;
+  partition.machines = machines;
   const machine = machines.get("i-0")!;
   const tasks = [0, 1, 2, 3].map((i) => ({
     piece: `run-000001/${i}`,
-    attempt: nextAttempt(part),
+    attempt: nextAttempt(partition),
     state: "running" as const,
     cause: null,
     saved: false,
@@ -57,25 +56,25 @@
     viaReport: true,
     leaseMs: 18_000,
     coolMs: 2500,
-    placeholderFor: () => unit,
+    placeholderFor: () => taskSet,
   };
-  assert.ok(takeReport(part, machine, { ...report, seq: 1, tasks }, context, newFindings()));
-  assert.equal(part.usage.get("ops")?.cpus, 4);
-  // Cleared tasks are listed no longer: what they used is free again.
-  assert.ok(takeReport(part, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
-  assert.equal(part.usage.get("ops")?.cpus, 0);
+  assert.ok(takeReport(partition, machine, { ...report, seq: 1, tasks }, context, newFindings()));
+  assert.equal(partition.usage.get("ops")?.cpus, 4);
+  // A cleared task is no longer listed in reports, and its resources are free again.
+  assert.ok(takeReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
+  assert.equal(partition.usage.get("ops")?.cpus, 0);
   assert.deepEqual(machine.used, { cpus: 0, gpus: 0, ram: 0 });
   assert.equal(machines.walks, 0);
 });
 
-test("an attempt is counted, asked about and taken off without a look at any other of its job", () => {
+test("adding, finding and removing an attempt examines no other attempt of its job", () => {
   const registry = new AttemptRegistry<Attempt>();
-  const unit = { spec: { ref: "run-000001" }, lo: 0 };
+  const taskSet = { spec: { ref: "run-000001" }, lo: 0 };
   let looks = 0;
   const attemptOf = (task: number): Attempt => ({
     get unit() {
       looks++;
-      return unit;
+      return taskSet;
     },
     task,
   });
@@ -92,13 +91,13 @@
   assert.ok(looks <= 30, `${looks} looks`);
 });
 
-test("waits of gangs and arrays on a full part follow from when its tasks end", () => {
-  const { part } = partOf(10, { cpus: 16, gpus: 0, ram: 64 });
-  queueUp(part, specOf({ tasks: 10, cpus: 15 }));
-  runPass(part, pass);
-  const gang = queueUp(part, specOf({ ref: "run-000002", kind: "gang", tasks: 6, cpus: 15 }));
-  const array = queueUp(part, specOf({ ref: "run-000003", tasks: 8, cpus: 15 }));
-  const large = queueUp(part, specOf({ ref: "run-000004", kind: "gang", tasks: 12, cpus: 15 }));
+test("waits of gangs and arrays on a full partition follow from the ends of its tasks", () => {
+  const { part: partition } = partOf(10, { cpus: 16, gpus: 0, ram: 64 });
+  queueUp(partition, specOf({ tasks: 10, cpus: 15 }));
+  runPass(partition, pass);
+  const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 6, cpus: 15 }));
+  const array = queueUp(partition, specOf({ ref: "run-000003", tasks: 8, cpus: 15 }));
+  const large = queueUp(partition, specOf({ ref: "run-000004", kind: "gang", tasks: 12, cpus: 15 }));
   const context: EstimateContext = {
     now: NOW,
     silentMs: 5000,
@@ -109,14 +108,17 @@
     guaranteed: () => false,
     excess: new Map(),
   };
-  const waits = estimateWaits(part, context);
-  // Nothing has been seen to run yet: the first ten end after a whole run, the rest after another.
+  const waits = estimateWaits(partition, context);
+  // No task has been seen to run yet: the first ten end after a full run, the others after another one.
   assert.equal(waits.get(gang.key), 60_000);
   assert.equal(waits.get(array.key), 120_000);
   assert.equal(waits.get(large.key), Infinity);
 });
 
-/** Gangs of one size of task on machines alike, first come with backfilling: nothing but places counts. */
+/**
+ * Waits of gangs with tasks of one size on identical machines, first come, first served with backfilling, computed
+ * from the number of places alone.
+ */
 function plainWaits(places: number, gangs: { tasks: number; runS: number }[]): number[] {
   const waits = gangs.map(() => Infinity);
   const ends: { at: number; tasks: number }[] = [];
@@ -133,8 +135,8 @@
   return waits;
 }
 
-// What fits is kept by shape of task for all gangs alike; it must tell what a look at each would.
-test("waits of gangs cut alike are those of a plain count of places", () => {
+// Free capacity is kept per task shape for all gangs; the result must equal that of examining each gang.
+test("waits of gangs of equal shape match a plain count of places", () => {
   const gang = fc.record({ tasks: fc.integer({ min: 1, max: 14 }), runS: fc.integer({ min: 1, max: 90 }) });
   fc.assert(
     fc.property(
@@ -142,16 +144,16 @@
       fc.constantFrom(16, 32, 47),
       fc.array(gang, { minLength: 1, maxLength: 25 }),
       (n, cpus, gangs) => {
-        const { part } = partOf(n, { cpus, gpus: 0, ram: 640 });
-        const units = gangs.map(({ tasks, runS }, i) =>
-          queueUp(part, specOf({ ref: `run-${String(i).padStart(6, "0")}`, kind: "gang", tasks, cpus: 15, guessS: runS })),
+        const { part: partition } = partOf(n, { cpus, gpus: 0, ram: 640 });
+        const taskSets = gangs.map(({ tasks, runS }, i) =>
+          queueUp(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, kind: "gang", tasks, cpus: 15, guessS: runS })),
         );
-        const waits = estimateWaits(part, {
+        const waits = estimateWaits(partition, {
           ...{ now: NOW, silentMs: 5000, order, history: new RunHistory("owner"), bootMs: () => 0 },
           ...{ preemptAfterMs: 1000, guaranteed: () => false, excess: new Map() },
         });
         assert.deepEqual(
-          units.map((unit) => waits.get(unit.key)),
+          taskSets.map((taskSet) => waits.get(taskSet.key)),
           plainWaits(n * Math.floor(cpus / 15), gangs),
         );
       },
@@ -160,31 +162,31 @@
   );
 });
 
-test("room is kept for a gang that has waited, but not from what will be gone in time", () => {
-  const { part } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
-  const running = queueUp(part, specOf({ tasks: 1, cpus: 15 }));
-  runPass(part, pass);
+test("capacity is reserved for a gang that has waited, but jobs that end in time may use it", () => {
+  const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
+  const running = queueUp(partition, specOf({ tasks: 1, cpus: 15 }));
+  runPass(partition, pass);
   assert.equal(running.waiting.length, 0);
   // Two machines are free; the gang needs all three, when the task ends in 60 s.
-  const gang = queueUp(part, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
-  const long = queueUp(part, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
-  const short = queueUp(part, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
-  runPass(part, pass);
+  const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
+  const long = queueUp(partition, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
+  const short = queueUp(partition, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
+  runPass(partition, pass);
   assert.deepEqual(
-    [gang, long, short].map((unit) => unit.waiting.length),
+    [gang, long, short].map((taskSet) => taskSet.waiting.length),
     [3, 1, 0],
   );
-  // Before it has waited, others come first.
-  runPass(part, { ...pass, reserveAfterMs: () => 5000 });
+  // Before the gang has waited long enough, others come first.
+  runPass(partition, { ...pass, reserveAfterMs: () => 5000 });
   assert.equal(long.waiting.length, 0);
 });
 
-test("a task that has outrun what was expected is not taken to end at once", () => {
+test("a task that has outrun its expected run time is not expected to end at once", () => {
   const history = new RunHistory("learned");
   const spec = specOf({ guessS: 100 });
   assert.equal(history.leftS(spec, 40), 60);
   assert.ok(history.leftS(spec, 100) > 20);
-  // A class whose tasks run as guessed to the second has hardly any spread.
+  // All tasks of the class run exactly as long as estimated, which leaves hardly any spread.
   for (let i = 0; i < 200; i++) history.note(spec, 100);
   assert.ok(history.leftS(spec, 100) < 5);
   assert.equal(Math.round(history.expectS(spec)), 100);
@@ -205,8 +207,8 @@
 
 type Change = { closed?: (offer: { zone: string; spot: boolean }) => boolean; weighMs?: number; soonMs?: number; leftMs?: number };
 
-function planFor(part: Part, change: Change) {
-  return planHires(part, {
+function planFor(partition: Part, change: Change) {
+  return planHires(partition, {
     soonMs: change.soonMs ?? 0,
     leftMs: () => change.leftMs ?? Infinity,
     now: NOW,
@@ -219,58 +221,59 @@
   });
 }
 
-test("nothing is rented for a job that the exchange may yet move, unless that takes long", () => {
-  const { part } = partOf(0, type);
-  const unit = queueUp(part, specOf({ tasks: 2, cpus: 15 }));
-  assert.equal(planFor(part, { weighMs: NOW + 1 }).wanted.size, 0);
-  assert.equal(planFor(part, { weighMs: NOW }).wanted.size, 1, "it has waited long enough");
-  unit.weighed = true;
-  assert.equal(planFor(part, { weighMs: NOW + 1 }).wanted.size, 1, "it stays");
+test("no machine is rented for a job that the exchange may still migrate, unless that takes long", () => {
+  const { part: partition } = partOf(0, type);
+  const taskSet = queueUp(partition, specOf({ tasks: 2, cpus: 15 }));
+  assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 0);
+  assert.equal(planFor(partition, { weighMs: NOW }).wanted.size, 1, "it has waited long enough");
+  taskSet.weighed = true;
+  assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 1, "it stays");
 });
 
-test("nothing is rented for what finds room before a machine would be up", () => {
-  const { part } = partOf(2, type);
-  queueUp(part, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
-  runPass(part, pass);
-  queueUp(part, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
-  const rented = (change: Change): number => [...planFor(part, change).wanted.values()].reduce((n, { count }) => n + count, 0);
+test("no machine is rented for tasks that find capacity before the machine would be up", () => {
+  const { part: partition } = partOf(2, type);
+  queueUp(partition, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
+  runPass(partition, pass);
+  queueUp(partition, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
+  const rented = (change: Change): number => [...planFor(partition, change).wanted.values()].reduce((n, { count }) => n + count, 0);
   assert.equal(rented({ soonMs: 10_000, leftMs: 11_000 }), 3);
   assert.equal(rented({ soonMs: 10_000, leftMs: 9_000 }), 1);
   assert.equal(rented({ soonMs: 0, leftMs: 9_000 }), 3);
 });
 
-test("a long queue asks for no more machines of a kind than one call can rent", () => {
-  const { part } = partOf(0, type);
-  queueUp(part, specOf({ tasks: 5000, cpus: 15 }));
-  const plan = planFor(part, {});
+test("a long queue requests no more machines of an offering than one call can rent", () => {
+  const { part: partition } = partOf(0, type);
+  queueUp(partition, specOf({ tasks: 5000, cpus: 15 }));
+  const plan = planFor(partition, {});
   assert.deepEqual([...plan.wanted.values()].map((w) => w.count).sort(), [50, 50]);
 });
 
-test("a gang bound to one zone is given machines in one zone only", () => {
-  const { part } = partOf(1, type);
-  queueUp(part, specOf({ kind: "gang", tasks: 3, cpus: 15, oneZone: true }));
-  const plan = planFor(part, {});
+test("machines for a gang bound to one zone are rented in one zone only", () => {
+  const { part: partition } = partOf(1, type);
+  queueUp(partition, specOf({ kind: "gang", tasks: 3, cpus: 15, oneZone: true }));
+  const plan = planFor(partition, {});
   assert.deepEqual(
     [...plan.wanted.values()].map((w) => [w.offer.zone, w.count]),
     [["a", 2]],
   );
 });
 
-test("what needs no less than a task without room finds none either; what needs less is tried", () => {
-  const { part } = partOf(2, { cpus: 4, gpus: 0, ram: 64 });
-  queueUp(part, specOf({ ref: "run-000001", tasks: 7, cpus: 1.1 }));
-  runPass(part, pass);
-  const units = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => queueUp(part, specOf({ ref: `run-10000${i}`, cpus })));
-  runPass(part, pass);
-  // Two machines with three tasks of 1.1 each have 0.7 left: one place of 0.5, and 0.2 beside it or elsewhere.
+test("tasks at least as large as one that did not fit are skipped, smaller ones are tried", () => {
+  const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 64 });
+  queueUp(partition, specOf({ ref: "run-000001", tasks: 7, cpus: 1.1 }));
+  runPass(partition, pass);
+  const taskSets = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => queueUp(partition, specOf({ ref: `run-10000${i}`, cpus })));
+  runPass(partition, pass);
+  // Two machines with three tasks of 1.1 CPUs each have 0.7 left: one place of 0.5, and 0.2 beside it or on the other
+  // machine.
   assert.deepEqual(
-    units.map((unit) => unit.placed.size),
+    taskSets.map((taskSet) => taskSet.placed.size),
     [0, 0, 1, 0, 1],
   );
   const unschedulable = new UnschedulableShapes();
   unschedulable.add(specOf({ cpus: 2, ram: 8 }));
   assert.equal(unschedulable.has(specOf({ cpus: 2, ram: 9 })), true);
   assert.equal(unschedulable.has(specOf({ cpus: 1.9, ram: 9 })), false);
-  assert.equal(unschedulable.has(specOf({ cpus: 2, ram: 9, spot: true })), false, "cheap machines were not tried");
+  assert.equal(unschedulable.has(specOf({ cpus: 2, ram: 9, spot: true })), false, "spot machines were not tried");
   assert.equal(unschedulable.has(specOf({ cpus: 2, ram: 9, oneZone: true })), false);
 });
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -31,7 +31,7 @@
   };
 }
 
-test("a job is ready once, when the last job that it needs is done, and its times count from then", () => {
+test("a job becomes ready once, when its last dependency is done, and its times count from then", () => {
   const { mirror, needs, ready, put, end } = ledger();
   put("a", []);
   put("b", []);
@@ -45,7 +45,7 @@
   assert.equal(needs.sinceWall(mirror.get<JobRecord>(keys.job("c"))!.v), 500);
 });
 
-test("records may become known in any order", () => {
+test("records may arrive in any order", () => {
   const { needs, ready, put, end } = ledger();
   put("c", ["a", "b"]);
   put("d", ["c"], { urgency: "urgent" });
@@ -55,12 +55,12 @@
   assert.equal(needs.urgency("b"), "urgent");
   end("b", "done");
   assert.deepEqual(ready, ["c"]);
-  // One that is known as done before the job that needs it.
+  // A job that is recorded as done before the job that depends on it.
   put("e", ["a"]);
   assert.ok(!needs.waits("e"));
 });
 
-test("urgency is that of any job that needs it, as long as that one is not cancelled", () => {
+test("a job inherits the urgency of a dependant as long as that one is not cancelled", () => {
   const { needs, put, end } = ledger();
   put("a", [], { urgency: "low" });
   put("b", ["a"], { urgency: "low" });
@@ -75,7 +75,7 @@
   assert.equal(needs.urgency("a"), "normal");
 });
 
-test("a cancellation reaches all that needs it, however long the chain, and nothing before it", () => {
+test("a cancellation reaches all dependants, however long the chain, and no dependency", () => {
   const { needs, ready, put, end } = ledger();
   put("run-0", []);
   for (let i = 1; i < 20_000; i++) put(`run-${i}`, [`run-${i - 1}`], i === 19_999 ? { urgency: "urgent" } : {});
@@ -85,12 +85,12 @@
   assert.equal(needs.fate("run-0"), undefined);
   end("run-0", "done");
   assert.deepEqual(ready, []);
-  // One that comes later, naming a cancelled one.
+  // A later job that depends on a cancelled one.
   put("run-20000", ["run-19999"]);
   assert.equal(needs.fate("run-20000"), "withdrawn");
 });
 
-test("a job whose further needs stand in lists waits until it knows them all", () => {
+test("a job with dependencies in separate lists waits until all lists have arrived", () => {
   const { needs, ready, put, end, list } = ledger();
   put("a", [], {}, { end: "done" });
   put("b", []);
@@ -104,15 +104,15 @@
   assert.deepEqual(ready, ["j"]);
 });
 
-test("work that others need in a hurry comes after what is urgent itself, and before the rest", () => {
-  const { part } = partOf(1, { cpus: 1, gpus: 0, ram: 1 });
-  const lifted = queueUp(part, specOf({ ref: "lifted", urgency: "low" }));
+test("work that inherits urgency comes after work that is urgent itself and before the rest", () => {
+  const { part: partition } = partOf(1, { cpus: 1, gpus: 0, ram: 1 });
+  const lifted = queueUp(partition, specOf({ ref: "lifted", urgency: "low" }));
   lifted.urgency = "urgent";
   const rest = [
-    queueUp(part, specOf({ ref: "normal" })),
-    queueUp(part, specOf({ ref: "urgent", urgency: "urgent" })),
-    queueUp(part, specOf({ ref: "low", urgency: "low" })),
+    queueUp(partition, specOf({ ref: "normal" })),
+    queueUp(partition, specOf({ ref: "urgent", urgency: "urgent" })),
+    queueUp(partition, specOf({ ref: "low", urgency: "low" })),
   ];
-  const refs = inOrder([lifted, ...rest], order).map((unit) => unit.spec.ref);
+  const refs = inOrder([lifted, ...rest], order).map((taskSet) => taskSet.spec.ref);
   assert.deepEqual(refs, ["urgent", "lifted", "normal", "low"]);
 });
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -9,16 +9,16 @@
 import { markFinished } from "../src/queue/unit.js";
 import { partOf, queueUp, specOf } from "./world/parts.js";
 
-/** A part with one job of one task that is done, and a committer that says what became of each write. */
+/** A partition with one job of one task that is done, and a group committer that returns the given outcomes. */
 function finished(outcomes: Outcome[]) {
-  const { part } = partOf(1, { cpus: 4, gpus: 0, ram: 64 });
-  const unit = queueUp(part, specOf({ tasks: 1 }));
-  markFinished(unit, 0);
+  const { part: partition } = partOf(1, { cpus: 4, gpus: 0, ram: 64 });
+  const taskSet = queueUp(partition, specOf({ tasks: 1 }));
+  markFinished(taskSet, 0);
   const clock = new VirtualClock();
-  const record: JobRecord = { spec: unit.spec, part: part.id, hi: 1, done: "", at: 0 };
+  const record: JobRecord = { spec: taskSet.spec, part: partition.id, hi: 1, done: "", at: 0 };
   const mirror = {
-    get: (key: string) => (key === unit.key || key === keys.job(unit.spec.ref) ? { v: record, stamp: 7 } : undefined),
-    stamp: (key: string) => (key === keys.owner(part.id) ? part.term : 0),
+    get: (key: string) => (key === taskSet.key || key === keys.job(taskSet.spec.ref) ? { v: record, stamp: 7 } : undefined),
+    stamp: (key: string) => (key === keys.owner(partition.id) ? partition.term : 0),
     slicesOf: () => [],
   } as unknown as Mirror;
   const drafts: (Draft | null)[] = [];
@@ -28,17 +28,17 @@
       return Promise.resolve(outcomes.shift() ?? "done");
     },
   } as unknown as Committer;
-  const led = {
-    parts: new Map([[part.id, part]]),
+  const leaderContext = {
+    parts: new Map([[partition.id, partition]]),
     settings: { timing: { leaseMs: 18_000 }, state: { valueKb: 32 } },
     scope: { clock: { now: () => clock.now(), after: clock.after.bind(clock), wall: () => clock.now() }, log: { debug: () => undefined } },
   } as unknown as LeaderContext;
-  return { part, unit, clock, drafts, led, progress: new Progress(led, mirror, committer) };
+  return { partition, taskSet, clock, drafts, leaderContext, progress: new Progress(leaderContext, mirror, committer) };
 }
 
-test("an end that was not taken because too many writes waited is written a lease later", async () => {
-  const { part, unit, clock, drafts, progress } = finished(["shed", "shed", "done"]);
-  progress.record(part, unit);
+test("a job's end that was shed because too many writes were queued is written a lease time later", async () => {
+  const { partition, taskSet, clock, drafts, progress } = finished(["shed", "shed", "done"]);
+  progress.record(partition, taskSet);
   await clock.run(17_000);
   assert.equal(drafts.length, 1);
   await clock.run(60_000);
@@ -49,11 +49,11 @@
   );
 });
 
-test("an end that is not ours to write any more is not written again", async () => {
-  const { part, unit, clock, drafts, progress, led } = finished(["shed", "done"]);
-  progress.record(part, unit);
+test("a job's end is not written again after ownership of the partition is lost", async () => {
+  const { partition, taskSet, clock, drafts, progress, leaderContext } = finished(["shed", "done"]);
+  progress.record(partition, taskSet);
   await clock.run(1000);
-  led.parts.delete(part.id);
+  leaderContext.parts.delete(partition.id);
   await clock.run(60_000);
   assert.equal(drafts.length, 1);
 });
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -28,43 +28,46 @@
   });
 }
 
-/** Everything that runs ends; what it leaves is given out anew. Jobs that are over leave the queue. */
-function turn(part: Part, nowS: number, mode: OrderMode, finished: Set<string>, change: Partial<OrderContext> = {}): void {
-  for (const machine of part.machines.values()) {
+/** Completes everything that runs, removes finished jobs from the queue and runs a scheduling cycle. */
+function turn(partition: Part, nowS: number, mode: OrderMode, finished: Set<string>, change: Partial<OrderContext> = {}): void {
+  for (const machine of partition.machines.values()) {
     for (const [key, placement] of [...machine.placements]) {
       removeAttempt(machine, key);
       markFinished(placement.unit, placement.task);
       release(placement.unit, placement);
     }
   }
-  for (const unit of [...part.units.values()]) {
-    if (!unit.done.full) continue;
-    finished.add(unit.spec.ref);
-    part.units.delete(unit.key);
+  for (const taskSet of [...partition.units.values()]) {
+    if (!taskSet.done.full) continue;
+    finished.add(taskSet.spec.ref);
+    partition.units.delete(taskSet.key);
   }
-  runPass(part, { ...pass, order: orderAt(nowS, mode, change) });
+  runPass(partition, { ...pass, order: orderAt(nowS, mode, change) });
 }
 
-/** Twice as much low work as there is room for; how many jobs are over in the end, by order. */
+/**
+ * Submits twice as much low-priority work as there is capacity for; returns the number of jobs finished in the end
+ * under the given order.
+ */
 function day(sizes: number[], mode: OrderMode): number {
-  const { part } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
+  const { part: partition } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
   const turns = Math.ceil(sizes.reduce((sum, n) => sum + n, 0) / (4 * 8) / 2);
   const finished = new Set<string>();
   for (let t = 0; t <= turns; t++) {
     const from = Math.floor((t * sizes.length) / (turns + 1));
     const to = Math.floor(((t + 1) * sizes.length) / (turns + 1));
     for (let i = from; i < to; i++) {
-      const unit = queueUp(part, specOf({ ref: `run-${String(i).padStart(6, "0")}`, tasks: sizes[i]!, cpus: 1, urgency: "low" }));
-      unit.submittedWall = t * RUN_S * 1000;
+      const taskSet = queueUp(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, tasks: sizes[i]!, cpus: 1, urgency: "low" }));
+      taskSet.submittedWall = t * RUN_S * 1000;
     }
-    turn(part, t * RUN_S, mode, finished);
+    turn(partition, t * RUN_S, mode, finished);
   }
   return finished.size;
 }
 
-// On a day with four times the photo batches half of them were begun and a third done: first come
+// With four times the usual photo batches, half of them were begun and a third finished: first come, first served
 // begins everything and finishes little. More than half of each class has to be served.
-test("on a day too full for all, more jobs are over than first come would have", () => {
+test("when there is more work than capacity, more jobs finish than with first come, first served", () => {
   const job = fc.oneof(
     { weight: 3, arbitrary: fc.integer({ min: 1, max: 30 }) },
     { weight: 1, arbitrary: fc.integer({ min: 31, max: 150 }) },
@@ -76,29 +79,29 @@
       const [a, b] = [day(sizes, "arrival"), day(sizes, "aims")];
       first += a;
       aims += b;
-      assert.ok(b >= a, `${b} of ${sizes.length} over, ${a} by first come`);
+      assert.ok(b >= a, `${b} of ${sizes.length} finished, ${a} by first come`);
     }),
     { seed: 30, numRuns: 60 },
   );
   assert.ok(aims > first * 1.3, `${aims} against ${first}`);
 });
 
-test("what has fewer tasks left comes first among jobs of the same age", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+test("jobs with fewer remaining tasks come first among jobs of the same age", () => {
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const order = orderAt(100);
-  const [large, small] = [40, 8].map((tasks, i) => queueUp(part, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
+  const [large, small] = [40, 8].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
   assert.ok(order.arrival(small) < order.arrival(large));
-  // Most of it is done: nothing is gained by leaving it half done.
+  // Most of it is done, so it should be finished first.
   large.waiting.splice(0, 38);
   assert.ok(order.arrival(large) < order.arrival(small));
 });
 
-test("nothing waits for ever: who has waited longer by the bound comes first, however large", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+test("nothing waits forever: a job older by the maximum delay comes first, however large", () => {
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
   let n = 0;
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 100_000 }), fc.integer({ min: 1, max: 100_000 }), fc.nat(5000), (old, young, extraS) => {
-      const unitOf = (tasks: number): Unit => queueUp(part, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
+      const unitOf = (tasks: number): Unit => queueUp(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
       const [first, second] = [unitOf(old), unitOf(young)];
       second.submittedWall = first.submittedWall + (YIELD_S + extraS) * 1000;
       const order = orderAt(10_000);
@@ -108,52 +111,56 @@
   );
 });
 
-// Archive pages of sixty tasks should start within 40 s: behind every smaller job they would not.
-test("a class that should start in time is put back by no more than that time", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const [large, small] = [60, 1].map((tasks, i) => queueUp(part, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
+// Archive pages of sixty tasks should start within 40 s; behind every smaller job they would not.
+test("a class with a start objective is delayed by no more than that objective", () => {
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const [large, small] = [60, 1].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
   small.submittedWall = 41_000;
   const due = orderAt(100, "aims", { startS: () => 40 });
   assert.ok(due.arrival(large) < due.arrival(small));
   assert.ok(orderAt(100).arrival(small) < orderAt(100).arrival(large));
 });
 
-test("work within a guarantee keeps its turn whatever its size, and so does first come where it is asked for", () => {
-  const { part } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const large = queueUp(part, specOf({ ref: "run-000001", tasks: 500 }));
-  const small = queueUp(part, specOf({ ref: "run-000002", tasks: 1 }));
+test("work within a guarantee is not delayed for its size, nor is any work in modes without objectives", () => {
+  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const large = queueUp(partition, specOf({ ref: "run-000001", tasks: 500 }));
+  const small = queueUp(partition, specOf({ ref: "run-000002", tasks: 1 }));
   small.submittedWall = 1000;
   assert.ok(orderAt(100).arrival(small) < orderAt(100).arrival(large));
-  const granted = orderAt(100, "aims", { guaranteed: (unit) => unit === large });
+  const granted = orderAt(100, "aims", { guaranteed: (taskSet) => taskSet === large });
   assert.ok(granted.arrival(large) < granted.arrival(small));
   for (const mode of ["arrival", "urgency"] as const) assert.ok(orderAt(100, mode).arrival(large) < orderAt(100, mode).arrival(small));
 });
 
-// Stopped tasks that cannot save start anew from nothing: taken from a job that is nearly done, they
-// leave two jobs half done instead of one.
-test("for work of higher priority, tasks are stopped of the low job with the most left to do", () => {
-  const { part } = partOf(2, { cpus: 8, gpus: 0, ram: 64 });
-  const nearly = queueUp(part, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
-  runPass(part, pass);
-  // It came last, but has nothing left that waits; the other has most of it before it.
-  const begun = queueUp(part, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
+// Stopped tasks that cannot save their progress restart from the beginning: taken from a job that is nearly done,
+// they leave two jobs half done instead of one.
+test("for work of higher priority, tasks of the low-priority job with the most remaining work are stopped", () => {
+  const { part: partition } = partOf(2, { cpus: 8, gpus: 0, ram: 64 });
+  const nearly = queueUp(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
+  runPass(partition, pass);
+  // It came last, but none of its tasks wait; most of the other job is still waiting.
+  const begun = queueUp(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
   begun.submittedWall = nearly.submittedWall - 60_000;
-  runPass(part, pass);
+  runPass(partition, pass);
   assert.deepEqual([nearly.placed.size, begun.placed.size], [8, 8]);
-  queueUp(part, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
+  queueUp(partition, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
   const context = { ...pass, order: orderAt(200), patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
-  const stopped = choosePreemptions(part, context);
-  assert.deepEqual([...new Set(stopped.map(({ unit }) => unit.spec.ref))], ["run-000002"]);
+  const stopped = choosePreemptions(partition, context);
+  assert.deepEqual([...new Set(stopped.map(({ unit: taskSet }) => taskSet.spec.ref))], ["run-000002"]);
   assert.equal(stopped.length, 3);
 });
 
-test("of several classes of a priority the one served least comes first, while it is below the floor", () => {
+test("among classes of one priority, the least served comes first while it is below the floor", () => {
   const counts = (...list: [string, number, number, number][]): Map<string, ClassCounts> =>
     new Map(list.map(([klass, rank, done, open]) => [klass, { rank, done, open }]));
   assert.deepEqual([...underservedClasses(counts(["fotos", 3, 75, 25], ["archivo", 3, 45, 55]))], ["archivo"]);
   assert.deepEqual([...underservedClasses(counts(["fotos", 3, 75, 25], ["archivo", 3, 65, 35]))], [], "above the floor");
-  assert.deepEqual([...underservedClasses(counts(["fotos", 3, 10, 90]))], [], "nobody to take from");
-  assert.deepEqual([...underservedClasses(counts(["cierre", 1, 10, 90], ["portada", 1, 50, 50]))], [], "urgent work goes by its aims");
+  assert.deepEqual([...underservedClasses(counts(["fotos", 3, 10, 90]))], [], "no other class of its priority");
+  assert.deepEqual(
+    [...underservedClasses(counts(["cierre", 1, 10, 90], ["portada", 1, 50, 50]))],
+    [],
+    "urgent work is ordered by its objectives",
+  );
   const share = fc.record({ rank: fc.integer({ min: 0, max: 3 }), done: fc.nat(100), open: fc.nat(100) });
   fc.assert(
     fc.property(fc.uniqueArray(fc.tuple(fc.constantFrom("a", "b", "c", "d"), share), { selector: ([klass]) => klass }), (list) => {
@@ -169,32 +176,36 @@
   );
 });
 
-test("what urgent work waits for keeps its turn, however much of it is left", () => {
-  const { part } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
-  const early = queueUp(part, specOf({ ref: "run-000001", urgency: "low", tasks: 50 }));
-  const late = queueUp(part, specOf({ ref: "run-000002", urgency: "low", tasks: 2 }));
+test("dependencies of urgent work are not delayed, however much of them is left", () => {
+  const { part: partition } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
+  const early = queueUp(partition, specOf({ ref: "run-000001", urgency: "low", tasks: 50 }));
+  const late = queueUp(partition, specOf({ ref: "run-000002", urgency: "low", tasks: 2 }));
   Object.assign(late, { submittedWall: 10_000 });
   assert.deepEqual(inOrder([early, late], orderAt(100)), [late, early]);
-  for (const unit of [early, late]) unit.urgency = "urgent";
+  for (const taskSet of [early, late]) taskSet.urgency = "urgent";
   assert.deepEqual(inOrder([early, late], orderAt(100)), [early, late]);
 });
 
-test("the largest arrays begin, each with one task, and the smaller ones lose next to nothing", () => {
-  // 60 small arrays and three of a hundred tasks for twice the room there is: put back for their size they never began.
+test("the largest arrays start with one task each, at next to no cost for smaller ones", () => {
+  // 60 small arrays and three of a hundred tasks for twice the available capacity: delayed for their size, the large
+  // ones never began.
   const beganAt = (beginS: number): { largest: (number | undefined)[]; finished: number } => {
-    const { part } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
+    const { part: partition } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
     const finished = new Set<string>();
-    const large = [0, 1, 2].map((i) => queueUp(part, specOf({ ref: `run-00090${i}`, tasks: 100, cpus: 1, urgency: "low" })));
+    const large = [0, 1, 2].map((i) => queueUp(partition, specOf({ ref: `run-00090${i}`, tasks: 100, cpus: 1, urgency: "low" })));
     const began = new Map<Unit, number>();
     for (let t = 0; t < 20; t++) {
       for (let i = 0; i < 3; i++) {
-        const unit = queueUp(part, specOf({ ref: `run-${String(t * 3 + i).padStart(6, "0")}`, tasks: 20, cpus: 1, urgency: "low" }));
-        unit.submittedWall = t * RUN_S * 1000;
+        const taskSet = queueUp(
+          partition,
+          specOf({ ref: `run-${String(t * 3 + i).padStart(6, "0")}`, tasks: 20, cpus: 1, urgency: "low" }),
+        );
+        taskSet.submittedWall = t * RUN_S * 1000;
       }
-      turn(part, t * RUN_S, "aims", finished, { beginS });
-      for (const unit of large) if (unit.started && !began.has(unit)) began.set(unit, t * RUN_S);
+      turn(partition, t * RUN_S, "aims", finished, { beginS });
+      for (const taskSet of large) if (taskSet.started && !began.has(taskSet)) began.set(taskSet, t * RUN_S);
     }
-    return { largest: large.map((unit) => began.get(unit)), finished: finished.size };
+    return { largest: large.map((taskSet) => began.get(taskSet)), finished: finished.size };
   };
   const before = beganAt(Infinity);
   const after = beganAt(108);
