--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -11,14 +11,14 @@
 interface JobNode {
   ref: string;
   /** Urgency from its own record; null until that has been received. */
-  own: Urgency | null;
+  ownUrgency: Urgency | null;
   /** The job's own urgency, or that of a job that depends on it if that is higher. */
   urgency: Urgency;
-  needs: string[];
+  dependencies: string[];
   /** The dependencies that are not done. */
   pending: Set<string>;
   dependants: Set<string>;
-  fate: JobOutcome | undefined;
+  outcome: JobOutcome | undefined;
 }
 
 /**
@@ -48,19 +48,19 @@
   /** Terminal state of the job, from its own record or that of a job it depends on; it never changes once set. */
   fate(ref: string): JobOutcome | undefined {
     const node = this.nodes.get(ref);
-    return node === undefined ? this.record(ref)?.end : node.fate;
+    return node === undefined ? this.record(ref)?.end : node.outcome;
   }
 
   /** True if some job that it depends on is not done, so none of its tasks may start. */
   waits(ref: string): boolean {
     const node = this.nodes.get(ref);
-    return node !== undefined && node.fate !== "done" && node.pending.size > 0;
+    return node !== undefined && node.outcome !== "done" && node.pending.size > 0;
   }
 
   /** Number of jobs that wait for others, for the status view. */
   get waiting(): number {
     let n = 0;
-    for (const node of this.nodes.values()) if (node.fate === undefined && node.pending.size > 0) n++;
+    for (const node of this.nodes.values()) if (node.outcome === undefined && node.pending.size > 0) n++;
     return n;
   }
 
@@ -75,7 +75,7 @@
    */
   sinceWall(job: JobRecord): number {
     let since = job.at;
-    for (const ref of this.nodes.get(job.spec.ref)?.needs ?? []) {
+    for (const ref of this.nodes.get(job.spec.ref)?.dependencies ?? []) {
       const need = this.record(ref);
       if (need !== undefined) since = Math.max(since, need.endedAt ?? need.at);
     }
@@ -87,7 +87,15 @@
     if (node === undefined) {
       const record = this.record(ref);
       const own = record?.spec.urgency ?? null;
-      node = { ref, own, urgency: own ?? "low", needs: [], pending: new Set(), dependants: new Set(), fate: record?.end };
+      node = {
+        ref,
+        ownUrgency: own,
+        urgency: own ?? "low",
+        dependencies: [],
+        pending: new Set(),
+        dependants: new Set(),
+        outcome: record?.end,
+      };
       this.nodes.set(ref, node);
     }
     return node;
@@ -100,20 +108,20 @@
     const known = this.nodes.get(ref);
     if (known === undefined && needs === undefined) return;
     const node = known ?? this.node(ref);
-    if (known === undefined || node.own === null) {
-      node.own = urgency;
+    if (known === undefined || node.ownUrgency === null) {
+      node.ownUrgency = urgency;
       const all = this.allDependencies(record);
       // Some of its dependency lists have not been received: an entry for the job itself keeps it waiting until they
       // have.
       if (all === null) node.pending.add(ref);
       else this.addDependencies(node, all);
-      this.updateUrgencies([ref, ...node.needs]);
+      this.updateUrgencies([ref, ...node.dependencies]);
     } else if (node.pending.has(ref)) {
       const all = this.allDependencies(record);
       if (all !== null) this.completeDependencies(node, all);
     }
     if (record.end !== undefined) this.setOutcome(node, record.end);
-    else if (node.needs.some((need) => this.fate(need) === "withdrawn")) this.setOutcome(node, "withdrawn");
+    else if (node.dependencies.some((need) => this.fate(need) === "withdrawn")) this.setOutcome(node, "withdrawn");
   }
 
   /** All dependencies of a job; null if some list has not been received. */
@@ -131,35 +139,35 @@
     this.addDependencies(node, needs);
     node.pending.delete(node.ref);
     this.updateUrgencies(needs);
-    if (node.pending.size === 0 && node.fate === undefined) this.ready$.next(node.ref);
+    if (node.pending.size === 0 && node.outcome === undefined) this.ready$.next(node.ref);
   }
 
   private addDependencies(node: JobNode, needs: string[]): void {
-    node.needs = needs;
+    node.dependencies = needs;
     for (const ref of needs) {
       const need = this.node(ref);
       need.dependants.add(node.ref);
-      if (need.fate !== "done") node.pending.add(ref);
+      if (need.outcome !== "done") node.pending.add(ref);
     }
   }
 
   /** Iterative, since a chain of jobs may be arbitrarily long. */
-  private setOutcome(first: JobNode, fate: JobOutcome): void {
-    if (first.fate !== undefined) return;
-    first.fate = fate;
+  private setOutcome(first: JobNode, outcome: JobOutcome): void {
+    if (first.outcome !== undefined) return;
+    first.outcome = outcome;
     const ended = [first];
     const ready: string[] = [];
     for (const node of ended) {
       for (const ref of node.dependants) {
         const after = this.node(ref);
-        if (after.fate !== undefined) continue;
-        if (fate === "withdrawn") {
-          after.fate = fate;
+        if (after.outcome !== undefined) continue;
+        if (outcome === "withdrawn") {
+          after.outcome = outcome;
           ended.push(after);
         } else if (after.pending.delete(node.ref) && after.pending.size === 0) ready.push(ref);
       }
     }
-    this.updateUrgencies(ended.flatMap((node) => node.needs));
+    this.updateUrgencies(ended.flatMap((node) => node.dependencies));
     for (const ref of ready) this.ready$.next(ref);
   }
 
@@ -169,15 +177,15 @@
     for (const ref of due) {
       due.delete(ref);
       const node = this.node(ref);
-      let urgency = node.own ?? "low";
+      let urgency = node.ownUrgency ?? "low";
       for (const later of node.dependants) {
         const after = this.node(later);
-        if (after.fate === undefined && rank(after.urgency) < rank(urgency)) urgency = after.urgency;
+        if (after.outcome === undefined && rank(after.urgency) < rank(urgency)) urgency = after.urgency;
       }
       if (urgency === node.urgency) continue;
       node.urgency = urgency;
       this.lifted$.next(ref);
-      for (const need of node.needs) due.add(need);
+      for (const need of node.dependencies) due.add(need);
     }
   }
 }
