--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -8,7 +8,7 @@
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { Needs } from "../src/pipelines/needs.js";
 import { Rentals } from "../src/ledger/rentals.js";
-import { addUnit, newPart } from "../src/parts/part.js";
+import { addTaskSet, newPartition } from "../src/parts/part.js";
 import { systemClock } from "../src/platform/clock.js";
 import { Costs } from "../src/platform/costs.js";
 import { Scope } from "../src/platform/scope.js";
@@ -108,13 +108,13 @@
 /** Bytes of one more of each, by name. */
 export async function memoryEach(quick: boolean): Promise<Record<string, number>> {
   const count = quick ? 4000 : 20_000;
-  const part = newPart(0, 1, 0);
+  const part = newPartition(0, 1, 0);
   return {
     finished_job_bytes: await jobs(count, true),
     open_job_record_bytes: await jobs(count, false),
     queued_job_bytes: await each(count, (i) => {
       const unit = newUnit(keys.job(refOf(i)), specOf(0), 0, 30, new Bits(30), 0, 0);
-      addUnit(part, unit);
+      addTaskSet(part, unit);
       return unit;
     }),
     machine_bytes: await each(count, (i) => newMachine(`i-${i}`, "fotolab", "sala-cuenca", true, { cpus: 96, gpus: 8, ram: 384 }, i)),
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -3,7 +3,7 @@
 import { keys } from "../../src/ledger/records.js";
 import { runPass } from "../../src/queue/pass.js";
 import { newUnit } from "../../src/queue/unit.js";
-import { addUnit } from "../../src/parts/part.js";
+import { addTaskSet } from "../../src/parts/part.js";
 import { partOf, pass, specOf } from "../../test/world/parts.js";
 import { median } from "../harness.js";
 import { jobRecordOf, mirrorHere } from "../memory.js";
@@ -45,7 +45,7 @@
 function addWaiting(part: ReturnType<typeof partOf>["part"], count: number, from: number, change: (i: number) => object): void {
   for (let i = 0; i < count; i++) {
     const spec = specOf(change(i + from));
-    addUnit(part, newUnit(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
+    addTaskSet(part, newUnit(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
   }
 }
 
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -131,20 +131,20 @@
     });
     this.ownership = new Ownership({
       settings,
-      life: incarnation,
+      incarnation: incarnation,
       presence: this.presence,
       detector: this.detector,
       mirror: this.mirror,
       committer: this.committer,
       scope,
-      taken: (partition, term, reason, silentMs) => {
+      onTaken: (partition, term, reason, silentMs) => {
         if (reason === "own ended term") this.leader.newerTokenRefuted(partition);
-        this.leader.recovery.claimed(partition, term, reason, silentMs);
+        this.leader.recovery.recordClaim(partition, term, reason, silentMs);
       },
       termEnded: (partition, term) => this.leader.termEnded(partition, term),
-      reaches: (partition) => this.fitness.reaches(partition),
+      canReachMachines: (partition) => this.fitness.canReachMachines(partition),
     });
-    this.quotaShares = new QuotaShares(settings, this.configuration, () => this.leader.parts, this.mirror, this.committer, scope);
+    this.quotaShares = new QuotaShares(settings, this.configuration, () => this.leader.partitions, this.mirror, this.committer, scope);
     this.guarantees = new Guarantees(settings, this.configuration, this.mirror, this.needs, scope);
     this.leader = new Leader(
       settings,
@@ -161,7 +161,7 @@
     const probes = workersThrough(deps.workers, calls.of("worker.probe"));
     this.fitness = new Fitness(
       settings,
-      this.leader.parts,
+      this.leader.partitions,
       this.rentals,
       probes,
       () => this.stateReachable(),
@@ -239,14 +239,14 @@
     this.scope.listen(this.deps.peers.incoming$, ({ from, message }) => {
       if (!("Health" in message)) return;
       if (message.Health.stateOk) this.stateReportedAt.set(from, this.scope.clock.now());
-      this.guarantees.hear(from, message.Health.use);
-      this.fitness.hear(from, message.Health.hears);
+      this.guarantees.noteReport(from, message.Health.use);
+      this.fitness.notePeerReport(from, message.Health.hears);
     });
     this.scope.routine(
       "health",
       () => this.settings.timing.reportMs / 4,
       () => {
-        const message = { Health: { stateOk: this.stateReachable(), hears: this.fitness.own(), use: this.leader.use() } };
+        const message = { Health: { stateOk: this.stateReachable(), hears: this.fitness.ownReachability(), use: this.leader.usageByTeam() } };
         for (const node of this.settings.nodes) if (node !== this.settings.self) this.deps.peers.send(node, message);
       },
     );
@@ -259,7 +259,7 @@
   private presenceActs(): PresenceRecord["acts"] | null {
     const { version } = this.configuration;
     if (version === 0) return null;
-    const partitions = [...this.leader.parts.values()];
+    const partitions = [...this.leader.partitions.values()];
     const fencing = partitions.filter(({ phase }) => phase === "fencing").map(({ term }) => term - 1);
     return { version, term: fencing.length > 0 ? Math.min(...fencing) : Math.max(0, ...partitions.map(({ term }) => term)) };
   }
@@ -268,11 +268,11 @@
   private onStall(ms: number): void {
     this.stalls.count++;
     this.stalls.ms += Math.round(ms);
-    this.leader.stoodStill(ms);
+    this.leader.onStall(ms);
     this.presence.stoodStill(ms);
     this.detector.stoodStill(ms);
     this.fleet.onStall(ms);
-    this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.parts.keys()] }, "this process stood still while its clocks ran on");
+    this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.partitions.keys()] }, "this process stood still while its clocks ran on");
   }
 
   /** Whether the replica cache proves recent contact with the state service. */
--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -1,6 +1,6 @@
 /** Bids for jobs of other partitions. */
 import { keys, type JobRecord } from "../ledger/records.js";
-import { tasksWithin } from "../parts/part.js";
+import { tasksThatFit } from "../parts/part.js";
 import type { Query } from "../peers/messages.js";
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
@@ -16,13 +16,13 @@
    * available, or this controller lacks proof of authority or sheds load.
    */
   onBidRequest(query: Query): void {
-    const partition = this.dependencies.leader.parts.get(query.part);
+    const partition = this.dependencies.leader.partitions.get(query.part);
     const job = this.dependencies.mirror.get<JobRecord>(keys.job(query.job))?.v;
     if (
       partition === undefined ||
       partition.phase !== "serving" ||
       job === undefined ||
-      this.dependencies.leader.silent() ||
+      this.dependencies.leader.isSilent() ||
       this.dependencies.overload.sheds("volunteering")
     ) {
       this.dependencies.peers.send(query.from, {
@@ -47,7 +47,7 @@
     );
     const waitMs = waits.get(candidate.key) ?? Infinity;
     const runMs = this.dependencies.leader.history.expectS(job.spec) * 1000;
-    const tasksWithinQuota = tasksWithin(job.spec, unusedQuota(this.dependencies, partition, job.spec.team));
+    const tasksWithinQuota = tasksThatFit(job.spec, unusedQuota(this.dependencies, partition, job.spec.team));
     this.dependencies.peers.send(query.from, {
       Answer: {
         id: query.id,
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -4,7 +4,7 @@
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
-import { usageOf, type Part, type Usage } from "../parts/part.js";
+import { usageOfTeam, type Partition, type Usage } from "../parts/part.js";
 import type { Overload } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import type { Needs } from "../pipelines/needs.js";
@@ -38,10 +38,10 @@
   return {
     now: scope.clock.now(),
     silentMs: settings.timing.silentMs,
-    order: leader.order(),
+    order: leader.queueOrder(),
     history: leader.history,
-    guaranteed: (taskSet) => leader.guarantees.within(taskSet.spec.ref),
-    excess: leader.guarantees.excess(leader.use()),
+    guaranteed: (taskSet) => leader.guarantees.isGuaranteed(taskSet.spec.ref),
+    excess: leader.guarantees.excessUsage(leader.usageByTeam()),
     preemptAfterMs: settings.operators.exchange.phi * PREEMPT_AFTER_PHI * 1000,
     bootMs: (machine) => leader.bootMs(machine),
   };
@@ -50,12 +50,12 @@
 /** Returns the node that owns the partition; null if there is no owner, or it is absent or suspected. */
 export function liveOwnerOf({ ownership }: ExchangeDependencies, partition: number): string | null {
   const owner = ownership.owner(partition)?.owner;
-  return owner !== undefined && ownership.trusts(owner) ? owner : null;
+  return owner !== undefined && ownership.isHealthy(owner) ? owner : null;
 }
 
 /** Returns the portion of the team's quota share in the partition that no task uses. */
-export function unusedQuota({ quotaShares }: ExchangeDependencies, partition: Part, team: string): Usage {
-  const granted = quotaShares.held(partition.id, team);
-  const used = usageOf(partition, team);
+export function unusedQuota({ quotaShares }: ExchangeDependencies, partition: Partition, team: string): Usage {
+  const granted = quotaShares.grantedShare(partition.id, team);
+  const used = usageOfTeam(partition, team);
   return { cpus: granted.cpus - used.cpus, gpus: granted.gpus - used.gpus };
 }
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -5,7 +5,7 @@
 import { selectBid, bidWithMostFreeCapacity, type Bid } from "./choice.js";
 import { Migration } from "./moving.js";
 import { Volunteers } from "./volunteers.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { firstId } from "../peers/ids.js";
 import type { Answer } from "../peers/messages.js";
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
@@ -16,7 +16,7 @@
 /** Bid request that has been sent and not decided. */
 interface PendingBidRequest {
   id: number;
-  partition: Part;
+  partition: Partition;
   taskSet: Unit;
   homeBid: Bid;
   /** Partitions whose bid has not arrived. */
@@ -113,16 +113,16 @@
 
   /** Requests bids for the first waiting job, in queue order, whose expected wait is too long. */
   private requestBidsForWaitingJobs(): void {
-    if (exchangeSettings(this.dependencies).mode === "off" || this.pendingRequest !== null || this.dependencies.leader.silent()) return;
+    if (exchangeSettings(this.dependencies).mode === "off" || this.pendingRequest !== null || this.dependencies.leader.isSilent()) return;
     const now = this.dependencies.scope.clock.now();
-    for (const partition of this.dependencies.leader.parts.values()) {
+    for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.phase !== "serving") continue;
       // Only one bid request is pending at a time, so the most urgent job of a burst must come first.
       const candidates = inOrder(
-        [...partition.units.values()].filter(
+        [...partition.taskSets.values()].filter(
           (taskSet) => (this.isMigratable(taskSet) || this.isSliceable(taskSet)) && now >= (this.nextRequestAt.get(taskSet.key) ?? 0),
         ),
-        this.dependencies.leader.order(),
+        this.dependencies.leader.queueOrder(),
       );
       if (candidates.length === 0) continue;
       const candidateSet = new Set(candidates);
@@ -144,7 +144,7 @@
   }
 
   /** Requests bids for a job from volunteers, or from all other partitions if there are none. Returns whether a request was sent. */
-  private requestBids(partition: Part, taskSet: Unit, waitMs: number): boolean {
+  private requestBids(partition: Partition, taskSet: Unit, waitMs: number): boolean {
     const now = this.dependencies.scope.clock.now();
     const { sigma, mode } = exchangeSettings(this.dependencies);
     this.nextRequestAt.set(taskSet.key, now + sigma * 1000);
@@ -160,7 +160,7 @@
   }
 
   /** Sends a bid request to `targets`; `remainingPartitions` are asked next if no target is better. Returns whether it was sent to any. */
-  private sendBidRequest(partition: Part, taskSet: Unit, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
+  private sendBidRequest(partition: Partition, taskSet: Unit, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
     const id = ++this.lastRequestId;
     const runMs = this.dependencies.leader.history.expectS(taskSet.spec) * 1000;
     this.pendingRequest = {
@@ -204,7 +204,7 @@
     if (request === null || request.id !== id) return;
     this.pendingRequest = null;
     const { partition, taskSet } = request;
-    if (this.dependencies.leader.parts.get(partition.id) !== partition || !(this.isMigratable(taskSet) || this.isSliceable(taskSet)))
+    if (this.dependencies.leader.partitions.get(partition.id) !== partition || !(this.isMigratable(taskSet) || this.isSliceable(taskSet)))
       return;
     const selected = selectBid(request.homeBid, request.bids, exchangeSettings(this.dependencies).epsilon);
     const startsSoon = selected.waitMs < exchangeSettings(this.dependencies).phi * 1000;
--- a/src/exchange/moving.ts
+++ b/src/exchange/moving.ts
@@ -1,6 +1,6 @@
 /** Transactions that move jobs and slices to other partitions. */
 import { fitting, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { tailOf, type Unit } from "../queue/unit.js";
 import type { ExchangeDependencies } from "./around.js";
 
@@ -13,7 +13,7 @@
   ) {}
 
   /** Migrates a whole job. It must not start here until the outcome of the transaction is known. */
-  migrate(partition: Part, taskSet: Unit, target: number): void {
+  migrate(partition: Partition, taskSet: Unit, target: number): void {
     taskSet.leaving = true;
     this.dependencies.scope.log.debug({ part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref }, "migration begun");
     const draft = () => {
@@ -41,7 +41,7 @@
    * Migrates up to `maxTasks` waiting tasks at the end of an array as a slice of their own.
    * Until the outcome of the transaction is known, they are queued in neither partition.
    */
-  migrateSlice(partition: Part, taskSet: Unit, target: number, maxTasks: number): void {
+  migrateSlice(partition: Partition, taskSet: Unit, target: number, maxTasks: number): void {
     const endBefore = taskSet.hi;
     const count = Math.min(tailOf(taskSet, maxTasks), endBefore - 1);
     if (count <= 0) return;
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -1,6 +1,6 @@
 /** Transfers of team quota between partitions. */
 import { keys, type AllotmentRecord } from "../ledger/records.js";
-import { allotted, type Part, type Usage } from "../parts/part.js";
+import { quotaShareOf, type Partition, type Usage } from "../parts/part.js";
 import type { Want } from "../peers/messages.js";
 import type { Shortage } from "../queue/pass.js";
 import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./around.js";
@@ -10,7 +10,7 @@
 
 /** Quota request of another partition that waits for the giving partition's turn. */
 interface PendingQuotaRequest {
-  givingPartition: Part;
+  givingPartition: Partition;
   request: Want;
   /** Granted share of the requesting partition when the request arrived. */
   grantedBefore: Usage;
@@ -32,12 +32,12 @@
 
   /** Sends a request for each shortage that the owned partitions report. */
   start(): void {
-    this.dependencies.scope.listen(this.dependencies.leader.short$, ({ part: partition, team, want: shortage }) =>
+    this.dependencies.scope.listen(this.dependencies.leader.quotaShortage$, ({ partition: partition, team, want: shortage }) =>
       this.requestQuota(partition, team, shortage),
     );
   }
 
-  private requestQuota(partition: Part, team: string, shortage: Shortage): void {
+  private requestQuota(partition: Partition, team: string, shortage: Shortage): void {
     const now = this.dependencies.scope.clock.now();
     const label = `${partition.id}|${team}`;
     if (now < (this.nextRequestAt.get(label) ?? 0)) return;
@@ -60,7 +60,7 @@
 
   /** Schedules the transfer from each owned partition to the requesting one, at the partition's turn. */
   onQuotaRequest(request: Want): void {
-    for (const partition of this.dependencies.leader.parts.values()) {
+    for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.id === request.part || partition.phase !== "serving") continue;
       const label = `${partition.id}|${request.team}|${request.part}`;
       const isWaiting = this.pendingRequests.has(label);
@@ -81,7 +81,7 @@
   }
 
   private grantedShare(partition: number, team: string): Usage {
-    return allotted(this.quotaRecord(team), partition);
+    return quotaShareOf(this.quotaRecord(team), partition);
   }
 
   /** Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. All read the same record. */
@@ -101,9 +101,9 @@
     if (pending === undefined || this.dependencies.scope.closed) return;
     const { givingPartition: partition, request, grantedBefore } = pending;
     // Ownership of the partition may have been lost while the request waited for its turn.
-    if (this.dependencies.leader.parts.get(partition.id) !== partition || partition.phase !== "serving") return;
+    if (this.dependencies.leader.partitions.get(partition.id) !== partition || partition.phase !== "serving") return;
     const remaining = this.remainingRequest(request, grantedBefore);
-    this.dependencies.quotaShares.cede(partition, request.part, request.team, remaining, this.availableQuota(partition, remaining));
+    this.dependencies.quotaShares.transfer(partition, request.part, request.team, remaining, this.availableQuota(partition, remaining));
   }
 
   /** Returns the request reduced by what the requesting partition has been granted since it arrived. */
@@ -122,12 +122,12 @@
   }
 
   /** Returns how much of the team's quota the partition can give. */
-  private availableQuota(partition: Part, { team, nowCpus, nowGpus }: Want): Usage {
+  private availableQuota(partition: Partition, { team, nowCpus, nowGpus }: Want): Usage {
     // Quota for tasks that wait here because of missing capacity is unused as well, so it
     // may go to a partition that has capacity for the team now.
     const unused = unusedQuota(this.dependencies, partition, team);
     const available = { ...unused };
-    for (const taskSet of partition.units.values()) {
+    for (const taskSet of partition.taskSets.values()) {
       if (taskSet.spec.team !== team) continue;
       available.cpus -= taskSet.spec.cpus * taskSet.waiting.length;
       available.gpus -= taskSet.spec.gpus * taskSet.waiting.length;
--- a/src/exchange/volunteers.ts
+++ b/src/exchange/volunteers.ts
@@ -21,7 +21,7 @@
   private announce(): void {
     // Free machines are of no use to other partitions while this process is overloaded.
     if (this.dependencies.overload.sheds("volunteering")) return;
-    for (const partition of this.dependencies.leader.parts.values()) {
+    for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.phase !== "serving") continue;
       const used = utilization(partition);
       if (used >= exchangeSettings(this.dependencies).delta || partition.machines.size === 0) continue;
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -6,7 +6,7 @@
 import type { Rentals } from "../ledger/rentals.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import type { Overload } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import { sleep } from "../platform/clock.js";
@@ -43,8 +43,8 @@
 export const MAX_DELETE_HOSTS = 100;
 
 /** Whether this controller still owns the partition. Must be checked immediately before each cloud call, not before waiting for the rate limit. */
-export function ownsPartition({ leader }: FleetDependencies, partition: Part): boolean {
-  return leader.sure() && leader.parts.get(partition.id) === partition;
+export function ownsPartition({ leader }: FleetDependencies, partition: Partition): boolean {
+  return leader.isSoleOwner() && leader.partitions.get(partition.id) === partition;
 }
 
 /** Waits until this node's rate limit permits a call to the cloud. */
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -1,4 +1,4 @@
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
 
@@ -19,11 +19,11 @@
  * answered the new term and is old enough to be listed, and there must be at least one. A
  * missing entry is a reason to delete the machine, but only the deletion proves that it is gone.
  */
-export function missingFromListing(list: Listing, partition: Part, machine: Machine, settings: Settings): boolean {
+export function missingFromListing(list: Listing, partition: Partition, machine: Machine, settings: Settings): boolean {
   const { cloud, clock_off_ms } = settings.platform.deployment;
   const minAgeMs = cloud.list_lag_s * 1000 * MAX_LIST_LAGS + clock_off_ms + settings.timing.reportMs * SLACK_REPORTS;
   const shouldBeListed = (candidate: Machine): boolean => candidate.hiredAt < list.readAt - minAgeMs;
-  if (list.readAt < partition.since || list.hosts.has(machine.host) || !shouldBeListed(machine)) return false;
+  if (list.readAt < partition.takenOverAt || list.hosts.has(machine.host) || !shouldBeListed(machine)) return false;
   let listed = 0;
   for (const other of partition.machines.values()) {
     if (other.token < partition.term || other.lost || other.deleting || !shouldBeListed(other)) continue;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,6 +1,6 @@
 import type { MachineType, Offer } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { tasksWithin, usageByTeam, type Part, type Usage } from "../parts/part.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
 import { ready, usableSlots, zonesInUse } from "../queue/pass.js";
 import { UnschedulableShapes } from "../queue/unschedulable.js";
 import { inOrder, type LocalOrder } from "../queue/order.js";
@@ -50,7 +50,7 @@
  * machines; the rest is placed on hypothetical machines of the offering that is cheapest per
  * task, and later tasks use the capacity that is left on those.
  */
-export function planHires(partition: Part, context: PlanContext): RentalPlan {
+export function planHires(partition: Partition, context: PlanContext): RentalPlan {
   const toRent = new Map<string, { offer: Offer; count: number }>();
   const needed = new Set<string>();
   const { now } = context;
@@ -64,11 +64,11 @@
     const booting = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !usable.has(machine);
     if (booting) candidateMachines.push({ machine, free: freeRoom(machine) });
   }
-  const usage = usageByTeam(partition);
+  const usage = copyUsageByTeam(partition);
   let hypothetical = 0;
   const unschedulable = new UnschedulableShapes();
   const queue = inOrder(
-    [...partition.units.values()].filter((taskSet) => ready(taskSet, now)),
+    [...partition.taskSets.values()].filter((taskSet) => ready(taskSet, now)),
     context.order,
   );
   for (const taskSet of queue) {
@@ -78,7 +78,7 @@
     let left = Math.min(
       taskSet.waiting.length,
       context.order.atOnce(taskSet),
-      tasksWithin(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus }),
+      tasksThatFit(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus }),
     );
     const isGang = spec.kind === "gang";
     if (left === 0 || (isGang && left < taskSet.waiting.length)) continue;
@@ -151,7 +151,7 @@
 const MAX_ROUNDS = 64;
 
 /** Returns the allowed zone in which the fewest tasks lack capacity; ties go to the cheapest offering. Null: no zone is possible. */
-function bestZone(partition: Part, taskSet: Unit, left: number, candidates: Slot[], context: PlanContext): string | null {
+function bestZone(partition: Partition, taskSet: Unit, left: number, candidates: Slot[], context: PlanContext): string | null {
   const zonesUsed = [...zonesInUse(partition, taskSet).keys()];
   if (zonesUsed.length > 0) return zonesUsed[0]!;
   const capacity = new Map<string, number>();
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -1,5 +1,5 @@
 import { NoReply } from "@thorntrail/protocol/errors";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import type { Machine } from "../workers/machine.js";
 import { MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
 import { missingFromListing, type Listing } from "./listing.js";
@@ -30,12 +30,12 @@
   }
 
   private fencing(): boolean {
-    for (const partition of this.deps.leader.parts.values()) if (partition.phase === "fencing") return true;
+    for (const partition of this.deps.leader.partitions.values()) if (partition.phase === "fencing") return true;
     return false;
   }
 
   /** Whether the newest list reliably shows that the machine is gone. */
-  isMissing(partition: Part, machine: Machine): boolean {
+  isMissing(partition: Partition, machine: Machine): boolean {
     return this.listing !== null && missingFromListing(this.listing, partition, machine, this.deps.settings);
   }
 
@@ -45,7 +45,7 @@
   }
 
   private async reconcile(): Promise<void> {
-    if (!this.deps.replica.loaded || !this.deps.leader.sure() || this.deps.leader.parts.size === 0) return;
+    if (!this.deps.replica.loaded || !this.deps.leader.isSoleOwner() || this.deps.leader.partitions.size === 0) return;
     const lagMs = Math.max(1, this.deps.settings.platform.deployment.cloud.list_lag_s) * 1000;
     const now = this.deps.scope.clock.now();
     let from: string | undefined;
@@ -59,7 +59,7 @@
         for (const listed of page.machines) {
           hosts.add(listed.host);
           const record = this.deps.rentals.get(listed.host);
-          const partition = record === undefined ? undefined : this.deps.leader.parts.get(record.part);
+          const partition = record === undefined ? undefined : this.deps.leader.partitions.get(record.part);
           if (record === undefined) {
             unregistered.add(listed.host);
             const since = this.unregisteredSince.get(listed.host) ?? now;
@@ -80,11 +80,11 @@
       }
       this.listing = { readAt: now, hosts };
       for (const host of this.unregisteredSince.keys()) if (!unregistered.has(host)) this.unregisteredSince.delete(host);
-      if (expired.length > 0 && this.deps.leader.parts.has(Math.min(...this.deps.leader.parts.keys()))) {
+      if (expired.length > 0 && this.deps.leader.partitions.has(Math.min(...this.deps.leader.partitions.keys()))) {
         await this.deps.replica.fresh();
         const toDelete = expired.filter((host) => this.deps.rentals.get(host) === undefined).slice(0, MAX_DELETE_HOSTS);
         await waitForRate(this.deps);
-        if (!this.deps.leader.sure()) return;
+        if (!this.deps.leader.isSoleOwner()) return;
         await this.deps.cloud.remove(toDelete);
         this.deps.stats.unregistered += toDelete.length;
         this.deps.scope.log.info({ hosts: toDelete }, "unregistered machines deleted");
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -1,7 +1,7 @@
 import type { Offer } from "@thorntrail/protocol/cloud";
 import { NoReply } from "@thorntrail/protocol/errors";
 import { keys, rentalRecords, type RentalRecord } from "../ledger/records.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { ownsPartition, waitForRate, type FleetDependencies } from "./dependencies.js";
 import type { OfferingAvailability } from "./offering-availability.js";
 import { MAX_RENTAL_COUNT, planHires, type RentalPlan } from "./plan.js";
@@ -18,7 +18,7 @@
  */
 export class Renter {
   private readonly inProgress = new Set<string>();
-  private readonly plans = new WeakMap<Part, { at: number; plan: RentalPlan }>();
+  private readonly plans = new WeakMap<Partition, { at: number; plan: RentalPlan }>();
   private rentalCount = 0;
   /** The newest rentals whose result has been recorded. Only this incarnation can record rentals of its own terms. */
   private readonly completed = new Set<string>();
@@ -37,8 +37,8 @@
   }
 
   private async rent(): Promise<void> {
-    if (this.deps.leader.silent() || this.deps.leader.types.length === 0) return;
-    for (const partition of [...this.deps.leader.parts.values()]) {
+    if (this.deps.leader.isSilent() || this.deps.leader.types.length === 0) return;
+    for (const partition of [...this.deps.leader.partitions.values()]) {
       // Completes rentals begun earlier by this controller or a former owner before new ones are begun.
       let pending = false;
       for (const [key, record] of this.deps.rentals.begun(partition.id)) {
@@ -57,7 +57,7 @@
   }
 
   /** Returns the partition's rental plan, which renting and returning share. */
-  plan(partition: Part): RentalPlan {
+  plan(partition: Partition): RentalPlan {
     const now = this.deps.scope.clock.now();
     const last = this.plans.get(partition);
     if (last !== undefined && now - last.at < this.deps.settings.timing.reportMs / 6) return last.plan;
@@ -66,14 +66,14 @@
     return plan;
   }
 
-  private makePlan(partition: Part, now: number): RentalPlan {
+  private makePlan(partition: Partition, now: number): RentalPlan {
     return planHires(partition, {
       now,
       silentMs: this.deps.settings.timing.silentMs,
-      order: this.deps.leader.order(),
+      order: this.deps.leader.queueOrder(),
       types: this.deps.leader.types,
       open: (offer) => this.availability.isAvailable(offer),
-      allotment: (team) => this.deps.quotaShares.held(partition.id, team),
+      allotment: (team) => this.deps.quotaShares.grantedShare(partition.id, team),
       soonMs: this.freeSoonMs(),
       leftMs: ({ unit, runningAt }) => {
         const { history } = this.deps.leader;
@@ -100,7 +100,7 @@
   }
 
   /** Records a rental under a new name, then executes it. */
-  private async beginRental(partition: Part, offer: Offer, count: number): Promise<void> {
+  private async beginRental(partition: Partition, offer: Offer, count: number): Promise<void> {
     const name = `${partition.id}.${partition.term}.${++this.rentalCount}`;
     const value: RentalRecord = {
       part: partition.id,
@@ -127,8 +127,8 @@
   }
 
   /** Calls the cloud for a recorded rental and records the result. Does nothing if the rental is already in progress. */
-  private async executeRental(partition: Part, name: string, rental: RentalRecord): Promise<void> {
-    if (this.inProgress.has(name) || this.deps.leader.silent()) return;
+  private async executeRental(partition: Partition, name: string, rental: RentalRecord): Promise<void> {
+    if (this.inProgress.has(name) || this.deps.leader.isSilent()) return;
     this.inProgress.add(name);
     try {
       await waitForRate(this.deps);
@@ -155,7 +155,7 @@
   }
 
   /** Records the hosts of a completed rental, or removes its record if there are none. */
-  private async recordRental(partition: Part, name: string, rental: RentalRecord, hosts: string[]): Promise<void> {
+  private async recordRental(partition: Partition, name: string, rental: RentalRecord, hosts: string[]): Promise<void> {
     const key = keys.rental(name);
     const at = this.deps.scope.clock.wall();
     const outcome = await this.deps.committer.commit(
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -1,6 +1,6 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import { type RentalRecord } from "../ledger/records.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { sleep } from "../platform/clock.js";
 import type { Machine } from "../workers/machine.js";
 import { ownsPartition, MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
@@ -37,7 +37,7 @@
 }
 
 /** Whether `n` machines are few enough to be deleted; with more of them, or in a small partition, this node itself may be unable to reach them. */
-function isDeletableCount(partition: Part, n: number): boolean {
+function isDeletableCount(partition: Partition, n: number): boolean {
   return n <= partition.machines.size * MAX_DELETED_SHARE;
 }
 
@@ -55,7 +55,7 @@
     private readonly availability: OfferingAvailability,
     private readonly renter: Renter,
     /** Whether the newest list reliably shows that the machine is gone. */
-    private readonly isMissing: (partition: Part, machine: Machine) => boolean,
+    private readonly isMissing: (partition: Partition, machine: Machine) => boolean,
   ) {}
 
   start(): void {
@@ -67,7 +67,7 @@
   }
 
   /** Returns why the machine should be returned, or null. */
-  private returnReason(partition: Part, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
+  private returnReason(partition: Partition, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
     const now = this.deps.scope.clock.now();
     const type = this.deps.leader.typeOf(machine.type);
     if (type === undefined || machine.deleting) return null;
@@ -100,21 +100,21 @@
    * small partition one machine already exceeds the share; a single silent one is deleted once
    * others have answered the new term, which shows that this node is not cut off.
    */
-  private blocksFencing(partition: Part, machine: Machine, tally: Tally): boolean {
+  private blocksFencing(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { scope, settings } = this.deps;
-    if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.since < settings.timing.leaseMs / 4) return false;
+    if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.takenOverAt < settings.timing.leaseMs / 4) return false;
     if (isDeletableCount(partition, tally.unfenced)) return true;
     // Returned by the former owner, which could no longer record it, or preempted.
     if (this.isMissing(partition, machine)) return true;
     // By now a silent machine's lease would have expired: this one keeps reporting, but does not receive this controller's
     // answers. It is deleted only if at least as many machines have shown the current term as are unfenced.
     const { silentAfterMs, expiryMs } = settings.timing;
-    if (scope.clock.now() - partition.since > silentAfterMs + expiryMs && tally.answered >= tally.unfenced) return true;
+    if (scope.clock.now() - partition.takenOverAt > silentAfterMs + expiryMs && tally.answered >= tally.unfenced) return true;
     return tally.unfenced === 1 && tally.answered - Number(machine.token >= partition.term) >= MIN_ANSWERS;
   }
 
   /** Counts the partition's machines by state in one pass. */
-  private tally(partition: Part): Tally {
+  private tally(partition: Partition): Tally {
     const tally = { unfenced: 0, answered: 0, late: 0 };
     const { reportMs } = this.deps.settings.timing;
     const now = this.deps.scope.clock.now();
@@ -133,10 +133,10 @@
    * as its reports are late. Of the others, only a few are deleted, only spot machines, and only
    * after more missed reports.
    */
-  private seemsPreempted(partition: Part, machine: Machine, tally: Tally): boolean {
+  private seemsPreempted(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { reportMs } = this.deps.settings.timing;
     const now = this.deps.scope.clock.now();
-    if (!machine.up || machine.heardAt === -Infinity || now - partition.since < reportMs * SILENT_REPORTS) return false;
+    if (!machine.up || machine.heardAt === -Infinity || now - partition.takenOverAt < reportMs * SILENT_REPORTS) return false;
     if (machine.noticeAt !== null) return silentFor(machine, now, reportMs * LATE_REPORTS);
     // Counts all late machines, because a network cut becomes visible in one machine's reports first.
     return machine.spot && silentFor(machine, now, reportMs * SILENT_REPORTS) && isDeletableCount(partition, tally.late);
@@ -150,8 +150,8 @@
   }
 
   private async returnMachines(): Promise<void> {
-    if (!this.deps.leader.sure()) return;
-    for (const partition of [...this.deps.leader.parts.values()]) {
+    if (!this.deps.leader.isSoleOwner()) return;
+    for (const partition of [...this.deps.leader.partitions.values()]) {
       const leaving: Machine[] = [];
       const { needed } = this.renter.plan(partition);
       const tally = this.tally(partition);
@@ -170,9 +170,9 @@
   }
 
   /** Deletes the machines in the cloud, with retries while the partition is owned, then forgets them and updates their rental records. */
-  async remove(partition: Part, machines: Machine[]): Promise<void> {
+  async remove(partition: Partition, machines: Machine[]): Promise<void> {
     for (let failures = 0; ;) {
-      if (this.deps.scope.closed || this.deps.leader.parts.get(partition.id) !== partition) return;
+      if (this.deps.scope.closed || this.deps.leader.partitions.get(partition.id) !== partition) return;
       try {
         await waitForRate(this.deps);
         if (ownsPartition(this.deps, partition)) {
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -185,8 +185,8 @@
       if (job.hi < total) {
         for (const [, { v }] of this.replica.slicesOf(ref)) done += doneOf(v, v.hi - v.lo).count;
       }
-      for (const partition of this.leader.parts.values()) {
-        for (const taskSet of partition.byRef.get(ref) ?? [])
+      for (const partition of this.leader.partitions.values()) {
+        for (const taskSet of partition.taskSetsByJob.get(ref) ?? [])
           for (const placement of taskSet.placed.values()) if (placement.state === "running") running++;
       }
     }
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -60,11 +60,11 @@
    * the one with the fewest machines. Returns null if no partition has an owner.
    */
   choosePartition(): number | null {
-    const ownPartitions = [...this.deps.leader.parts.values()];
+    const ownPartitions = [...this.deps.leader.partitions.values()];
     const leastBy = <T>(list: T[], load: (one: T) => number): T => list.reduce((a, b) => (load(b) < load(a) ? b : a));
     const machines = (id: number): number => this.deps.rentals.count(id);
     if (ownPartitions.length > 0) {
-      const home = leastBy(ownPartitions, (p) => (p.phase === "serving" ? 0 : 1e6) + p.units.size).id;
+      const home = leastBy(ownPartitions, (p) => (p.phase === "serving" ? 0 : 1e6) + p.taskSets.size).id;
       if (machines(home) < this.deps.settings.maxMachines) return home;
     }
     const owned = this.deps.settings.nodes.map((_, id) => id).filter((id) => this.deps.ownership.owner(id) !== undefined);
--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -7,7 +7,7 @@
 import { pieceName, type Placement } from "../queue/unit.js";
 import type { Ended } from "../served/account.js";
 import type { FenceProof, Machine } from "../workers/machine.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /** Rate and burst of the log lines for starts under stale proof of ownership; `staleRestarts` counts all of them. */
 const STALE_START_LINES_PER_SECOND = 5;
@@ -31,7 +31,7 @@
   }
 
   /** Returns the fields that identify the attempt and the term under which it is handled. */
-  private attemptFields(partition: Part, placement: Placement): Record<string, unknown> {
+  private attemptFields(partition: Partition, placement: Placement): Record<string, unknown> {
     return {
       part: partition.id,
       term: partition.term,
@@ -52,7 +52,7 @@
    * `former` is the last attempt of the task that is gone, with its proof. A restart under stale proof of ownership is
    * logged at info level.
    */
-  logOrdered(partition: Part, placement: Placement): void {
+  logOrdered(partition: Partition, placement: Placement): void {
     const former = placement.unit.lastGone.get(placement.task);
     const stale = former !== undefined && this.proofAgeMs() > this.maxFreshMs;
     if (stale) this.staleRestarts++;
@@ -62,7 +62,7 @@
   }
 
   /** Logs an attempt that this owner did not order; `wanted` is whether it may continue. */
-  logAdopted(partition: Part, placement: Placement, wanted: boolean): void {
+  logAdopted(partition: Partition, placement: Placement, wanted: boolean): void {
     if (wanted) {
       if (this.verbose) this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state }, "attempt adopted");
       return;
@@ -76,20 +76,20 @@
   }
 
   /** Logs an attempt that is proven gone, with the way it ended and the proof. */
-  logGone(partition: Part, { placement, end, kept, proof }: Ended): void {
+  logGone(partition: Partition, { placement, end, kept, proof }: Ended): void {
     if (this.verbose)
       this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state, end, kept, proof }, "attempt gone");
   }
 
   /** Logs that a machine counts as fenced, with the proof. */
-  logFenced(partition: Part, machine: Machine, proof: FenceProof): void {
+  logFenced(partition: Partition, machine: Machine, proof: FenceProof): void {
     if (!this.verbose) return;
     const { host, session, token } = machine;
     this.log.debug({ part: partition.id, term: partition.term, host, session, token, proof }, "machine fenced");
   }
 
   /** Logs that the worker is ordered to discard an attempt, whose result is durable or that has none. */
-  logCleared(partition: Part, machine: Machine, piece: string, attempt: number): void {
+  logCleared(partition: Partition, machine: Machine, piece: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
     this.log.debug({ part: partition.id, term: partition.term, piece, attempt, host, session }, "attempt cleared");
--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -8,24 +8,24 @@
  */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
 /** Why a node claims a partition. */
-export type Reason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
+export type ClaimReason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
 /** What a node knows about one partition and about the presence of the other nodes when it decides on a claim. */
 export interface ClaimContext {
   self: string;
-  life: string;
+  incarnation: string;
   home: string;
   record: OwnerRecord | undefined;
   /** Returns whether the node is present, does not report itself unfit, and is not considered gone. */
-  able: (node: string) => boolean;
+  canOwn: (node: string) => boolean;
   alive: (node: string) => boolean;
-  saysUnfit: (node: string) => boolean;
+  reportsUnfit: (node: string) => boolean;
   /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
-  heir: () => string | undefined;
+  successor: () => string | undefined;
   /** The owner's presence key has been missing for the lifetime of a key, so the successor may be unable to claim. */
-  ownerLate: boolean;
+  ownerOverdue: boolean;
   /** This node has been present for the lifetime of a presence key. */
-  settled: boolean;
+  presenceSettled: boolean;
   /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
   /** This node should not own partitions at present. */
@@ -36,23 +36,23 @@
  * Returns why this node should claim the partition now; null if it should not. `home again` returns a partition to its
  * home controller from another healthy owner.
  */
-export function reasonToClaim(context: ClaimContext): Reason | null {
+export function reasonToClaim(context: ClaimContext): ClaimReason | null {
   const { self, record, home } = context;
-  if (record === undefined) return home === self || (context.settled && !context.alive(home)) ? "unowned" : null;
+  if (record === undefined) return home === self || (context.presenceSettled && !context.alive(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
     // A former process of this node owned it. That this one runs proves that the former has ended and answers no more workers.
-    if (record.life !== context.life) return "own former life";
+    if (record.life !== context.incarnation) return "own former life";
     return context.termEnded ? "own ended term" : null;
   }
-  if (context.able(record.owner)) return home === self && context.settled ? "home again" : null;
-  if (context.heir() !== self && !context.ownerLate) return null;
+  if (context.canOwn(record.owner)) return home === self && context.presenceSettled ? "home again" : null;
+  if (context.successor() !== self && !context.ownerOverdue) return null;
   if (!context.alive(record.owner)) return "owner gone";
-  return context.saysUnfit(record.owner) ? "owner cut off" : "owner suspected";
+  return context.reportsUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
 /** Returns whether the reason is the loss of the former owner. */
-export function isLossReason(reason: Reason): reason is LossReason {
+export function isLossReason(reason: ClaimReason): reason is LossReason {
   return reason === "owner gone" || reason === "owner cut off" || reason === "owner suspected";
 }
 
@@ -64,7 +64,7 @@
 export function claimConditions(
   owner: { key: string; stamp: number },
   presence: { key: string; stamp: number } | null,
-  reason: Reason,
+  reason: ClaimReason,
 ): Condition[] {
   const conditions = [{ k: owner.key, stamp: owner.stamp }];
   if (isLossReason(reason) && presence !== null) conditions.push({ k: presence.key, stamp: presence.stamp });
--- a/src/parts/fence-progress.ts
+++ b/src/parts/fence-progress.ts
@@ -1,7 +1,7 @@
 /** Logs what a fence waits for: the machines that have not acknowledged the new term, and the results of contacting them. */
 import type { Log } from "../platform/log.js";
 import type { Machine } from "../workers/machine.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /** Maximum number of machines listed in one line; the line also has the total. */
 const MAX_LISTED_MACHINES = 5;
@@ -9,7 +9,7 @@
 /** Logs the progress of long fences. */
 export class FenceProgress {
   /** Time of the last line, by partition under one term. */
-  private readonly lastLineAt = new WeakMap<Part, number>();
+  private readonly lastLineAt = new WeakMap<Partition, number>();
 
   constructor(
     private readonly log: Log,
@@ -18,8 +18,8 @@
   ) {}
 
   /** Writes a line if `intervalMs` has passed since the last one or since the fence began. */
-  logIfDue(partition: Part, now: number): void {
-    if (now - (this.lastLineAt.get(partition) ?? partition.since) < this.intervalMs) return;
+  logIfDue(partition: Partition, now: number): void {
+    if (now - (this.lastLineAt.get(partition) ?? partition.takenOverAt) < this.intervalMs) return;
     this.lastLineAt.set(partition, now);
     const waiting = [...partition.machines.values()].filter(({ fenced }) => !fenced);
     this.log.info(
@@ -27,7 +27,7 @@
         ...{
           part: partition.id,
           term: partition.term,
-          ms: Math.round(now - partition.since),
+          ms: Math.round(now - partition.takenOverAt),
           unfenced: waiting.length,
           of: partition.machines.size,
         },
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -2,7 +2,7 @@
 import { pieceName, type Placement, type Unit } from "../queue/unit.js";
 import type { Findings } from "../workers/report-intake.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
@@ -19,7 +19,7 @@
   ) {}
 
   /** Applies all findings of one report or one lease check. */
-  apply(partition: Part, findings: Findings): void {
+  apply(partition: Partition, findings: Findings): void {
     for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
     for (const { unit: taskSet, seconds, host } of findings.runs) {
       this.updatePace(partition, taskSet, seconds, host);
@@ -35,11 +35,11 @@
     }
     for (const one of findings.unproven) this.reportInvalidProof(partition, one);
     for (const taskSet of findings.broken) this.stopGang(partition, taskSet);
-    if (findings.changed) this.context.wake();
+    if (findings.changed) this.context.requestSchedulingCycle();
   }
 
   /** Reports an attempt that was about to count as gone by an invalid proof, which is always a defect. The attempt continues to count. */
-  private reportInvalidProof(partition: Part, { placement, proof, flaw }: Findings["unproven"][number]): void {
+  private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
     const { unit: taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
     this.context.scope.invariants.violated("an attempt is gone only by proof under this owner's term", {
@@ -48,12 +48,12 @@
     });
   }
 
-  private recordTaskStart(partition: Part, placement: Placement): void {
+  private recordTaskStart(partition: Partition, placement: Placement): void {
     const { spec, submittedWall, moved } = placement.unit;
     this.context.stats.starts++;
     this.context.account.began(placement);
-    this.recovery.began(partition);
-    this.context.began$.next({ klass: spec.klass, waitS: Math.max(0, this.context.scope.clock.wall() - submittedWall) / 1000 });
+    this.recovery.recordTaskStart(partition);
+    this.context.taskStarted$.next({ klass: spec.klass, waitS: Math.max(0, this.context.scope.clock.wall() - submittedWall) / 1000 });
     this.context.scope.log.debug(
       {
         part: partition.id,
@@ -70,7 +70,7 @@
   }
 
   /** Drains a machine, to be returned once empty, if several tasks took much longer on it than such tasks are expected to. */
-  private updatePace(partition: Part, taskSet: Unit, seconds: number, host: string): void {
+  private updatePace(partition: Partition, taskSet: Unit, seconds: number, host: string): void {
     const machine = partition.machines.get(host);
     // A gang runs as fast as its slowest machine, so its run times say nothing about a single machine.
     if (machine === undefined || taskSet.spec.kind !== "array") return;
@@ -85,12 +85,12 @@
   }
 
   /** Stops the remaining members of a gang that lost one; all must be gone before the gang can start again. */
-  stopGang(partition: Part, taskSet: Unit): void {
+  stopGang(partition: Partition, taskSet: Unit): void {
     for (const placement of taskSet.placed.values()) {
       if (placement.stop !== null) continue;
       placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ part: partition, machine });
+      if (machine !== undefined) this.context.dispatch$.next({ partition: partition, machine });
     }
   }
 }
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -4,7 +4,7 @@
 import type { Report, WorkerApi } from "@thorntrail/protocol/worker";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /**
  * How many of a node's machines report to it: `most`, `few`, or `unsure` if the share lies in between or there are too
@@ -27,11 +27,11 @@
 const MAX_PAUSE_LEASES = 8;
 
 /** Returns how many of the partitions' machines have reported within the last `silentMs`. */
-export function hearing(partitions: Iterable<Part>, now: number, silentMs: number): Reachability {
+export function reachabilityOf(partitions: Iterable<Partition>, now: number, silentMs: number): Reachability {
   let expected = 0;
   let reporting = 0;
   for (const partition of partitions) {
-    if (now - partition.since < silentMs) continue;
+    if (now - partition.takenOverAt < silentMs) continue;
     for (const machine of partition.machines.values()) {
       if (!machine.up || machine.deleting) continue;
       expected++;
@@ -60,7 +60,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly partitions: ReadonlyMap<number, Part>,
+    private readonly partitions: ReadonlyMap<number, Partition>,
     private readonly rentals: Rentals,
     private readonly workers: WorkerApi,
     private readonly hasStateService: () => boolean,
@@ -81,17 +81,17 @@
   }
 
   /** Records what a peer reports about its own machines. */
-  hear(node: string, reported: string): void {
+  notePeerReport(node: string, reported: string): void {
     this.peerReports.set(node, { reachability: reported as Reachability, at: this.scope.clock.now() });
   }
 
   /** Returns how many of this node's machines report to it. */
-  own(): Reachability {
-    return hearing(this.partitions.values(), this.scope.clock.now(), this.settings.timing.silentMs);
+  ownReachability(): Reachability {
+    return reachabilityOf(this.partitions.values(), this.scope.clock.now(), this.settings.timing.silentMs);
   }
 
   private evaluate(): void {
-    if (this.own() !== "few") return;
+    if (this.ownReachability() !== "few") return;
     const now = this.scope.clock.now();
     const { reportMs, leaseMs } = this.settings.timing;
     // Without the state service, other controllers may own those machines by now, which would explain missing reports.
@@ -112,7 +112,7 @@
 
   private async probe(): Promise<void> {
     if (this.scope.clock.now() - this.contactLostAt < this.pauseMs) return;
-    this.goodRounds = (await this.reaches()) ? this.goodRounds + 1 : 0;
+    this.goodRounds = (await this.canReachMachines()) ? this.goodRounds + 1 : 0;
     if (this.goodRounds < REQUIRED_GOOD_ROUNDS) return;
     this.unfit = false;
     this.scope.log.info({ ms: Math.round(this.scope.clock.now() - this.contactLostAt) }, "workers can be reached again");
@@ -122,7 +122,7 @@
    * Returns whether machines answer this node, of all partitions or of the given one. The probe is a command with the
    * lowest token and no orders, which changes nothing whichever controller owns the machine.
    */
-  async reaches(partition?: number): Promise<boolean> {
+  async canReachMachines(partition?: number): Promise<boolean> {
     const registered = [...this.rentals.all()].filter(
       (machine) => machine.addr !== null && (partition === undefined || machine.part === partition),
     );
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -106,12 +106,12 @@
   }
 
   /** Returns whether the job lies within its team's guarantee. */
-  within(ref: string): boolean {
+  isGuaranteed(ref: string): boolean {
     return this.granted.has(ref);
   }
 
   /** Records the usage reported by a peer. */
-  hear(node: string, use: TeamUsage[]): void {
+  noteReport(node: string, use: TeamUsage[]): void {
     this.reportsByNode.set(node, { use, at: this.scope.clock.now() });
     this.remoteUsageCache = null;
   }
@@ -124,13 +124,13 @@
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(aimS(this.settings.platform, "guarantee", undefined)))
-      return { job: (spec) => this.within(spec.ref), team: () => false };
+      return { job: (spec) => this.isGuaranteed(spec.ref), team: () => false };
     const owed = teamsBelowGuarantee(this.teams, this.totalUsage(own));
     return { job: () => false, team: (spec) => owed.has(spec.team) };
   }
 
   /** Returns what teams use beyond their guarantees; `own` is the usage of this node's partitions. */
-  excess(own: TeamUsage[]): Map<string, Usage> {
+  excessUsage(own: TeamUsage[]): Map<string, Usage> {
     const total = this.totalUsage(own);
     const beyond = new Map<string, Usage>();
     for (const { name, cpus, gpus } of this.teams) {
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -9,7 +9,7 @@
 import type { Account } from "../served/account.js";
 import type { Audit } from "./audit.js";
 import type { NewerToken } from "./ended-terms.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 import type { StartGuard } from "./start-guard.js";
 
 /** Counters since the start of this process; `fencedMs` is the duration of the last fence. */
@@ -27,7 +27,7 @@
   readonly settings: Settings;
   readonly scope: Scope;
   /** Owned partitions by id. */
-  readonly parts: Map<number, Part>;
+  readonly partitions: Map<number, Partition>;
   readonly history: RunHistory;
   readonly types: MachineType[];
   typeOf(name: string): MachineType | undefined;
@@ -35,11 +35,11 @@
   /** Outcomes of the attempts in owned partitions, by class. */
   readonly account: Account;
   /** Emits machines that have orders to be sent without waiting for their next report. */
-  readonly dispatch$: Subject<{ part: Part; machine: Machine }>;
+  readonly dispatch$: Subject<{ partition: Partition; machine: Machine }>;
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
-  readonly short$: Subject<{ part: Part; team: string; want: Shortage }>;
+  readonly quotaShortage$: Subject<{ partition: Partition; team: string; want: Shortage }>;
   /** Emits each task that starts to run, with the time since its submission in seconds. */
-  readonly began$: Subject<{ klass: string; waitS: number }>;
+  readonly taskStarted$: Subject<{ klass: string; waitS: number }>;
   readonly audit: Audit;
   readonly startGuard: StartGuard;
   /** The steady clock, in ms. */
@@ -49,12 +49,12 @@
   /** Reads the state service, so that `provenAt` is no older than this call. Rejects with `NoReply`. */
   proveOwnership(): Promise<void>;
   /** Returns whether workers must not be answered because cancellations or takeovers may be unknown here. */
-  silent(): boolean;
+  isSilent(): boolean;
   /**
    * Ends the partition's term at once because a worker reported a newer owner's token. Returns false if tokens of this
    * worker are not accepted as evidence.
    */
-  supersede(partition: Part, seen: NewerToken): boolean;
+  endSupersededTerm(partition: Partition, seen: NewerToken): boolean;
   /** Requests a scheduling cycle. */
-  wake(): void;
+  requestSchedulingCycle(): void;
 }
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -23,7 +23,7 @@
 import type { Guarantees, TeamUsage } from "./guarantees.js";
 import type { LeaderStats, LeaderContext } from "./leader-context.js";
 import { OwnedPartitions } from "./owned-partitions.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 import { Scheduler } from "./scheduler.js";
 import { Progress } from "./progress.js";
 import { Recovery } from "./recovery.js";
@@ -37,14 +37,14 @@
  * expiry and scheduling, and is their interface to the rest of the controller.
  */
 export class Leader implements LeaderContext {
-  readonly parts = new Map<number, Part>();
+  readonly partitions = new Map<number, Partition>();
   readonly history: RunHistory;
   /** Emits machines that have orders to be sent without waiting for their next report. */
-  readonly dispatch$ = new Subject<{ part: Part; machine: Machine }>();
+  readonly dispatch$ = new Subject<{ partition: Partition; machine: Machine }>();
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
-  readonly short$ = new Subject<{ part: Part; team: string; want: Shortage }>();
+  readonly quotaShortage$ = new Subject<{ partition: Partition; team: string; want: Shortage }>();
   /** Emits each task that starts to run, with the time since its submission in seconds. */
-  readonly began$ = new Subject<{ klass: string; waitS: number }>();
+  readonly taskStarted$ = new Subject<{ klass: string; waitS: number }>();
   types: MachineType[] = [];
   readonly recovery = new Recovery(this);
   private readonly leaseWatch: LeaseWatch;
@@ -93,7 +93,7 @@
       "summary",
       () => this.settings.operators.exchange.sigma * 1000,
       () => {
-        for (const partition of this.parts.values()) summarize(this, this.quotaShares, partition);
+        for (const partition of this.partitions.values()) summarize(this, this.quotaShares, partition);
       },
     );
     this.scope.routine(
@@ -101,7 +101,7 @@
       () => this.settings.timing.reportMs / 5,
       () => {
         this.logSilenceChange();
-        this.scope.costs.spend("watch", () => this.leaseWatch.look());
+        this.scope.costs.spend("watch", () => this.leaseWatch.check());
       },
     );
   }
@@ -124,16 +124,16 @@
    * partition may have been lost does not count: this node would take machines that a new owner keeps alive for lost
    * and return them.
    */
-  silent(): boolean {
+  isSilent(): boolean {
     return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.provenAt < this.stallEndedAt;
   }
 
   /** Logs the begin and end of the time in which this node answers no worker and orders nothing. */
   private logSilenceChange(): void {
-    const silent = this.silent();
-    if (silent === this.wasSilent || this.parts.size === 0) return;
+    const silent = this.isSilent();
+    if (silent === this.wasSilent || this.partitions.size === 0) return;
     this.wasSilent = silent;
-    const terms = Object.fromEntries([...this.parts.values()].map(({ id, term }) => [id, term]));
+    const terms = Object.fromEntries([...this.partitions.values()].map(({ id, term }) => [id, term]));
     const readAgoMs = Math.round(Math.min(this.mirror.ageMs(), Number.MAX_SAFE_INTEGER));
     this.scope.log.info(
       { terms, readAgoMs, silentAfterMs: Math.round(this.settings.timing.silentAfterMs) },
@@ -146,8 +146,8 @@
    * longer than the time since. After that, machines that do not report here may report to a new owner, and returning
    * them as lost or idle would end everything that runs on them.
    */
-  sure(): boolean {
-    return !this.silent() && this.mirror.ageMs() < this.settings.timing.presenceMs / 2;
+  isSoleOwner(): boolean {
+    return !this.isSilent() && this.mirror.ageMs() < this.settings.timing.presenceMs / 2;
   }
 
   /**
@@ -155,13 +155,13 @@
    * it, and run times measured across it are not used for estimates. Leases are not extended, as workers' clocks kept
    * running.
    */
-  stoodStill(ms: number): void {
+  onStall(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
       this.stallEndedAt = this.now;
       void this.mirror.fresh().catch(() => undefined);
     }
-    for (const partition of this.parts.values()) {
-      partition.since += ms;
+    for (const partition of this.partitions.values()) {
+      partition.takenOverAt += ms;
       for (const machine of partition.machines.values()) {
         machine.heardAt += ms;
         machine.reportedAt += ms;
@@ -173,11 +173,11 @@
   }
 
   /** Removes a machine that the cloud has confirmed as deleted, with all attempts on it. */
-  forgetMachine(partition: Part, machine: Machine): void {
+  forgetMachine(partition: Partition, machine: Machine): void {
     this.ownedPartitions.forgetMachine(partition, machine);
   }
 
-  supersede(partition: Part, seen: NewerToken): boolean {
+  endSupersededTerm(partition: Partition, seen: NewerToken): boolean {
     return this.ownedPartitions.endSupersededTerm(partition, seen);
   }
 
@@ -208,7 +208,7 @@
   /** Sets the machine types offered by the cloud and updates the capacity of the machines. */
   setTypes(types: MachineType[]): void {
     this.types = types;
-    for (const partition of this.parts.values()) {
+    for (const partition of this.partitions.values()) {
       for (const machine of partition.machines.values()) {
         const type = this.typeOf(machine.type);
         if (type !== undefined) machine.capacity = { cpus: type.cpus, gpus: type.gpus, ram: type.ram };
@@ -230,7 +230,7 @@
   }
 
   /** Handles the report in a worker's reply to a direct command. */
-  onCommandReply(partition: Part, machine: Machine, report: Report): void {
+  onCommandReply(partition: Partition, machine: Machine, report: Report): void {
     this.reportHandler.onCommandReply(partition, machine, report);
   }
 
@@ -240,17 +240,17 @@
   }
 
   /** Requests a scheduling cycle; requests within the gap between cycles share one. */
-  wake(): void {
+  requestSchedulingCycle(): void {
     this.scheduler.requestCycle();
   }
 
   /** Returns the order of the queues under the present shares and guarantees. */
-  order(): LocalOrder {
+  queueOrder(): LocalOrder {
     return this.scheduler.queueOrder();
   }
 
   /** Returns the resource usage by team over all owned partitions. */
-  use(): TeamUsage[] {
+  usageByTeam(): TeamUsage[] {
     return this.scheduler.usageByTeam();
   }
 
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -8,14 +8,14 @@
 import type { FindingEffects } from "./finding-effects.js";
 import { FenceProgress } from "./fence-progress.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
 /** Checks leases, fences and machines to be evacuated, and applies what follows. */
 export class LeaseWatch {
   /** A machine of a partition in the `fencing` phase that was not fenced at the last check. */
-  private readonly unfencedMachine = new WeakMap<Part, string>();
+  private readonly unfencedMachine = new WeakMap<Partition, string>();
   private readonly fenceProgress: FenceProgress;
   /** Number of machines, at the last check, whose lease has expired by the clock but may have been renewed by a new owner. */
   unprovenLeases = 0;
@@ -33,26 +33,26 @@
   }
 
   /** Checks all owned partitions and requests a scheduling cycle. */
-  look(): void {
+  check(): void {
     const { expiryMs } = this.context.settings.timing;
     const { now, provenAt } = this.context;
     let unproven = 0;
-    for (const partition of this.context.parts.values()) {
+    for (const partition of this.context.partitions.values()) {
       for (const machine of partition.machines.values()) {
         if (!machine.lost && leaseOver(machine, now, expiryMs)) {
           if (leaseOver(machine, provenAt, expiryMs)) this.markLost(partition, machine);
           else unproven++;
         }
         if (partition.phase === "serving" && (machine.noticeAt !== null || machine.draining)) this.evacuate(partition, machine);
-        if (!machine.fenced && !machine.lost && partition.phase === "fencing") this.context.dispatch$.next({ part: partition, machine });
+        if (!machine.fenced && !machine.lost && partition.phase === "fencing") this.context.dispatch$.next({ partition: partition, machine });
       }
       if (partition.phase === "fencing") this.checkFence(partition);
       if (partition.phase === "fencing") this.fenceProgress.logIfDue(partition, now);
-      this.recovery.look(partition);
+      this.recovery.checkCompletion(partition);
     }
     this.unprovenLeases = unproven;
     if (unproven > 0) void this.proveAndCheck();
-    this.context.wake();
+    this.context.requestSchedulingCycle();
   }
 
   /**
@@ -71,11 +71,11 @@
     } finally {
       this.proving = false;
     }
-    if (!this.context.scope.closed) this.look();
+    if (!this.context.scope.closed) this.check();
   }
 
   /** Marks a machine as lost: no owner can have renewed its lease before it expired, so its tasks are gone. */
-  private markLost(partition: Part, machine: Machine): void {
+  private markLost(partition: Partition, machine: Machine): void {
     const { now, provenAt, scope, settings } = this.context;
     const { expiryMs } = settings.timing;
     const { host, session, answeredAt } = machine;
@@ -95,7 +95,7 @@
   }
 
   /** Ends the `fencing` phase of the partition once all its machines are fenced. */
-  checkFence(partition: Part): void {
+  checkFence(partition: Partition): void {
     // The machine found unfenced last usually still is; checking it first avoids a scan of all machines per report.
     if (partition.machines.get(this.unfencedMachine.get(partition) ?? "")?.fenced === false) return;
     for (const machine of partition.machines.values()) {
@@ -104,31 +104,31 @@
       return;
     }
     partition.phase = "serving";
-    this.recovery.fenced(partition, this.unfencedMachine.get(partition) ?? null);
-    this.context.stats.fencedMs = Math.round(this.context.now - partition.since);
+    this.recovery.recordFenced(partition, this.unfencedMachine.get(partition) ?? null);
+    this.context.stats.fencedMs = Math.round(this.context.now - partition.takenOverAt);
     this.context.scope.log.info(
       {
         part: partition.id,
         term: partition.term,
-        ms: Math.round(this.context.now - partition.since),
+        ms: Math.round(this.context.now - partition.takenOverAt),
         machines: partition.machines.size,
         fencedBy: partition.fencedBy,
       },
       "all machines accounted for; placing",
     );
     // An incomplete gang cannot be completed by new attempts of single members, so its remaining members are stopped.
-    for (const taskSet of partition.units.values()) {
+    for (const taskSet of partition.taskSets.values()) {
       if (isBrokenGang(taskSet)) this.effects.stopGang(partition, taskSet);
       if (taskSet.done.count > 0) this.progress.record(partition, taskSet);
     }
-    this.context.wake();
+    this.context.requestSchedulingCycle();
   }
 
   /**
    * Stops service replicas on a machine that drains or has notice of its end, and, while there is still time to save, the
    * tasks that can save a checkpoint. Tasks that would finish before the machine ends, or that cannot save, continue.
    */
-  private evacuate(partition: Part, machine: Machine): void {
+  private evacuate(partition: Partition, machine: Machine): void {
     const { reportMs } = this.context.settings.timing;
     const leftMs = machine.noticeAt === null ? Infinity : machine.noticeAt - this.context.now;
     for (const placement of machine.placements.values()) {
@@ -147,7 +147,7 @@
         const machineOfMember = partition.machines.get(member.host);
         if (member.stop !== null || machineOfMember === undefined) continue;
         member.stop = { graceS: spec.flushS };
-        this.context.dispatch$.next({ part: partition, machine: machineOfMember });
+        this.context.dispatch$.next({ partition: partition, machine: machineOfMember });
       }
     }
   }
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -5,7 +5,7 @@
 import type { Rentals } from "../ledger/rentals.js";
 import type { Machine } from "../workers/machine.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /** Records machines as up in their rental records; a machine receives work only after that. */
 export class MachineStartup {
@@ -20,7 +20,7 @@
   ) {}
 
   /** Records all machines of the rental that have come up, in one write. */
-  record(partition: Part, machine: Machine): void {
+  record(partition: Partition, machine: Machine): void {
     const key = this.rentals.get(machine.host)?.key;
     if (key === undefined || machine.addr === null || this.pending.has(key)) return;
     this.pending.add(key);
@@ -55,8 +55,8 @@
       const hosts = this.mirror.get<RentalRecord>(key)?.v.hosts ?? {};
       const remaining = Object.entries(hosts).find(([host, addr]) => addr === "" && reportedAddress(host) !== null);
       const next = remaining === undefined ? undefined : partition.machines.get(remaining[0]);
-      if (next !== undefined && this.context.parts.get(partition.id) === partition) this.record(partition, next);
-      this.context.wake();
+      if (next !== undefined && this.context.partitions.get(partition.id) === partition) this.record(partition, next);
+      this.context.requestSchedulingCycle();
     });
   }
 }
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -12,7 +12,7 @@
 import type { FindingEffects } from "./finding-effects.js";
 import { EndedTerms, type NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
-import { addMachine, addUnit, newPart, removeTaskSet, type Part } from "./part.js";
+import { addMachine, addTaskSet, newPartition, removeTaskSet, type Partition } from "./part.js";
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
@@ -44,9 +44,9 @@
       this.reconcileSlices(ref);
     });
     this.context.scope.listen(this.needs.lifted$, (ref) => {
-      for (const partition of this.context.parts.values())
-        for (const taskSet of partition.byRef.get(ref) ?? []) taskSet.urgency = this.needs.urgency(ref);
-      this.context.wake();
+      for (const partition of this.context.partitions.values())
+        for (const taskSet of partition.taskSetsByJob.get(ref) ?? []) taskSet.urgency = this.needs.urgency(ref);
+      this.context.requestSchedulingCycle();
     });
   }
 
@@ -57,22 +57,22 @@
     }
     if (key.startsWith(keys.owners)) this.reconcileOwner(Number(key.slice(keys.owners.length)));
     else if (key.startsWith(keys.jobs) || key.startsWith(keys.slices)) this.reconcileWork(key);
-    else if (key.startsWith(keys.allotments)) this.context.wake();
+    else if (key.startsWith(keys.allotments)) this.context.requestSchedulingCycle();
   }
 
   /** Gives up the partition if its record names another owner or term, and starts a takeover if it names this process. */
   private reconcileOwner(id: number): void {
     const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
-    const current = this.context.parts.get(id);
+    const current = this.context.partitions.get(id);
     const isOwner = entry !== undefined && entry.v.owner === this.context.settings.self && entry.v.life === this.incarnation;
     if (current !== undefined && (!isOwner || current.term !== entry.stamp)) {
-      this.context.parts.delete(id);
+      this.context.partitions.delete(id);
       this.context.scope.log.info(
         { part: id, term: current.term, now: entry?.v.owner, nowTerm: entry?.stamp, readAgoMs: Math.round(this.mirror.ageMs()) },
         "part lost",
       );
     }
-    if (isOwner && !this.context.parts.has(id) && !this.endedTerms.hasEnded(id, entry.stamp)) void this.takeOverAfterRead(id, entry.stamp);
+    if (isOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, entry.stamp)) void this.takeOverAfterRead(id, entry.stamp);
   }
 
   /**
@@ -81,10 +81,10 @@
    * or concluded under this term. If the record still names this node, `Ownership` claims it again under another term.
    * Returns false, and changes nothing, if tokens of this worker are not accepted as evidence.
    */
-  endSupersededTerm(partition: Part, seen: NewerToken): boolean {
-    if (this.context.parts.get(partition.id) !== partition) return true;
+  endSupersededTerm(partition: Partition, seen: NewerToken): boolean {
+    if (this.context.partitions.get(partition.id) !== partition) return true;
     if (!this.endedTerms.acceptsTokensOf(seen.host)) return false;
-    this.context.parts.delete(partition.id);
+    this.context.partitions.delete(partition.id);
     this.endedTerms.recordEnd(partition.id, partition.term, seen);
     this.context.stats.superseded++;
     this.context.scope.log.warn(
@@ -115,29 +115,29 @@
     this.takingOver.delete(claim);
     const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
     const stillOwner = entry?.stamp === term && entry.v.life === this.incarnation;
-    if (stillOwner && !this.context.parts.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
+    if (stillOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
   }
 
   /** Builds the partition from the records and begins to fence its machines. */
   private takeOver(id: number, term: number): void {
-    const partition = newPart(id, term, this.context.now);
-    this.context.parts.set(id, partition);
+    const partition = newPartition(id, term, this.context.now);
+    this.context.partitions.set(id, partition);
     this.context.stats.takeovers++;
     for (const { host, part: of } of this.rentals.all()) if (of === id) this.reconcileMachine(host);
     for (const key of this.mirror.openJobs().keys()) this.reconcileWork(key);
     for (const key of this.mirror.rows(keys.slices).keys()) this.reconcileWork(key);
     const readAgoMs = Math.round(this.mirror.ageMs());
     this.context.scope.log.info(
-      { part: id, term, life: this.incarnation, readAgoMs, machines: partition.machines.size, queue: partition.units.size },
+      { part: id, term, life: this.incarnation, readAgoMs, machines: partition.machines.size, queue: partition.taskSets.size },
       "leading; fencing machines",
     );
-    this.leaseWatch.look();
+    this.leaseWatch.check();
   }
 
   /** Adds, updates or removes a machine in the owned partitions according to its rental record. */
   private reconcileMachine(host: string): void {
     const entry = this.rentals.get(host);
-    for (const partition of this.context.parts.values()) {
+    for (const partition of this.context.partitions.values()) {
       const machine = partition.machines.get(host);
       if (entry === undefined || entry.part !== partition.id) {
         if (machine !== undefined) {
@@ -167,11 +167,11 @@
       if (added.up) added.reportedAt = this.context.now;
       addMachine(partition, added);
     }
-    this.context.wake();
+    this.context.requestSchedulingCycle();
   }
 
   /** Removes a machine that the cloud has deleted, with all attempts on it. */
-  forgetMachine(partition: Part, machine: Machine): void {
+  forgetMachine(partition: Partition, machine: Machine): void {
     const findings = newFindings();
     dropAll({ part: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
     fence(partition, machine, "deleted", findings.fenced);
@@ -188,8 +188,8 @@
     const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
     if (job === undefined) return;
     if (isJob && job.end !== undefined) {
-      for (const partition of this.context.parts.values())
-        for (const taskSet of [...(partition.byRef.get(ref) ?? [])]) this.endTaskSet(partition, taskSet);
+      for (const partition of this.context.partitions.values())
+        for (const taskSet of [...(partition.taskSetsByJob.get(ref) ?? [])]) this.endTaskSet(partition, taskSet);
       return;
     }
     if (job.end !== undefined) return;
@@ -202,8 +202,8 @@
     }
     const partitionId = partOf(entry.v);
     const lo = isJob ? 0 : (entry.v as SliceRecord).lo;
-    for (const partition of this.context.parts.values()) {
-      const taskSet = partition.units.get(key);
+    for (const partition of this.context.partitions.values()) {
+      const taskSet = partition.taskSets.get(key);
       if (partitionId !== partition.id) {
         if (taskSet !== undefined && taskSet.placed.size === 0) removeTaskSet(partition, taskSet);
         continue;
@@ -217,14 +217,14 @@
         const added = newUnit(key, job.spec, lo, entry.v.hi, bits, this.needs.sinceWall(job), this.context.now);
         added.urgency = this.needs.urgency(ref);
         added.moved = entry.v.moved === true;
-        addUnit(partition, added);
-        this.context.wake();
+        addTaskSet(partition, added);
+        this.context.requestSchedulingCycle();
       }
     }
     // A slice changed, perhaps to complete: the owner of the first slice may now record the job as done.
     if (!isJob) {
-      const partition = this.context.parts.get(partOf(job));
-      const first = partition?.units.get(keys.job(ref));
+      const partition = this.context.partitions.get(partOf(job));
+      const first = partition?.taskSets.get(keys.job(ref));
       if (partition !== undefined && first !== undefined && first.done.full) this.progress.record(partition, first);
     }
   }
@@ -234,15 +234,15 @@
   }
 
   /** Stops the attempts of a job that ended and removes its task set from the queue. */
-  private endTaskSet(partition: Part, taskSet: Unit): void {
+  private endTaskSet(partition: Partition, taskSet: Unit): void {
     taskSet.ended = true;
     clearBlame(partition, taskSet);
     for (const placement of taskSet.placed.values()) {
       if (!taskSet.done.has(placement.task)) placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ part: partition, machine });
+      if (machine !== undefined) this.context.dispatch$.next({ partition: partition, machine });
     }
     removeTaskSet(partition, taskSet);
-    this.context.wake();
+    this.context.requestSchedulingCycle();
   }
 }
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -6,12 +6,12 @@
 import type { Presence } from "../membership/presence.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { claimConditions, isLossReason, reasonToClaim, type Reason } from "./claims.js";
+import { claimConditions, isLossReason, reasonToClaim, type ClaimReason } from "./claims.js";
 
 /** Dependencies of `Ownership`. */
 export interface OwnershipDependencies {
   settings: Settings;
-  life: string;
+  incarnation: string;
   presence: Presence;
   detector: Detector;
   mirror: Mirror;
@@ -21,11 +21,11 @@
    * Called after a successful claim with its reason; `silentMs` is how long the former owner had been
    * missing, null if it was present or there was none.
    */
-  taken: (partition: number, term: number, reason: string, silentMs: number | null) => void;
+  onTaken: (partition: number, term: number, reason: string, silentMs: number | null) => void;
   /** Returns whether this process ended the term itself because a worker reported a newer owner's token. */
   termEnded: (partition: number, term: number) => boolean;
   /** Returns whether the partition's machines answer this node. */
-  reaches: (partition: number) => Promise<boolean>;
+  canReachMachines: (partition: number) => Promise<boolean>;
 }
 
 /**
@@ -54,7 +54,7 @@
   }
 
   /** Returns whether the node is present and not suspected, so that jobs may migrate to it and requests may be sent to it. */
-  trusts(node: string): boolean {
+  isHealthy(node: string): boolean {
     return this.alive(node) && this.dependencies.detector.standing(node) === "sound";
   }
 
@@ -89,15 +89,15 @@
       const record = entry?.v;
       const reason = reasonToClaim({
         self,
-        life: this.dependencies.life,
+        incarnation: this.dependencies.incarnation,
         home,
         record,
-        able: (node) => this.canOwn(node),
+        canOwn: (node) => this.canOwn(node),
         alive: (node) => presence.alive(node),
-        saysUnfit: (node) => presence.saysUnfit(node),
-        heir: () => this.successor(partition),
-        ownerLate: record !== undefined && (presence.missingMs(record.owner) ?? 0) > settings.timing.presenceMs,
-        settled: presence.settled(),
+        reportsUnfit: (node) => presence.saysUnfit(node),
+        successor: () => this.successor(partition),
+        ownerOverdue: record !== undefined && (presence.missingMs(record.owner) ?? 0) > settings.timing.presenceMs,
+        presenceSettled: presence.settled(),
         termEnded: entry !== undefined && this.dependencies.termEnded(partition, entry.stamp),
         unfit,
       });
@@ -115,7 +115,7 @@
     this.returningHome.add(partition);
     let reached = false;
     try {
-      reached = await this.dependencies.reaches(partition);
+      reached = await this.dependencies.canReachMachines(partition);
     } finally {
       this.returningHome.delete(partition);
     }
@@ -144,7 +144,7 @@
     return candidates.sort((a, b) => this.partitionsOf(a).length - this.partitionsOf(b).length || (a < b ? -1 : 1))[0];
   }
 
-  private claim(partition: number, reason: Reason): void {
+  private claim(partition: number, reason: ClaimReason): void {
     if (this.claiming.has(partition)) return;
     this.claiming.add(partition);
     const key = keys.owner(partition);
@@ -160,7 +160,7 @@
       conditions.push({ k: keys.configuration, stamp: this.dependencies.mirror.stamp(keys.configuration) });
       return {
         conditions,
-        apply: [{ write: key, v: { owner: this.dependencies.settings.self, life: this.dependencies.life } satisfies OwnerRecord }],
+        apply: [{ write: key, v: { owner: this.dependencies.settings.self, life: this.dependencies.incarnation } satisfies OwnerRecord }],
       };
     };
     // A transaction of its own: the stamp becomes the term, and two partitions claimed in one transaction would share
@@ -172,13 +172,13 @@
         if (outcome !== "done") return;
         const term = this.dependencies.mirror.stamp(key);
         const missing = recorded === undefined ? null : this.dependencies.presence.missingMs(recorded.v.owner);
-        this.dependencies.taken(partition, term, reason, missing === null ? null : Math.round(missing));
+        this.dependencies.onTaken(partition, term, reason, missing === null ? null : Math.round(missing));
         this.dependencies.scope.log.info(
           {
             part: partition,
             reason,
             term,
-            life: this.dependencies.life,
+            life: this.dependencies.incarnation,
             former: recorded?.v.owner,
             formerTerm: recorded?.stamp,
             readAgoMs: Math.round(this.dependencies.mirror.ageMs()),
--- a/src/parts/part.ts
+++ b/src/parts/part.ts
@@ -9,16 +9,16 @@
  * State that the owner of a partition keeps about it: machines, queue and resource usage. It is rebuilt from the
  * state service's records and from workers' reports at the start of each term.
  */
-export interface Part {
+export interface Partition {
   id: number;
   term: number;
   /** `fencing`: no task starts, no task set migrates and no quota is transferred until every machine is fenced. */
   phase: "fencing" | "serving";
   /** Start of the term on the controller's steady clock, in ms; later by the length of each stall of this process. */
-  since: number;
+  takenOverAt: number;
   machines: Map<string, Machine>;
-  units: Map<string, Unit>;
-  byRef: Map<string, Set<Unit>>;
+  taskSets: Map<string, Unit>;
+  taskSetsByJob: Map<string, Set<Unit>>;
   /** Every attempt that may be running on one of the partition's machines. */
   attempts: AttemptRegistry<Placement>;
   /** Number of attempt numbers assigned in this term, modulo `ATTEMPTS_PER_TERM`. */
@@ -33,15 +33,15 @@
 export type { Usage };
 
 /** Creates an empty partition in the `fencing` phase. `now` is the controller's steady clock in ms. */
-export function newPart(id: number, term: number, now: number): Part {
+export function newPartition(id: number, term: number, now: number): Partition {
   return {
     id,
     term,
     phase: "fencing",
-    since: now,
+    takenOverAt: now,
     machines: new Map(),
-    units: new Map(),
-    byRef: new Map(),
+    taskSets: new Map(),
+    taskSetsByJob: new Map(),
     attempts: new AttemptRegistry(),
     attemptCounter: 0,
     fencedBy: { token: 0, lease: 0, unused: 0, deleted: 0 },
@@ -53,13 +53,13 @@
 const ATTEMPTS_PER_TERM = 2 ** 20;
 
 /** Returns the next attempt number. Terms are unique over all partitions and increase, so attempt numbers do too. */
-export function nextAttempt(partition: Part): number {
+export function nextAttemptNumber(partition: Partition): number {
   partition.attemptCounter = (partition.attemptCounter + 1) % ATTEMPTS_PER_TERM;
   return partition.term * ATTEMPTS_PER_TERM + partition.attemptCounter;
 }
 
 /** Adds a machine and counts its resource usage and attempts towards those of the partition. */
-export function addMachine(partition: Part, machine: Machine): void {
+export function addMachine(partition: Partition, machine: Machine): void {
   machine.teamUsage = partition.usage;
   machine.attempts = partition.attempts;
   partition.machines.set(machine.host, machine);
@@ -69,48 +69,48 @@
  * Adds a task set to the queue. Tasks of which an attempt was already seen on a machine are withheld, so that they do
  * not start a second time.
  */
-export function addUnit(partition: Part, taskSet: Unit): void {
+export function addTaskSet(partition: Partition, taskSet: Unit): void {
   taskSet.attempts = partition.attempts;
   for (const number of partition.attempts.tasksOf(taskSet.spec.ref)) withhold(taskSet, number - taskSet.lo);
-  partition.units.set(taskSet.key, taskSet);
-  const same = partition.byRef.get(taskSet.spec.ref);
-  if (same === undefined) partition.byRef.set(taskSet.spec.ref, new Set([taskSet]));
+  partition.taskSets.set(taskSet.key, taskSet);
+  const same = partition.taskSetsByJob.get(taskSet.spec.ref);
+  if (same === undefined) partition.taskSetsByJob.set(taskSet.spec.ref, new Set([taskSet]));
   else same.add(taskSet);
 }
 
 /** Finds the task set in this partition that contains a task of a job, and the task's index in it; null if there is none. */
-export function findUnit(partition: Part, ref: string, number: number): { unit: Unit; task: number } | null {
-  for (const taskSet of partition.byRef.get(ref) ?? [])
+export function findTaskSet(partition: Partition, ref: string, number: number): { unit: Unit; task: number } | null {
+  for (const taskSet of partition.taskSetsByJob.get(ref) ?? [])
     if (number >= taskSet.lo && number < taskSet.hi) return { unit: taskSet, task: number - taskSet.lo };
   return null;
 }
 
 /** Removes a task set from the queue and from the index by job. */
-export function removeTaskSet(partition: Part, taskSet: Unit): void {
-  partition.units.delete(taskSet.key);
-  const same = partition.byRef.get(taskSet.spec.ref);
+export function removeTaskSet(partition: Partition, taskSet: Unit): void {
+  partition.taskSets.delete(taskSet.key);
+  const same = partition.taskSetsByJob.get(taskSet.spec.ref);
   same?.delete(taskSet);
-  if (same?.size === 0) partition.byRef.delete(taskSet.spec.ref);
+  if (same?.size === 0) partition.taskSetsByJob.delete(taskSet.spec.ref);
 }
 
 /** Returns the resource usage of a team in this partition. */
-export function usageOf(partition: Part, team: string): Usage {
+export function usageOfTeam(partition: Partition, team: string): Usage {
   return partition.usage.get(team) ?? { cpus: 0, gpus: 0 };
 }
 
 /** Returns a copy of the usage by team that a plan may change. */
-export function usageByTeam(partition: Part): Map<string, Usage> {
+export function copyUsageByTeam(partition: Partition): Map<string, Usage> {
   return new Map([...partition.usage].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
 }
 
 /** Returns the partition's share of a team's quota: nothing without a record, infinite where the team has no limit. */
-export function allotted(record: AllotmentRecord | undefined, partition: number): Usage {
+export function quotaShareOf(record: AllotmentRecord | undefined, partition: number): Usage {
   if (record === undefined) return { cpus: 0, gpus: 0 };
   return { cpus: record.cpus[partition] ?? Infinity, gpus: record.gpus[partition] ?? Infinity };
 }
 
 /** Returns how many tasks of the job fit into the given capacity. */
-export function tasksWithin(spec: JobSpec, capacity: Usage): number {
+export function tasksThatFit(spec: JobSpec, capacity: Usage): number {
   const tolerance = 1e-6;
   const byCpus = spec.cpus > 0 ? Math.floor((capacity.cpus + tolerance) / spec.cpus) : Infinity;
   const byGpus = spec.gpus > 0 ? Math.floor((capacity.gpus + tolerance) / spec.gpus) : Infinity;
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -5,7 +5,7 @@
 import type { Unit } from "../queue/unit.js";
 import { splitPiece } from "../queue/unit.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /** Makes finished tasks durable before users see them as done and before workers discard the results. */
 export class Progress {
@@ -20,7 +20,7 @@
    * against the loss of this node, and workers keep their results until they are cleared, so it is recorded once per
    * lease: a write for every few tasks would crowd out submissions.
    */
-  record(partition: Part, taskSet: Unit): void {
+  record(partition: Partition, taskSet: Unit): void {
     if (taskSet.committing) return;
     if (taskSet.done.full) return this.recordNow(partition, taskSet);
     this.recordLater(partition, taskSet);
@@ -30,17 +30,17 @@
    * Records after one lease. This also retries a write that was shed because too many were queued: nothing else does, and a
    * job whose tasks are all done would never end.
    */
-  private recordLater(partition: Part, taskSet: Unit): void {
+  private recordLater(partition: Partition, taskSet: Unit): void {
     if (taskSet.recordDue) return;
     taskSet.recordDue = true;
     this.context.scope.clock.after(this.context.settings.timing.leaseMs, () => {
       taskSet.recordDue = false;
-      if (!taskSet.committing && !taskSet.ended && this.context.parts.get(partition.id) === partition) this.recordNow(partition, taskSet);
+      if (!taskSet.committing && !taskSet.ended && this.context.partitions.get(partition.id) === partition) this.recordNow(partition, taskSet);
     });
   }
 
   /** Merges the finished tasks into the record, and ends the job if all its slices are done. */
-  private recordNow(partition: Part, taskSet: Unit): void {
+  private recordNow(partition: Partition, taskSet: Unit): void {
     taskSet.committing = true;
     const { ref } = taskSet.spec;
     const isJob = taskSet.lo === 0;
@@ -77,7 +77,7 @@
           "progress recorded",
         );
         if (taskSet.done.count > writtenCount) this.record(partition, taskSet);
-      } else if (outcome === "shed" && !taskSet.ended && this.context.parts.get(partition.id) === partition)
+      } else if (outcome === "shed" && !taskSet.ended && this.context.partitions.get(partition.id) === partition)
         this.recordLater(partition, taskSet);
     });
   }
@@ -95,7 +95,7 @@
   }
 
   /** Returns whether the task is durably recorded as done, or its job has ended. */
-  recordedDone(piece: string): boolean {
+  isRecordedDone(piece: string): boolean {
     const { ref, task } = splitPiece(piece);
     const job = this.mirror.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -6,7 +6,7 @@
 import { keys, type AllotmentRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { allotted, usageOf, type Part, type Usage } from "./part.js";
+import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "./part.js";
 
 /** Splits `max` over `n` partitions in whole units, with the remainder in the first; null for each if there is no limit. */
 function splitLimit(max: number, n: number): (number | null)[] {
@@ -50,7 +50,7 @@
     private readonly settings: Settings,
     private readonly configuration: Configuration,
     /** The partitions that this node owns. */
-    private readonly partitions: () => ReadonlyMap<number, Part>,
+    private readonly partitions: () => ReadonlyMap<number, Partition>,
     private readonly mirror: Mirror,
     private readonly committer: Committer,
     private readonly scope: Scope,
@@ -114,9 +114,9 @@
   }
 
   /** Returns how much of the team's limit the partition may use, without what is being transferred away. */
-  held(partition: number, team: string): Usage {
+  grantedShare(partition: number, team: string): Usage {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
-    const share = this.startableShare(allotted(record, partition), record, team);
+    const share = this.startableShare(quotaShareOf(record, partition), record, team);
     const pending = this.transferring.get(`${partition}|${team}`);
     return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
   }
@@ -137,7 +137,7 @@
       for (const partition of this.partitions().values()) if (partition.phase === "serving") this.adjust(partition, name);
   }
 
-  private adjust(partition: Part, team: string): void {
+  private adjust(partition: Partition, team: string): void {
     const label = `${partition.id}|${team}`;
     if (this.adjusting.has(label) || this.transferring.has(label) || this.nextShares(partition, team) === null) return;
     this.adjusting.add(label);
@@ -163,11 +163,11 @@
   }
 
   /** Returns the team's record as this partition's owner would write it next; null if nothing changes. */
-  private nextShares(partition: Part, team: string): AllotmentRecord | null {
+  private nextShares(partition: Partition, team: string): AllotmentRecord | null {
     const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
     const limits = this.configuration.team(team);
     if (record === undefined || limits === undefined) return null;
-    const used = usageOf(partition, team);
+    const used = usageOfTeam(partition, team);
     const raises = responsiblePartition(team, this.settings.nodes.length) === partition.id;
     const next = (name: "cpus" | "gpus"): AllotmentRecord["cpus"] | null => {
       const shares = adjusted(record[name], limitOf(limits[`${name}_max`]), { partition: partition.id, used: used[name], raises });
@@ -178,7 +178,7 @@
   }
 
   /** Transfers up to `want` of the partition's surplus share to partition `to`. */
-  cede(partition: Part, to: number, team: string, want: Usage, surplus: Usage): void {
+  transfer(partition: Partition, to: number, team: string, want: Usage, surplus: Usage): void {
     const label = `${partition.id}|${team}`;
     if (this.transferring.has(label) || this.adjusting.has(label) || partition.phase !== "serving" || to === partition.id) return;
     const finite = (x: number): number => (Number.isFinite(x) ? Math.max(0, x) : 0);
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -1,9 +1,9 @@
 /** Measures how long partitions take to recover after a change of owner. */
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /** Recovery of one partition after a change of owner. Durations are in ms from the claim; null until reached. */
-export interface Span {
+export interface RecoverySpan {
   part: number;
   term: number;
   reason: string;
@@ -29,15 +29,15 @@
  */
 export class Recovery {
   /** The newest recoveries, oldest first. */
-  readonly spans: Span[] = [];
+  readonly spans: RecoverySpan[] = [];
   /** Unfinished recoveries, by partition. */
-  private readonly open = new Map<number, Span>();
+  private readonly open = new Map<number, RecoverySpan>();
 
   constructor(private readonly context: LeaderContext) {}
 
   /** Begins a recovery at the claim; `silentMs` is how long the former owner had been missing. */
-  claimed(partition: number, term: number, reason: string, silentMs: number | null): void {
-    const span: Span = {
+  recordClaim(partition: number, term: number, reason: string, silentMs: number | null): void {
+    const span: RecoverySpan = {
       part: partition,
       term,
       reason,
@@ -54,13 +54,13 @@
     if (this.spans.length > MAX_SPANS) this.spans.shift();
   }
 
-  private openSpan(partition: Part): Span | undefined {
+  private openSpan(partition: Partition): RecoverySpan | undefined {
     const span = this.open.get(partition.id);
     return span?.term === partition.term ? span : undefined;
   }
 
   /** Records the end of fencing; `last` is the host of the last machine found unfenced, null if there was none. */
-  fenced(partition: Part, last: string | null): void {
+  recordFenced(partition: Partition, last: string | null): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs !== null) return;
     span.machines = partition.machines.size;
@@ -69,7 +69,7 @@
   }
 
   /** Records the first task start after the claim. */
-  began(partition: Part): void {
+  recordTaskStart(partition: Partition): void {
     const span = this.openSpan(partition);
     if (span !== undefined) span.placedMs ??= Math.round(this.context.now - span.claimedAt);
   }
@@ -78,12 +78,12 @@
    * Ends the recovery, after the fence, once no task set that arrived before the fence's end is waiting, a task has
    * started, or the shortest boot time has passed.
    */
-  look(partition: Part): void {
+  checkCompletion(partition: Partition): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs === null || span.backMs !== null) return;
     const maxWaitMs = Math.min(Infinity, ...this.context.types.map((type) => type.bootS * 1000)) * MAX_WAIT_BOOTS;
     const sinceFence = this.context.now - span.claimedAt - span.fencedMs;
-    const waits = [...partition.units.values()].some(
+    const waits = [...partition.taskSets.values()].some(
       (taskSet) => taskSet.waiting.length > 0 && taskSet.arrivedAt <= span.claimedAt + span.fencedMs!,
     );
     if (waits && span.placedMs === null && sinceFence < maxWaitMs) return;
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -15,7 +15,7 @@
 import type { FindingEffects } from "./finding-effects.js";
 import type { NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
@@ -41,13 +41,13 @@
 
   /** Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or silence. */
   onReport(report: Report): ReportAnswer {
-    if (!this.mirror.loaded || this.context.silent()) return { kind: "silent" };
+    if (!this.mirror.loaded || this.context.isSilent()) return { kind: "silent" };
     const record = this.rentals.get(report.host);
     if (record === undefined) {
       this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from an unregistered machine");
       return { kind: "elsewhere", boss: null };
     }
-    const partition = this.context.parts.get(record.part);
+    const partition = this.context.partitions.get(record.part);
     if (partition === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null };
     if (report.token > partition.term) {
       this.handleNewerToken(partition, report, "report");
@@ -70,7 +70,7 @@
     return { kind: "orders", token: partition.term, orders: free ? orders : orders.filter(({ verb }) => verb === "stop") };
   }
 
-  private orders(partition: Part, machine: Machine): Order[] {
+  private orders(partition: Partition, machine: Machine): Order[] {
     return ordersFor(machine, "report", {
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
@@ -82,19 +82,19 @@
 
   /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
   private clearable(task: ReportedTask): boolean {
-    return task.cause !== "done" || this.progress.recordedDone(task.piece);
+    return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
   }
 
   /** Handles the report in a worker's reply to a direct command. */
-  onCommandReply(partition: Part, machine: Machine, report: Report): void {
-    if (this.context.parts.get(partition.id) !== partition || partition.machines.get(machine.host) !== machine) return;
+  onCommandReply(partition: Partition, machine: Machine, report: Report): void {
+    if (this.context.partitions.get(partition.id) !== partition || partition.machines.get(machine.host) !== machine) return;
     if (report.token > partition.term) return this.handleNewerToken(partition, report, "command reply");
     this.applyReport(partition, machine, report, false);
   }
 
   /** Handles a worker's reply to a probe. Only the token in it is used. */
   onProbeReply(report: Report): void {
-    const partition = this.context.parts.get(this.rentals.get(report.host)?.part ?? -1);
+    const partition = this.context.partitions.get(this.rentals.get(report.host)?.part ?? -1);
     if (partition !== undefined && report.token > partition.term) this.handleNewerToken(partition, report, "probe");
   }
 
@@ -102,13 +102,13 @@
    * Handles a token above the term. The rest of such a report is ignored, as a newer owner may have stopped, cleared and
    * restarted tasks.
    */
-  private handleNewerToken(partition: Part, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
-    if (this.context.supersede(partition, { host, token, seenIn })) return;
+  private handleNewerToken(partition: Partition, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
+    if (this.context.endSupersededTerm(partition, { host, token, seenIn })) return;
     this.anomalies.info({ part: partition.id, term: partition.term, host, token, seenIn }, "a worker shows a token that nobody was given");
   }
 
   /** Applies a report to the partition. Returns whether it was newer than all before it from this machine. */
-  private applyReport(partition: Part, machine: Machine, report: Report, viaReport: boolean): boolean {
+  private applyReport(partition: Partition, machine: Machine, report: Report, viaReport: boolean): boolean {
     const findings = newFindings();
     const context: ReportContext = {
       now: this.context.now,
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -58,7 +58,7 @@
    */
   private cycleGapMs(): number {
     let machines = 0;
-    for (const partition of this.context.parts.values()) machines += partition.machines.size;
+    for (const partition of this.context.partitions.values()) machines += partition.machines.size;
     const gapMs = this.context.settings.timing.passGapMs * Math.max(1, machines / MACHINES_PER_GAP);
     return gapMs * this.overload.stretch(gapMs);
   }
@@ -101,7 +101,7 @@
   /** Returns the resource usage by team over all owned partitions. */
   usageByTeam(): TeamUsage[] {
     const sum = new Map<string, TeamUsage>();
-    for (const partition of this.context.parts.values()) {
+    for (const partition of this.context.partitions.values()) {
       for (const [team, { cpus, gpus }] of partition.usage) {
         const entry = sum.get(team) ?? { team, cpus: 0, gpus: 0 };
         sum.set(team, { team, cpus: entry.cpus + cpus, gpus: entry.gpus + gpus });
@@ -112,21 +112,21 @@
 
   /** Places tasks in each partition, chooses preemptions, and emits what must be dispatched and where quota is short. */
   private runCycle(): void {
-    if (this.context.silent() || this.context.types.length === 0) return;
+    if (this.context.isSilent() || this.context.types.length === 0) return;
     const { backfill } = this.context.settings.operators.queue;
     const order = this.queueOrder();
     const preemption = {
-      guaranteed: (taskSet: Unit) => this.guarantees.within(taskSet.spec.ref),
-      excess: this.guarantees.excess(this.usageByTeam()),
+      guaranteed: (taskSet: Unit) => this.guarantees.isGuaranteed(taskSet.spec.ref),
+      excess: this.guarantees.excessUsage(this.usageByTeam()),
       claimAfterMs: this.claimAfterMs(),
     };
-    for (const partition of this.context.parts.values()) {
+    for (const partition of this.context.partitions.values()) {
       const context = {
         now: this.context.now,
         silentMs: this.context.settings.timing.silentMs,
         order,
         backfill,
-        allotment: (team: string) => this.quotaShares.held(partition.id, team),
+        allotment: (team: string) => this.quotaShares.grantedShare(partition.id, team),
         expectS: (taskSet: Unit) => this.context.history.expectS(taskSet.spec),
         leftS: (taskSet: Unit, ranS: number) => this.context.history.leftS(taskSet.spec, ranS),
         bootMs: (machine: Machine) => this.bootMs(machine),
@@ -147,8 +147,8 @@
         );
         result.touched.add(partition.machines.get(placement.host)!);
       }
-      for (const machine of result.touched) this.context.dispatch$.next({ part: partition, machine });
-      for (const [team, want] of result.short) this.context.short$.next({ part: partition, team, want });
+      for (const machine of result.touched) this.context.dispatch$.next({ partition: partition, machine });
+      for (const [team, want] of result.short) this.context.quotaShortage$.next({ partition: partition, team, want });
     }
   }
 }
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -1,7 +1,7 @@
 /** Reports task starts that the last check before sending refused. */
 import type { Scope } from "../platform/scope.js";
 import { pieceName, type Placement } from "../queue/unit.js";
-import type { Part } from "./part.js";
+import type { Partition } from "./part.js";
 
 /**
  * Reports start orders that were refused because another attempt of the task may be on a machine. The scheduling cycle
@@ -15,7 +15,7 @@
   constructor(private readonly scope: Scope) {}
 
   /** Reports a violated invariant for a refused start, once per attempt; `others` are the other attempts of the task. */
-  refused(partition: Part, placement: Placement, others: readonly Placement[]): void {
+  refused(partition: Partition, placement: Placement, others: readonly Placement[]): void {
     if (this.reported.has(placement)) return;
     this.reported.add(placement);
     const describe = (one: Placement): Record<string, unknown> => {
--- a/src/parts/summary.ts
+++ b/src/parts/summary.ts
@@ -1,10 +1,10 @@
 /** Periodic log line about each owned partition. */
 import type { QuotaShares } from "./quota-shares.js";
 import type { LeaderContext } from "./leader-context.js";
-import { usageByTeam, type Part } from "./part.js";
+import { copyUsageByTeam, type Partition } from "./part.js";
 
 /** Logs the machines, queue, usage and quota shares of a partition, so that logs alone show waiting work and free capacity. */
-export function summarize(context: LeaderContext, quotaShares: QuotaShares, partition: Part): void {
+export function summarize(context: LeaderContext, quotaShares: QuotaShares, partition: Partition): void {
   const types: Record<string, string> = {};
   for (const machine of partition.machines.values()) {
     const name = `${machine.type}${machine.spot ? "/spot" : ""}`;
@@ -12,14 +12,14 @@
     types[name] = `${up + Number(machine.up && !machine.lost)}/${all + 1}`;
   }
   const waiting: Record<string, number> = {};
-  for (const taskSet of partition.units.values())
+  for (const taskSet of partition.taskSets.values())
     if (taskSet.waiting.length > 0) waiting[taskSet.spec.klass] = (waiting[taskSet.spec.klass] ?? 0) + taskSet.waiting.length;
   const used = Object.fromEntries(
-    [...usageByTeam(partition)].map(([team, usage]) => [team, `${Math.round(usage.cpus)}c ${Math.round(usage.gpus)}g`]),
+    [...copyUsageByTeam(partition)].map(([team, usage]) => [team, `${Math.round(usage.cpus)}c ${Math.round(usage.gpus)}g`]),
   );
   const held = Object.fromEntries(
     quotaShares.teams.map(({ name }) => {
-      const share = quotaShares.held(partition.id, name);
+      const share = quotaShares.grantedShare(partition.id, name);
       return [
         name,
         `${Number.isFinite(share.cpus) ? Math.round(share.cpus) : "-"}c ${Number.isFinite(share.gpus) ? Math.round(share.gpus) : "-"}g`,
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { freeRoom, usable, type Capacity, type Machine } from "../workers/machine.js";
 import { inOrder, type LocalOrder } from "./order.js";
 import type { RunHistory } from "./history.js";
@@ -40,7 +40,7 @@
  * Utilization of the partition: the share of its resources in use, for CPUs or accelerators, whichever is higher. 1
  * if it has no CPUs.
  */
-export function utilization(partition: Part): number {
+export function utilization(partition: Partition): number {
   const all = { cpus: 0, gpus: 0 };
   const used = { cpus: 0, gpus: 0 };
   for (const machine of partition.machines.values()) {
@@ -118,7 +118,7 @@
  * receives, for each task set that has to wait, the number of tasks for which there is free capacity now.
  */
 export function estimateWaits(
-  partition: Part,
+  partition: Partition,
   context: EstimateContext,
   extra: Unit[] = [],
   wanted: ((taskSet: Unit) => boolean) | null = null,
@@ -155,7 +155,7 @@
   }
   events.sort((a, b) => a.at - b.at);
   const all = [...extra];
-  for (const u of partition.units.values()) {
+  for (const u of partition.taskSets.values()) {
     if (!u.ended && !u.leaving && u.waiting.length > 0 && !suspect(u) && (ready(u, now) || u.notBefore > now)) all.push(u);
   }
   const queue = inOrder(all, context.order);
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -1,4 +1,4 @@
-import { nextAttempt, tasksWithin, usageByTeam, type Part, type Usage } from "../parts/part.js";
+import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
 import { attemptKey, freeRoom, addAttempt, usable, type Capacity, type Machine } from "../workers/machine.js";
 import { UnschedulableShapes } from "./unschedulable.js";
 import { inOrder, type LocalOrder } from "./order.js";
@@ -37,7 +37,7 @@
  * Number of attempts of the job that are, or may be, on machines per zone, over all of its slices. Empty for a job
  * without zone constraints.
  */
-export function zonesInUse(partition: Part, taskSet: Unit): Map<string, number> {
+export function zonesInUse(partition: Partition, taskSet: Unit): Map<string, number> {
   const zones = new Map<string, number>();
   if (!taskSet.spec.oneZone && !taskSet.spec.spread) return zones;
   for (const machine of partition.machines.values()) {
@@ -49,7 +49,7 @@
 }
 
 /** The usable machines of the partition with their free capacity, as placement candidates. */
-export function usableSlots(partition: Part, now: number, silentMs: number): Slot[] {
+export function usableSlots(partition: Partition, now: number, silentMs: number): Slot[] {
   const candidates: Slot[] = [];
   for (const machine of partition.machines.values()) {
     if (usable(machine, now, silentMs)) candidates.push({ machine, free: freeRoom(machine) });
@@ -107,13 +107,13 @@
  * Runs one scheduling cycle: goes over the queue once in order and assigns free capacity to waiting tasks. Does
  * nothing unless the partition is serving.
  */
-export function runPass(partition: Part, context: PassContext): PassResult {
+export function runPass(partition: Partition, context: PassContext): PassResult {
   const result: PassResult = { touched: new Set(), placed: [], short: new Map() };
   if (partition.phase !== "serving") return result;
-  const waiting = [...partition.units.values()].filter((taskSet) => ready(taskSet, context.now));
+  const waiting = [...partition.taskSets.values()].filter((taskSet) => ready(taskSet, context.now));
   if (waiting.length === 0) return result;
   const candidates = usableSlots(partition, context.now, context.silentMs);
-  const usage = usageByTeam(partition);
+  const usage = copyUsageByTeam(partition);
   const unschedulable = new Set<string>();
   const unschedulableSizes = new UnschedulableShapes();
   const reservations: Reservation[] = [];
@@ -125,7 +125,7 @@
     const shape = `${spec.kind === "gang" ? taskSet.waiting.length : 1}|${taskSet.shape}`;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
-    const quotaTasks = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const wanted = Math.min(mayStart(taskSet), context.order.atOnce(taskSet));
     const withinQuota = Math.min(wanted, quotaTasks);
     if (withinQuota < wanted) {
@@ -164,13 +164,13 @@
         continue;
       }
     }
-    const gangAttempt = isGang && chosen.length > 0 ? nextAttempt(partition) : null;
+    const gangAttempt = isGang && chosen.length > 0 ? nextAttemptNumber(partition) : null;
     const tasks = taskSet.waiting.slice(0, chosen.length);
     chosen.forEach((candidate, i) => {
       const placement: Placement = {
         unit: taskSet,
         task: tasks[i]!,
-        attempt: gangAttempt ?? nextAttempt(partition),
+        attempt: gangAttempt ?? nextAttemptNumber(partition),
         host: candidate.machine.host,
         orderedAt: context.now,
         state: null,
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -1,4 +1,4 @@
-import { tasksWithin, usageByTeam, type Part, type Usage } from "../parts/part.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
 import type { Machine } from "../workers/machine.js";
 import { inOrder, rank, type LocalOrder } from "./order.js";
 import { shift, stoppingCapacity } from "./room.js";
@@ -171,10 +171,10 @@
  * Chooses the tasks to stop so that waiting work of higher priority, or work within a guarantee, can start. Does
  * nothing unless the partition is serving.
  */
-export function choosePreemptions(partition: Part, context: PreemptionContext): Placement[] {
+export function choosePreemptions(partition: Partition, context: PreemptionContext): Placement[] {
   if (partition.phase !== "serving") return [];
   const { now } = context;
-  const waiting = [...partition.units.values()].filter(
+  const waiting = [...partition.taskSets.values()].filter(
     (taskSet) => ready(taskSet, now) && !suspect(taskSet) && now - taskSet.arrivedAt >= context.patienceMs,
   );
   if (waiting.length === 0) return [];
@@ -183,7 +183,7 @@
   const candidateMachines = usableSlots(partition, now, context.silentMs);
   // Tasks that are already stopping make capacity for the jobs that they were stopped for.
   for (const candidate of candidateMachines) shift(candidate.free, stoppingCapacity(candidate.machine), 1);
-  const usage = usageByTeam(partition);
+  const usage = copyUsageByTeam(partition);
   const excess = new Map([...context.excess].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
   const deductExcess = ({ unit: { spec } }: Placement, sign: 1 | -1): void => {
     const over = excess.get(spec.team);
@@ -197,7 +197,7 @@
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
-    const quotaTasks = tasksWithin(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const isGang = spec.kind === "gang";
     const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.atOnce(taskSet));
     // Free capacity only shrinks during a cycle: a shape that did not fit for one job does not fit for another.
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Part, Usage } from "../parts/part.js";
+import type { Partition, Usage } from "../parts/part.js";
 import type { Capacity } from "../workers/machine.js";
 import { rank } from "./order.js";
 import { allowed, copies, type Slot } from "./placement.js";
@@ -29,12 +29,12 @@
   private readonly lowest: number;
 
   constructor(
-    partition: Part,
+    partition: Partition,
     private readonly machines: SimulatedMachine[],
     private readonly context: PreemptionRights,
   ) {
     let lowest = -1;
-    for (const taskSet of partition.units.values()) {
+    for (const taskSet of partition.taskSets.values()) {
       if (taskSet.placed.size > 0 && taskSet.spec.kind !== "gang") lowest = Math.max(lowest, rank(taskSet.urgency));
     }
     this.lowest = lowest;
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -1,4 +1,4 @@
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { usable, type Capacity, type Machine } from "../workers/machine.js";
 import { allowed, copies, type Slot } from "./placement.js";
 import type { Unit } from "./unit.js";
@@ -55,10 +55,10 @@
  * so it must have waited longer: a gang of the average width of the waiting gangs of its class waits half of the
  * time.
  */
-function widthFactor(partition: Part, taskSet: Unit): number {
+function widthFactor(partition: Partition, taskSet: Unit): number {
   let tasks = 0;
   let gangs = 0;
-  for (const { spec, waiting } of partition.units.values()) {
+  for (const { spec, waiting } of partition.taskSets.values()) {
     if (spec.kind !== "gang" || spec.klass !== taskSet.spec.klass || waiting.length === 0) continue;
     tasks += spec.tasks;
     gangs++;
@@ -72,7 +72,7 @@
  * for the first gang that has waited long, where it should be complete the soonest; a job that ends before then may
  * still use it. Returns null if the gang has not waited long enough or cannot be completed.
  */
-export function reserve(partition: Part, taskSet: Unit, candidates: Slot[], context: ReservationContext): Reservation | null {
+export function reserve(partition: Partition, taskSet: Unit, candidates: Slot[], context: ReservationContext): Reservation | null {
   const { spec } = taskSet;
   const { now } = context;
   if (spec.spread || now - taskSet.arrivedAt < context.reserveAfterMs(spec.klass) * widthFactor(partition, taskSet)) return null;
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -57,7 +57,7 @@
     scope,
   );
   const metrics = new Metrics(controller);
-  scope.listen(controller.leader.began$, ({ klass, waitS }) => metrics.countWait(klass, waitS));
+  scope.listen(controller.leader.taskStarted$, ({ klass, waitS }) => metrics.countWait(klass, waitS));
   const userApi: UserApiDependencies = {
     relay: controller.relay,
     unreadyReason: () => controller.unready(),
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -1,13 +1,13 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Controller } from "../controller.js";
-import type { Span } from "../parts/recovery.js";
+import type { RecoverySpan } from "../parts/recovery.js";
 import { estimateWaits } from "../queue/estimate.js";
 
 /** The controller's metrics in the Prometheus text format. */
 export class Exposition {
   private readonly registry = new Registry();
   private readonly waitSeconds: Histogram;
-  private readonly recoveries: { spans: readonly Span[]; registers: Registry[] };
+  private readonly recoveries: { spans: readonly RecoverySpan[]; registers: Registry[] };
   private spread: Gauge | null = null;
 
   /** `answers`: number of responses to users by status. */
@@ -42,8 +42,8 @@
       });
     };
     const sum = (read: (partition: Parameters<typeof estimateWaits>[0]) => number) => () =>
-      [...leader.parts.values()].reduce((n, partition) => n + read(partition), 0);
-    gauge("parts", "Parts led by this node", () => leader.parts.size);
+      [...leader.partitions.values()].reduce((n, partition) => n + read(partition), 0);
+    gauge("parts", "Parts led by this node", () => leader.partitions.size);
     gauge(
       "machines",
       "Machines of this node's parts",
@@ -52,7 +52,7 @@
     gauge(
       "queued_tasks",
       "Tasks waiting in this node's parts",
-      sum((partition) => [...partition.units.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0)),
+      sum((partition) => [...partition.taskSets.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0)),
     );
     gauge("invariant_violations_total", "Invariants that did not hold, each logged at error", () => leader.scope.invariants.violations);
     gauge("ownership_proof_age_ms", "Since the newest read that found this node's terms began", () =>
@@ -146,7 +146,7 @@
  * Registers percentiles of the durations of the remembered recoveries, by step. The histogram
  * library is loaded on the first request, because processor time is scarce at start-up.
  */
-async function registerSpread(spans: readonly Span[], registers: Registry[]): Promise<Gauge> {
+async function registerSpread(spans: readonly RecoverySpan[], registers: Registry[]): Promise<Gauge> {
   const { build } = await import("hdr-histogram-js");
   return new Gauge({
     name: "thorntrail_recovery_spread_ms",
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -24,7 +24,7 @@
   } = controller;
   const machines = [...rentals.all()];
   const partitions = settings.nodes.map((_, id) => {
-    const partition = leader.parts.get(id);
+    const partition = leader.partitions.get(id);
     const owner = ownership.owner(id);
     const recorded = machines.filter((machine) => machine.part === id);
     const base = {
@@ -40,8 +40,8 @@
     return {
       ...base,
       phase: partition.phase,
-      queuedJobs: [...partition.units.values()].filter((taskSet) => taskSet.waiting.length > 0).length,
-      queuedTasks: [...partition.units.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0),
+      queuedJobs: [...partition.taskSets.values()].filter((taskSet) => taskSet.waiting.length > 0).length,
+      queuedTasks: [...partition.taskSets.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0),
       longestWaitS: waits.length === 0 ? 0 : Math.round(Math.max(...waits) / 100) / 10,
       utilization: partition.machines.size === 0 ? null : Math.round(utilization(partition) * 100) / 100,
     };
--- a/src/workers/blame.ts
+++ b/src/workers/blame.ts
@@ -1,5 +1,5 @@
 /** Failure attribution: decides whether a failed task counts against its machine or against its job. */
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { suspect, type Unit } from "../queue/unit.js";
 import type { Machine } from "./machine.js";
 
@@ -11,7 +11,7 @@
 }
 
 /** Removes the failures of a job from the machines that it failed on, because the job caused them. */
-export function clearBlame(partition: Part, taskSet: Unit): void {
+export function clearBlame(partition: Partition, taskSet: Unit): void {
   for (const host of taskSet.failedOn.keys()) {
     const machine = partition.machines.get(host);
     if (machine?.errors.delete(taskSet.spec.ref) === true) machine.avoidUntil = -Infinity;
@@ -26,7 +26,7 @@
  * more than one job fails that is not considered faulty, with no task completed in
  * between, is drained.
  */
-export function attributeFailure(partition: Part, machine: Machine, taskSet: Unit, { now, leaseMs, coolMs }: FailureTiming): void {
+export function attributeFailure(partition: Partition, machine: Machine, taskSet: Unit, { now, leaseMs, coolMs }: FailureTiming): void {
   taskSet.failedOn.set(machine.host, (taskSet.failedOn.get(machine.host) ?? 0) + 1);
   if (suspect(taskSet)) {
     taskSet.notBefore = now + Math.min(leaseMs * 3, coolMs * 2 ** Math.min(taskSet.failedOn.size, 8));
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -1,6 +1,6 @@
 /** Direct commands from a partition's owner to its workers. */
 import type { Leader } from "../parts/leader.js";
-import type { Part } from "../parts/part.js";
+import type { Partition } from "../parts/part.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
@@ -30,14 +30,14 @@
   start(): void {
     this.scope.listen(
       this.leader.dispatch$,
-      ({ part: partition, machine }) => void this.scope.costs.spend("order", () => this.send(partition, machine)),
+      ({ partition: partition, machine }) => void this.scope.costs.spend("order", () => this.send(partition, machine)),
     );
   }
 
-  private async send(partition: Part, machine: Machine): Promise<void> {
+  private async send(partition: Partition, machine: Machine): Promise<void> {
     const now = this.scope.clock.now();
-    if (machine.commandInFlight || machine.addr === null || machine.deleting || this.leader.silent()) return;
-    if (this.leader.parts.get(partition.id) !== partition) return;
+    if (machine.commandInFlight || machine.addr === null || machine.deleting || this.leader.isSilent()) return;
+    if (this.leader.partitions.get(partition.id) !== partition) return;
     const fencing = !machine.fenced;
     if (!machine.up || now < machine.nextCommandAt || (!fencing && machine.lost)) return;
     const orders = fencing
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,6 +1,6 @@
 /** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
-import { findUnit, type Part } from "../parts/part.js";
+import { findTaskSet, type Partition } from "../parts/part.js";
 import { taskNumber } from "../queue/attempts.js";
 import {
   isBrokenGang,
@@ -57,7 +57,7 @@
 
 /** Arguments for removing attempts that all attempts of a machine share. */
 export interface DropContext {
-  part: Part;
+  part: Partition;
   machine: Machine;
   now: number;
   findings: Findings;
@@ -93,7 +93,7 @@
   release(taskSet, placement);
   noteGone(taskSet, placement.task, { attempt, host, by: proof.by });
   // The attempt was registered before its job was queued here, or while another task set contained the task.
-  const found = findUnit(partition, taskSet.spec.ref, taskNumber(placement));
+  const found = findTaskSet(partition, taskSet.spec.ref, taskNumber(placement));
   if (found !== null && found.unit !== taskSet) {
     requeue(found.unit, found.task);
     noteGone(found.unit, found.task, { attempt, host, by: proof.by });
@@ -163,9 +163,9 @@
 }
 
 /** Registers an attempt that this owner did not order. An unwanted one is stopped, and its task does not start until it is gone. */
-function adoptAttempt(partition: Part, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
+function adoptAttempt(partition: Partition, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
   const { ref, task: number } = splitPiece(task.piece);
-  const found = findUnit(partition, ref, number);
+  const found = findTaskSet(partition, ref, number);
   const placement: Placement = {
     unit: found?.unit ?? context.placeholderFor(ref),
     task: found?.task ?? number,
@@ -196,9 +196,9 @@
  * recording the result. This is repeated for each report that lists the attempt: its job may be queued here only after
  * the first one, and the task must not start again.
  */
-function recordUnorderedCompletion(partition: Part, { piece: taskId }: ReportedTask, findings: Findings): void {
+function recordUnorderedCompletion(partition: Partition, { piece: taskId }: ReportedTask, findings: Findings): void {
   const { ref, task: number } = splitPiece(taskId);
-  const found = findUnit(partition, ref, number);
+  const found = findTaskSet(partition, ref, number);
   if (found === null || found.unit.done.has(found.task)) return;
   markFinished(found.unit, found.task);
   stopOtherAttempts(found.unit, found.task);
@@ -227,7 +227,7 @@
 }
 
 /** Updates the machine's own state from a report: sequence number, token, address, fencing and preemption notice. */
-function updateMachine(partition: Part, machine: Machine, report: Report, { now, viaReport }: ReportContext, findings: Findings): void {
+function updateMachine(partition: Partition, machine: Machine, report: Report, { now, viaReport }: ReportContext, findings: Findings): void {
   machine.seq = report.seq;
   machine.token = report.token;
   machine.addr = report.addr;
@@ -295,7 +295,7 @@
  * Reports may arrive late and out of order; one that is not newer than the last applied
  * report changes nothing. Returns whether the report was applied.
  */
-export function takeReport(partition: Part, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
+export function takeReport(partition: Partition, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
   if (!isNewer(machine, report)) return false;
   const dropContext: DropContext = { part: partition, machine, now: context.now, findings };
   if (report.session > machine.session) beginSession(dropContext, report);
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -42,7 +42,7 @@
     await world.clock.run(at);
     for (const { controller } of world.nodes.values()) {
       const running = new Map<string, number>();
-      for (const partition of controller!.leader.parts.values())
+      for (const partition of controller!.leader.partitions.values())
         for (const machine of partition.machines.values())
           for (const { unit: taskSet, runningAt } of machine.placements.values())
             if (runningAt !== null) running.set(taskSet.spec.klass, (running.get(taskSet.spec.klass) ?? 0) + 1);
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { decodeReport, type Report, type ReportedTask } from "@thorntrail/protocol/worker";
-import { nextAttempt, type Part } from "../src/parts/part.js";
+import { nextAttemptNumber, type Partition } from "../src/parts/part.js";
 import { ready, runPass } from "../src/queue/pass.js";
 import { StartGuard } from "../src/parts/start-guard.js";
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
@@ -15,7 +15,7 @@
 
 /** A partition right after a takeover, whose owner learns of attempts only from the machines' reports. */
 class NewOwner {
-  readonly partition: Part;
+  readonly partition: Partition;
   private readonly sequence = new Map<string, number>();
 
   constructor(machines: number) {
@@ -53,7 +53,7 @@
       leaseMs: 18_000,
       coolMs: 0,
       placeholderFor: (ref) =>
-        Object.assign(queueUp({ ...this.partition, units: new Map(), byRef: new Map() }, specOf({ ref, cpus: 0 })), { ended: true }),
+        Object.assign(queueUp({ ...this.partition, taskSets: new Map(), taskSetsByJob: new Map() }, specOf({ ref, cpus: 0 })), { ended: true }),
     };
   }
 
@@ -153,7 +153,7 @@
 
 test("a result reported before the job's record is read counts once the job is recorded: its task does not run again", () => {
   const owner = new NewOwner(2);
-  const result = exited("run-000001/0", nextAttempt(owner.partition), "done");
+  const result = exited("run-000001/0", nextAttemptNumber(owner.partition), "done");
   owner.receiveReport("i-0", [result]);
   const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
   owner.receiveReport("i-0", [result]);
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { Report } from "@thorntrail/protocol/worker";
 import type { Machine } from "../src/workers/machine.js";
-import type { Part } from "../src/parts/part.js";
+import type { Partition } from "../src/parts/part.js";
 import { Cluster } from "./world/cluster.js";
 
 /**
@@ -15,7 +15,7 @@
 
 interface Fixture {
   cluster: Cluster;
-  part: Part;
+  part: Partition;
   /** A machine of the partition that runs tasks. */
   machine: Machine;
   starts: () => number;
@@ -32,7 +32,7 @@
   cluster.submit({ ref: REF, tasks: 6, cpus: 8 }, 90, OWNER);
   await cluster.until(25);
   const { leader } = cluster.world.nodes.get(OWNER)!.controller!;
-  const partition = [...leader.parts.values()].find(({ byRef }) => byRef.has(REF))!;
+  const partition = [...leader.partitions.values()].find(({ taskSetsByJob: byRef }) => byRef.has(REF))!;
   const machine = [...partition.machines.values()].find(({ placements }) => placements.size > 0)!;
   if (refused) cluster.world.links.add({ from: OWNER, to: "state", effect: { kind: "refuse" } });
   await cluster.until(26);
@@ -57,7 +57,7 @@
     if (way === "report") assert.equal(leaderOf(fixture).onReport(report).kind, "elsewhere");
     else leaderOf(fixture).onCommandReply(partition, machine, report);
     assert.equal(machine.placements.size, before.attempts, "the attempts still count");
-    assert.equal(leaderOf(fixture).parts.has(partition.id), false, "the term has ended");
+    assert.equal(leaderOf(fixture).partitions.has(partition.id), false, "the term has ended");
     await cluster.until(34);
     assert.equal(starts(), before.starts, "no task is restarted");
     cluster.close();
@@ -68,7 +68,7 @@
   const { cluster, part: partition, machine, starts } = fixture;
   const before = starts();
   leaderOf(fixture).onProbeReply(clearedReport(machine, partition.term + 7));
-  assert.equal(leaderOf(fixture).parts.has(partition.id), false, "the term has ended");
+  assert.equal(leaderOf(fixture).partitions.has(partition.id), false, "the term has ended");
   await cluster.until(34);
   assert.equal(starts(), before, "no task is restarted");
   cluster.close();
@@ -84,7 +84,7 @@
     leaderOf(fixture).onReport({ ...clearedReport(machine, wrong), session, seq: seq + 1000 + second });
     await cluster.until(second + 1);
   }
-  const again = leaderOf(fixture).parts.get(partition.id);
+  const again = leaderOf(fixture).partitions.get(partition.id);
   assert.ok(again !== undefined && again.term > partition.term, "owned again, under a new term");
   assert.equal(cluster.world.lines.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
   assert.equal(cluster.world.lines.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -5,13 +5,13 @@
 import { suspect, type Unit } from "../src/queue/unit.js";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { newFindings, takeReport, type ReportContext } from "../src/workers/report-intake.js";
-import type { Part } from "../src/parts/part.js";
+import type { Partition } from "../src/parts/part.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const room = { cpus: 4, gpus: 0, ram: 64 };
 
 /** Every task placed on the machine comes to this end. */
-function end(part: Part, host: string, cause: ReportedTask["cause"], only?: Unit): void {
+function end(part: Partition, host: string, cause: ReportedTask["cause"], only?: Unit): void {
   const machine = part.machines.get(host)!;
   const tasks = [...machine.placements.values()]
     .filter((p) => only === undefined || p.unit === only)
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -5,7 +5,7 @@
 import { Audit } from "../src/parts/audit.js";
 import { FindingEffects } from "../src/parts/finding-effects.js";
 import type { LeaderContext } from "../src/parts/leader-context.js";
-import type { Part } from "../src/parts/part.js";
+import type { Partition } from "../src/parts/part.js";
 import type { Progress } from "../src/parts/progress.js";
 import type { Recovery } from "../src/parts/recovery.js";
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
@@ -23,7 +23,7 @@
 const TERM = 5;
 
 /** Creates a partition of two machines, one of which runs its only task. */
-function partitionWithOneTask(): { part: Part; machine: Machine; other: Machine } {
+function partitionWithOneTask(): { part: Partition; machine: Machine; other: Machine } {
   const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
   queueUp(partition, specOf({ cpus: 4 }));
   runPass(partition, pass);
@@ -50,7 +50,7 @@
   assert.equal(flawOf(proof(NOW + EXPIRY_MS + 1), TERM), null);
 });
 
-const INVALID_PROOFS: [string, (partition: Part, machine: Machine, findings: Findings) => void][] = [
+const INVALID_PROOFS: [string, (partition: Partition, machine: Machine, findings: Findings) => void][] = [
   [
     "a lease that ended after the last proof",
     (partition, machine, findings) =>
@@ -90,7 +90,7 @@
       scope,
       audit: new Audit(clock, log, () => 0, 1),
       account: new Account(),
-      wake: ignore,
+      requestSchedulingCycle: ignore,
     } as unknown as LeaderContext;
     const noProgress = { record: ignore } as unknown as Progress & Recovery;
     assert.throws(() => new FindingEffects(leaderContext, noProgress, noProgress).apply(partition, findings), InvariantViolated);
@@ -102,7 +102,7 @@
   });
 
 test("valid proofs: the same lease with a later read, a report under this term, a machine that the cloud deleted", () => {
-  const drops: ((partition: Part, machine: Machine, findings: Findings) => void)[] = [
+  const drops: ((partition: Partition, machine: Machine, findings: Findings) => void)[] = [
     (partition, machine, findings) =>
       dropAll(
         { part: partition, machine, now: NOW, findings },
@@ -118,7 +118,7 @@
     const findings = newFindings();
     drop(partition, machine, findings);
     assert.deepEqual([machine.placements.size, findings.unproven.length], [0, 0]);
-    return [...partition.units.values()][0]!.lastGone.get(0)?.by;
+    return [...partition.taskSets.values()][0]!.lastGone.get(0)?.by;
   });
   assert.deepEqual(proofs, ["lease over", "machine deleted", "not listed", "new session"]);
 });
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { planHires } from "../src/fleet/plan.js";
 import type { MachineType } from "@thorntrail/protocol/cloud";
-import { nextAttempt, usageByTeam, type Part } from "../src/parts/part.js";
+import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/parts/part.js";
 import { AttemptRegistry, type Attempt } from "../src/queue/attempts.js";
 import { estimateWaits, type EstimateContext } from "../src/queue/estimate.js";
 import { UnschedulableShapes } from "../src/queue/unschedulable.js";
@@ -33,7 +33,7 @@
   runPass(partition, pass);
   assert.equal(taskSet.waiting.length, 0);
   assert.ok(looks() <= 100 * 100, `${looks()} looks`);
-  assert.equal(usageByTeam(partition).get("ops")?.cpus, 800);
+  assert.equal(copyUsageByTeam(partition).get("ops")?.cpus, 800);
 });
 
 test("taking in a report does not iterate over the partition's machines", () => {
@@ -45,7 +45,7 @@
   const machine = machines.get("i-0")!;
   const tasks = [0, 1, 2, 3].map((i) => ({
     piece: `run-000001/${i}`,
-    attempt: nextAttempt(partition),
+    attempt: nextAttemptNumber(partition),
     state: "running" as const,
     cause: null,
     saved: false,
@@ -207,7 +207,7 @@
 
 type Change = { closed?: (offer: { zone: string; spot: boolean }) => boolean; weighMs?: number; soonMs?: number; leftMs?: number };
 
-function planFor(partition: Part, change: Change) {
+function planFor(partition: Partition, change: Change) {
   return planHires(partition, {
     soonMs: change.soonMs ?? 0,
     leftMs: () => change.leftMs ?? Infinity,
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -29,7 +29,7 @@
     },
   } as unknown as Committer;
   const leaderContext = {
-    parts: new Map([[partition.id, partition]]),
+    partitions: new Map([[partition.id, partition]]),
     settings: { timing: { leaseMs: 18_000 }, state: { valueKb: 32 } },
     scope: { clock: { now: () => clock.now(), after: clock.after.bind(clock), wall: () => clock.now() }, log: { debug: () => undefined } },
   } as unknown as LeaderContext;
@@ -53,7 +53,7 @@
   const { partition, taskSet, clock, drafts, progress, leaderContext } = finished(["shed", "done"]);
   progress.record(partition, taskSet);
   await clock.run(1000);
-  leaderContext.parts.delete(partition.id);
+  leaderContext.partitions.delete(partition.id);
   await clock.run(60_000);
   assert.equal(drafts.length, 1);
 });
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import type { Part } from "../src/parts/part.js";
+import type { Partition } from "../src/parts/part.js";
 import { inOrder, localOrder, type OrderContext, type OrderMode } from "../src/queue/order.js";
 import { runPass } from "../src/queue/pass.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
@@ -29,7 +29,7 @@
 }
 
 /** Completes everything that runs, removes finished jobs from the queue and runs a scheduling cycle. */
-function turn(partition: Part, nowS: number, mode: OrderMode, finished: Set<string>, change: Partial<OrderContext> = {}): void {
+function turn(partition: Partition, nowS: number, mode: OrderMode, finished: Set<string>, change: Partial<OrderContext> = {}): void {
   for (const machine of partition.machines.values()) {
     for (const [key, placement] of [...machine.placements]) {
       removeAttempt(machine, key);
@@ -37,10 +37,10 @@
       release(placement.unit, placement);
     }
   }
-  for (const taskSet of [...partition.units.values()]) {
+  for (const taskSet of [...partition.taskSets.values()]) {
     if (!taskSet.done.full) continue;
     finished.add(taskSet.spec.ref);
-    partition.units.delete(taskSet.key);
+    partition.taskSets.delete(taskSet.key);
   }
   runPass(partition, { ...pass, order: orderAt(nowS, mode, change) });
 }
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -3,8 +3,8 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { hearing } from "../src/parts/fitness.js";
-import { newPart } from "../src/parts/part.js";
+import { reachabilityOf } from "../src/parts/fitness.js";
+import { newPartition } from "../src/parts/part.js";
 import { HttpClient } from "../src/platform/http.js";
 import { StallDetectingClock } from "../src/platform/stall.js";
 import { newMachine } from "../src/workers/machine.js";
@@ -33,7 +33,7 @@
 });
 
 test("a node classifies the share of its machines that report, counting only those that should", () => {
-  const part = newPart(0, 5, 0);
+  const part = newPartition(0, 5, 0);
   const now = 100_000;
   const ages = [1000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000];
   ages.forEach((age, i) => {
@@ -41,16 +41,16 @@
     Object.assign(machine, { up: true, heardAt: now - age });
     part.machines.set(machine.host, machine);
   });
-  assert.equal(hearing([part], now, 5000), "few");
-  part.since = now - 1000;
-  assert.equal(hearing([part], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
-  part.since = 0;
+  assert.equal(reachabilityOf([part], now, 5000), "few");
+  part.takenOverAt = now - 1000;
+  assert.equal(reachabilityOf([part], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
+  part.takenOverAt = 0;
   for (const machine of part.machines.values()) if (machine.host > "i-6") machine.heardAt = machine.reportedAt = now;
-  assert.equal(hearing([part], now, 5000), "unsure");
+  assert.equal(reachabilityOf([part], now, 5000), "unsure");
   for (const machine of part.machines.values()) machine.heardAt = machine.reportedAt = now;
-  assert.equal(hearing([part], now, 5000), "most");
+  assert.equal(reachabilityOf([part], now, 5000), "most");
   for (const machine of part.machines.values()) machine.deleting = true;
-  assert.equal(hearing([part], now, 5000), "unsure");
+  assert.equal(reachabilityOf([part], now, 5000), "unsure");
 });
 
 test("a request whose connection is established after its deadline is not sent", async () => {
@@ -78,12 +78,12 @@
   for (const name of world.nodes.keys()) world.startNode(name);
   await world.clock.run(5000);
   const { leader } = world.nodes.get("nest-0")!.controller!;
-  assert.equal(leader.silent(), false);
-  leader.stoodStill(1500);
-  assert.equal(leader.silent(), false, "its presence cannot have expired");
-  leader.stoodStill(10_000);
-  assert.equal(leader.silent(), true);
+  assert.equal(leader.isSilent(), false);
+  leader.onStall(1500);
+  assert.equal(leader.isSilent(), false, "its presence cannot have expired");
+  leader.onStall(10_000);
+  assert.equal(leader.isSilent(), true);
   await world.clock.run(5500);
-  assert.equal(leader.silent(), false);
+  assert.equal(leader.isSilent(), false);
   for (const name of world.nodes.keys()) world.killNode(name);
 });
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,5 +1,5 @@
 import type { Report } from "@thorntrail/protocol/worker";
-import { addMachine, addUnit, newPart } from "../../src/parts/part.js";
+import { addMachine, addTaskSet, newPartition } from "../../src/parts/part.js";
 import { Bits } from "../../src/platform/bits.js";
 import { newUnit } from "../../src/queue/unit.js";
 import { fence } from "../../src/workers/fence.js";
@@ -64,9 +64,9 @@
 
 /** The heir's view as the code has it. `over`: the job is recorded as cancelled, which the heir knows. */
 function heirOf(state: State) {
-  const part = newPart(0, NEW, 0);
+  const part = newPartition(0, NEW, 0);
   const unit = newUnit("t/j/run-000001", specOf({ tasks: 1 }), 0, 1, new Bits(1), 0, 0);
-  addUnit(part, unit);
+  addTaskSet(part, unit);
   const machine: Machine = newMachine("i-1", "m", "a", false, { cpus: 9, gpus: 0, ram: 9 }, 0);
   const { holds, ...rest } = state.heard!;
   const { session, seq, heardAt, answeredAt, fenced, lost } = rest;
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -1,6 +1,6 @@
 import type { OwnerRecord, PresenceRecord, SuspicionRecord } from "../../src/ledger/records.js";
 import { refutation, stands, suspect, verdict, type Evidence, type Limits, type OwnHealth } from "../../src/membership/suspicion.js";
-import { claimConditions, reasonToClaim, type Reason } from "../../src/parts/claims.js";
+import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/parts/claims.js";
 
 /**
  * One part, three controllers and the state service, explored state by state with the very functions that
@@ -27,7 +27,7 @@
   by: number;
   conditions: { k: string; stamp: number }[];
   write: Write;
-  reason: Reason | null;
+  reason: ClaimReason | null;
 }
 export interface State {
   store: Store;
@@ -191,15 +191,15 @@
     const reason = reasonToClaim({
       termEnded: false,
       self: node,
-      life,
+      incarnation: life,
       home: "a",
       record,
-      able,
+      canOwn: able,
       alive: (one) => seen.alive[one as Node] !== undefined,
-      saysUnfit: () => false,
-      heir: () => NODES.find(able),
-      ownerLate: true,
-      settled: true,
+      reportsUnfit: () => false,
+      successor: () => NODES.find(able),
+      ownerOverdue: true,
+      presenceSettled: true,
       unfit: false,
     });
     if (reason === null) continue;
--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { addMachine, addUnit, newPart, type Part } from "../../src/parts/part.js";
+import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/part.js";
 import { Bits } from "../../src/platform/bits.js";
 import { localOrder } from "../../src/queue/order.js";
 import type { PassContext } from "../../src/queue/pass.js";
@@ -61,8 +61,8 @@
 };
 
 /** A part of `n` machines that counts each look at a machine's images, taken once a judgement. */
-export function partOf(n: number, capacity: Capacity): { part: Part; looks: () => number } {
-  const part = newPart(0, 5, 0);
+export function partOf(n: number, capacity: Capacity): { part: Partition; looks: () => number } {
+  const part = newPartition(0, 5, 0);
   part.phase = "serving";
   let looks = 0;
   for (let i = 0; i < n; i++) {
@@ -80,8 +80,8 @@
   return { part, looks: () => looks };
 }
 
-export function queueUp(part: Part, spec: JobSpec): Unit {
+export function queueUp(part: Partition, spec: JobSpec): Unit {
   const unit = newUnit(`t/j/${spec.ref}`, spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0);
-  addUnit(part, unit);
+  addTaskSet(part, unit);
   return unit;
 }
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -161,7 +161,7 @@
   };
   const leaderOf = (ref: string): string => {
     for (const node of world.nodes.values()) {
-      for (const part of node.controller?.leader.parts.values() ?? []) if (part.byRef.has(ref)) return node.name;
+      for (const part of node.controller?.leader.partitions.values() ?? []) if (part.taskSetsByJob.has(ref)) return node.name;
     }
     throw new Error(`${step.line}: nobody leads ${ref}`);
   };
@@ -352,22 +352,22 @@
     return check(what === "at-most" ? n <= Number(c) : n === Number(what), n);
   }
   if (subject === "parts") {
-    const counts = [...world.nodes.values()].map((n) => n.controller?.leader.parts.size ?? 0);
+    const counts = [...world.nodes.values()].map((n) => n.controller?.leader.partitions.size ?? 0);
     return check(what === "balanced" ? counts.every((n) => n === 1) : counts.reduce((x, y) => x + y, 0) === Number(what), counts.join());
   }
   if (what === "leads") {
     // NODE leads N
-    const n = world.nodes.get(subject)?.controller?.leader.parts.size ?? 0;
+    const n = world.nodes.get(subject)?.controller?.leader.partitions.size ?? 0;
     return check(n === Number(c), n);
   }
   if (what === "serves") {
     // NODE serves N: so many parts that it leads are fenced and place work.
-    const n = [...(world.nodes.get(subject)?.controller?.leader.parts.values() ?? [])].filter((p) => p.phase === "serving").length;
+    const n = [...(world.nodes.get(subject)?.controller?.leader.partitions.values() ?? [])].filter((p) => p.phase === "serving").length;
     return check(n === Number(c), n);
   }
   if (what === "placing") {
     // SUBJECT placing: its leader has accounted for all machines and places work again.
-    const phases = [...world.nodes.values()].flatMap((n) => [...(n.controller?.leader.parts.values() ?? [])].map((p) => p.phase));
+    const phases = [...world.nodes.values()].flatMap((n) => [...(n.controller?.leader.partitions.values() ?? [])].map((p) => p.phase));
     return check(phases.length === world.nodes.size && phases.every((p) => p === "serving"), phases.join());
   }
   if (what === "sliced") {
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -13,7 +13,7 @@
 import { FindingEffects } from "../../src/parts/finding-effects.js";
 import type { Leader } from "../../src/parts/leader.js";
 import type { LeaderContext } from "../../src/parts/leader-context.js";
-import { addMachine, newPart, type Part } from "../../src/parts/part.js";
+import { addMachine, newPartition, type Partition } from "../../src/parts/part.js";
 import type { Progress } from "../../src/parts/progress.js";
 import type { Recovery } from "../../src/parts/recovery.js";
 import { ReportHandler } from "../../src/parts/report-handler.js";
@@ -73,29 +73,29 @@
 const REPEATED_LATEST_MS = 25_000;
 
 class Owner {
-  readonly part: Part;
+  readonly part: Partition;
   readonly scope: Scope;
   private readonly reports: ReportHandler;
   private readonly watch: LeaseWatch;
-  readonly dispatch$ = new Subject<{ part: Part; machine: Machine }>();
-  readonly parts: Map<number, Part>;
+  readonly dispatch$ = new Subject<{ partition: Partition; machine: Machine }>();
+  readonly parts: Map<number, Partition>;
 
   constructor(term: number, clock: VirtualClock, hosts: Iterable<Worker>, done: Set<string>, workers: WorkerApi, errors: string[]) {
     const ignore = (): void => undefined;
     const fail = (entry: unknown, text?: string): void => void errors.push(`${text} ${JSON.stringify(entry)}`);
     this.scope = new Scope(clock, { error: fail, warn: ignore, info: ignore, debug: ignore, isLevelEnabled: () => false });
-    this.part = newPart(0, term, clock.now());
+    this.part = newPartition(0, term, clock.now());
     this.parts = new Map([[0, this.part]]);
     for (const { host, addr } of hosts) this.takeOver(host, addr, clock.now());
     JOBS.forEach((job, i) => this.queue(specOf({ ...job, ref: `run-00000${i + 1}` }), done));
     const context = this.contextOf(clock);
     const progress = {
-      record: (_part: Part, unit: { spec: JobSpec; lo: number; hi: number; done: { has: (task: number) => boolean } }) => {
+      record: (_part: Partition, unit: { spec: JobSpec; lo: number; hi: number; done: { has: (task: number) => boolean } }) => {
         for (let task = 0; task < unit.hi - unit.lo; task++) if (unit.done.has(task)) done.add(`${unit.spec.ref}/${task}`);
       },
-      recordedDone: (piece: string) => done.has(piece),
+      isRecordedDone: (piece: string) => done.has(piece),
     } as unknown as Progress;
-    const recovery = { look: ignore, fenced: ignore, began: ignore } as unknown as Recovery;
+    const recovery = { checkCompletion: ignore, recordFenced: ignore, recordTaskStart: ignore } as unknown as Recovery;
     const mirror = { loaded: true, get: () => undefined, fresh: () => Promise.resolve() } as unknown as Mirror;
     const rentals = { get: () => ({ part: 0 }) } as unknown as Rentals;
     const effects = new FindingEffects(context, progress, recovery);
@@ -110,7 +110,7 @@
       this.watch,
     );
     const leader = Object.assign(Object.create(context) as Leader, {
-      onCommandReply: (part: Part, machine: Machine, report: Report) => this.reports.onCommandReply(part, machine, report),
+      onCommandReply: (part: Partition, machine: Machine, report: Report) => this.reports.onCommandReply(part, machine, report),
     });
     new Dispatch(leader, workers, callsFor(clock, term), this.scope).start();
   }
@@ -128,11 +128,11 @@
     unit.waiting = unit.waiting.filter((task) => !unit.done.has(task));
   }
 
-  private contextOf(clock: VirtualClock): LeaderContext & { silent: () => boolean } {
+  private contextOf(clock: VirtualClock): LeaderContext & { isSilent: () => boolean } {
     return {
       settings: { timing: TIMING, self: "nest-0" } as unknown as LeaderContext["settings"],
       scope: this.scope,
-      parts: this.parts,
+      partitions: this.parts,
       history: new RunHistory("owner"),
       types: [],
       typeOf: () => undefined,
@@ -141,8 +141,8 @@
       audit: new Audit(clock, this.scope.log, () => 0, TIMING.reportMs),
       startGuard: new StartGuard(this.scope),
       dispatch$: this.dispatch$,
-      short$: new Subject(),
-      began$: new Subject(),
+      quotaShortage$: new Subject(),
+      taskStarted$: new Subject(),
       get now() {
         return clock.now();
       },
@@ -151,9 +151,9 @@
         return clock.now();
       },
       proveOwnership: () => Promise.resolve(),
-      supersede: () => false,
-      silent: () => this.scope.closed,
-      wake: () => undefined,
+      endSupersededTerm: () => false,
+      isSilent: () => this.scope.closed,
+      requestSchedulingCycle: () => undefined,
     };
   }
 
@@ -163,9 +163,9 @@
 
   /** Time passes: leases end, the fence is looked at, and what waits is placed. */
   look(): void {
-    this.watch.look();
+    this.watch.check();
     const { touched } = runPass(this.part, { ...pass, now: this.scope.clock.now() });
-    for (const machine of touched) this.dispatch$.next({ part: this.part, machine });
+    for (const machine of touched) this.dispatch$.next({ partition: this.part, machine });
   }
 
   /** Stops some task, as for work of higher priority: it starts again, mostly elsewhere. */
@@ -177,7 +177,7 @@
     machine.avoidUntil = this.scope.clock.now() + 10_000;
     const { spec, placed } = chosen.unit;
     for (const one of spec.kind === "gang" ? placed.values() : [chosen]) one.stop = { graceS: spec.flushS };
-    this.dispatch$.next({ part: this.part, machine });
+    this.dispatch$.next({ partition: this.part, machine });
   }
 
   get surplus(): number {
