--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -16,7 +16,7 @@
 import { Bits } from "../src/platform/bits.js";
 import { newUnit } from "../src/queue/unit.js";
 import { newMachine } from "../src/workers/machine.js";
-import { ReportLanes } from "../src/workers/report-lane.js";
+import { ReportFastPath } from "../src/workers/report-lane.js";
 import { callsFor } from "../test/world/calls.js";
 
 /** Bytes that one more of a thing takes of a controller: heap and buffers after a collection. */
@@ -76,8 +76,8 @@
 async function connections(count: number): Promise<number> {
   const scope = new Scope(systemClock, openLog("measure"), new Costs());
   const server = createNetServer({ noDelay: true, allowHalfOpen: true });
-  const door = { onReport: () => ({ kind: "silent" }) as const, count: () => undefined, refused: () => undefined, costs: scope.costs };
-  new ReportLanes({ door, others: createHttpServer(), crowded: () => false, scope, idleMs: 60_000 }).start(server);
+  const door = { onReport: () => ({ kind: "silent" }) as const, countResponse: () => undefined, onInvalidReport: () => undefined, costs: scope.costs };
+  new ReportFastPath({ endpoint: door, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(server);
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as { port: number };
   const body = JSON.stringify({
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -28,7 +28,7 @@
 import type { PeerApi } from "./peers/links.js";
 import type { Scope } from "./platform/scope.js";
 import type { Settings } from "./settings/derived.js";
-import { Dispatch } from "./workers/dispatch.js";
+import { CommandDispatcher } from "./workers/dispatch.js";
 
 /** Share of a presence's lifetime; a controller whose timers are later than this suspects itself rather than its peers. */
 const LATE_TIMER_SHARE = 1 / 8;
@@ -59,7 +59,7 @@
   readonly quotaShares: QuotaShares;
   readonly guarantees: Guarantees;
   readonly leader: Leader;
-  readonly dispatch: Dispatch;
+  readonly dispatch: CommandDispatcher;
   readonly fleet: Fleet;
   readonly exchange: Exchange;
   readonly jobs: Jobs;
@@ -168,7 +168,7 @@
       (report) => this.leader.onProbeReply(report),
       scope,
     );
-    this.dispatch = new Dispatch(this.leader, deps.workers, calls, scope);
+    this.dispatch = new CommandDispatcher(this.leader, deps.workers, calls, scope);
     const { leader, ownership, quotaShares, mirror: replica, rentals, needs, committer } = this;
     const { peers } = deps;
     this.fleet = new Fleet({
@@ -188,11 +188,11 @@
     const { overload } = this;
     this.exchange = new Exchange({
       settings,
-      life: incarnation,
+      incarnation: incarnation,
       leader,
       ownership,
       quotaShares,
-      mirror: replica,
+      replica: replica,
       needs,
       committer,
       peers,
--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -17,7 +17,7 @@
    */
   onBidRequest(query: Query): void {
     const partition = this.dependencies.leader.partitions.get(query.part);
-    const job = this.dependencies.mirror.get<JobRecord>(keys.job(query.job))?.v;
+    const job = this.dependencies.replica.get<JobRecord>(keys.job(query.job))?.v;
     if (
       partition === undefined ||
       partition.phase !== "serving" ||
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -16,11 +16,11 @@
 /** Dependencies of the exchange. */
 export interface ExchangeDependencies {
   settings: Settings;
-  life: string;
+  incarnation: string;
   leader: Leader;
   ownership: Ownership;
   quotaShares: QuotaShares;
-  mirror: Mirror;
+  replica: Mirror;
   needs: Needs;
   committer: Committer;
   peers: PeerApi;
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -45,7 +45,7 @@
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
   constructor(private readonly dependencies: ExchangeDependencies) {
-    this.lastRequestId = firstId(dependencies.life);
+    this.lastRequestId = firstId(dependencies.incarnation);
     this.volunteers = new Volunteers(dependencies);
     this.bidResponder = new BidResponder(dependencies);
     this.migration = new Migration(dependencies, (taskSet) => this.nextRequestAt.delete(taskSet.key));
--- a/src/exchange/moving.ts
+++ b/src/exchange/moving.ts
@@ -17,9 +17,9 @@
     taskSet.leaving = true;
     this.dependencies.scope.log.debug({ part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref }, "migration begun");
     const draft = () => {
-      const entry = this.dependencies.mirror.get<JobRecord>(taskSet.key);
+      const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
       if (entry === undefined || partOf(entry.v) !== partition.id || entry.v.end !== undefined) return null;
-      if (this.dependencies.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
+      if (this.dependencies.replica.stamp(keys.owner(partition.id)) !== partition.term) return null;
       return {
         conditions: [
           { k: taskSet.key, stamp: entry.stamp },
@@ -56,9 +56,9 @@
     const { ref } = taskSet.spec;
     const key = keys.slice(ref, lo);
     const draft = () => {
-      const entry = this.dependencies.mirror.get<JobRecord>(taskSet.key);
+      const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
       if (entry === undefined || partOf(entry.v) !== partition.id || entry.v.end !== undefined || entry.v.hi !== endBefore) return null;
-      if (this.dependencies.mirror.stamp(keys.owner(partition.id)) !== partition.term || this.dependencies.mirror.get(key) !== undefined)
+      if (this.dependencies.replica.stamp(keys.owner(partition.id)) !== partition.term || this.dependencies.replica.get(key) !== undefined)
         return null;
       const rest = fitting<JobRecord>({ ...settled(entry.v), hi: lo }, lo, this.dependencies.settings.state.valueKb);
       if (rest === null) return null;
@@ -76,7 +76,7 @@
       };
     };
     void this.dependencies.committer.commit("slice", draft).then((outcome) => {
-      const moved = (this.dependencies.mirror.get<JobRecord>(taskSet.key)?.v.hi ?? 0) <= lo;
+      const moved = (this.dependencies.replica.get<JobRecord>(taskSet.key)?.v.hi ?? 0) <= lo;
       taskSet.leavingFrom = Infinity;
       if (!moved && !taskSet.ended) taskSet.waiting.push(...migrating.filter((task) => !taskSet.attempts.hasTask(ref, task)));
       this.allowBidRequests(taskSet);
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -77,7 +77,7 @@
   }
 
   private quotaRecord(team: string): AllotmentRecord | undefined {
-    return this.dependencies.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
+    return this.dependencies.replica.get<AllotmentRecord>(keys.allotment(team))?.v;
   }
 
   private grantedShare(partition: number, team: string): Usage {
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -22,7 +22,7 @@
 export function missingFromListing(list: Listing, partition: Partition, machine: Machine, settings: Settings): boolean {
   const { cloud, clock_off_ms } = settings.platform.deployment;
   const minAgeMs = cloud.list_lag_s * 1000 * MAX_LIST_LAGS + clock_off_ms + settings.timing.reportMs * SLACK_REPORTS;
-  const shouldBeListed = (candidate: Machine): boolean => candidate.hiredAt < list.readAt - minAgeMs;
+  const shouldBeListed = (candidate: Machine): boolean => candidate.rentedAt < list.readAt - minAgeMs;
   if (list.readAt < partition.takenOverAt || list.hosts.has(machine.host) || !shouldBeListed(machine)) return false;
   let listed = 0;
   for (const other of partition.machines.values()) {
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -7,7 +7,7 @@
 import { allowed, copies, placeTasks, type Slot } from "../queue/placement.js";
 import { shift } from "../queue/room.js";
 import { suspect, type Placement, type Unit } from "../queue/unit.js";
-import { freeRoom, newMachine } from "../workers/machine.js";
+import { freeCapacity, newMachine } from "../workers/machine.js";
 
 /** Inputs of a rental plan. */
 export interface PlanContext {
@@ -62,7 +62,7 @@
   }
   for (const machine of partition.machines.values()) {
     const booting = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !usable.has(machine);
-    if (booting) candidateMachines.push({ machine, free: freeRoom(machine) });
+    if (booting) candidateMachines.push({ machine, free: freeCapacity(machine) });
   }
   const usage = copyUsageByTeam(partition);
   let hypothetical = 0;
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -43,7 +43,7 @@
 
 /** Whether a machine that is up has not reported for more than `ms`. */
 function silentFor(machine: Machine, now: number, ms: number): boolean {
-  return machine.up && now - machine.heardAt > ms;
+  return machine.up && now - machine.lastReceivedAt > ms;
 }
 
 /** Returns machines to the cloud. A machine's record is removed only after the cloud has confirmed its deletion. */
@@ -78,7 +78,7 @@
     if (partition.phase === "serving" && this.seemsPreempted(partition, machine, tally))
       return machine.noticeAt === null ? "unheard and cheap" : "taken";
     if (!machine.up)
-      return now - machine.hiredAt > Math.max(bootMs * late_per_boot, this.deps.settings.timing.leaseMs) && machine.heardAt === -Infinity
+      return now - machine.rentedAt > Math.max(bootMs * late_per_boot, this.deps.settings.timing.leaseMs) && machine.lastReceivedAt === -Infinity
         ? "never came up"
         : null;
     if (machine.placements.size > 0) return null;
@@ -136,7 +136,7 @@
   private seemsPreempted(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { reportMs } = this.deps.settings.timing;
     const now = this.deps.scope.clock.now();
-    if (!machine.up || machine.heardAt === -Infinity || now - partition.takenOverAt < reportMs * SILENT_REPORTS) return false;
+    if (!machine.up || machine.lastReceivedAt === -Infinity || now - partition.takenOverAt < reportMs * SILENT_REPORTS) return false;
     if (machine.noticeAt !== null) return silentFor(machine, now, reportMs * LATE_REPORTS);
     // Counts all late machines, because a network cut becomes visible in one machine's reports first.
     return machine.spot && silentFor(machine, now, reportMs * SILENT_REPORTS) && isDeletableCount(partition, tally.late);
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -21,20 +21,20 @@
   /** Applies all findings of one report or one lease check. */
   apply(partition: Partition, findings: Findings): void {
     for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
-    for (const { unit: taskSet, seconds, host } of findings.runs) {
+    for (const { taskSet: taskSet, seconds, host } of findings.runs) {
       this.updatePace(partition, taskSet, seconds, host);
       this.context.history.note(taskSet.spec, seconds);
     }
     const { audit } = this.context;
     for (const { machine, proof } of findings.fenced) audit.logFenced(partition, machine, proof);
     for (const { placement, wanted } of findings.adopted) audit.logAdopted(partition, placement, wanted);
-    for (const placement of findings.began) this.recordTaskStart(partition, placement);
+    for (const placement of findings.started) this.recordTaskStart(partition, placement);
     for (const ended of findings.ended) {
       audit.logGone(partition, ended);
       this.context.account.ended(ended);
     }
     for (const one of findings.unproven) this.reportInvalidProof(partition, one);
-    for (const taskSet of findings.broken) this.stopGang(partition, taskSet);
+    for (const taskSet of findings.brokenGangs) this.stopGang(partition, taskSet);
     if (findings.changed) this.context.requestSchedulingCycle();
   }
 
@@ -74,12 +74,12 @@
     const machine = partition.machines.get(host);
     // A gang runs as fast as its slowest machine, so its run times say nothing about a single machine.
     if (machine === undefined || taskSet.spec.kind !== "array") return;
-    machine.pace.sum += Math.log(seconds / this.context.history.expectS(taskSet.spec));
-    machine.pace.count++;
-    if (machine.draining || machine.pace.count < MIN_PACE_SAMPLES || machine.pace.sum / machine.pace.count < Math.log(SLOW_FACTOR)) return;
+    machine.runTimeRatios.sum += Math.log(seconds / this.context.history.expectS(taskSet.spec));
+    machine.runTimeRatios.count++;
+    if (machine.draining || machine.runTimeRatios.count < MIN_PACE_SAMPLES || machine.runTimeRatios.sum / machine.runTimeRatios.count < Math.log(SLOW_FACTOR)) return;
     machine.draining = true;
     this.context.scope.log.info(
-      { part: partition.id, host, factor: Math.exp(machine.pace.sum / machine.pace.count) },
+      { part: partition.id, host, factor: Math.exp(machine.runTimeRatios.sum / machine.runTimeRatios.count) },
       "machine drained: its tasks run slower than expected",
     );
   }
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -35,7 +35,7 @@
     for (const machine of partition.machines.values()) {
       if (!machine.up || machine.deleting) continue;
       expected++;
-      if (now - machine.heardAt < silentMs) reporting++;
+      if (now - machine.lastReceivedAt < silentMs) reporting++;
     }
   }
   if (expected < MIN_MACHINES) return "unsure";
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -163,9 +163,9 @@
     for (const partition of this.partitions.values()) {
       partition.takenOverAt += ms;
       for (const machine of partition.machines.values()) {
-        machine.heardAt += ms;
-        machine.reportedAt += ms;
-        machine.hiredAt += ms;
+        machine.lastReceivedAt += ms;
+        machine.lastReportAt += ms;
+        machine.rentedAt += ms;
         machine.idleSince += ms;
         for (const placement of machine.placements.values()) placement.timed = false;
       }
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -3,8 +3,8 @@
 import type { Machine } from "../workers/machine.js";
 import { isBrokenGang } from "../queue/unit.js";
 import { fence } from "../workers/fence.js";
-import { dropAll, newFindings } from "../workers/report-intake.js";
-import { leaseOver } from "../workers/lease.js";
+import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
+import { isLeaseExpired } from "../workers/lease.js";
 import type { FindingEffects } from "./finding-effects.js";
 import { FenceProgress } from "./fence-progress.js";
 import type { LeaderContext } from "./leader-context.js";
@@ -39,8 +39,8 @@
     let unproven = 0;
     for (const partition of this.context.partitions.values()) {
       for (const machine of partition.machines.values()) {
-        if (!machine.lost && leaseOver(machine, now, expiryMs)) {
-          if (leaseOver(machine, provenAt, expiryMs)) this.markLost(partition, machine);
+        if (!machine.lost && isLeaseExpired(machine, now, expiryMs)) {
+          if (isLeaseExpired(machine, provenAt, expiryMs)) this.markLost(partition, machine);
           else unproven++;
         }
         if (partition.phase === "serving" && (machine.noticeAt !== null || machine.draining)) this.evacuate(partition, machine);
@@ -82,7 +82,7 @@
     machine.lost = true;
     const findings = newFindings();
     fence(partition, machine, "lease", findings.fenced);
-    dropAll({ part: partition, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
+    dropAllAttempts({ partition: partition, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
     findings.changed = true;
     scope.log.info(
       {
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -26,7 +26,7 @@
     this.pending.add(key);
     const reportedAddress = (host: string): string | null => {
       const current = partition.machines.get(host);
-      return current === undefined || current.heardAt === -Infinity || current.deleting ? null : current.addr;
+      return current === undefined || current.lastReceivedAt === -Infinity || current.deleting ? null : current.addr;
     };
     const draft = () => {
       const entry = this.mirror.get<RentalRecord>(key);
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -7,8 +7,8 @@
 import { newUnit, shorten, type Unit } from "../queue/unit.js";
 import { newMachine, type Machine } from "../workers/machine.js";
 import { fence } from "../workers/fence.js";
-import { clearBlame } from "../workers/blame.js";
-import { dropAll, newFindings } from "../workers/report-intake.js";
+import { clearFailures } from "../workers/blame.js";
+import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
 import type { FindingEffects } from "./finding-effects.js";
 import { EndedTerms, type NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
@@ -164,7 +164,7 @@
       if (!added.up) fence(partition, added, "unused", []);
       // The former owner may answer the machine until it must fall silent.
       added.answeredAt = added.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
-      if (added.up) added.reportedAt = this.context.now;
+      if (added.up) added.lastReportAt = this.context.now;
       addMachine(partition, added);
     }
     this.context.requestSchedulingCycle();
@@ -173,7 +173,7 @@
   /** Removes a machine that the cloud has deleted, with all attempts on it. */
   forgetMachine(partition: Partition, machine: Machine): void {
     const findings = newFindings();
-    dropAll({ part: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
+    dropAllAttempts({ partition: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
     fence(partition, machine, "deleted", findings.fenced);
     partition.machines.delete(machine.host);
     this.effects.apply(partition, findings);
@@ -236,7 +236,7 @@
   /** Stops the attempts of a job that ended and removes its task set from the queue. */
   private endTaskSet(partition: Partition, taskSet: Unit): void {
     taskSet.ended = true;
-    clearBlame(partition, taskSet);
+    clearFailures(partition, taskSet);
     for (const placement of taskSet.placed.values()) {
       if (!taskSet.done.has(placement.task)) placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -8,8 +8,8 @@
 import { Bits } from "../platform/bits.js";
 import { newUnit, type Unit } from "../queue/unit.js";
 import type { Machine } from "../workers/machine.js";
-import { newFindings, takeReport, type ReportContext } from "../workers/report-intake.js";
-import { noteAnswer } from "../workers/lease.js";
+import { newFindings, applyReport, type ReportContext } from "../workers/report-intake.js";
+import { recordLeaseRenewal } from "../workers/lease.js";
 import { ordersFor } from "../workers/orders.js";
 import type { MachineStartup } from "./machine-startup.js";
 import type { FindingEffects } from "./finding-effects.js";
@@ -63,7 +63,7 @@
     if (free)
       for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
     if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.offeredSeq = report.seq;
-    noteAnswer(machine, newer, this.context.now);
+    recordLeaseRenewal(machine, newer, this.context.now);
     // Every answer renews the lease, so each contains the stop orders: a machine that receives nothing more would
     // otherwise run tasks of cancelled jobs for another lease. Other orders are sent only to a fenced machine and only in
     // answer to its newest report.
@@ -74,8 +74,8 @@
     return ordersFor(machine, "report", {
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
-      clearable: (task) => this.clearable(task),
-      refused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
+      isClearable: (task) => this.clearable(task),
+      onStartRefused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
       max: MAX_ORDERS,
     });
   }
@@ -118,7 +118,7 @@
       placeholderFor: (ref) => this.placeholder(ref),
     };
     const wasDraining = machine.draining;
-    const newer = takeReport(partition, machine, report, context, findings);
+    const newer = applyReport(partition, machine, report, context, findings);
     if (!wasDraining && machine.draining)
       this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine drained: it failed tasks of several jobs");
     this.effects.apply(partition, findings);
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Partition } from "../parts/part.js";
-import { freeRoom, usable, type Capacity, type Machine } from "../workers/machine.js";
+import { freeCapacity, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { inOrder, type LocalOrder } from "./order.js";
 import type { RunHistory } from "./history.js";
 import { allowed, copies } from "./placement.js";
@@ -139,11 +139,11 @@
   for (const machine of partition.machines.values()) {
     if (machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     if (!zones.has(machine.zone)) zones.set(machine.zone, zones.size);
-    const simulated: SimulatedMachine = { machine, free: freeRoom(machine), zone: zones.get(machine.zone)!, index: machines.length };
-    if (!usable(machine, now, context.silentMs)) {
+    const simulated: SimulatedMachine = { machine, free: freeCapacity(machine), zone: zones.get(machine.zone)!, index: machines.length };
+    if (!isUsable(machine, now, context.silentMs)) {
       const readyAt = machine.up
         ? Math.max(now + 1000, machine.avoidUntil)
-        : Math.max(now + 1000, machine.hiredAt + context.bootMs(machine));
+        : Math.max(now + 1000, machine.rentedAt + context.bootMs(machine));
       events.push({ at: due(readyAt), machine: simulated, freed: { ...simulated.free }, times: 1 });
       simulated.free = { cpus: 0, gpus: 0, ram: 0 };
     }
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -1,5 +1,5 @@
 import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
-import { attemptKey, freeRoom, addAttempt, usable, type Capacity, type Machine } from "../workers/machine.js";
+import { attemptKey, freeCapacity, addAttempt, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { UnschedulableShapes } from "./unschedulable.js";
 import { inOrder, type LocalOrder } from "./order.js";
 import { occupy, placeTasks, type Slot } from "./placement.js";
@@ -52,7 +52,7 @@
 export function usableSlots(partition: Partition, now: number, silentMs: number): Slot[] {
   const candidates: Slot[] = [];
   for (const machine of partition.machines.values()) {
-    if (usable(machine, now, silentMs)) candidates.push({ machine, free: freeRoom(machine) });
+    if (isUsable(machine, now, silentMs)) candidates.push({ machine, free: freeCapacity(machine) });
   }
   return candidates;
 }
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -1,5 +1,5 @@
 import type { Partition } from "../parts/part.js";
-import { usable, type Capacity, type Machine } from "../workers/machine.js";
+import { isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { allowed, copies, type Slot } from "./placement.js";
 import type { Unit } from "./unit.js";
 
@@ -90,9 +90,9 @@
       if (held > 0) entry.freeMachines.push(candidate);
       entry.gains.push(...capacityGains(machine, taskSet, candidate.free, context));
     } else if (!machine.up) {
-      const at = Math.max(now + 1000, machine.hiredAt + context.bootMs(machine));
+      const at = Math.max(now + 1000, machine.rentedAt + context.bootMs(machine));
       entry.gains.push({ at, tasks: copies(spec, machine.capacity) });
-    } else if (!usable(machine, now, context.silentMs)) {
+    } else if (!isUsable(machine, now, context.silentMs)) {
       continue;
     }
   }
--- a/src/queue/unit.ts
+++ b/src/queue/unit.ts
@@ -1,7 +1,7 @@
 import { Bits } from "../platform/bits.js";
 import type { JobSpec, Urgency } from "@thorntrail/protocol/jobs";
 import type { TaskState } from "@thorntrail/protocol/worker";
-import type { GoneAttempt } from "../workers/gone.js";
+import type { TerminatedAttempt } from "../workers/gone.js";
 import { AttemptRegistry } from "./attempts.js";
 
 /** One attempt at one task on one machine, from its start order until it is proven gone. */
@@ -44,7 +44,7 @@
   /** All attempts that may be on machines of the partition, of this job and others. */
   attempts: AttemptRegistry<Placement>;
   /** For tasks that are not done: the last attempt that is gone, with the proof. */
-  lastGone: Map<number, GoneAttempt>;
+  lastGone: Map<number, TerminatedAttempt>;
   submittedWall: number;
   arrivedAt: number;
   moved: boolean;
@@ -145,7 +145,7 @@
 }
 
 /** Records the proof that allows the task to start again, for the log of its next start. */
-export function noteGone(taskSet: Unit, task: number, gone: GoneAttempt): void {
+export function noteGone(taskSet: Unit, task: number, gone: TerminatedAttempt): void {
   if (!taskSet.done.has(task)) taskSet.lastGone.set(task, gone);
 }
 
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -18,9 +18,9 @@
 import { Metrics } from "./status/metrics.js";
 import { clusterView } from "./status/view.js";
 import type { Settings } from "./settings/derived.js";
-import { REPORT_PATH, serveReport, type ReportDoor } from "./workers/report-endpoint.js";
-import { ReportLanes } from "./workers/report-lane.js";
-import { HttpWorkers } from "./workers/worker-client.js";
+import { REPORT_PATH, handleReportRequest, type ReportEndpointDependencies } from "./workers/report-endpoint.js";
+import { ReportFastPath } from "./workers/report-lane.js";
+import { HttpWorkerClient } from "./workers/worker-client.js";
 
 /** Time in lease expiries after which a silent connection is closed; the lease of a worker that reports on it has expired by then. */
 const IDLE_EXPIRIES = 2;
@@ -46,7 +46,7 @@
     {
       state: new HttpState(endpoints.state, calls.of("state.read").policy.limitMs),
       cloud: new HttpCloud(endpoints.cloud, calls.of("cloud.read").policy.limitMs),
-      workers: new HttpWorkers(calls.of("worker.order").policy.limitMs, maxConcurrentCommands(deployment.quota.sockets), settings.self),
+      workers: new HttpWorkerClient(calls.of("worker.order").policy.limitMs, maxConcurrentCommands(deployment.quota.sockets), settings.self),
       peers,
       calls,
       memory: () => {
@@ -70,10 +70,10 @@
   const app = lazy(async () => (await import("./intake/app.js")).buildApp(userApi));
   let refusals = 0;
   let refusalLoggedAt = -Infinity;
-  const reports: ReportDoor = {
+  const reports: ReportEndpointDependencies = {
     onReport: (report) => controller.leader.onReport(report),
-    count: (status) => metrics.countAnswer(status),
-    refused: (why, begins) => {
+    countResponse: (status) => metrics.countAnswer(status),
+    onInvalidReport: (why, begins) => {
       // Each worker of an unsupported version reports every few seconds, so this is logged once per report interval.
       const now = scope.clock.now();
       refusals++;
@@ -85,7 +85,7 @@
   };
   const httpServer = createHttpServer((req, res) => {
     if (inbound.crowded()) res.shouldKeepAlive = false;
-    if (req.url === REPORT_PATH && req.method === "POST") serveReport(reports, req, res);
+    if (req.url === REPORT_PATH && req.method === "POST") handleReportRequest(reports, req, res);
     else
       scope.costs.spend("users", () => {
         if (!answerWithoutExpress(userApi, req, res))
@@ -101,10 +101,10 @@
   httpServer.emit("listening");
   const server = createServer({ noDelay: true, allowHalfOpen: true });
   const inbound = new Doors(server, deployment.quota.sockets);
-  new ReportLanes({
-    door: reports,
-    others: httpServer,
-    crowded: () => inbound.crowded(),
+  new ReportFastPath({
+    endpoint: reports,
+    httpServer: httpServer,
+    isNearSocketLimit: () => inbound.crowded(),
     scope,
     idleMs: timing.expiryMs * IDLE_EXPIRIES,
   }).start(server);
--- a/src/served/account.ts
+++ b/src/served/account.ts
@@ -1,5 +1,5 @@
 import type { Placement } from "../queue/unit.js";
-import type { GoneProof } from "../workers/gone.js";
+import type { TerminationProof } from "../workers/gone.js";
 
 /**
  * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work, a guarantee, a notice
@@ -15,7 +15,7 @@
   placement: Placement;
   end: End;
   /** The proof that the attempt is gone. */
-  proof: GoneProof;
+  proof: TerminationProof;
   /** Observed run time in seconds; 0 if it was never seen to run. */
   ranS: number;
   /** True if its progress was saved when it was stopped. */
--- a/src/workers/blame.ts
+++ b/src/workers/blame.ts
@@ -11,10 +11,10 @@
 }
 
 /** Removes the failures of a job from the machines that it failed on, because the job caused them. */
-export function clearBlame(partition: Partition, taskSet: Unit): void {
+export function clearFailures(partition: Partition, taskSet: Unit): void {
   for (const host of taskSet.failedOn.keys()) {
     const machine = partition.machines.get(host);
-    if (machine?.errors.delete(taskSet.spec.ref) === true) machine.avoidUntil = -Infinity;
+    if (machine?.failuresByJob.delete(taskSet.spec.ref) === true) machine.avoidUntil = -Infinity;
   }
 }
 
@@ -30,10 +30,10 @@
   taskSet.failedOn.set(machine.host, (taskSet.failedOn.get(machine.host) ?? 0) + 1);
   if (suspect(taskSet)) {
     taskSet.notBefore = now + Math.min(leaseMs * 3, coolMs * 2 ** Math.min(taskSet.failedOn.size, 8));
-    clearBlame(partition, taskSet);
+    clearFailures(partition, taskSet);
     return;
   }
-  machine.errors.set(taskSet.spec.ref, (machine.errors.get(taskSet.spec.ref) ?? 0) + 1);
-  if (machine.errors.size > 1) machine.draining = true;
+  machine.failuresByJob.set(taskSet.spec.ref, (machine.failuresByJob.get(taskSet.spec.ref) ?? 0) + 1);
+  if (machine.failuresByJob.size > 1) machine.draining = true;
   else machine.avoidUntil = now + coolMs * 2;
 }
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -18,7 +18,7 @@
  * answer to the worker's next report. While a machine is being fenced, the command
  * carries the new token and no orders.
  */
-export class Dispatch {
+export class CommandDispatcher {
   constructor(
     private readonly leader: Leader,
     private readonly workers: WorkerApi,
@@ -45,8 +45,8 @@
       : ordersFor(machine, "direct", {
           now,
           leaseMs: this.leader.settings.timing.leaseMs,
-          clearable: () => false,
-          refused: (placement, others) => this.leader.startGuard.refused(partition, placement, others),
+          isClearable: () => false,
+          onStartRefused: (placement, others) => this.leader.startGuard.refused(partition, placement, others),
           max: MAX_DIRECT_ORDERS,
         });
     if (!fencing && orders.length === 0) return;
@@ -55,8 +55,8 @@
     let failed = false;
     const recordFailure = (why: string): void => {
       failed = true;
-      machine.directError = why;
-      machine.nextCommandAt = this.scope.clock.now() + caller.pauseMs(++machine.directFailures);
+      machine.lastCommandError = why;
+      machine.nextCommandAt = this.scope.clock.now() + caller.pauseMs(++machine.failedCommands);
     };
     const session = Math.max(1, machine.session);
     const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
@@ -80,7 +80,7 @@
       // The worker refused because it has a higher token or another session. An immediate
       // retry would be refused again; the next report carries the current state.
       if (!reply.executed && !retryNow) recordFailure(`refused: token ${reply.report.token}, session ${reply.report.session}`);
-      else Object.assign(machine, { directFailures: 0, directError: null });
+      else Object.assign(machine, { failedCommands: 0, lastCommandError: null });
       if (fencing && reply.executed && machine.answeredAt > now) machine.answeredAt = this.scope.clock.now();
       this.leader.onCommandReply(partition, machine, reply.report);
     } catch (error) {
--- a/src/workers/gone.ts
+++ b/src/workers/gone.ts
@@ -5,7 +5,7 @@
  */
 
 /** Proof that an attempt no longer exists on its machine. Times are in ms of the controller's steady clock. */
-export type GoneProof =
+export type TerminationProof =
   /** The machine's lease expired, and a read that began after the expiry (`provenAt`) still found this owner's term. */
   | { by: "lease over"; answeredAt: number; expiryMs: number; provenAt: number }
   /** The worker is in a later session and discarded all attempts when the former session ended. */
@@ -18,14 +18,14 @@
   | { by: "machine deleted" };
 
 /** An attempt that no longer exists, as it is logged when its task starts again. */
-export interface GoneAttempt {
+export interface TerminatedAttempt {
   attempt: number;
   host: string;
-  by: GoneProof["by"];
+  by: TerminationProof["by"];
 }
 
 /** Returns why the proof is not valid for the owner of this term, or null if it is valid. */
-export function flawOf(proof: GoneProof, term: number): string | null {
+export function proofFlaw(proof: TerminationProof, term: number): string | null {
   switch (proof.by) {
     case "lease over":
       return proof.provenAt > proof.answeredAt + proof.expiryMs ? null : "another owner may have renewed the lease before it ended";
--- a/src/workers/lease.ts
+++ b/src/workers/lease.ts
@@ -8,8 +8,8 @@
  * owner's answers and may continue under the former owner, whose last answer may reach it much later; a report from such
  * a machine therefore never moves the time back.
  */
-export function noteAnswer(machine: Machine, isNewReport: boolean, now: number): void {
-  const renewedAt = isNewReport ? now : machine.heardAt;
+export function recordLeaseRenewal(machine: Machine, isNewReport: boolean, now: number): void {
+  const renewedAt = isNewReport ? now : machine.lastReceivedAt;
   machine.answeredAt = machine.fenced && isNewReport ? renewedAt : Math.max(machine.answeredAt, renewedAt);
 }
 
@@ -19,6 +19,6 @@
  * partition; since then a new owner may have answered the machine. A lease that expires after `provenAt` may therefore
  * have been renewed, even if it has expired by the local clock.
  */
-export function leaseOver(machine: Machine, provenAt: number, expiryMs: number): boolean {
+export function isLeaseExpired(machine: Machine, provenAt: number, expiryMs: number): boolean {
   return machine.up && provenAt > machine.answeredAt + expiryMs;
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -31,20 +31,20 @@
   seq: number;
   token: number;
   /** When the newest state of the worker was received, in a report or in the reply to a command. */
-  heardAt: number;
+  lastReceivedAt: number;
   /** When the last report was received; before the first one, when this owner took the partition. Only reports renew the lease. */
-  reportedAt: number;
+  lastReportAt: number;
   /** Latest time at which the machine's lease may have been renewed, or a new one may have begun. */
   answeredAt: number;
   /** The lease has provably expired. */
   lost: boolean;
   noticeAt: number | null;
-  hiredAt: number;
+  rentedAt: number;
   idleSince: number;
   deleting: boolean;
   draining: boolean;
   /** Failures by job reference since the last completed task. */
-  errors: Map<string, number>;
+  failuresByJob: Map<string, number>;
   avoidUntil: number;
   images: Set<string>;
   placements: Map<string, Placement>;
@@ -53,12 +53,12 @@
   unresolvedStarts: Set<string>;
   commandInFlight: boolean;
   /** Number of consecutive direct commands that failed; `nextCommandAt` is when the next one may be sent. */
-  directFailures: number;
+  failedCommands: number;
   /** Why the last direct command failed; null if it succeeded. */
-  directError: string | null;
+  lastCommandError: string | null;
   nextCommandAt: number;
   /** Sum and number of the logarithms of actual to expected run time of its tasks, to detect slow machines. */
-  pace: { sum: number; count: number };
+  runTimeRatios: { sum: number; count: number };
   /** Resources that `placements` use, updated with each attempt that is added or removed. */
   used: Capacity;
   /** Usage by team in the whole partition; an object shared by its machines and updated together with `used`. */
@@ -99,26 +99,26 @@
     session: 0,
     seq: 0,
     token: 0,
-    heardAt: -Infinity,
-    reportedAt: -Infinity,
+    lastReceivedAt: -Infinity,
+    lastReportAt: -Infinity,
     answeredAt: -Infinity,
     lost: false,
     noticeAt: null,
-    hiredAt: rentedAt,
+    rentedAt: rentedAt,
     idleSince: rentedAt,
     deleting: false,
     draining: false,
-    errors: new Map(),
+    failuresByJob: new Map(),
     avoidUntil: -Infinity,
     images: new Set(),
     placements: new Map(),
     exited: new Map(),
     unresolvedStarts: new Set(),
     commandInFlight: false,
-    directFailures: 0,
-    directError: null,
+    failedCommands: 0,
+    lastCommandError: null,
     nextCommandAt: -Infinity,
-    pace: { sum: 0, count: 0 },
+    runTimeRatios: { sum: 0, count: 0 },
     used: { cpus: 0, gpus: 0, ram: 0 },
     teamUsage: new Map(),
     attempts: new AttemptRegistry(),
@@ -161,7 +161,7 @@
 }
 
 /** Returns the capacity of a machine that no registered attempt uses. */
-export function freeRoom({ capacity, used }: Machine): Capacity {
+export function freeCapacity({ capacity, used }: Machine): Capacity {
   return { cpus: capacity.cpus - used.cpus, gpus: capacity.gpus - used.gpus, ram: capacity.ram - used.ram };
 }
 
@@ -169,7 +169,7 @@
  * Returns whether new work may be placed on the machine. A machine that replies to commands but whose reports reach no
  * controller is excluded, because its lease will expire and end everything started on it.
  */
-export function usable(machine: Machine, now: number, silentMs: number): boolean {
+export function isUsable(machine: Machine, now: number, silentMs: number): boolean {
   return (
     machine.up &&
     machine.fenced &&
@@ -178,7 +178,7 @@
     !machine.draining &&
     machine.noticeAt === null &&
     machine.avoidUntil <= now &&
-    now - machine.heardAt < silentMs &&
-    now - machine.reportedAt < silentMs
+    now - machine.lastReceivedAt < silentMs &&
+    now - machine.lastReportAt < silentMs
   );
 }
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -8,9 +8,9 @@
   now: number;
   leaseMs: number;
   /** Returns whether the result of an exited attempt is no longer needed on the worker. */
-  clearable: (task: ReportedTask) => boolean;
+  isClearable: (task: ReportedTask) => boolean;
   /** Called instead of sending a start when other attempts at the task may be on machines. */
-  refused: (placement: Placement, others: readonly Placement[]) => void;
+  onStartRefused: (placement: Placement, others: readonly Placement[]) => void;
   /** Number of orders at which no further attempt is considered. */
   max: number;
 }
@@ -29,7 +29,7 @@
 }
 
 /** Checks, immediately before a start is sent, that no other attempt at the task may be on a machine; reports a violation. */
-function canSendStart({ attempts }: Machine, placement: Placement, { refused }: WorkerOrderContext): boolean {
+function canSendStart({ attempts }: Machine, placement: Placement, { onStartRefused: refused }: WorkerOrderContext): boolean {
   const others = attempts.others(placement);
   if (others.length > 0) refused(placement, others);
   return others.length === 0;
@@ -40,7 +40,7 @@
  * answer to a report or in a direct command.
  */
 export function ordersFor(machine: Machine, channel: "report" | "direct", context: WorkerOrderContext): Order[] {
-  const { clearable, max } = context;
+  const { isClearable: clearable, max } = context;
   const orders: Order[] = [];
   for (const placement of machine.placements.values()) {
     if (orders.length >= max) return orders;
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -11,13 +11,13 @@
 export const MAX_REPORT_BYTES = 64 * 1024;
 
 /** Dependencies of the report endpoint. */
-export interface ReportDoor {
+export interface ReportEndpointDependencies {
   /** Applies a report and returns the answer. */
   onReport: (report: Report) => ReportAnswer;
   /** Counts a response by its HTTP status. */
-  count: (status: number) => void;
+  countResponse: (status: number) => void;
   /** Called for a body that is not a valid report, with the reason and the beginning of the body. */
-  refused: (why: string, bodyStart: string) => void;
+  onInvalidReport: (why: string, bodyStart: string) => void;
   costs: Costs;
 }
 
@@ -35,10 +35,10 @@
 export const REPORT_TOO_LARGE = jsonResponse(400, { error: "a report has at most 64 KiB" });
 
 /** Decodes the body of a request to the report path, has the report applied and returns the response. */
-export function answerReport(door: ReportDoor, body: Buffer): ReportResponse {
+export function answerReport(door: ReportEndpointDependencies, body: Buffer): ReportResponse {
   return door.costs.spend("report", () => {
     const refuse = (error: string): ReportResponse => {
-      door.refused(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
+      door.onInvalidReport(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
       return jsonResponse(400, { error });
     };
     let raw: unknown;
@@ -57,13 +57,13 @@
 }
 
 function send(
-  door: ReportDoor,
+  door: ReportEndpointDependencies,
   res: ServerResponse,
   { status, text, retryAfterS }: ReportResponse,
   headers: Record<string, string> = {},
 ): void {
   if (res.headersSent) return;
-  door.count(status);
+  door.countResponse(status);
   const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
   res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(text), ...retry, ...headers });
   res.end(text);
@@ -74,7 +74,7 @@
  * reports leaves all requests that are not in the plain form. Express is bypassed because
  * its routing and body parsing cost more processor time than the report itself.
  */
-export function serveReport(door: ReportDoor, req: IncomingMessage, res: ServerResponse): void {
+export function handleReportRequest(door: ReportEndpointDependencies, req: IncomingMessage, res: ServerResponse): void {
   const chunks: Buffer[] = [];
   let size = 0;
   req.on("data", (chunk: Buffer) => {
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -17,7 +17,7 @@
 import type { End, Ended } from "../served/account.js";
 import { attributeFailure, type FailureTiming } from "./blame.js";
 import { fence } from "./fence.js";
-import { flawOf, type GoneProof } from "./gone.js";
+import { proofFlaw, type TerminationProof } from "./gone.js";
 import { addAttempt, attemptKey, removeAttempt, type FenceProof, type Machine } from "./machine.js";
 
 /** Effects of a report, or of the loss of a machine, for the caller to act on. */
@@ -27,19 +27,19 @@
   /** Task sets with completed tasks that are not yet recorded in the state service. */
   finished: Set<Unit>;
   /** Run times of tasks that were observed from start to completion, for the estimator. */
-  runs: { unit: Unit; seconds: number; host: string }[];
+  runs: { taskSet: Unit; seconds: number; host: string }[];
   /** Attempts that were reported as running for the first time. */
-  began: Placement[];
+  started: Placement[];
   /** Attempts that this owner has no record of ordering; `wanted` if they may continue. */
   adopted: { placement: Placement; wanted: boolean }[];
   /** Attempts that provably no longer exist, and how they ended. */
   ended: Ended[];
   /** Attempts that were to be removed on the basis of an invalid proof, and therefore remain registered. */
-  unproven: { placement: Placement; proof: GoneProof; flaw: string }[];
+  unproven: { placement: Placement; proof: TerminationProof; flaw: string }[];
   /** Machines that have become fenced, and the proof. */
   fenced: { machine: Machine; proof: FenceProof }[];
   /** Gangs that lost a member and must be stopped before they can start again. */
-  broken: Set<Unit>;
+  brokenGangs: Set<Unit>;
 }
 
 /** Inputs for applying a report besides the report itself. */
@@ -52,12 +52,12 @@
 
 /** Returns findings without any entry. */
 export function newFindings(): Findings {
-  return { changed: false, finished: new Set(), runs: [], began: [], adopted: [], ended: [], unproven: [], fenced: [], broken: new Set() };
+  return { changed: false, finished: new Set(), runs: [], started: [], adopted: [], ended: [], unproven: [], fenced: [], brokenGangs: new Set() };
 }
 
 /** Arguments for removing attempts that all attempts of a machine share. */
 export interface DropContext {
-  part: Partition;
+  partition: Partition;
   machine: Machine;
   now: number;
   findings: Findings;
@@ -65,7 +65,7 @@
 
 /** How an attempt ended, and the proof that it no longer exists. */
 interface AttemptEnd {
-  proof: GoneProof;
+  proof: TerminationProof;
   end: End;
   /** The attempt's progress was saved. */
   kept?: boolean;
@@ -76,14 +76,14 @@
  * invalid, the attempt remains registered and is reported in `findings.unproven`.
  */
 function dropAttempt(
-  { part: partition, machine, now, findings }: DropContext,
+  { partition: partition, machine, now, findings }: DropContext,
   key: string,
   placement: Placement,
   ending: AttemptEnd,
 ): void {
   const { unit: taskSet, runningAt, timed, attempt, host } = placement;
   const { proof, end, kept = false } = ending;
-  const flaw = flawOf(proof, partition.term);
+  const flaw = proofFlaw(proof, partition.term);
   if (flaw !== null) {
     findings.unproven.push({ placement, proof, flaw });
     return;
@@ -99,12 +99,12 @@
     noteGone(found.unit, found.task, { attempt, host, by: proof.by });
   }
   findings.changed = true;
-  if (isBrokenGang(taskSet)) findings.broken.add(taskSet);
+  if (isBrokenGang(taskSet)) findings.brokenGangs.add(taskSet);
   if (machine.placements.size === 0) machine.idleSince = now;
 }
 
 /** Removes all attempts of a machine, after its lease expired, it was deleted or its worker began a new session. */
-export function dropAll(dropContext: DropContext, proof: GoneProof): void {
+export function dropAllAttempts(dropContext: DropContext, proof: TerminationProof): void {
   const { machine } = dropContext;
   for (const [key, placement] of [...machine.placements]) dropAttempt(dropContext, key, placement, { proof, end: "machine" });
   machine.exited.clear();
@@ -117,7 +117,7 @@
 
 /** Updates the job and the machine of an attempt that has exited, according to the cause. */
 function recordExit(
-  { part: partition, machine, now, findings }: DropContext,
+  { partition: partition, machine, now, findings }: DropContext,
   placement: Placement,
   task: ReportedTask,
   timing: FailureTiming,
@@ -126,10 +126,10 @@
   switch (task.cause) {
     case "done":
       if (placement.runningAt !== null && placement.timed)
-        findings.runs.push({ unit: taskSet, seconds: (now - placement.runningAt) / 1000, host: machine.host });
+        findings.runs.push({ taskSet: taskSet, seconds: (now - placement.runningAt) / 1000, host: machine.host });
       markFinished(taskSet, placement.task);
       stopOtherAttempts(taskSet, placement.task);
-      machine.errors.clear();
+      machine.failuresByJob.clear();
       findings.finished.add(taskSet);
       break;
     case "error":
@@ -215,7 +215,7 @@
  */
 function beginSession(dropContext: DropContext, { session, token }: Report): void {
   const { machine, now, findings } = dropContext;
-  if (machine.session > 0) dropAll(dropContext, { by: "new session", token });
+  if (machine.session > 0) dropAllAttempts(dropContext, { by: "new session", token });
   machine.unresolvedStarts.clear();
   machine.session = session;
   // A session begins with a full lease without any answer. It began no later than now, and attempts started in it by
@@ -231,9 +231,9 @@
   machine.seq = report.seq;
   machine.token = report.token;
   machine.addr = report.addr;
-  if (machine.heardAt === -Infinity || machine.lost) findings.changed = true;
-  machine.heardAt = now;
-  if (viaReport) machine.reportedAt = now;
+  if (machine.lastReceivedAt === -Infinity || machine.lost) findings.changed = true;
+  machine.lastReceivedAt = now;
+  if (viaReport) machine.lastReportAt = now;
   machine.lost = false;
   if (report.token >= partition.term && !machine.fenced) {
     fence(partition, machine, "token", findings.fenced);
@@ -247,7 +247,7 @@
 
 /** Applies the state of one task that a report lists. */
 function applyTaskReport(dropContext: DropContext, task: ReportedTask, token: number, context: ReportContext): void {
-  const { part: partition, machine, findings } = dropContext;
+  const { partition: partition, machine, findings } = dropContext;
   const key = attemptKey(task.piece, task.attempt);
   const registered = machine.placements.get(key);
   if (task.state === "exited") {
@@ -266,7 +266,7 @@
   if (task.state !== "fetching") machine.images.add(placement.unit.spec.image);
   if (task.state === "running" && placement.state !== "running") {
     placement.runningAt = context.now;
-    findings.began.push(placement);
+    findings.started.push(placement);
   }
   placement.state = task.state;
 }
@@ -295,9 +295,9 @@
  * Reports may arrive late and out of order; one that is not newer than the last applied
  * report changes nothing. Returns whether the report was applied.
  */
-export function takeReport(partition: Partition, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
+export function applyReport(partition: Partition, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
   if (!isNewer(machine, report)) return false;
-  const dropContext: DropContext = { part: partition, machine, now: context.now, findings };
+  const dropContext: DropContext = { partition: partition, machine, now: context.now, findings };
   if (report.session > machine.session) beginSession(dropContext, report);
   updateMachine(partition, machine, report, context, findings);
   const listed = new Set<string>();
--- a/src/workers/report-lane.ts
+++ b/src/workers/report-lane.ts
@@ -3,7 +3,7 @@
 import type { Server, Socket } from "node:net";
 import type { Clock } from "../platform/clock.js";
 import type { Scope } from "../platform/scope.js";
-import { answerReport, MAX_REPORT_BYTES, REPORT_PATH, REPORT_TOO_LARGE, type ReportResponse, type ReportDoor } from "./report-endpoint.js";
+import { answerReport, MAX_REPORT_BYTES, REPORT_PATH, REPORT_TOO_LARGE, type ReportResponse, type ReportEndpointDependencies } from "./report-endpoint.js";
 
 const REQUEST_LINE = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = "\r\n\r\n";
@@ -64,11 +64,11 @@
 /** Dependencies of the fast path for reports. */
 export interface ReportFastPathDependencies {
   /** Receives the reports and builds the answers. */
-  door: ReportDoor;
+  endpoint: ReportEndpointDependencies;
   /** Server that handles connections with any other request; it does not listen itself. */
-  others: HttpServer;
+  httpServer: HttpServer;
   /** While this returns true, each connection is closed after its answer. */
-  crowded: () => boolean;
+  isNearSocketLimit: () => boolean;
   scope: Scope;
   /** Time without received data after which a connection is closed, in ms. */
   idleMs: number;
@@ -90,7 +90,7 @@
  * request that is not exactly a plain report is handed to that server, including the bytes
  * of that request received so far, and stays there.
  */
-export class ReportLanes {
+export class ReportFastPath {
   private readonly connections = new Set<ReportConnection>();
 
   constructor(private readonly dependencies: ReportFastPathDependencies) {}
@@ -145,8 +145,8 @@
       if (request.kind === "other") return this.handOff(connection, bytes);
       // The rest of the request is not read, because no worker sends a report of this size.
       if (request.kind === "too-long") return this.send(connection, REPORT_TOO_LARGE, true);
-      const close = request.close || this.dependencies.crowded();
-      this.send(connection, answerReport(this.dependencies.door, bytes.subarray(request.bodyStart, request.bodyEnd)), close);
+      const close = request.close || this.dependencies.isNearSocketLimit();
+      this.send(connection, answerReport(this.dependencies.endpoint, bytes.subarray(request.bodyStart, request.bodyEnd)), close);
       if (close) return;
       bytes = bytes.subarray(request.bodyEnd);
     }
@@ -154,7 +154,7 @@
 
   private send(connection: ReportConnection, answer: ReportResponse, close: boolean): void {
     const { socket } = connection;
-    this.dependencies.door.count(answer.status);
+    this.dependencies.endpoint.countResponse(answer.status);
     const length = Buffer.byteLength(answer.text);
     const text = responseHead(answer, length, close) + answer.text;
     const encoding = length === answer.text.length ? "latin1" : "utf8";
@@ -172,7 +172,7 @@
   private handOff(connection: ReportConnection, bytes: Buffer): void {
     const { socket } = connection;
     connection.detach();
-    this.dependencies.others.emit("connection", socket);
+    this.dependencies.httpServer.emit("connection", socket);
     socket.unshift(bytes);
   }
 }
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -11,7 +11,7 @@
  * of concurrent commands and of idle connections is therefore limited to `maxConcurrent`.
  * A command whose time limit expires while it waits is not sent.
  */
-export class HttpWorkers implements WorkerApi {
+export class HttpWorkerClient implements WorkerApi {
   private readonly http: HttpClient;
   private readonly calls$ = new Subject<() => Promise<unknown>>();
 
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -9,7 +9,7 @@
 import { tailOf, type Unit } from "../src/queue/unit.js";
 import { addAttempt, type Machine } from "../src/workers/machine.js";
 import { ordersFor } from "../src/workers/orders.js";
-import { newFindings, takeReport, type ReportContext } from "../src/workers/report-intake.js";
+import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
@@ -43,7 +43,7 @@
       noticeS: null,
       tasks,
     };
-    takeReport(this.partition, this.machine(host), report, this.context(), newFindings());
+    applyReport(this.partition, this.machine(host), report, this.context(), newFindings());
   }
 
   private context(): ReportContext {
@@ -176,8 +176,8 @@
     ordersFor(owner.machine(host!), channel, {
       now: NOW,
       leaseMs: 18_000,
-      clearable: () => true,
-      refused: (one, others) => guard.refused(owner.partition, one, others),
+      isClearable: () => true,
+      onStartRefused: (one, others) => guard.refused(owner.partition, one, others),
       max: 9,
     });
   const invariants = new Invariants(log);
--- a/test/doors.test.ts
+++ b/test/doors.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { Doors } from "../src/platform/doors.js";
 import { NoReply } from "@thorntrail/protocol/errors";
-import { HttpWorkers } from "../src/workers/worker-client.js";
+import { HttpWorkerClient } from "../src/workers/worker-client.js";
 
 async function listen(server: Server): Promise<number> {
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -55,12 +55,12 @@
   };
   const servers = Array.from({ length: 5 }, () => createServer(answer));
   const ports = await Promise.all(servers.map(listen));
-  const workers = new HttpWorkers(2000, 2, "n");
+  const workers = new HttpWorkerClient(2000, 2, "n");
   const replies = await Promise.all(ports.map((port) => workers.command(`127.0.0.1:${port}`, 1, 1, [])));
   assert.ok(replies.every((reply) => reply.executed));
   assert.equal(maxActive, 2);
   const before = served;
-  const impatient = new HttpWorkers(45, 1, "n");
+  const impatient = new HttpWorkerClient(45, 1, "n");
   const settled = await Promise.allSettled(ports.map((port) => impatient.command(`127.0.0.1:${port}`, 1, 1, [])));
   const refused = settled.filter((one) => one.status === "rejected" && one.reason instanceof NoReply && one.reason.kind === "refused");
   assert.ok(refused.length >= 2, String(refused.length));
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -4,7 +4,7 @@
 import { ready, runPass } from "../src/queue/pass.js";
 import { suspect, type Unit } from "../src/queue/unit.js";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
-import { newFindings, takeReport, type ReportContext } from "../src/workers/report-intake.js";
+import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import type { Partition } from "../src/parts/part.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
@@ -40,7 +40,7 @@
     cause: null,
     saved: false,
   }));
-  takeReport(part, machine, { ...seen, tasks: [...tasks, ...running] }, context, newFindings());
+  applyReport(part, machine, { ...seen, tasks: [...tasks, ...running] }, context, newFindings());
 }
 
 test("jobs that fail wherever they go are at fault, not the machines, and try again with one task", () => {
@@ -49,10 +49,10 @@
   runPass(part, pass);
   for (const host of part.machines.keys()) end(part, host, "error");
   for (const unit of units) assert.ok(suspect(unit), `${unit.spec.ref} failed on ${unit.failedOn.size} machines`);
-  for (const machine of part.machines.values()) assert.deepEqual([machine.draining, machine.errors.size], [false, 0]);
+  for (const machine of part.machines.values()) assert.deepEqual([machine.draining, machine.failuresByJob.size], [false, 0]);
   assert.equal(ready(units[0]!, NOW), false, "it waits before it tries again");
   const later = NOW + 60_000;
-  for (const machine of part.machines.values()) machine.heardAt = machine.reportedAt = later;
+  for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = later;
   runPass(part, { ...pass, now: later });
   assert.deepEqual(
     units.map((unit) => unit.placed.size),
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -13,10 +13,10 @@
 import { Scope } from "../src/platform/scope.js";
 import { runPass } from "../src/queue/pass.js";
 import { Account } from "../src/served/account.js";
-import { flawOf, type GoneProof } from "../src/workers/gone.js";
-import { leaseOver } from "../src/workers/lease.js";
+import { proofFlaw, type TerminationProof } from "../src/workers/gone.js";
+import { isLeaseExpired } from "../src/workers/lease.js";
 import type { Machine } from "../src/workers/machine.js";
-import { dropAll, newFindings, takeReport, type Findings } from "../src/workers/report-intake.js";
+import { dropAllAttempts, newFindings, applyReport, type Findings } from "../src/workers/report-intake.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const EXPIRY_MS = 18_000;
@@ -43,30 +43,30 @@
 
 test("a lease counts as expired only by a read that began after its end, whatever the clock shows", () => {
   const { machine } = partitionWithOneTask();
-  assert.equal(leaseOver(machine, NOW + EXPIRY_MS, EXPIRY_MS), false);
-  assert.equal(leaseOver(machine, NOW + EXPIRY_MS + 1, EXPIRY_MS), true);
-  const proof = (provenAt: number): GoneProof => ({ by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt });
-  assert.notEqual(flawOf(proof(NOW + EXPIRY_MS), TERM), null);
-  assert.equal(flawOf(proof(NOW + EXPIRY_MS + 1), TERM), null);
+  assert.equal(isLeaseExpired(machine, NOW + EXPIRY_MS, EXPIRY_MS), false);
+  assert.equal(isLeaseExpired(machine, NOW + EXPIRY_MS + 1, EXPIRY_MS), true);
+  const proof = (provenAt: number): TerminationProof => ({ by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt });
+  assert.notEqual(proofFlaw(proof(NOW + EXPIRY_MS), TERM), null);
+  assert.equal(proofFlaw(proof(NOW + EXPIRY_MS + 1), TERM), null);
 });
 
 const INVALID_PROOFS: [string, (partition: Partition, machine: Machine, findings: Findings) => void][] = [
   [
     "a lease that ended after the last proof",
     (partition, machine, findings) =>
-      dropAll(
-        { part: partition, machine, now: NOW, findings },
+      dropAllAttempts(
+        { partition: partition, machine, now: NOW, findings },
         { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS },
       ),
   ],
   [
     "a newer owner's report that lists nothing",
-    (partition, machine, findings) => void takeReport(partition, machine, report(machine, { token: TERM + 1 }), context, findings),
+    (partition, machine, findings) => void applyReport(partition, machine, report(machine, { token: TERM + 1 }), context, findings),
   ],
   [
     "a newer owner's report of a new session",
     (partition, machine, findings) =>
-      void takeReport(partition, machine, report(machine, { token: TERM + 1, session: 2 }), context, findings),
+      void applyReport(partition, machine, report(machine, { token: TERM + 1, session: 2 }), context, findings),
   ],
 ];
 
@@ -104,14 +104,14 @@
 test("valid proofs: the same lease with a later read, a report under this term, a machine that the cloud deleted", () => {
   const drops: ((partition: Partition, machine: Machine, findings: Findings) => void)[] = [
     (partition, machine, findings) =>
-      dropAll(
-        { part: partition, machine, now: NOW, findings },
+      dropAllAttempts(
+        { partition: partition, machine, now: NOW, findings },
         { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS + 1 },
       ),
-    (partition, machine, findings) => dropAll({ part: partition, machine, now: NOW, findings }, { by: "machine deleted" }),
-    (partition, machine, findings) => void takeReport(partition, machine, report(machine, {}), context, findings),
+    (partition, machine, findings) => dropAllAttempts({ partition: partition, machine, now: NOW, findings }, { by: "machine deleted" }),
+    (partition, machine, findings) => void applyReport(partition, machine, report(machine, {}), context, findings),
     (partition, machine, findings) =>
-      void takeReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
+      void applyReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
   ];
   const proofs = drops.map((drop) => {
     const { part: partition, machine } = partitionWithOneTask();
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -9,7 +9,7 @@
 import { UnschedulableShapes } from "../src/queue/unschedulable.js";
 import { RunHistory } from "../src/queue/history.js";
 import { runPass } from "../src/queue/pass.js";
-import { newFindings, takeReport } from "../src/workers/report-intake.js";
+import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, order, partOf, pass, queueUp, specOf, unlimited } from "./world/parts.js";
 
 // Hundreds of machines report every few seconds to controllers with a fifth of a core. These tests count how often
@@ -58,10 +58,10 @@
     coolMs: 2500,
     placeholderFor: () => taskSet,
   };
-  assert.ok(takeReport(partition, machine, { ...report, seq: 1, tasks }, context, newFindings()));
+  assert.ok(applyReport(partition, machine, { ...report, seq: 1, tasks }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 4);
   // A cleared task is no longer listed in reports, and its resources are free again.
-  assert.ok(takeReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
+  assert.ok(applyReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 0);
   assert.deepEqual(machine.used, { cpus: 0, gpus: 0, ram: 0 });
   assert.equal(machines.walks, 0);
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -11,9 +11,9 @@
 import { runPass } from "../src/queue/pass.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
-import { usable } from "../src/workers/machine.js";
-import { leaseOver, noteAnswer } from "../src/workers/lease.js";
-import { newFindings, takeReport, type ReportContext } from "../src/workers/report-intake.js";
+import { isUsable } from "../src/workers/machine.js";
+import { isLeaseExpired, recordLeaseRenewal } from "../src/workers/lease.js";
+import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import { ordersFor } from "../src/workers/orders.js";
 import { exploreLeases, type Wrong } from "./world/lease-model.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
@@ -145,7 +145,7 @@
   leaseMs: 18_000,
   coolMs: 2500,
 };
-const orders = { now: NOW, leaseMs: 18_000, clearable: () => false, refused: () => assert.fail("refused"), max: 9 };
+const orders = { now: NOW, leaseMs: 18_000, isClearable: () => false, onStartRefused: () => assert.fail("refused"), max: 9 };
 
 /** A task placed on one machine by a direct start to which no answer came. */
 function startedUnheard() {
@@ -169,7 +169,7 @@
     tasks,
   });
   const hear = (seq: number, tasks: ReportedTask[] = []): void =>
-    void takeReport(part, machine, report(seq, tasks), context, newFindings());
+    void applyReport(part, machine, report(seq, tasks), context, newFindings());
   return { part, unit, machine, placement, piece, hear };
 }
 
@@ -196,7 +196,7 @@
   const { part, machine, piece, hear } = startedUnheard();
   const leaseMs = 18_000;
   hear(2);
-  noteAnswer(machine, true, NOW);
+  recordLeaseRenewal(machine, true, NOW);
   const reply = (session: number, seq: number, now: number, tasks: ReportedTask[]): void => {
     const report = {
       host: machine.host,
@@ -211,17 +211,17 @@
       tasks,
     };
     const at = { ...context, now, viaReport: false };
-    takeReport(part, machine, report, at, newFindings());
+    applyReport(part, machine, report, at, newFindings());
   };
   const running: ReportedTask = { piece, attempt: part.term, state: "running", cause: null, saved: false };
   const learnt = NOW + leaseMs - 500;
   reply(2, 9, learnt, []);
   reply(2, 10, learnt + 200, [running]);
   assert.equal(machine.placements.size, 1);
-  assert.equal(leaseOver(machine, NOW + leaseMs + 700, leaseMs), false, "what runs in session 2 lives as long as that");
-  assert.equal(leaseOver(machine, learnt + leaseMs - 1, leaseMs), false);
-  assert.equal(leaseOver(machine, learnt + leaseMs + 1, leaseMs), true, "replies renew nothing");
-  assert.equal(usable(machine, learnt + 300, 5000), false, "it has not reported for long, whatever it replies");
+  assert.equal(isLeaseExpired(machine, NOW + leaseMs + 700, leaseMs), false, "what runs in session 2 lives as long as that");
+  assert.equal(isLeaseExpired(machine, learnt + leaseMs - 1, leaseMs), false);
+  assert.equal(isLeaseExpired(machine, learnt + leaseMs + 1, leaseMs), true, "replies renew nothing");
+  assert.equal(isUsable(machine, learnt + 300, 5000), false, "it has not reported for long, whatever it replies");
 });
 
 const base = await loadPlan("deploy/meetings.hcl");
--- a/test/report-endpoint.test.ts
+++ b/test/report-endpoint.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { Costs } from "../src/platform/costs.js";
-import { serveReport } from "../src/workers/report-endpoint.js";
+import { handleReportRequest } from "../src/workers/report-endpoint.js";
 
 const report = { host: "i-1", addr: "10.0.0.1:1", shift: 1, tick: 1, baton: 0, pieces: [] };
 
@@ -11,10 +11,10 @@
   const reportedHosts: string[] = [];
   const refused: string[] = [];
   const server = createServer((req, res) =>
-    serveReport(
+    handleReportRequest(
       {
-        count: () => undefined,
-        refused: (why, bodyStart) => void refused.push(`${why}: ${bodyStart}`),
+        countResponse: () => undefined,
+        onInvalidReport: (why, bodyStart) => void refused.push(`${why}: ${bodyStart}`),
         costs: new Costs(),
         onReport: ({ host }) => {
           reportedHosts.push(host);
--- a/test/report-lane.test.ts
+++ b/test/report-lane.test.ts
@@ -8,8 +8,8 @@
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
 import { systemClock } from "../src/platform/clock.js";
-import { parseRequest, ReportLanes } from "../src/workers/report-lane.js";
-import { serveReport, type ReportDoor } from "../src/workers/report-endpoint.js";
+import { parseRequest, ReportFastPath } from "../src/workers/report-lane.js";
+import { handleReportRequest, type ReportEndpointDependencies } from "../src/workers/report-endpoint.js";
 
 // Reports bypass Node's HTTP server. Every request that is not a plain report must reach that
 // server byte for byte, wherever the stream is split into chunks.
@@ -38,10 +38,10 @@
 async function startEnvironment(options: { sockets?: number; idleMs?: number } = {}): Promise<TestEnvironment> {
   const reportedHosts: string[] = [];
   const requestsToHttpServer: string[] = [];
-  const door: ReportDoor = {
+  const door: ReportEndpointDependencies = {
     costs: new Costs(),
-    refused: () => undefined,
-    count: () => undefined,
+    onInvalidReport: () => undefined,
+    countResponse: () => undefined,
     onReport: ({ host }) => {
       reportedHosts.push(host);
       if (host === "i-far") return { kind: "elsewhere", boss: "nest-1" };
@@ -51,12 +51,12 @@
   const scope = new Scope(systemClock, silentLog);
   const others = createHttpServer((req, res) => {
     requestsToHttpServer.push(`${req.method} ${req.url}`);
-    if (req.url === "/v1/report") return serveReport(door, req, res);
+    if (req.url === "/v1/report") return handleReportRequest(door, req, res);
     req.resume().on("end", () => res.end(`http ${req.url}`));
   });
   const server = createServer({ noDelay: true, allowHalfOpen: true });
   const doors = new Doors(server, options.sockets ?? 1000);
-  new ReportLanes({ door, others, crowded: () => doors.crowded(), scope, idleMs: options.idleMs ?? 60_000 }).start(server);
+  new ReportFastPath({ endpoint: door, httpServer: others, isNearSocketLimit: () => doors.crowded(), scope, idleMs: options.idleMs ?? 60_000 }).start(server);
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     port: (server.address() as AddressInfo).port,
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -17,7 +17,7 @@
 import { spawnController } from "../src/rehearsal/spawn.js";
 import { runPass } from "../src/queue/pass.js";
 import type { Settings } from "../src/settings/derived.js";
-import { newFindings, takeReport } from "../src/workers/report-intake.js";
+import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const base = await loadPlan("deploy/rehearsal.hcl");
@@ -134,7 +134,7 @@
           coolMs: 2500,
           placeholderFor: () => taskSet,
         };
-        assert.equal(takeReport(part, machine, seen, context, findings), newer);
+        assert.equal(applyReport(part, machine, seen, context, findings), newer);
         finished += findings.finished.size;
         if (newer) newest = one;
         assert.ok(finished <= 1, "counted as done twice");
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -38,16 +38,16 @@
   const ages = [1000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000];
   ages.forEach((age, i) => {
     const machine = newMachine(`i-${i}`, "m", "a", false, { cpus: 1, gpus: 0, ram: 1 }, 0);
-    Object.assign(machine, { up: true, heardAt: now - age });
+    Object.assign(machine, { up: true, lastReceivedAt: now - age });
     part.machines.set(machine.host, machine);
   });
   assert.equal(reachabilityOf([part], now, 5000), "few");
   part.takenOverAt = now - 1000;
   assert.equal(reachabilityOf([part], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
   part.takenOverAt = 0;
-  for (const machine of part.machines.values()) if (machine.host > "i-6") machine.heardAt = machine.reportedAt = now;
+  for (const machine of part.machines.values()) if (machine.host > "i-6") machine.lastReceivedAt = machine.lastReportAt = now;
   assert.equal(reachabilityOf([part], now, 5000), "unsure");
-  for (const machine of part.machines.values()) machine.heardAt = machine.reportedAt = now;
+  for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = now;
   assert.equal(reachabilityOf([part], now, 5000), "most");
   for (const machine of part.machines.values()) machine.deleting = true;
   assert.equal(reachabilityOf([part], now, 5000), "unsure");
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -4,8 +4,8 @@
 import { newUnit } from "../../src/queue/unit.js";
 import { fence } from "../../src/workers/fence.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
-import { dropAll, newFindings, takeReport } from "../../src/workers/report-intake.js";
-import { leaseOver, noteAnswer } from "../../src/workers/lease.js";
+import { dropAllAttempts, newFindings, applyReport } from "../../src/workers/report-intake.js";
+import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
 import { ordersFor } from "../../src/workers/orders.js";
 import { specOf } from "./parts.js";
 
@@ -49,7 +49,7 @@
   restarted: boolean;
   /** Of the heir, once it leads: what it keeps of the machine. */
   claimedAt: number | null;
-  heard: { session: number; seq: number; heardAt: number; answeredAt: number; fenced: boolean; lost: boolean; holds: boolean } | null;
+  heard: { session: number; seq: number; lastReceivedAt: number; answeredAt: number; fenced: boolean; lost: boolean; holds: boolean } | null;
   /** A report that may arrive again, and when it was sent. */
   copy: { session: number; seq: number; token: number; task: boolean } | null;
 }
@@ -69,11 +69,11 @@
   addTaskSet(part, unit);
   const machine: Machine = newMachine("i-1", "m", "a", false, { cpus: 9, gpus: 0, ram: 9 }, 0);
   const { holds, ...rest } = state.heard!;
-  const { session, seq, heardAt, answeredAt, fenced, lost } = rest;
-  Object.assign(machine, { up: true, addr: "x", session, seq, heardAt, answeredAt, fenced, lost });
+  const { session, seq, lastReceivedAt, answeredAt, fenced, lost } = rest;
+  Object.assign(machine, { up: true, addr: "x", session, seq, lastReceivedAt, answeredAt, fenced, lost });
   addMachine(part, machine);
   const hear = (report: Report, now: number, viaReport = true): boolean =>
-    takeReport(
+    applyReport(
       part,
       machine,
       report,
@@ -89,16 +89,16 @@
   // What it held before goes on by a report of the same content as the one that showed it.
   if (holds) {
     machine.seq = -1;
-    const { lost: wasLost, fenced: wasFenced, heardAt: before } = machine;
+    const { lost: wasLost, fenced: wasFenced, lastReceivedAt: before } = machine;
     hear(reportOf({ session, seq, token: OLD, task: true }), 0);
-    Object.assign(machine, { lost: wasLost, fenced: wasFenced, heardAt: before });
+    Object.assign(machine, { lost: wasLost, fenced: wasFenced, lastReceivedAt: before });
   }
   return { part, machine, unit, hear };
 }
 
 function keep(machine: Machine): NonNullable<State["heard"]> {
-  const { session, seq, heardAt, answeredAt, fenced, lost, placements } = machine;
-  return { session, seq, heardAt, answeredAt, fenced, lost, holds: placements.size > 0 };
+  const { session, seq, lastReceivedAt, answeredAt, fenced, lost, placements } = machine;
+  return { session, seq, lastReceivedAt, answeredAt, fenced, lost, holds: placements.size > 0 };
 }
 
 type Channel = "lost" | "arrives";
@@ -129,7 +129,7 @@
       if (now - w.leaseFrom > LEASE) Object.assign(w, { task: false, session: w.session + 1, leaseFrom: now });
       if (w.claimedAt === null && now >= 2) {
         const answeredAt = now + (wrong.noSilence === true ? 0 : SILENT_AFTER);
-        const heard = { session: 0, seq: 0, heardAt: -1, answeredAt, fenced: false, lost: false, holds: false };
+        const heard = { session: 0, seq: 0, lastReceivedAt: -1, answeredAt, fenced: false, lost: false, holds: false };
         visit({ ...w, claimedAt: now, heard }, path, "claimed, ");
       }
       visit(w, path, "");
@@ -140,11 +140,11 @@
       const s = { ...from };
       if (s.heard !== null && !s.heard.lost) {
         const { part, machine } = heirOf(s);
-        if (leaseOver(machine, now, LEASE)) {
+        if (isLeaseExpired(machine, now, LEASE)) {
           machine.lost = true;
           fence(part, machine, "lease", []);
           const proof = { by: "lease over", answeredAt: machine.answeredAt, expiryMs: LEASE, provenAt: now } as const;
-          dropAll({ part, machine, now, findings: newFindings() }, proof);
+          dropAllAttempts({ partition: part, machine, now, findings: newFindings() }, proof);
           s.heard = keep(machine);
         }
       }
@@ -156,7 +156,7 @@
       if (s.copy !== null && s.heard !== null) {
         const { machine, hear } = heirOf(s);
         if (wrong.oldIsNews === true) machine.seq = -1;
-        noteAnswer(machine, hear(reportOf(s.copy), now), now);
+        recordLeaseRenewal(machine, hear(reportOf(s.copy), now), now);
         reach({ ...s, heard: keep(machine), copy: null }, path, `${prefix}an old report`);
       }
       // To the leader, while it answers: what it stopped in time it may have started again in ignorance.
@@ -170,11 +170,11 @@
         const { machine, hear } = heirOf(s);
         const before = machine.answeredAt;
         const newer = hear(reportOf(report), now);
-        noteAnswer(machine, newer, now);
+        recordLeaseRenewal(machine, newer, now);
         if (wrong.answerCutsShort === true && before > now) machine.answeredAt = now;
         // The job is over by the records that the heir has read up to its claim.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
-        const orders = ordersFor(machine, "report", { now, leaseMs: LEASE, clearable: () => false, refused: () => undefined, max: 9 });
+        const orders = ordersFor(machine, "report", { now, leaseMs: LEASE, isClearable: () => false, onStartRefused: () => undefined, max: 9 });
         const stops = orders.some(({ verb }) => verb === "stop") && (machine.fenced || wrong.answerStopsNothing !== true);
         const there = answer === "arrives" ? { token: NEW, leaseFrom: now, task: s.task && !stops } : {};
         for (const copy of copies)
--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -67,7 +67,7 @@
   let looks = 0;
   for (let i = 0; i < n; i++) {
     const machine: Machine = newMachine(`i-${i}`, "m", "a", false, capacity, 0);
-    Object.assign(machine, { up: true, fenced: true, heardAt: NOW, reportedAt: NOW, session: 1, token: 5 });
+    Object.assign(machine, { up: true, fenced: true, lastReceivedAt: NOW, lastReportAt: NOW, session: 1, token: 5 });
     const images = new Set<string>();
     Object.defineProperty(machine, "images", {
       get: () => {
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -23,7 +23,7 @@
 import { RunHistory } from "../../src/queue/history.js";
 import { runPass } from "../../src/queue/pass.js";
 import { Account } from "../../src/served/account.js";
-import { Dispatch } from "../../src/workers/dispatch.js";
+import { CommandDispatcher } from "../../src/workers/dispatch.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { callsFor, TIMING } from "./calls.js";
 import { pass, queueUp, specOf } from "./parts.js";
@@ -112,13 +112,13 @@
     const leader = Object.assign(Object.create(context) as Leader, {
       onCommandReply: (part: Partition, machine: Machine, report: Report) => this.reports.onCommandReply(part, machine, report),
     });
-    new Dispatch(leader, workers, callsFor(clock, term), this.scope).start();
+    new CommandDispatcher(leader, workers, callsFor(clock, term), this.scope).start();
   }
 
   /** As for a machine of the partition's records: the former owner may answer it for a while yet. */
   private takeOver(host: string, addr: string, now: number): void {
     const machine = newMachine(host, "m", "a", false, { cpus: 16, gpus: 0, ram: 64 }, 0);
-    Object.assign(machine, { up: true, addr, answeredAt: now + TIMING.silentAfterMs, reportedAt: now });
+    Object.assign(machine, { up: true, addr, answeredAt: now + TIMING.silentAfterMs, lastReportAt: now });
     addMachine(this.part, machine);
   }
 
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -1,5 +1,5 @@
-import { flawOf } from "../../src/workers/gone.js";
-import { leaseOver, noteAnswer } from "../../src/workers/lease.js";
+import { proofFlaw } from "../../src/workers/gone.js";
+import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
 import type { Machine } from "../../src/workers/machine.js";
 
 /**
@@ -119,7 +119,7 @@
 
 /** As the code sees a machine, with time counted from now. */
 function machineOf({ fenced, answeredAge }: View): Machine {
-  return { up: true, fenced, heardAt: 0, answeredAt: -answeredAge } as unknown as Machine;
+  return { up: true, fenced, lastReceivedAt: 0, answeredAt: -answeredAge } as unknown as Machine;
 }
 
 const acts = (controller: Controller): boolean => controller.term > 0 && controller.provenAge <= SILENT_AFTER;
@@ -278,12 +278,12 @@
     for (const view of controller.views) {
       if (view.lost) continue;
       const machine = machineOf(view);
-      const over = leaseOver(machine, provenAt, LEASE);
-      const overByClock = leaseOver(machine, 0, LEASE);
+      const over = isLeaseExpired(machine, provenAt, LEASE);
+      const overByClock = isLeaseExpired(machine, 0, LEASE);
       if (this.wrong.clockFence === true ? overByClock : over) view.fenced = true;
       if (!(this.wrong.clockLease === true ? overByClock : over)) continue;
       const proof = { by: "lease over", answeredAt: machine.answeredAt, expiryMs: LEASE, provenAt } as const;
-      if (this.wrong.clockLease !== true && flawOf(proof, controller.term) !== null) throw new Error("judged by a flawed proof");
+      if (this.wrong.clockLease !== true && proofFlaw(proof, controller.term) !== null) throw new Error("judged by a flawed proof");
       Object.assign(view, { holds: false, lost: true, fenced: true });
     }
   }
@@ -318,7 +318,7 @@
     if (!this.hear(state, c, m)) return true;
     const view = controller.views[m];
     const machine = machineOf(view);
-    noteAnswer(machine, true, 0);
+    recordLeaseRenewal(machine, true, 0);
     view.answeredAge = -machine.answeredAt;
     if (!answered || worker.token > controller.term) return true;
     worker.token = controller.term;
