--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
 import { Mirror } from "../src/ledger/mirror.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import { Needs } from "../src/pipelines/needs.js";
+import { JobDependencies } from "../src/pipelines/needs.js";
 import { Rentals } from "../src/ledger/rentals.js";
 import { addTaskSet, newPartition } from "../src/parts/part.js";
 import { systemClock } from "../src/platform/clock.js";
@@ -14,7 +14,7 @@
 import { Scope } from "../src/platform/scope.js";
 import { openLog } from "../src/platform/log.js";
 import { Bits } from "../src/platform/bits.js";
-import { newUnit } from "../src/queue/unit.js";
+import { newTaskSet } from "../src/queue/unit.js";
 import { newMachine } from "../src/workers/machine.js";
 import { ReportFastPath } from "../src/workers/report-lane.js";
 import { callsFor } from "../test/world/calls.js";
@@ -59,7 +59,7 @@
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
   const mirror = new Mirror(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
   new Rentals(mirror);
-  new Needs(mirror);
+  new JobDependencies(mirror);
   return mirror;
 }
 
@@ -113,7 +113,7 @@
     finished_job_bytes: await jobs(count, true),
     open_job_record_bytes: await jobs(count, false),
     queued_job_bytes: await each(count, (i) => {
-      const unit = newUnit(keys.job(refOf(i)), specOf(0), 0, 30, new Bits(30), 0, 0);
+      const unit = newTaskSet(keys.job(refOf(i)), specOf(0), 0, 30, new Bits(30), 0, 0);
       addTaskSet(part, unit);
       return unit;
     }),
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -1,8 +1,8 @@
 import { performance } from "node:perf_hooks";
 import { Bits } from "../../src/platform/bits.js";
 import { keys } from "../../src/ledger/records.js";
-import { runPass } from "../../src/queue/pass.js";
-import { newUnit } from "../../src/queue/unit.js";
+import { runSchedulingCycle } from "../../src/queue/pass.js";
+import { newTaskSet } from "../../src/queue/unit.js";
 import { addTaskSet } from "../../src/parts/part.js";
 import { partOf, pass, specOf } from "../../test/world/parts.js";
 import { median } from "../harness.js";
@@ -34,7 +34,7 @@
 function crowdedPartition(machines: number, waiting: number, teams: number): ReturnType<typeof partOf>["part"] {
   const { part } = partOf(machines, FULL);
   addWaiting(part, machines, 1, (i) => ({ ref: `run-8${String(i).padStart(6, "0")}`, cpus: 16, ram: 64, tasks: 1 }));
-  runPass(part, pass);
+  runSchedulingCycle(part, pass);
   addWaiting(part, waiting, 1, (i) => ({
     ...{ ref: `run-9${String(i).padStart(6, "0")}`, team: `team-${i % teams}`, cpus: 2 + (i % 7) },
     ...{ ram: 4 + (i % 5), tasks: 4 },
@@ -45,7 +45,7 @@
 function addWaiting(part: ReturnType<typeof partOf>["part"], count: number, from: number, change: (i: number) => object): void {
   for (let i = 0; i < count; i++) {
     const spec = specOf(change(i + from));
-    addTaskSet(part, newUnit(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
+    addTaskSet(part, newTaskSet(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
   }
 }
 
@@ -55,7 +55,7 @@
   const scheduling = (machines: number, waiting: number, teams: number): number =>
     timed(
       () => crowdedPartition(machines, waiting, teams),
-      (part) => void runPass(part, pass),
+      (part) => void runSchedulingCycle(part, pass),
     );
   const placing = (tasks: number): number =>
     timed(
@@ -64,7 +64,7 @@
         addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks, cpus: 1, ram: 2 }));
         return part;
       },
-      (part) => void runPass(part, pass),
+      (part) => void runSchedulingCycle(part, pass),
     );
   const gangOnGraphics = timed(
     () => {
@@ -72,7 +72,7 @@
       addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks: 256, cpus: 1, gpus: 1, ram: 8 }));
       return part;
     },
-    (part) => void runPass(part, pass),
+    (part) => void runSchedulingCycle(part, pass),
   );
   const following = (events: number): number =>
     timed(
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -23,7 +23,7 @@
 import { Relay } from "./intake/relay.js";
 import { Detector } from "./membership/detector.js";
 import { Presence } from "./membership/presence.js";
-import { Needs } from "./pipelines/needs.js";
+import { JobDependencies } from "./pipelines/needs.js";
 import { Overload, type Held } from "./overload/overload.js";
 import type { PeerApi } from "./peers/links.js";
 import type { Scope } from "./platform/scope.js";
@@ -50,7 +50,7 @@
   readonly mirror: Mirror;
   readonly configuration: Configuration;
   readonly rentals: Rentals;
-  readonly needs: Needs;
+  readonly needs: JobDependencies;
   readonly committer: Committer;
   readonly presence: Presence;
   readonly detector: Detector;
@@ -91,7 +91,7 @@
     this.mirror = new Mirror(service, clock, requests, pace, calls.of("state.read"), scope.costs);
     this.configuration = new Configuration(settings, this.mirror, scope);
     this.rentals = new Rentals(this.mirror);
-    this.needs = new Needs(this.mirror);
+    this.needs = new JobDependencies(this.mirror);
     this.committer = new Committer(
       service,
       this.mirror,
--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -4,7 +4,7 @@
 import type { Query } from "../peers/messages.js";
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
-import { newUnit } from "../queue/unit.js";
+import { newTaskSet } from "../queue/unit.js";
 import { estimateContext, unusedQuota, type ExchangeDependencies } from "./around.js";
 
 /** Answers bid requests of other partitions: estimates when and how fast a partition would run their job. */
@@ -30,13 +30,13 @@
       });
       return;
     }
-    const candidate = newUnit(
+    const candidate = newTaskSet(
       keys.job(query.job),
       job.spec,
       0,
       job.hi,
       new Bits(job.hi),
-      this.dependencies.needs.sinceWall(job),
+      this.dependencies.needs.eligibleSinceWall(job),
       this.dependencies.scope.clock.now(),
     );
     candidate.urgency = this.dependencies.needs.urgency(query.job);
@@ -46,7 +46,7 @@
       estimateWaits(partition, context, [candidate], (taskSet) => taskSet === candidate, atOnce),
     );
     const waitMs = waits.get(candidate.key) ?? Infinity;
-    const runMs = this.dependencies.leader.history.expectS(job.spec) * 1000;
+    const runMs = this.dependencies.leader.history.expectedRunS(job.spec) * 1000;
     const tasksWithinQuota = tasksThatFit(job.spec, unusedQuota(this.dependencies, partition, job.spec.team));
     this.dependencies.peers.send(query.from, {
       Answer: {
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -7,7 +7,7 @@
 import { usageOfTeam, type Partition, type Usage } from "../parts/part.js";
 import type { Overload } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
-import type { Needs } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
 import type { EstimateContext } from "../queue/estimate.js";
 import { PREEMPT_AFTER_PHI } from "../queue/preempt.js";
@@ -21,7 +21,7 @@
   ownership: Ownership;
   quotaShares: QuotaShares;
   replica: Mirror;
-  needs: Needs;
+  needs: JobDependencies;
   committer: Committer;
   peers: PeerApi;
   overload: Overload;
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -9,15 +9,15 @@
 import { firstId } from "../peers/ids.js";
 import type { Answer } from "../peers/messages.js";
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
-import { inOrder } from "../queue/order.js";
-import { suspect, tailOf, type Unit } from "../queue/unit.js";
+import { sortTaskSets } from "../queue/order.js";
+import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/unit.js";
 import { aimS } from "../settings/derived.js";
 
 /** Bid request that has been sent and not decided. */
 interface PendingBidRequest {
   id: number;
   partition: Partition;
-  taskSet: Unit;
+  taskSet: TaskSet;
   homeBid: Bid;
   /** Partitions whose bid has not arrived. */
   unanswered: Set<number>;
@@ -76,26 +76,26 @@
   }
 
   /** Returns whether the whole job may migrate: nothing of it has started, and it has not migrated before. */
-  private isMigratable(taskSet: Unit): boolean {
+  private isMigratable(taskSet: TaskSet): boolean {
     return (
-      !taskSet.moved &&
+      !taskSet.migrated &&
       !taskSet.started &&
       !taskSet.ended &&
-      !taskSet.leaving &&
+      !taskSet.migrating &&
       taskSet.lo === 0 &&
       taskSet.hi === taskSet.spec.tasks &&
       taskSet.done.count === 0 &&
       !taskSet.attempts.hasJob(taskSet.spec.ref) &&
       taskSet.waiting.length > 0 &&
-      !suspect(taskSet)
+      !failsRepeatedly(taskSet)
     );
   }
 
   /** Returns whether waiting tasks at the end of an array may migrate as a slice, even if others have started here. */
-  private isSliceable(taskSet: Unit): boolean {
+  private isSliceable(taskSet: TaskSet): boolean {
     const { kind, oneZone, spread, klass } = taskSet.spec;
     // Other partitions would repeat the failures before they consider the job faulty.
-    if (suspect(taskSet)) return false;
+    if (failsRepeatedly(taskSet)) return false;
     // A job that is late already would take capacity from jobs that can still start in time.
     if (this.dependencies.scope.clock.wall() - taskSet.submittedWall > aimS(this.dependencies.settings.platform, "wait", klass) * 1000)
       return false;
@@ -103,11 +103,11 @@
       kind === "array" &&
       !oneZone &&
       !spread &&
-      !taskSet.moved &&
+      !taskSet.migrated &&
       !taskSet.ended &&
-      !taskSet.leaving &&
+      !taskSet.migrating &&
       taskSet.lo === 0 &&
-      tailOf(taskSet, 1) > 0
+      waitingTailLength(taskSet, 1) > 0
     );
   }
 
@@ -118,7 +118,7 @@
     for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.phase !== "serving") continue;
       // Only one bid request is pending at a time, so the most urgent job of a burst must come first.
-      const candidates = inOrder(
+      const candidates = sortTaskSets(
         [...partition.taskSets.values()].filter(
           (taskSet) => (this.isMigratable(taskSet) || this.isSliceable(taskSet)) && now >= (this.nextRequestAt.get(taskSet.key) ?? 0),
         ),
@@ -133,7 +133,7 @@
       for (const taskSet of candidates) {
         const wait = waits.get(taskSet.key) ?? Infinity;
         if (wait < exchangeSettings(this.dependencies).phi * 1000) {
-          taskSet.weighed = true;
+          taskSet.migrationConsidered = true;
           this.nextRequestAt.set(taskSet.key, now + this.dependencies.settings.timing.reportMs);
           continue;
         }
@@ -144,7 +144,7 @@
   }
 
   /** Requests bids for a job from volunteers, or from all other partitions if there are none. Returns whether a request was sent. */
-  private requestBids(partition: Partition, taskSet: Unit, waitMs: number): boolean {
+  private requestBids(partition: Partition, taskSet: TaskSet, waitMs: number): boolean {
     const now = this.dependencies.scope.clock.now();
     const { sigma, mode } = exchangeSettings(this.dependencies);
     this.nextRequestAt.set(taskSet.key, now + sigma * 1000);
@@ -152,7 +152,7 @@
       .map((_, id) => id)
       .filter((id) => id !== partition.id && liveOwnerOf(this.dependencies, id) !== null);
     const volunteers = mode === "ask" ? [] : others.filter((id) => this.volunteers.isVolunteer(id));
-    if (volunteers.length === 0 && others.length === 0) taskSet.weighed = true;
+    if (volunteers.length === 0 && others.length === 0) taskSet.migrationConsidered = true;
     if (volunteers.length === 0) return mode !== "volunteers" && this.sendBidRequest(partition, taskSet, waitMs, others, []);
     // If no volunteer is better than the home partition, the others are asked as if there were no volunteers.
     const remainingPartitions = mode === "volunteers" ? [] : others.filter((id) => !volunteers.includes(id));
@@ -160,9 +160,9 @@
   }
 
   /** Sends a bid request to `targets`; `remainingPartitions` are asked next if no target is better. Returns whether it was sent to any. */
-  private sendBidRequest(partition: Partition, taskSet: Unit, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
+  private sendBidRequest(partition: Partition, taskSet: TaskSet, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
     const id = ++this.lastRequestId;
-    const runMs = this.dependencies.leader.history.expectS(taskSet.spec) * 1000;
+    const runMs = this.dependencies.leader.history.expectedRunS(taskSet.spec) * 1000;
     this.pendingRequest = {
       id,
       partition,
@@ -182,7 +182,7 @@
     }
     if (this.pendingRequest.unanswered.size === 0) {
       this.pendingRequest = null;
-      taskSet.weighed = true;
+      taskSet.migrationConsidered = true;
       return false;
     }
     this.pendingRequest.decide = () => this.decide(id);
@@ -212,7 +212,7 @@
       this.isSliceable(taskSet) && !(startsSoon && this.isMigratable(taskSet)) ? bidWithMostFreeCapacity(request.bids) : null;
     if (sliceBid !== null) {
       this.stats.slices++;
-      taskSet.weighed = true;
+      taskSet.migrationConsidered = true;
       this.migration.migrateSlice(partition, taskSet, sliceBid.part, sliceBid.atOnce);
       return;
     }
@@ -223,7 +223,7 @@
       )
         return;
       this.stats.home++;
-      taskSet.weighed = true;
+      taskSet.migrationConsidered = true;
       return;
     }
     this.stats[this.volunteers.isVolunteer(selected.part) ? "volunteer" : "asked"]++;
--- a/src/exchange/moving.ts
+++ b/src/exchange/moving.ts
@@ -1,7 +1,7 @@
 /** Transactions that move jobs and slices to other partitions. */
 import { fitting, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
 import type { Partition } from "../parts/part.js";
-import { tailOf, type Unit } from "../queue/unit.js";
+import { waitingTailLength, type TaskSet } from "../queue/unit.js";
 import type { ExchangeDependencies } from "./around.js";
 
 /** Migrates jobs, and slices of arrays, to other partitions. */
@@ -9,12 +9,12 @@
   constructor(
     private readonly dependencies: ExchangeDependencies,
     /** Allows another bid request for the remainder of a job after the migration of a slice. */
-    private readonly allowBidRequests: (taskSet: Unit) => void,
+    private readonly allowBidRequests: (taskSet: TaskSet) => void,
   ) {}
 
   /** Migrates a whole job. It must not start here until the outcome of the transaction is known. */
-  migrate(partition: Partition, taskSet: Unit, target: number): void {
-    taskSet.leaving = true;
+  migrate(partition: Partition, taskSet: TaskSet, target: number): void {
+    taskSet.migrating = true;
     this.dependencies.scope.log.debug({ part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref }, "migration begun");
     const draft = () => {
       const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
@@ -29,7 +29,7 @@
       };
     };
     void this.dependencies.committer.commit("move", draft).then((outcome) => {
-      if (outcome === "shed") taskSet.leaving = false;
+      if (outcome === "shed") taskSet.migrating = false;
       this.dependencies.scope.log.debug(
         { part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref, outcome },
         "job moved",
@@ -41,13 +41,13 @@
    * Migrates up to `maxTasks` waiting tasks at the end of an array as a slice of their own.
    * Until the outcome of the transaction is known, they are queued in neither partition.
    */
-  migrateSlice(partition: Partition, taskSet: Unit, target: number, maxTasks: number): void {
+  migrateSlice(partition: Partition, taskSet: TaskSet, target: number, maxTasks: number): void {
     const endBefore = taskSet.hi;
-    const count = Math.min(tailOf(taskSet, maxTasks), endBefore - 1);
+    const count = Math.min(waitingTailLength(taskSet, maxTasks), endBefore - 1);
     if (count <= 0) return;
     const lo = endBefore - count;
     const migrating = taskSet.waiting.filter((task) => task >= lo);
-    taskSet.leavingFrom = lo;
+    taskSet.migratingFrom = lo;
     this.dependencies.scope.log.debug(
       { part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref, from: lo, tasks: count },
       "migration begun",
@@ -77,7 +77,7 @@
     };
     void this.dependencies.committer.commit("slice", draft).then((outcome) => {
       const moved = (this.dependencies.replica.get<JobRecord>(taskSet.key)?.v.hi ?? 0) <= lo;
-      taskSet.leavingFrom = Infinity;
+      taskSet.migratingFrom = Infinity;
       if (!moved && !taskSet.ended) taskSet.waiting.push(...migrating.filter((task) => !taskSet.attempts.hasTask(ref, task)));
       this.allowBidRequests(taskSet);
       this.dependencies.scope.log.debug({ part: partition.id, to: target, job: ref, tasks: count, moved, outcome }, "slice moved");
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -2,7 +2,7 @@
 import { keys, type AllotmentRecord } from "../ledger/records.js";
 import { quotaShareOf, type Partition, type Usage } from "../parts/part.js";
 import type { Want } from "../peers/messages.js";
-import type { Shortage } from "../queue/pass.js";
+import type { QuotaShortage } from "../queue/pass.js";
 import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./around.js";
 
 /** Interval between the turns of two giving partitions, as a fraction of the report interval: longer than a transaction usually takes. */
@@ -37,7 +37,7 @@
     );
   }
 
-  private requestQuota(partition: Partition, team: string, shortage: Shortage): void {
+  private requestQuota(partition: Partition, team: string, shortage: QuotaShortage): void {
     const now = this.dependencies.scope.clock.now();
     const label = `${partition.id}|${team}`;
     if (now < (this.nextRequestAt.get(label) ?? 0)) return;
@@ -51,8 +51,8 @@
             team,
             cpus: shortage.cpus,
             gpus: shortage.gpus,
-            nowCpus: shortage.now.cpus,
-            nowGpus: shortage.now.gpus,
+            nowCpus: shortage.fitsNow.cpus,
+            nowGpus: shortage.fitsNow.gpus,
           },
         });
     }
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,19 +1,19 @@
 import type { MachineType, Offer } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
-import { ready, usableSlots, zonesInUse } from "../queue/pass.js";
+import { isReady, usableCandidates, zonesInUse } from "../queue/pass.js";
 import { UnschedulableShapes } from "../queue/unschedulable.js";
-import { inOrder, type LocalOrder } from "../queue/order.js";
-import { allowed, copies, placeTasks, type Slot } from "../queue/placement.js";
-import { shift } from "../queue/room.js";
-import { suspect, type Placement, type Unit } from "../queue/unit.js";
+import { sortTaskSets, type QueueOrder } from "../queue/order.js";
+import { isAllowed, copiesThatFit, placeTasks, type CandidateMachine } from "../queue/placement.js";
+import { addCapacity } from "../queue/room.js";
+import { failsRepeatedly, type Placement, type TaskSet } from "../queue/unit.js";
 import { freeCapacity, newMachine } from "../workers/machine.js";
 
 /** Inputs of a rental plan. */
 export interface PlanContext {
   now: number;
   silentMs: number;
-  order: LocalOrder;
+  order: QueueOrder;
   types: MachineType[];
   /** False for an offering that the cloud refused recently. */
   open: (offer: Offer) => boolean;
@@ -32,7 +32,7 @@
 }
 
 /** Number of the task set's waiting tasks that fit on one empty machine of the type. */
-function tasksPerMachine(type: MachineType, taskSet: Unit): number {
+function tasksPerMachine(type: MachineType, taskSet: TaskSet): number {
   const { spec } = taskSet;
   const quotient = (all: number, one: number): number => (one > 0 ? Math.floor((all + 1e-6) / one) : Infinity);
   return Math.min(quotient(type.cpus, spec.cpus), quotient(type.gpus, spec.gpus), quotient(type.ram, spec.ram), taskSet.waiting.length);
@@ -54,11 +54,11 @@
   const toRent = new Map<string, { offer: Offer; count: number }>();
   const needed = new Set<string>();
   const { now } = context;
-  const candidateMachines = usableSlots(partition, now, context.silentMs);
+  const candidateMachines = usableCandidates(partition, now, context.silentMs);
   const usable = new Set(candidateMachines.map((slot) => slot.machine));
   for (const { machine, free } of candidateMachines) {
     for (const placement of machine.placements.values())
-      if (context.leftMs(placement) <= context.soonMs) shift(free, placement.unit.spec, 1);
+      if (context.leftMs(placement) <= context.soonMs) addCapacity(free, placement.taskSet.spec, 1);
   }
   for (const machine of partition.machines.values()) {
     const booting = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !usable.has(machine);
@@ -67,8 +67,8 @@
   const usage = copyUsageByTeam(partition);
   let hypothetical = 0;
   const unschedulable = new UnschedulableShapes();
-  const queue = inOrder(
-    [...partition.taskSets.values()].filter((taskSet) => ready(taskSet, now)),
+  const queue = sortTaskSets(
+    [...partition.taskSets.values()].filter((taskSet) => isReady(taskSet, now)),
     context.order,
   );
   for (const taskSet of queue) {
@@ -77,15 +77,15 @@
     const quotaShare = context.allotment(spec.team);
     let left = Math.min(
       taskSet.waiting.length,
-      context.order.atOnce(taskSet),
+      context.order.maxStarts(taskSet),
       tasksThatFit(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus }),
     );
     const isGang = spec.kind === "gang";
     if (left === 0 || (isGang && left < taskSet.waiting.length)) continue;
     // No machines are rented for a job that fails on every machine.
-    if (suspect(taskSet)) continue;
+    if (failsRepeatedly(taskSet)) continue;
     // A machine rented while the job still bids for other partitions might come up after the job has migrated.
-    if (!taskSet.weighed && !taskSet.moved && taskSet.lo === 0 && now - taskSet.arrivedAt < context.weighMs) continue;
+    if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.weighMs) continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
     // A smaller shape already found neither free capacity nor an offering.
     if (unschedulable.has(spec)) continue;
@@ -141,7 +141,7 @@
  * job has failed on no other machine, and it would be restarted there forever. Running the job on
  * another machine decides.
  */
-function failsRepeatedlyOn(taskSet: Unit, host: string): boolean {
+function failsRepeatedlyOn(taskSet: TaskSet, host: string): boolean {
   return (taskSet.failedOn.get(host) ?? 0) > MAX_FAILURES_PER_TASK * taskSet.waiting.length;
 }
 
@@ -151,13 +151,13 @@
 const MAX_ROUNDS = 64;
 
 /** Returns the allowed zone in which the fewest tasks lack capacity; ties go to the cheapest offering. Null: no zone is possible. */
-function bestZone(partition: Partition, taskSet: Unit, left: number, candidates: Slot[], context: PlanContext): string | null {
+function bestZone(partition: Partition, taskSet: TaskSet, left: number, candidates: CandidateMachine[], context: PlanContext): string | null {
   const zonesUsed = [...zonesInUse(partition, taskSet).keys()];
   if (zonesUsed.length > 0) return zonesUsed[0]!;
   const capacity = new Map<string, number>();
   for (const { machine, free } of candidates) {
-    if (!allowed(taskSet.spec, machine)) continue;
-    capacity.set(machine.zone, (capacity.get(machine.zone) ?? 0) + copies(taskSet.spec, free));
+    if (!isAllowed(taskSet.spec, machine)) continue;
+    capacity.set(machine.zone, (capacity.get(machine.zone) ?? 0) + copiesThatFit(taskSet.spec, free));
   }
   let best: { zone: string; missing: number; cost: number } | null = null;
   for (const zone of new Set([...context.types.flatMap((type) => type.zones), ...capacity.keys()])) {
@@ -180,7 +180,7 @@
 
 /** Returns the available offering with the lowest price per task, or null. */
 function cheapestOffering(
-  taskSet: Unit,
+  taskSet: TaskSet,
   task: JobSpec,
   left: number,
   context: PlanContext,
@@ -193,7 +193,7 @@
     for (const zone of type.zones) {
       for (const spot of taskSet.spec.spot ? [true, false] : [false]) {
         const offer = { type: type.name, zone, spot };
-        if (!allowed(task, offer) || !context.open(offer) || !accepts(offer)) continue;
+        if (!isAllowed(task, offer) || !context.open(offer) || !accepts(offer)) continue;
         const cost = (spot ? type.spotPrice : type.price) / holds;
         if (best === null || cost < best.cost) best = { type, offer, tasksPerMachine: holds, cost };
       }
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -75,9 +75,9 @@
       open: (offer) => this.availability.isAvailable(offer),
       allotment: (team) => this.deps.quotaShares.grantedShare(partition.id, team),
       soonMs: this.freeSoonMs(),
-      leftMs: ({ unit, runningAt }) => {
+      leftMs: ({ taskSet: unit, runningAt }) => {
         const { history } = this.deps.leader;
-        return 1000 * history.leftS(unit.spec, runningAt === null ? 0 : (now - runningAt) / 1000);
+        return 1000 * history.remainingRunS(unit.spec, runningAt === null ? 0 : (now - runningAt) / 1000);
       },
       weighMs:
         this.deps.settings.operators.exchange.mode === "off"
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -4,7 +4,7 @@
 import type { Overload } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
 import type { Leader } from "../parts/leader.js";
-import type { Needs } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/needs.js";
 import { rank } from "../queue/order.js";
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
@@ -24,7 +24,7 @@
     private readonly settings: Settings,
     private readonly leader: Leader,
     private readonly replica: Mirror,
-    private readonly needs: Needs,
+    private readonly needs: JobDependencies,
     private readonly submissions: Submissions,
     private readonly admission: Admission,
     private readonly committer: Committer,
@@ -33,7 +33,7 @@
   ) {}
 
   private isTerminal(ref: string): boolean {
-    return this.needs.fate(ref) !== undefined;
+    return this.needs.outcome(ref) !== undefined;
   }
 
   private unavailable(error: string, status = 503): Response {
@@ -112,7 +112,7 @@
     if (!(await this.completesWithin(work, shedAfterMs * 1.5)) || outcome === "shed")
       return this.unavailable("the job could not be recorded in time");
     if (outcome === "done") {
-      const terminalState = this.needs.fate(spec.ref);
+      const terminalState = this.needs.outcome(spec.ref);
       const ms = Math.round(this.scope.clock.now() - startedAt);
       this.scope.log.debug({ job: spec.ref, part: partition, needs: spec.needs?.length ?? 0, fate: terminalState, ms }, "job accepted");
       return terminalState === undefined
@@ -178,7 +178,7 @@
     if (job === undefined) return { status: 404, body: { error: "no such job" } };
     const total = job.spec.tasks;
     // A job is cancelled as soon as one of its dependencies is, even before its own record is updated.
-    const terminalState = this.needs.fate(ref);
+    const terminalState = this.needs.outcome(ref);
     let done = terminalState === "done" ? total : doneOf(job, job.hi).count;
     let running = 0;
     if (terminalState === undefined) {
@@ -187,7 +187,7 @@
       }
       for (const partition of this.leader.partitions.values()) {
         for (const taskSet of partition.taskSetsByJob.get(ref) ?? [])
-          for (const placement of taskSet.placed.values()) if (placement.state === "running") running++;
+          for (const placement of taskSet.placements.values()) if (placement.state === "running") running++;
       }
     }
     const status = terminalState ?? (running > 0 || done > 0 ? "running" : "queued");
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -16,7 +16,7 @@
 import type { Rentals } from "../ledger/rentals.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
-import type { Needs } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
@@ -44,7 +44,7 @@
   ownership: Ownership;
   replica: Mirror;
   rentals: Rentals;
-  needs: Needs;
+  needs: JobDependencies;
   committer: Committer;
   scope: Scope;
 }
@@ -184,7 +184,7 @@
     const hi = this.firstSliceTasks(spec);
     const { needs, ...plain } = spec;
     if (needs === undefined) return { spec, part: partition, hi, done: "", at };
-    const outcomes = needs.map((ref) => this.deps.needs.fate(ref));
+    const outcomes = needs.map((ref) => this.deps.needs.outcome(ref));
     if (outcomes.includes("withdrawn")) return { spec: plain, part: partition, hi, done: "", at, end: "withdrawn" };
     if (outcomes.every((fate) => fate === "done")) return { spec: plain, part: partition, hi, done: "", at };
     const { inline, name, lists } = this.splitNeeds(spec);
--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -4,8 +4,8 @@
  */
 import { Rate, type SteadyClock } from "@thorntrail/protocol/rate";
 import type { Log } from "../platform/log.js";
-import { pieceName, type Placement } from "../queue/unit.js";
-import type { Ended } from "../served/account.js";
+import { taskId, type Placement } from "../queue/unit.js";
+import type { EndedAttempt } from "../served/account.js";
 import type { FenceProof, Machine } from "../workers/machine.js";
 import type { Partition } from "./part.js";
 
@@ -35,7 +35,7 @@
     return {
       part: partition.id,
       term: partition.term,
-      piece: pieceName(placement.unit, placement.task),
+      piece: taskId(placement.taskSet, placement.task),
       attempt: placement.attempt,
       host: placement.host,
       session: partition.machines.get(placement.host)?.session,
@@ -53,7 +53,7 @@
    * logged at info level.
    */
   logOrdered(partition: Partition, placement: Placement): void {
-    const former = placement.unit.lastGone.get(placement.task);
+    const former = placement.taskSet.lastGone.get(placement.task);
     const stale = former !== undefined && this.proofAgeMs() > this.maxFreshMs;
     if (stale) this.staleRestarts++;
     if (stale && this.staleStartLines.take())
@@ -68,7 +68,7 @@
       return;
     }
     if (!this.log.isLevelEnabled("info")) return;
-    const others = placement.unit.attempts.others(placement).map(({ attempt, host }) => ({ attempt, host }));
+    const others = placement.taskSet.attempts.otherAttempts(placement).map(({ attempt, host }) => ({ attempt, host }));
     this.log.info(
       { ...this.attemptFields(partition, placement), state: placement.state, others },
       "attempt adopted, not wanted: told to stop, its task waits",
@@ -76,7 +76,7 @@
   }
 
   /** Logs an attempt that is proven gone, with the way it ended and the proof. */
-  logGone(partition: Partition, { placement, end, kept, proof }: Ended): void {
+  logGone(partition: Partition, { placement, end, kept, proof }: EndedAttempt): void {
     if (this.verbose)
       this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state, end, kept, proof }, "attempt gone");
   }
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -1,5 +1,5 @@
 /** Acts on the findings from reports and lease expiry: durable progress, accounting, audit and follow-up orders. */
-import { pieceName, type Placement, type Unit } from "../queue/unit.js";
+import { taskId, type Placement, type TaskSet } from "../queue/unit.js";
 import type { Findings } from "../workers/report-intake.js";
 import type { LeaderContext } from "./leader-context.js";
 import type { Partition } from "./part.js";
@@ -23,7 +23,7 @@
     for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
     for (const { taskSet: taskSet, seconds, host } of findings.runs) {
       this.updatePace(partition, taskSet, seconds, host);
-      this.context.history.note(taskSet.spec, seconds);
+      this.context.history.record(taskSet.spec, seconds);
     }
     const { audit } = this.context;
     for (const { machine, proof } of findings.fenced) audit.logFenced(partition, machine, proof);
@@ -31,7 +31,7 @@
     for (const placement of findings.started) this.recordTaskStart(partition, placement);
     for (const ended of findings.ended) {
       audit.logGone(partition, ended);
-      this.context.account.ended(ended);
+      this.context.account.recordEnd(ended);
     }
     for (const one of findings.unproven) this.reportInvalidProof(partition, one);
     for (const taskSet of findings.brokenGangs) this.stopGang(partition, taskSet);
@@ -40,18 +40,18 @@
 
   /** Reports an attempt that was about to count as gone by an invalid proof, which is always a defect. The attempt continues to count. */
   private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
-    const { unit: taskSet, task, attempt, host } = placement;
+    const { taskSet: taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
     this.context.scope.invariants.violated("an attempt is gone only by proof under this owner's term", {
-      ...{ part: partition.id, term: partition.term, host, piece: pieceName(taskSet, task), attempt },
+      ...{ part: partition.id, term: partition.term, host, piece: taskId(taskSet, task), attempt },
       ...{ reason, ...times, flaw },
     });
   }
 
   private recordTaskStart(partition: Partition, placement: Placement): void {
-    const { spec, submittedWall, moved } = placement.unit;
+    const { spec, submittedWall, migrated: moved } = placement.taskSet;
     this.context.stats.starts++;
-    this.context.account.began(placement);
+    this.context.account.recordStart(placement);
     this.recovery.recordTaskStart(partition);
     this.context.taskStarted$.next({ klass: spec.klass, waitS: Math.max(0, this.context.scope.clock.wall() - submittedWall) / 1000 });
     this.context.scope.log.debug(
@@ -70,11 +70,11 @@
   }
 
   /** Drains a machine, to be returned once empty, if several tasks took much longer on it than such tasks are expected to. */
-  private updatePace(partition: Partition, taskSet: Unit, seconds: number, host: string): void {
+  private updatePace(partition: Partition, taskSet: TaskSet, seconds: number, host: string): void {
     const machine = partition.machines.get(host);
     // A gang runs as fast as its slowest machine, so its run times say nothing about a single machine.
     if (machine === undefined || taskSet.spec.kind !== "array") return;
-    machine.runTimeRatios.sum += Math.log(seconds / this.context.history.expectS(taskSet.spec));
+    machine.runTimeRatios.sum += Math.log(seconds / this.context.history.expectedRunS(taskSet.spec));
     machine.runTimeRatios.count++;
     if (machine.draining || machine.runTimeRatios.count < MIN_PACE_SAMPLES || machine.runTimeRatios.sum / machine.runTimeRatios.count < Math.log(SLOW_FACTOR)) return;
     machine.draining = true;
@@ -85,8 +85,8 @@
   }
 
   /** Stops the remaining members of a gang that lost one; all must be gone before the gang can start again. */
-  stopGang(partition: Partition, taskSet: Unit): void {
-    for (const placement of taskSet.placed.values()) {
+  stopGang(partition: Partition, taskSet: TaskSet): void {
+    for (const placement of taskSet.placements.values()) {
       if (placement.stop !== null) continue;
       placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -3,7 +3,7 @@
 import type { Configuration } from "../configuration/current.js";
 import type { Mirror } from "../ledger/mirror.js";
 import type { JobRecord } from "../ledger/records.js";
-import type { Needs } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
 import { aimS, type Settings } from "../settings/derived.js";
 import type { TeamSettings } from "../settings/platform-file.js";
@@ -80,7 +80,7 @@
     private readonly settings: Settings,
     private readonly configuration: Configuration,
     private readonly mirror: Mirror,
-    private readonly needs: Needs,
+    private readonly needs: JobDependencies,
     private readonly scope: Scope,
   ) {}
 
@@ -101,7 +101,7 @@
     if (this.granted.size === 0 && this.teams.every((team) => team.cpus <= 0 && team.gpus <= 0)) return;
     // A job that waits for other jobs takes nothing of its team's guarantee.
     const jobs: JobRecord[] = [];
-    for (const { v } of this.mirror.openJobs().values()) if (!this.needs.waits(v.spec.ref)) jobs.push(v);
+    for (const { v } of this.mirror.openJobs().values()) if (!this.needs.isBlocked(v.spec.ref)) jobs.push(v);
     this.granted = grantGuarantees(jobs, this.teams, this.granted);
   }
 
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -2,11 +2,11 @@
 import type { Subject } from "rxjs";
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { Scope } from "../platform/scope.js";
-import type { RunHistory } from "../queue/history.js";
-import type { Shortage } from "../queue/pass.js";
+import type { RunTimeHistory } from "../queue/history.js";
+import type { QuotaShortage } from "../queue/pass.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
-import type { Account } from "../served/account.js";
+import type { ClassAccounting } from "../served/account.js";
 import type { Audit } from "./audit.js";
 import type { NewerToken } from "./ended-terms.js";
 import type { Partition } from "./part.js";
@@ -28,16 +28,16 @@
   readonly scope: Scope;
   /** Owned partitions by id. */
   readonly partitions: Map<number, Partition>;
-  readonly history: RunHistory;
+  readonly history: RunTimeHistory;
   readonly types: MachineType[];
   typeOf(name: string): MachineType | undefined;
   readonly stats: LeaderStats;
   /** Outcomes of the attempts in owned partitions, by class. */
-  readonly account: Account;
+  readonly account: ClassAccounting;
   /** Emits machines that have orders to be sent without waiting for their next report. */
   readonly dispatch$: Subject<{ partition: Partition; machine: Machine }>;
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
-  readonly quotaShortage$: Subject<{ partition: Partition; team: string; want: Shortage }>;
+  readonly quotaShortage$: Subject<{ partition: Partition; team: string; want: QuotaShortage }>;
   /** Emits each task that starts to run, with the time since its submission in seconds. */
   readonly taskStarted$: Subject<{ klass: string; waitS: number }>;
   readonly audit: Audit;
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -5,14 +5,14 @@
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import type { Rentals } from "../ledger/rentals.js";
-import type { Needs } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/needs.js";
 import type { Overload } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
-import { RunHistory } from "../queue/history.js";
-import type { LocalOrder } from "../queue/order.js";
-import type { Shortage } from "../queue/pass.js";
-import { Account } from "../served/account.js";
-import { Shares } from "../served/shares.js";
+import { RunTimeHistory } from "../queue/history.js";
+import type { QueueOrder } from "../queue/order.js";
+import type { QuotaShortage } from "../queue/pass.js";
+import { ClassAccounting } from "../served/account.js";
+import { ClassShares } from "../served/shares.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
 import type { QuotaShares } from "./quota-shares.js";
@@ -38,11 +38,11 @@
  */
 export class Leader implements LeaderContext {
   readonly partitions = new Map<number, Partition>();
-  readonly history: RunHistory;
+  readonly history: RunTimeHistory;
   /** Emits machines that have orders to be sent without waiting for their next report. */
   readonly dispatch$ = new Subject<{ partition: Partition; machine: Machine }>();
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
-  readonly quotaShortage$ = new Subject<{ partition: Partition; team: string; want: Shortage }>();
+  readonly quotaShortage$ = new Subject<{ partition: Partition; team: string; want: QuotaShortage }>();
   /** Emits each task that starts to run, with the time since its submission in seconds. */
   readonly taskStarted$ = new Subject<{ klass: string; waitS: number }>();
   types: MachineType[] = [];
@@ -53,11 +53,11 @@
   private readonly ownedPartitions: OwnedPartitions;
   /** End of the last stall during which this node's presence may have expired, in ms of the steady clock. */
   private stallEndedAt = -Infinity;
-  readonly account = new Account();
+  readonly account = new ClassAccounting();
   readonly audit: Audit;
   readonly startGuard: StartGuard;
   private wasSilent = false;
-  private readonly classShares: Shares;
+  private readonly classShares: ClassShares;
   readonly stats: LeaderStats = { starts: 0, takeovers: 0, preemptions: 0, fencedMs: 0, superseded: 0 };
 
   constructor(
@@ -65,7 +65,7 @@
     incarnation: string,
     private readonly mirror: Mirror,
     rentals: Rentals,
-    needs: Needs,
+    needs: JobDependencies,
     committer: Committer,
     private readonly quotaShares: QuotaShares,
     readonly guarantees: Guarantees,
@@ -74,11 +74,11 @@
   ) {
     this.audit = new Audit(scope.clock, scope.log, () => mirror.ageMs(), settings.timing.contactMs);
     this.startGuard = new StartGuard(scope);
-    this.history = new RunHistory(settings.operators.queue.guesses);
+    this.history = new RunTimeHistory(settings.operators.queue.guesses);
     const progress = new Progress(this, mirror, committer);
     const effects = new FindingEffects(this, progress, this.recovery);
     this.leaseWatch = new LeaseWatch(this, progress, effects, this.recovery);
-    this.classShares = new Shares(settings, mirror, scope);
+    this.classShares = new ClassShares(settings, mirror, scope);
     this.scheduler = new Scheduler(this, quotaShares, guarantees, overload, this.classShares);
     const machineStartup = new MachineStartup(this, mirror, rentals, committer);
     this.reportHandler = new ReportHandler(this, mirror, rentals, progress, machineStartup, effects, this.leaseWatch);
@@ -167,7 +167,7 @@
         machine.lastReportAt += ms;
         machine.rentedAt += ms;
         machine.idleSince += ms;
-        for (const placement of machine.placements.values()) placement.timed = false;
+        for (const placement of machine.placements.values()) placement.timesReliable = false;
       }
     }
   }
@@ -245,7 +245,7 @@
   }
 
   /** Returns the order of the queues under the present shares and guarantees. */
-  queueOrder(): LocalOrder {
+  queueOrder(): QueueOrder {
     return this.scheduler.queueOrder();
   }
 
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -132,17 +132,17 @@
     const { reportMs } = this.context.settings.timing;
     const leftMs = machine.noticeAt === null ? Infinity : machine.noticeAt - this.context.now;
     for (const placement of machine.placements.values()) {
-      const { spec } = placement.unit;
+      const { spec } = placement.taskSet;
       if (placement.stop !== null || placement.state !== "running") continue;
       const flushMs = spec.flushS * 1000;
       const isService = spec.kind === "service";
       if (!isService && (machine.noticeAt === null || spec.checkpointS <= 0)) continue;
       const ranS = (this.context.now - (placement.runningAt ?? this.context.now)) / 1000;
-      const runLeftMs = this.context.history.leftS(spec, ranS) * 1000;
+      const runLeftMs = this.context.history.remainingRunS(spec, ranS) * 1000;
       const stopNow = isService || (leftMs < flushMs + 2 * reportMs && leftMs > flushMs && runLeftMs > leftMs);
       if (!stopNow) continue;
       // All members of a gang must receive the stop within `gang_peer_s` of the first, or the checkpoint fails.
-      const affected = spec.kind === "gang" ? [...placement.unit.placed.values()] : [placement];
+      const affected = spec.kind === "gang" ? [...placement.taskSet.placements.values()] : [placement];
       for (const member of affected) {
         const machineOfMember = partition.machines.get(member.host);
         if (member.stop !== null || machineOfMember === undefined) continue;
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -3,8 +3,8 @@
 import { doneOf, keys, partOf, type JobRecord, type OwnerRecord, type SliceRecord } from "../ledger/records.js";
 import type { Rentals } from "../ledger/rentals.js";
 import { sleep } from "../platform/clock.js";
-import type { Needs } from "../pipelines/needs.js";
-import { newUnit, shorten, type Unit } from "../queue/unit.js";
+import type { JobDependencies } from "../pipelines/needs.js";
+import { newTaskSet, truncate, type TaskSet } from "../queue/unit.js";
 import { newMachine, type Machine } from "../workers/machine.js";
 import { fence } from "../workers/fence.js";
 import { clearFailures } from "../workers/blame.js";
@@ -29,7 +29,7 @@
     private readonly incarnation: string,
     private readonly mirror: Mirror,
     private readonly rentals: Rentals,
-    private readonly needs: Needs,
+    private readonly needs: JobDependencies,
     private readonly progress: Progress,
     private readonly effects: FindingEffects,
     private readonly leaseWatch: LeaseWatch,
@@ -43,7 +43,7 @@
       this.reconcileWork(keys.job(ref));
       this.reconcileSlices(ref);
     });
-    this.context.scope.listen(this.needs.lifted$, (ref) => {
+    this.context.scope.listen(this.needs.urgencyChanged$, (ref) => {
       for (const partition of this.context.partitions.values())
         for (const taskSet of partition.taskSetsByJob.get(ref) ?? []) taskSet.urgency = this.needs.urgency(ref);
       this.context.requestSchedulingCycle();
@@ -194,7 +194,7 @@
     }
     if (job.end !== undefined) return;
     // The job waits for the jobs that it needs; `needs.ready$` emits it when the last of them is done.
-    if (this.needs.waits(ref) || this.needs.fate(ref) !== undefined) return;
+    if (this.needs.isBlocked(ref) || this.needs.outcome(ref) !== undefined) return;
     // Slices of a large job may be recorded before the job itself.
     if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
       this.slicesReconciled.add(ref);
@@ -205,18 +205,18 @@
     for (const partition of this.context.partitions.values()) {
       const taskSet = partition.taskSets.get(key);
       if (partitionId !== partition.id) {
-        if (taskSet !== undefined && taskSet.placed.size === 0) removeTaskSet(partition, taskSet);
+        if (taskSet !== undefined && taskSet.placements.size === 0) removeTaskSet(partition, taskSet);
         continue;
       }
       if (taskSet !== undefined && entry.v.hi < taskSet.hi) {
-        shorten(taskSet, entry.v.hi);
+        truncate(taskSet, entry.v.hi);
         if (taskSet.done.full) this.progress.record(partition, taskSet);
       }
       if (taskSet === undefined) {
         const bits = doneOf(entry.v, entry.v.hi - lo);
-        const added = newUnit(key, job.spec, lo, entry.v.hi, bits, this.needs.sinceWall(job), this.context.now);
+        const added = newTaskSet(key, job.spec, lo, entry.v.hi, bits, this.needs.eligibleSinceWall(job), this.context.now);
         added.urgency = this.needs.urgency(ref);
-        added.moved = entry.v.moved === true;
+        added.migrated = entry.v.moved === true;
         addTaskSet(partition, added);
         this.context.requestSchedulingCycle();
       }
@@ -234,10 +234,10 @@
   }
 
   /** Stops the attempts of a job that ended and removes its task set from the queue. */
-  private endTaskSet(partition: Partition, taskSet: Unit): void {
+  private endTaskSet(partition: Partition, taskSet: TaskSet): void {
     taskSet.ended = true;
     clearFailures(partition, taskSet);
-    for (const placement of taskSet.placed.values()) {
+    for (const placement of taskSet.placements.values()) {
       if (!taskSet.done.has(placement.task)) placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
       if (machine !== undefined) this.context.dispatch$.next({ partition: partition, machine });
--- a/src/parts/part.ts
+++ b/src/parts/part.ts
@@ -3,7 +3,7 @@
 import type { AllotmentRecord } from "../ledger/records.js";
 import type { FenceProof, Machine, Usage } from "../workers/machine.js";
 import { AttemptRegistry } from "../queue/attempts.js";
-import { withhold, type Placement, type Unit } from "../queue/unit.js";
+import { removeWaiting, type Placement, type TaskSet } from "../queue/unit.js";
 
 /**
  * State that the owner of a partition keeps about it: machines, queue and resource usage. It is rebuilt from the
@@ -17,8 +17,8 @@
   /** Start of the term on the controller's steady clock, in ms; later by the length of each stall of this process. */
   takenOverAt: number;
   machines: Map<string, Machine>;
-  taskSets: Map<string, Unit>;
-  taskSetsByJob: Map<string, Set<Unit>>;
+  taskSets: Map<string, TaskSet>;
+  taskSetsByJob: Map<string, Set<TaskSet>>;
   /** Every attempt that may be running on one of the partition's machines. */
   attempts: AttemptRegistry<Placement>;
   /** Number of attempt numbers assigned in this term, modulo `ATTEMPTS_PER_TERM`. */
@@ -69,9 +69,9 @@
  * Adds a task set to the queue. Tasks of which an attempt was already seen on a machine are withheld, so that they do
  * not start a second time.
  */
-export function addTaskSet(partition: Partition, taskSet: Unit): void {
+export function addTaskSet(partition: Partition, taskSet: TaskSet): void {
   taskSet.attempts = partition.attempts;
-  for (const number of partition.attempts.tasksOf(taskSet.spec.ref)) withhold(taskSet, number - taskSet.lo);
+  for (const number of partition.attempts.tasksOf(taskSet.spec.ref)) removeWaiting(taskSet, number - taskSet.lo);
   partition.taskSets.set(taskSet.key, taskSet);
   const same = partition.taskSetsByJob.get(taskSet.spec.ref);
   if (same === undefined) partition.taskSetsByJob.set(taskSet.spec.ref, new Set([taskSet]));
@@ -79,14 +79,14 @@
 }
 
 /** Finds the task set in this partition that contains a task of a job, and the task's index in it; null if there is none. */
-export function findTaskSet(partition: Partition, ref: string, number: number): { unit: Unit; task: number } | null {
+export function findTaskSet(partition: Partition, ref: string, number: number): { taskSet: TaskSet; task: number } | null {
   for (const taskSet of partition.taskSetsByJob.get(ref) ?? [])
-    if (number >= taskSet.lo && number < taskSet.hi) return { unit: taskSet, task: number - taskSet.lo };
+    if (number >= taskSet.lo && number < taskSet.hi) return { taskSet, task: number - taskSet.lo };
   return null;
 }
 
 /** Removes a task set from the queue and from the index by job. */
-export function removeTaskSet(partition: Partition, taskSet: Unit): void {
+export function removeTaskSet(partition: Partition, taskSet: TaskSet): void {
   partition.taskSets.delete(taskSet.key);
   const same = partition.taskSetsByJob.get(taskSet.spec.ref);
   same?.delete(taskSet);
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -2,8 +2,8 @@
 import type { Committer } from "../ledger/committer.js";
 import type { Mirror } from "../ledger/mirror.js";
 import { doneOf, fitting, isDone, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
-import type { Unit } from "../queue/unit.js";
-import { splitPiece } from "../queue/unit.js";
+import type { TaskSet } from "../queue/unit.js";
+import { parseTaskId } from "../queue/unit.js";
 import type { LeaderContext } from "./leader-context.js";
 import type { Partition } from "./part.js";
 
@@ -20,8 +20,8 @@
    * against the loss of this node, and workers keep their results until they are cleared, so it is recorded once per
    * lease: a write for every few tasks would crowd out submissions.
    */
-  record(partition: Partition, taskSet: Unit): void {
-    if (taskSet.committing) return;
+  record(partition: Partition, taskSet: TaskSet): void {
+    if (taskSet.endWritePending) return;
     if (taskSet.done.full) return this.recordNow(partition, taskSet);
     this.recordLater(partition, taskSet);
   }
@@ -30,18 +30,18 @@
    * Records after one lease. This also retries a write that was shed because too many were queued: nothing else does, and a
    * job whose tasks are all done would never end.
    */
-  private recordLater(partition: Partition, taskSet: Unit): void {
-    if (taskSet.recordDue) return;
-    taskSet.recordDue = true;
+  private recordLater(partition: Partition, taskSet: TaskSet): void {
+    if (taskSet.progressWriteScheduled) return;
+    taskSet.progressWriteScheduled = true;
     this.context.scope.clock.after(this.context.settings.timing.leaseMs, () => {
-      taskSet.recordDue = false;
-      if (!taskSet.committing && !taskSet.ended && this.context.partitions.get(partition.id) === partition) this.recordNow(partition, taskSet);
+      taskSet.progressWriteScheduled = false;
+      if (!taskSet.endWritePending && !taskSet.ended && this.context.partitions.get(partition.id) === partition) this.recordNow(partition, taskSet);
     });
   }
 
   /** Merges the finished tasks into the record, and ends the job if all its slices are done. */
-  private recordNow(partition: Partition, taskSet: Unit): void {
-    taskSet.committing = true;
+  private recordNow(partition: Partition, taskSet: TaskSet): void {
+    taskSet.endWritePending = true;
     const { ref } = taskSet.spec;
     const isJob = taskSet.lo === 0;
     let writtenCount = 0;
@@ -70,7 +70,7 @@
       };
     };
     void this.committer.commit("done", draft, { turn: taskSet.done.full ? "soon" : "later" }).then((outcome) => {
-      taskSet.committing = false;
+      taskSet.endWritePending = false;
       if (outcome === "done") {
         this.context.scope.log.debug(
           { part: partition.id, job: ref, done: taskSet.done.count, of: taskSet.hi - taskSet.lo },
@@ -96,7 +96,7 @@
 
   /** Returns whether the task is durably recorded as done, or its job has ended. */
   isRecordedDone(piece: string): boolean {
-    const { ref, task } = splitPiece(piece);
+    const { ref, task } = parseTaskId(piece);
     const job = this.mirror.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
     if (job.v.end !== undefined) return true;
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -6,7 +6,7 @@
 import type { Rentals } from "../ledger/rentals.js";
 import { BoundedLog } from "../platform/bounded-log.js";
 import { Bits } from "../platform/bits.js";
-import { newUnit, type Unit } from "../queue/unit.js";
+import { newTaskSet, type TaskSet } from "../queue/unit.js";
 import type { Machine } from "../workers/machine.js";
 import { newFindings, applyReport, type ReportContext } from "../workers/report-intake.js";
 import { recordLeaseRenewal } from "../workers/lease.js";
@@ -62,7 +62,7 @@
     const free = newer && machine.fenced;
     if (free)
       for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
-    if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.offeredSeq = report.seq;
+    if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.startSentSeq = report.seq;
     recordLeaseRenewal(machine, newer, this.context.now);
     // Every answer renews the lease, so each contains the stop orders: a machine that receives nothing more would
     // otherwise run tasks of cancelled jobs for another lease. Other orders are sent only to a fenced machine and only in
@@ -127,7 +127,7 @@
   }
 
   /** Returns a task set that stands in for a job that does not run in this partition, so that its resource usage counts. */
-  private placeholder(ref: string): Unit {
+  private placeholder(ref: string): TaskSet {
     const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
     const spec: JobSpec =
       job?.spec ??
@@ -153,7 +153,7 @@
         flushS: 0,
         deadlineS: null,
       } satisfies JobSpec);
-    const taskSet = newUnit(`placeholder/${ref}`, { ...spec }, 0, 0, new Bits(0), 0, this.context.now);
+    const taskSet = newTaskSet(`placeholder/${ref}`, { ...spec }, 0, 0, new Bits(0), 0, this.context.now);
     taskSet.ended = true;
     return taskSet;
   }
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -1,11 +1,11 @@
 /** Runs the scheduling cycles of the owned partitions: placement, then preemption. */
 import type { Overload } from "../overload/overload.js";
-import { localOrder, type LocalOrder } from "../queue/order.js";
-import { runPass } from "../queue/pass.js";
+import { queueOrder, type QueueOrder } from "../queue/order.js";
+import { runSchedulingCycle } from "../queue/pass.js";
 import { choosePreemptions, PREEMPT_AFTER_PHI } from "../queue/preempt.js";
-import type { Unit } from "../queue/unit.js";
+import type { TaskSet } from "../queue/unit.js";
 import { aimS } from "../settings/derived.js";
-import type { Shares } from "../served/shares.js";
+import type { ClassShares } from "../served/shares.js";
 import type { Machine } from "../workers/machine.js";
 import type { QuotaShares } from "./quota-shares.js";
 import type { Guarantees, TeamUsage } from "./guarantees.js";
@@ -39,7 +39,7 @@
     private readonly quotaShares: QuotaShares,
     private readonly guarantees: Guarantees,
     private readonly overload: Overload,
-    private readonly classShares: Shares,
+    private readonly classShares: ClassShares,
   ) {}
 
   /** Requests a cycle after the gap between cycles; requests until then share it. */
@@ -64,20 +64,20 @@
   }
 
   /** Returns the order of the queues under the present shares and guarantees. */
-  queueOrder(): LocalOrder {
+  queueOrder(): QueueOrder {
     const { platform } = this.context.settings;
     const priority = this.guarantees.priorityTests(this.usageByTeam());
-    const behind = this.classShares.behind();
-    return localOrder({
+    const behind = this.classShares.underserved();
+    return queueOrder({
       mode: this.context.settings.operators.queue.order,
       nowWall: this.context.scope.clock.wall(),
-      finishS: memoize((klass) => aimS(platform, "finished", klass)),
-      startS: memoize((klass) => aimS(platform, "wait", klass)),
-      expectS: (taskSet) => this.context.history.expectS(taskSet.spec),
-      yieldS: (this.context.settings.timing.leaseMs / 1000) * MAX_YIELD_LEASES,
-      beginS: (this.context.settings.timing.leaseMs / 1000) * ARRAY_START_LEASES,
-      guaranteed: (taskSet) => priority.job(taskSet.spec),
-      owed: ({ spec }) => behind.has(spec.klass) || priority.team(spec),
+      finishObjectiveS: memoize((klass) => aimS(platform, "finished", klass)),
+      startObjectiveS: memoize((klass) => aimS(platform, "wait", klass)),
+      expectedRunS: (taskSet) => this.context.history.expectedRunS(taskSet.spec),
+      maxSizeDelayS: (this.context.settings.timing.leaseMs / 1000) * MAX_YIELD_LEASES,
+      firstTaskAfterS: (this.context.settings.timing.leaseMs / 1000) * ARRAY_START_LEASES,
+      withinGuarantee: (taskSet) => priority.job(taskSet.spec),
+      underserved: ({ spec }) => behind.has(spec.klass) || priority.team(spec),
     });
   }
 
@@ -116,7 +116,7 @@
     const { backfill } = this.context.settings.operators.queue;
     const order = this.queueOrder();
     const preemption = {
-      guaranteed: (taskSet: Unit) => this.guarantees.isGuaranteed(taskSet.spec.ref),
+      guaranteed: (taskSet: TaskSet) => this.guarantees.isGuaranteed(taskSet.spec.ref),
       excess: this.guarantees.excessUsage(this.usageByTeam()),
       claimAfterMs: this.claimAfterMs(),
     };
@@ -127,28 +127,28 @@
         order,
         backfill,
         allotment: (team: string) => this.quotaShares.grantedShare(partition.id, team),
-        expectS: (taskSet: Unit) => this.context.history.expectS(taskSet.spec),
-        leftS: (taskSet: Unit, ranS: number) => this.context.history.leftS(taskSet.spec, ranS),
+        expectS: (taskSet: TaskSet) => this.context.history.expectedRunS(taskSet.spec),
+        leftS: (taskSet: TaskSet, ranS: number) => this.context.history.remainingRunS(taskSet.spec, ranS),
         bootMs: (machine: Machine) => this.bootMs(machine),
         reserveAfterMs: (klass: string) => this.reserveAfterMs(klass),
       };
       const { costs } = this.context.scope;
-      const result = costs.spend("pass", () => runPass(partition, context));
-      for (const placement of result.placed) this.context.audit.logOrdered(partition, placement);
+      const result = costs.spend("pass", () => runSchedulingCycle(partition, context));
+      for (const placement of result.placements) this.context.audit.logOrdered(partition, placement);
       const patienceMs = this.context.settings.operators.exchange.phi * PREEMPT_AFTER_PHI * 1000;
       const chosen = costs.spend("preemption", () => choosePreemptions(partition, { ...context, ...preemption, patienceMs }));
       for (const placement of chosen) {
-        const { spec } = placement.unit;
+        const { spec } = placement.taskSet;
         placement.stop = { graceS: spec.checkpointS > 0 ? spec.flushS : 0 };
         this.context.stats.preemptions++;
         this.context.scope.log.debug(
           { part: partition.id, job: spec.ref, task: placement.task, host: placement.host },
           "stopped for work of higher priority",
         );
-        result.touched.add(partition.machines.get(placement.host)!);
+        result.changedMachines.add(partition.machines.get(placement.host)!);
       }
-      for (const machine of result.touched) this.context.dispatch$.next({ partition: partition, machine });
-      for (const [team, want] of result.short) this.context.quotaShortage$.next({ partition: partition, team, want });
+      for (const machine of result.changedMachines) this.context.dispatch$.next({ partition: partition, machine });
+      for (const [team, want] of result.shortages) this.context.quotaShortage$.next({ partition: partition, team, want });
     }
   }
 }
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -1,6 +1,6 @@
 /** Reports task starts that the last check before sending refused. */
 import type { Scope } from "../platform/scope.js";
-import { pieceName, type Placement } from "../queue/unit.js";
+import { taskId, type Placement } from "../queue/unit.js";
 import type { Partition } from "./part.js";
 
 /**
@@ -19,14 +19,14 @@
     if (this.reported.has(placement)) return;
     this.reported.add(placement);
     const describe = (one: Placement): Record<string, unknown> => {
-      const { attempt, host, state, direct, stop } = one;
+      const { attempt, host, state, directStart: direct, stop } = one;
       const machine = partition.machines.get(host);
       return { attempt, host, session: machine?.session, state, direct, stopping: stop !== null, fenced: machine?.fenced };
     };
     this.scope.invariants.violated("a task starts only if no other attempt of it may be on a machine", {
       part: partition.id,
       term: partition.term,
-      piece: pieceName(placement.unit, placement.task),
+      piece: taskId(placement.taskSet, placement.task),
       refused: describe(placement),
       others: others.map(describe),
     });
--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -27,11 +27,11 @@
  * all dependants as soon as it receives the cancelled job's record, and no second transaction is needed that an
  * outage could prevent.
  */
-export class Needs {
+export class JobDependencies {
   /** Emits jobs whose last dependency is done: their tasks may start. */
   readonly ready$ = new Subject<string>();
   /** Emits jobs whose effective urgency has changed because of jobs that depend on them. */
-  readonly lifted$ = new Subject<string>();
+  readonly urgencyChanged$ = new Subject<string>();
   private readonly nodes = new Map<string, JobNode>();
 
   constructor(private readonly mirror: Mirror) {
@@ -46,19 +46,19 @@
   }
 
   /** Terminal state of the job, from its own record or that of a job it depends on; it never changes once set. */
-  fate(ref: string): JobOutcome | undefined {
+  outcome(ref: string): JobOutcome | undefined {
     const node = this.nodes.get(ref);
     return node === undefined ? this.record(ref)?.end : node.outcome;
   }
 
   /** True if some job that it depends on is not done, so none of its tasks may start. */
-  waits(ref: string): boolean {
+  isBlocked(ref: string): boolean {
     const node = this.nodes.get(ref);
     return node !== undefined && node.outcome !== "done" && node.pending.size > 0;
   }
 
   /** Number of jobs that wait for others, for the status view. */
-  get waiting(): number {
+  get blockedJobs(): number {
     let n = 0;
     for (const node of this.nodes.values()) if (node.outcome === undefined && node.pending.size > 0) n++;
     return n;
@@ -73,7 +73,7 @@
    * Start of the job's times other than the deadline: its submission, or the completion of the last job that it
    * depends on.
    */
-  sinceWall(job: JobRecord): number {
+  eligibleSinceWall(job: JobRecord): number {
     let since = job.at;
     for (const ref of this.nodes.get(job.spec.ref)?.dependencies ?? []) {
       const need = this.record(ref);
@@ -121,7 +121,7 @@
       if (all !== null) this.completeDependencies(node, all);
     }
     if (record.end !== undefined) this.setOutcome(node, record.end);
-    else if (node.dependencies.some((need) => this.fate(need) === "withdrawn")) this.setOutcome(node, "withdrawn");
+    else if (node.dependencies.some((need) => this.outcome(need) === "withdrawn")) this.setOutcome(node, "withdrawn");
   }
 
   /** All dependencies of a job; null if some list has not been received. */
@@ -184,7 +184,7 @@
       }
       if (urgency === node.urgency) continue;
       node.urgency = urgency;
-      this.lifted$.next(ref);
+      this.urgencyChanged$.next(ref);
       for (const need of node.dependencies) due.add(need);
     }
   }
--- a/src/queue/attempts.ts
+++ b/src/queue/attempts.ts
@@ -1,11 +1,11 @@
 /** The data of an attempt that the registry needs: its job, and its task number within its task set. */
 export interface Attempt {
-  unit: { spec: { ref: string }; lo: number };
+  taskSet: { spec: { ref: string }; lo: number };
   task: number;
 }
 
 /** Number of the attempt's task within its job. */
-export function taskNumber({ unit: taskSet, task }: Attempt): number {
+export function taskNumber({ taskSet: taskSet, task }: Attempt): number {
   return taskSet.lo + task;
 }
 
@@ -21,7 +21,7 @@
   private readonly jobs = new Map<string, Map<number, A[]>>();
 
   add(attempt: A): void {
-    const { ref } = attempt.unit.spec;
+    const { ref } = attempt.taskSet.spec;
     let job = this.jobs.get(ref);
     if (job === undefined) this.jobs.set(ref, (job = new Map()));
     const number = taskNumber(attempt);
@@ -31,7 +31,7 @@
   }
 
   remove(attempt: A): void {
-    const { ref } = attempt.unit.spec;
+    const { ref } = attempt.taskSet.spec;
     const job = this.jobs.get(ref);
     const number = taskNumber(attempt);
     const left = job?.get(number)?.filter((other) => other !== attempt) ?? [];
@@ -60,8 +60,8 @@
   }
 
   /** Other attempts of the same task; the task must not start while there is one. */
-  others(attempt: A): readonly A[] {
-    const all = this.ofTask(attempt.unit.spec.ref, taskNumber(attempt));
+  otherAttempts(attempt: A): readonly A[] {
+    const all = this.ofTask(attempt.taskSet.spec.ref, taskNumber(attempt));
     return all.length === 1 && all[0] === attempt ? NONE : all.filter((other) => other !== attempt);
   }
 }
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -1,20 +1,20 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Partition } from "../parts/part.js";
 import { freeCapacity, isUsable, type Capacity, type Machine } from "../workers/machine.js";
-import { inOrder, type LocalOrder } from "./order.js";
-import type { RunHistory } from "./history.js";
-import { allowed, copies } from "./placement.js";
-import { ready } from "./pass.js";
-import { shift } from "./room.js";
+import { sortTaskSets, type QueueOrder } from "./order.js";
+import type { RunTimeHistory } from "./history.js";
+import { isAllowed, copiesThatFit } from "./placement.js";
+import { isReady } from "./pass.js";
+import { addCapacity } from "./room.js";
 import { PreemptibleCapacity, type SimulatedMachine, type PreemptionRights } from "./preemptible-capacity.js";
-import { suspect, type Unit } from "./unit.js";
+import { failsRepeatedly, type TaskSet } from "./unit.js";
 
 /** Inputs of the wait estimate. */
 export interface EstimateContext extends PreemptionRights {
   now: number;
   silentMs: number;
-  order: LocalOrder;
-  history: RunHistory;
+  order: QueueOrder;
+  history: RunTimeHistory;
   bootMs: (machine: Machine) => number;
   /** Time after which lower-priority work is stopped for a waiting job, in ms. */
   preemptAfterMs: number;
@@ -74,7 +74,7 @@
     this.tasksPerMachine = new Float64Array(machines.length);
     this.tasksPerZone = new Float64Array(zones);
     for (let i = 0; i < machines.length; i++) {
-      if (allowed(spec, machines[i]!.machine)) this.update(i);
+      if (isAllowed(spec, machines[i]!.machine)) this.update(i);
       else this.tasksPerMachine[i] = -1;
     }
   }
@@ -84,7 +84,7 @@
     const before = this.tasksPerMachine[i]!;
     if (before < 0) return;
     const simulated = this.machines[i]!;
-    const now = Math.min(MAX_COPIES, copies(this.spec, simulated.free));
+    const now = Math.min(MAX_COPIES, copiesThatFit(this.spec, simulated.free));
     this.tasksPerZone[this.spec.oneZone ? simulated.zone : 0]! += now - before;
     this.tasksPerMachine[i] = now;
   }
@@ -104,7 +104,7 @@
 
 /** A job of the queue during the simulation. */
 interface QueueEntry {
-  taskSet: Unit;
+  taskSet: TaskSet;
   tasks: number;
   /** Set for a gang, which needs capacity for all of its tasks at once. */
   shape: ShapeCapacity | null;
@@ -120,8 +120,8 @@
 export function estimateWaits(
   partition: Partition,
   context: EstimateContext,
-  extra: Unit[] = [],
-  wanted: ((taskSet: Unit) => boolean) | null = null,
+  extra: TaskSet[] = [],
+  wanted: ((taskSet: TaskSet) => boolean) | null = null,
   atOnce: Map<string, number> = new Map(),
 ): Map<string, number> {
   const { now, history } = context;
@@ -132,7 +132,7 @@
   const runMs = new Map<JobSpec, number>();
   const expectedRunMs = (spec: JobSpec): number => {
     let ms = runMs.get(spec);
-    if (ms === undefined) runMs.set(spec, (ms = history.leftS(spec, 0) * 1000));
+    if (ms === undefined) runMs.set(spec, (ms = history.remainingRunS(spec, 0) * 1000));
     return ms;
   };
   const due = (at: number): number => now + Math.ceil((at - now) / stepMs) * stepMs;
@@ -148,27 +148,27 @@
       simulated.free = { cpus: 0, gpus: 0, ram: 0 };
     }
     machines.push(simulated);
-    for (const { unit: taskSet, runningAt } of machine.placements.values()) {
-      const left = runningAt === null ? expectedRunMs(taskSet.spec) : history.leftS(taskSet.spec, (now - runningAt) / 1000) * 1000;
+    for (const { taskSet: taskSet, runningAt } of machine.placements.values()) {
+      const left = runningAt === null ? expectedRunMs(taskSet.spec) : history.remainingRunS(taskSet.spec, (now - runningAt) / 1000) * 1000;
       events.push({ at: due(now + left), machine: simulated, freed: taskSet.spec, times: 1 });
     }
   }
   events.sort((a, b) => a.at - b.at);
   const all = [...extra];
   for (const u of partition.taskSets.values()) {
-    if (!u.ended && !u.leaving && u.waiting.length > 0 && !suspect(u) && (ready(u, now) || u.notBefore > now)) all.push(u);
+    if (!u.ended && !u.migrating && u.waiting.length > 0 && !failsRepeatedly(u) && (isReady(u, now) || u.notBefore > now)) all.push(u);
   }
-  const queue = inOrder(all, context.order);
+  const queue = sortTaskSets(all, context.order);
   let length = Math.min(queue.length, MAX_QUEUE);
   if (wanted !== null) while (length > 0 && !wanted(queue[length - 1]!)) length--;
   const waits = new Map<string, number>();
   const shapes = new Map<string, ShapeCapacity>();
-  const shapeOf = (taskSet: Unit): ShapeCapacity => {
+  const shapeOf = (taskSet: TaskSet): ShapeCapacity => {
     let shape = shapes.get(taskSet.shape);
     if (shape === undefined) shapes.set(taskSet.shape, (shape = new ShapeCapacity(taskSet.spec, machines, Math.max(1, zones.size))));
     return shape;
   };
-  const entryOf = (taskSet: Unit): QueueEntry => ({
+  const entryOf = (taskSet: TaskSet): QueueEntry => ({
     taskSet: taskSet,
     tasks: taskSet.waiting.length,
     shape: taskSet.spec.kind === "gang" ? shapeOf(taskSet) : null,
@@ -182,7 +182,7 @@
 
   const occupyMachine = (simulated: SimulatedMachine, entry: QueueEntry, n: number, at: number): void => {
     const { spec } = entry.taskSet;
-    shift(simulated.free, spec, -n);
+    addCapacity(simulated.free, spec, -n);
     entry.tasks -= n;
     insert(events, { at: due(at + expectedRunMs(spec)), machine: simulated, freed: spec, times: n });
     for (const shape of shapes.values()) shape.update(simulated.index);
@@ -199,7 +199,7 @@
       }
     } else {
       for (const simulated of only) {
-        const n = allowed(entry.taskSet.spec, simulated.machine) ? Math.min(entry.tasks, copies(entry.taskSet.spec, simulated.free)) : 0;
+        const n = isAllowed(entry.taskSet.spec, simulated.machine) ? Math.min(entry.tasks, copiesThatFit(entry.taskSet.spec, simulated.free)) : 0;
         if (n > 0) occupyMachine(simulated, entry, n, at);
         if (entry.tasks === 0) break;
       }
@@ -223,7 +223,7 @@
     // capacity that is sufficient for a whole gang.
     for (; i < events.length && events[i]!.at === at; i++) {
       const { machine: simulated, freed, times } = events[i]!;
-      shift(simulated.free, freed, times);
+      addCapacity(simulated.free, freed, times);
       if (changed.at(-1) !== simulated && !changed.includes(simulated)) changed.push(simulated);
     }
     for (const shape of shapes.values()) for (const simulated of changed) shape.update(simulated.index);
--- a/src/queue/history.ts
+++ b/src/queue/history.ts
@@ -14,13 +14,13 @@
  * task that has outrun its expected time is not more likely to end at once. If it were treated so, a full partition
  * would appear to be about to become free, and jobs would gather where they wait the longest.
  */
-export class RunHistory {
+export class RunTimeHistory {
   private readonly ratios = new Map<string, { log: number; square: number; weight: number }>();
 
   constructor(private readonly mode: "learned" | "owner") {}
 
   /** Records an observed run time in seconds. */
-  note(spec: JobSpec, seconds: number): void {
+  record(spec: JobSpec, seconds: number): void {
     if (spec.guessS <= 0 || seconds <= 0) return;
     const entry = this.ratios.get(spec.klass) ?? { log: 0, square: INITIAL_SPREAD ** 2, weight: 1 };
     const weight = Math.min(entry.weight + 1, MAX_WEIGHT);
@@ -32,7 +32,7 @@
   }
 
   /** Expected run time in seconds of a task: the user's estimate, corrected in mode `learned`. */
-  expectS(spec: JobSpec): number {
+  expectedRunS(spec: JobSpec): number {
     const entry = this.mode === "learned" ? this.ratios.get(spec.klass) : undefined;
     return Math.max(1, spec.guessS * Math.exp(entry?.log ?? 0));
   }
@@ -43,9 +43,9 @@
    * time, the capacity of services would appear to be about to become free: jobs would wait for it, nothing would be
    * rented, and idle machines beside it would be returned.
    */
-  leftS(spec: JobSpec, ranS: number): number {
+  remainingRunS(spec: JobSpec, ranS: number): number {
     if (spec.kind === "service") return FOREVER_S;
     const spread = Math.sqrt(this.ratios.get(spec.klass)?.square ?? INITIAL_SPREAD ** 2);
-    return Math.max(1, this.expectS(spec) - ranS, ranS * spread * OVERRUN_FRACTION);
+    return Math.max(1, this.expectedRunS(spec) - ranS, ranS * spread * OVERRUN_FRACTION);
   }
 }
--- a/src/queue/order.ts
+++ b/src/queue/order.ts
@@ -1,5 +1,5 @@
 import type { Urgency } from "@thorntrail/protocol/jobs";
-import type { Unit } from "./unit.js";
+import type { TaskSet } from "./unit.js";
 
 const RANK: Record<Urgency, number> = { critical: 0, urgent: 1, normal: 2, low: 3 };
 
@@ -12,17 +12,17 @@
 export type OrderMode = "aims" | "urgency" | "arrival";
 
 /** True if the task set inherits its urgency from a job that depends on it. */
-const inheritsUrgency = (taskSet: Unit): boolean => taskSet.urgency !== taskSet.spec.urgency;
+const inheritsUrgency = (taskSet: TaskSet): boolean => taskSet.urgency !== taskSet.spec.urgency;
 
 /** Sort keys of a partition's queue; lower values come first. */
-export interface LocalOrder {
-  rank: (taskSet: Unit) => number;
+export interface QueueOrder {
+  rank: (taskSet: TaskSet) => number;
   /** Effective arrival time in ms. */
-  arrival: (taskSet: Unit) => number;
+  effectiveArrival: (taskSet: TaskSet) => number;
   /**
    * Maximum number of tasks that may start when its turn comes; 1 for an array that comes first only to have begun.
    */
-  atOnce: (taskSet: Unit) => number;
+  maxStarts: (taskSet: TaskSet) => number;
 }
 
 /** Inputs of the queue order. */
@@ -30,24 +30,24 @@
   mode: OrderMode;
   nowWall: number;
   /** Time in seconds within which jobs of a class should be done; Infinity if the class has no such objective. */
-  finishS: (klass: string) => number;
+  finishObjectiveS: (klass: string) => number;
   /** Time in seconds within which jobs of a class should start; Infinity if the class has no such objective. */
-  startS: (klass: string) => number;
-  expectS: (taskSet: Unit) => number;
+  startObjectiveS: (klass: string) => number;
+  expectedRunS: (taskSet: TaskSet) => number;
   /** Maximum delay in seconds that a job of a class without a completion objective gets for its size. */
-  yieldS: number;
+  maxSizeDelayS: number;
   /** Time in seconds after which an array of which no task has begun starts its first one. */
-  beginS: number;
+  firstTaskAfterS: number;
   /**
    * True for work within its team's guarantee that should start within seconds for that reason: it does not wait for
    * other teams.
    */
-  guaranteed: (taskSet: Unit) => boolean;
+  withinGuarantee: (taskSet: TaskSet) => boolean;
   /**
    * True for work of a team that runs less than its guarantee or of the most underserved class: it precedes other
    * work of its priority and keeps its own order.
    */
-  owed: (taskSet: Unit) => boolean;
+  underserved: (taskSet: TaskSet) => boolean;
 }
 
 /**
@@ -63,7 +63,7 @@
  * smaller ones for longer than a user's working day. So after a while it begins with one task, which takes next to
  * nothing from the others; the rest keeps its position.
  */
-function startsFirstTaskNow(taskSet: Unit, { mode, nowWall, beginS }: OrderContext): boolean {
+function startsFirstTaskNow(taskSet: TaskSet, { mode, nowWall, firstTaskAfterS: beginS }: OrderContext): boolean {
   const begun = taskSet.started || taskSet.done.count > 0 || taskSet.lo > 0;
   return mode === "aims" && taskSet.spec.kind === "array" && !begun && nowWall - taskSet.submittedWall > beginS * 1000;
 }
@@ -85,15 +85,15 @@
  * work than capacity, first come, first served begins everything and finishes little, and a half-done array is of no
  * use to anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
  */
-export function localOrder(context: OrderContext): LocalOrder {
+export function queueOrder(context: OrderContext): QueueOrder {
   return {
     // Work that is urgent only because of its dependants must not displace work that is urgent itself.
     rank: (taskSet) => (context.mode === "arrival" ? 0 : rank(taskSet.urgency) + (inheritsUrgency(taskSet) ? INHERITED_RANK_OFFSET : 0)),
-    atOnce: (taskSet) => (startsFirstTaskNow(taskSet, context) ? 1 : Infinity),
-    arrival: (taskSet) => {
+    maxStarts: (taskSet) => (startsFirstTaskNow(taskSet, context) ? 1 : Infinity),
+    effectiveArrival: (taskSet) => {
       if (startsFirstTaskNow(taskSet, context)) return taskSet.submittedWall - 2 * PRECEDENCE_MS;
-      if (context.mode !== "arrival" && context.guaranteed(taskSet)) return taskSet.submittedWall - PRECEDENCE_MS;
-      const first = context.mode !== "arrival" && context.owed(taskSet) ? PRECEDENCE_MS : 0;
+      if (context.mode !== "arrival" && context.withinGuarantee(taskSet)) return taskSet.submittedWall - PRECEDENCE_MS;
+      const first = context.mode !== "arrival" && context.underserved(taskSet) ? PRECEDENCE_MS : 0;
       if (context.mode !== "aims") return taskSet.submittedWall - first;
       return taskSet.submittedWall - first + 1000 * arrivalDelayS(taskSet, context);
     },
@@ -105,21 +105,21 @@
  * that urgent work depends on gets no delay: all jobs before one deadline should be finished together, instead of the
  * small ones of many.
  */
-function arrivalDelayS(taskSet: Unit, context: OrderContext): number {
-  const within = context.finishS(taskSet.spec.klass);
-  const start = context.startS(taskSet.spec.klass);
-  const run = context.expectS(taskSet);
+function arrivalDelayS(taskSet: TaskSet, context: OrderContext): number {
+  const within = context.finishObjectiveS(taskSet.spec.klass);
+  const start = context.startObjectiveS(taskSet.spec.klass);
+  const run = context.expectedRunS(taskSet);
   if (!Number.isFinite(within) && inheritsUrgency(taskSet)) return 0;
   // The delay of a class with a start objective stays below that objective.
-  if (!Number.isFinite(within)) return saturate(Math.min(context.yieldS, start), run * taskSet.waiting.length);
+  if (!Number.isFinite(within)) return saturate(Math.min(context.maxSizeDelayS, start), run * taskSet.waiting.length);
   const work = run * Math.ceil(taskSet.waiting.length / EXPECTED_PARALLEL_TASKS);
   const age = (context.nowWall - taskSet.submittedWall) / 1000;
   return saturate(within, work) + (age > start ? start : 0) + (age + run > within ? within : 0);
 }
 
 /** Sorts task sets by rank, then effective arrival, then key. */
-export function inOrder(taskSets: Iterable<Unit>, order: LocalOrder): Unit[] {
-  const keyed = [...taskSets].map((taskSet) => ({ unit: taskSet, rank: order.rank(taskSet), arrival: order.arrival(taskSet) }));
-  keyed.sort((a, b) => a.rank - b.rank || a.arrival - b.arrival || (a.unit.key < b.unit.key ? -1 : 1));
-  return keyed.map(({ unit: taskSet }) => taskSet);
+export function sortTaskSets(taskSets: Iterable<TaskSet>, order: QueueOrder): TaskSet[] {
+  const keyed = [...taskSets].map((taskSet) => ({ taskSet, rank: order.rank(taskSet), arrival: order.effectiveArrival(taskSet) }));
+  keyed.sort((a, b) => a.rank - b.rank || a.arrival - b.arrival || (a.taskSet.key < b.taskSet.key ? -1 : 1));
+  return keyed.map(({ taskSet }) => taskSet);
 }
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -1,33 +1,33 @@
 import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
 import { attemptKey, freeCapacity, addAttempt, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { UnschedulableShapes } from "./unschedulable.js";
-import { inOrder, type LocalOrder } from "./order.js";
-import { occupy, placeTasks, type Slot } from "./placement.js";
+import { sortTaskSets, type QueueOrder } from "./order.js";
+import { occupy, placeTasks, type CandidateMachine } from "./placement.js";
 import { unreservedCandidates, reserve, type Reservation, type ReservationContext } from "./reserve.js";
-import { shift, stoppingCapacity } from "./room.js";
-import { mayStart, pieceName, place, suspect, type Placement, type Unit } from "./unit.js";
+import { addCapacity, stoppingCapacity } from "./room.js";
+import { startableTasks, taskId, addPlacement, failsRepeatedly, type Placement, type TaskSet } from "./unit.js";
 
 /** Inputs of a scheduling cycle. */
-export interface PassContext extends ReservationContext {
-  order: LocalOrder;
+export interface SchedulingContext extends ReservationContext {
+  order: QueueOrder;
   backfill: boolean;
   /** The quota share of a team that this partition holds at present. */
   allotment: (team: string) => Usage;
 }
 
 /** Outcome of a scheduling cycle. */
-export interface PassResult {
+export interface SchedulingResult {
   /** Machines that have new orders. */
-  touched: Set<Machine>;
+  changedMachines: Set<Machine>;
   /** Attempts that were placed. */
-  placed: Placement[];
+  placements: Placement[];
   /** By team whose quota share in this partition is exhausted: the quota that its waiting tasks lack. */
-  short: Map<string, Shortage>;
+  shortages: Map<string, QuotaShortage>;
 }
 
 /** Quota that a team lacks in this partition; `now` is the amount for which there is free capacity at present. */
-export interface Shortage extends Usage {
-  now: Usage;
+export interface QuotaShortage extends Usage {
+  fitsNow: Usage;
 }
 
 /** Maximum number of waiting tasks for which free capacity is checked on behalf of a team short of quota. */
@@ -37,20 +37,20 @@
  * Number of attempts of the job that are, or may be, on machines per zone, over all of its slices. Empty for a job
  * without zone constraints.
  */
-export function zonesInUse(partition: Partition, taskSet: Unit): Map<string, number> {
+export function zonesInUse(partition: Partition, taskSet: TaskSet): Map<string, number> {
   const zones = new Map<string, number>();
   if (!taskSet.spec.oneZone && !taskSet.spec.spread) return zones;
   for (const machine of partition.machines.values()) {
     for (const placement of machine.placements.values()) {
-      if (placement.unit.spec.ref === taskSet.spec.ref) zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
+      if (placement.taskSet.spec.ref === taskSet.spec.ref) zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
     }
   }
   return zones;
 }
 
 /** The usable machines of the partition with their free capacity, as placement candidates. */
-export function usableSlots(partition: Partition, now: number, silentMs: number): Slot[] {
-  const candidates: Slot[] = [];
+export function usableCandidates(partition: Partition, now: number, silentMs: number): CandidateMachine[] {
+  const candidates: CandidateMachine[] = [];
   for (const machine of partition.machines.values()) {
     if (isUsable(machine, now, silentMs)) candidates.push({ machine, free: freeCapacity(machine) });
   }
@@ -61,14 +61,14 @@
  * True if some task of the task set may start now: tasks wait, it is not ended, being given away, backing off after a
  * failure or limited to a task that is already placed, and no former attempt of a gang may still be on a machine.
  */
-export function ready(taskSet: Unit, now: number): boolean {
-  if (taskSet.ended || taskSet.leaving || taskSet.waiting.length === 0 || taskSet.notBefore > now || mayStart(taskSet) === 0) return false;
+export function isReady(taskSet: TaskSet, now: number): boolean {
+  if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0) return false;
   // A gang restarts only when all of its former attempts are gone, including superseded ones.
   return taskSet.spec.kind !== "gang" || !taskSet.attempts.hasJob(taskSet.spec.ref);
 }
 
 /** Capacity that tasks ordered to stop will release, for each machine that has such tasks. */
-function stoppingCapacityByMachine(candidates: Slot[]): Map<Machine, Capacity> {
+function stoppingCapacityByMachine(candidates: CandidateMachine[]): Map<Machine, Capacity> {
   const capacities = new Map<Machine, Capacity>();
   for (const { machine } of candidates) {
     const capacity = stoppingCapacity(machine);
@@ -84,18 +84,18 @@
  * is deducted from the free capacity. Returns the number of tasks that fit.
  */
 function reserveStoppingCapacity(
-  taskSet: Unit,
+  taskSet: TaskSet,
   count: number,
-  candidates: Slot[],
+  candidates: CandidateMachine[],
   stopping: ReadonlyMap<Machine, Capacity>,
   zones: ReadonlyMap<string, number>,
 ): number {
   if (stopping.size === 0) return 0;
-  const originals = new Map<Slot, Slot>();
+  const originals = new Map<CandidateMachine, CandidateMachine>();
   for (const candidate of candidates) {
-    const afterStopping: Slot = { machine: candidate.machine, free: { ...candidate.free } };
+    const afterStopping: CandidateMachine = { machine: candidate.machine, free: { ...candidate.free } };
     const capacity = stopping.get(candidate.machine);
-    if (capacity !== undefined) shift(afterStopping.free, capacity, 1);
+    if (capacity !== undefined) addCapacity(afterStopping.free, capacity, 1);
     originals.set(afterStopping, candidate);
   }
   const chosen = placeTasks(taskSet.spec, count, [...originals.keys()], zones, taskSet.failedOn, taskSet.spec.kind === "gang");
@@ -107,33 +107,33 @@
  * Runs one scheduling cycle: goes over the queue once in order and assigns free capacity to waiting tasks. Does
  * nothing unless the partition is serving.
  */
-export function runPass(partition: Partition, context: PassContext): PassResult {
-  const result: PassResult = { touched: new Set(), placed: [], short: new Map() };
+export function runSchedulingCycle(partition: Partition, context: SchedulingContext): SchedulingResult {
+  const result: SchedulingResult = { changedMachines: new Set(), placements: [], shortages: new Map() };
   if (partition.phase !== "serving") return result;
-  const waiting = [...partition.taskSets.values()].filter((taskSet) => ready(taskSet, context.now));
+  const waiting = [...partition.taskSets.values()].filter((taskSet) => isReady(taskSet, context.now));
   if (waiting.length === 0) return result;
-  const candidates = usableSlots(partition, context.now, context.silentMs);
+  const candidates = usableCandidates(partition, context.now, context.silentMs);
   const usage = copyUsageByTeam(partition);
   const unschedulable = new Set<string>();
   const unschedulableSizes = new UnschedulableShapes();
   const reservations: Reservation[] = [];
   const classesWithReservation = new Set<string>();
   let stopping: Map<Machine, Capacity> | null = null;
-  const firstShort = new Map<string, { unit: Unit; missing: number }>();
-  for (const taskSet of inOrder(waiting, context.order)) {
+  const firstShort = new Map<string, { taskSet: TaskSet; missing: number }>();
+  for (const taskSet of sortTaskSets(waiting, context.order)) {
     const { spec } = taskSet;
     const shape = `${spec.kind === "gang" ? taskSet.waiting.length : 1}|${taskSet.shape}`;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
     const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
-    const wanted = Math.min(mayStart(taskSet), context.order.atOnce(taskSet));
+    const wanted = Math.min(startableTasks(taskSet), context.order.maxStarts(taskSet));
     const withinQuota = Math.min(wanted, quotaTasks);
     if (withinQuota < wanted) {
-      const entry = result.short.get(spec.team) ?? { cpus: 0, gpus: 0, now: { cpus: 0, gpus: 0 } };
-      if (!firstShort.has(spec.team)) firstShort.set(spec.team, { unit: taskSet, missing: wanted - withinQuota });
+      const entry = result.shortages.get(spec.team) ?? { cpus: 0, gpus: 0, fitsNow: { cpus: 0, gpus: 0 } };
+      if (!firstShort.has(spec.team)) firstShort.set(spec.team, { taskSet, missing: wanted - withinQuota });
       entry.cpus += spec.cpus * (wanted - withinQuota);
       entry.gpus += spec.gpus * (wanted - withinQuota);
-      result.short.set(spec.team, entry);
+      result.shortages.set(spec.team, entry);
     }
     const isGang = spec.kind === "gang";
     // This check comes after the quota shortage has been recorded: without a larger quota share no machines would be
@@ -152,7 +152,7 @@
         if (!isGang) unschedulableSizes.add(spec);
       }
       const reservation =
-        reservedCount === 0 && isGang && !classesWithReservation.has(spec.klass) && !suspect(taskSet)
+        reservedCount === 0 && isGang && !classesWithReservation.has(spec.klass) && !failsRepeatedly(taskSet)
           ? reserve(partition, taskSet, open, context)
           : null;
       if (reservation !== null) {
@@ -168,27 +168,27 @@
     const tasks = taskSet.waiting.slice(0, chosen.length);
     chosen.forEach((candidate, i) => {
       const placement: Placement = {
-        unit: taskSet,
+        taskSet: taskSet,
         task: tasks[i]!,
         attempt: gangAttempt ?? nextAttemptNumber(partition),
         host: candidate.machine.host,
         orderedAt: context.now,
         state: null,
         runningAt: null,
-        timed: true,
-        direct: "none",
+        timesReliable: true,
+        directStart: "none",
         stop: null,
-        offeredSeq: -1,
+        startSentSeq: -1,
       };
-      place(taskSet, placement);
-      addAttempt(candidate.machine, attemptKey(pieceName(taskSet, placement.task), placement.attempt), placement);
-      result.touched.add(candidate.machine);
-      result.placed.push(placement);
+      addPlacement(taskSet, placement);
+      addAttempt(candidate.machine, attemptKey(taskId(taskSet, placement.task), placement.attempt), placement);
+      result.changedMachines.add(candidate.machine);
+      result.placements.push(placement);
     });
     const taken = chosen.length + reservedCount;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * taken, gpus: used.gpus + spec.gpus * taken });
   }
-  for (const [team, { unit: taskSet, missing }] of firstShort) {
+  for (const [team, { taskSet, missing }] of firstShort) {
     const count = taskSet.spec.kind === "gang" ? taskSet.waiting.length : Math.min(MAX_PROBED_TASKS, missing);
     const open = unreservedCandidates(taskSet, candidates, reservations, context);
     const fit = placeTasks(
@@ -199,7 +199,7 @@
       taskSet.failedOn,
       taskSet.spec.kind === "gang",
     ).length;
-    result.short.get(team)!.now = { cpus: fit * taskSet.spec.cpus, gpus: fit * taskSet.spec.gpus };
+    result.shortages.get(team)!.fitsNow = { cpus: fit * taskSet.spec.cpus, gpus: fit * taskSet.spec.gpus };
   }
   return result;
 }
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -2,7 +2,7 @@
 import type { Capacity, Machine } from "../workers/machine.js";
 
 /** A candidate machine with its free capacity during one placement calculation. */
-export interface Slot {
+export interface CandidateMachine {
   machine: Machine;
   free: Capacity;
 }
@@ -14,7 +14,7 @@
 }
 
 /** Number of copies of a task that fit into the free capacity. */
-export function copies(spec: Capacity, free: Capacity): number {
+export function copiesThatFit(spec: Capacity, free: Capacity): number {
   const slack = 1e-6;
   let max = Infinity;
   if (spec.cpus > 0) max = Math.floor((free.cpus + slack) / spec.cpus);
@@ -24,7 +24,7 @@
 }
 
 /** True if the job's machine type, zone and spot constraints allow the machine or machine offering. */
-export function allowed(spec: JobSpec, where: { type: string; zone: string; spot: boolean }): boolean {
+export function isAllowed(spec: JobSpec, where: { type: string; zone: string; spot: boolean }): boolean {
   return (
     (spec.types === null || spec.types.includes(where.type)) &&
     (spec.zone === null || spec.zone === where.zone) &&
@@ -42,7 +42,7 @@
  * taken first, so that whole machines stay free for large tasks or can be returned. Idle accelerators count as much
  * as CPUs, so a task that needs none goes to a machine without any if possible.
  */
-export function leftover(spec: JobSpec, candidate: Slot): number {
+export function leftover(spec: JobSpec, candidate: CandidateMachine): number {
   const { capacity } = candidate.machine;
   const share = (free: number, used: number, all: number): number => (all <= 0 ? 0 : (free - used) / all);
   return (
@@ -56,7 +56,7 @@
  * Placement cost of a task on a machine. A machine that already holds the image starts the task at once, which
  * outweighs fullness.
  */
-function placementCost(spec: JobSpec, candidate: Slot): number {
+function placementCost(spec: JobSpec, candidate: CandidateMachine): number {
   return leftover(spec, candidate) + (candidate.machine.images.has(spec.image) ? 0 : 3);
 }
 
@@ -70,11 +70,11 @@
 /**
  * The fullest machine that fits one task, or null if there is none. Each earlier failure on a host adds to its cost.
  */
-export function pickCandidate(spec: JobSpec, candidates: Slot[], constraints: PlacementConstraints): Slot | null {
-  let best: Slot | null = null;
+export function pickCandidate(spec: JobSpec, candidates: CandidateMachine[], constraints: PlacementConstraints): CandidateMachine | null {
+  let best: CandidateMachine | null = null;
   let bestCost = Infinity;
   for (const candidate of candidates) {
-    if (!fits(spec, candidate.free) || !allowed(spec, candidate.machine)) continue;
+    if (!fits(spec, candidate.free) || !isAllowed(spec, candidate.machine)) continue;
     if (constraints.zone !== null && candidate.machine.zone !== constraints.zone) continue;
     if (constraints.zoneCapacity(candidate.machine.zone) <= 0) continue;
     const value = placementCost(spec, candidate) + 10 * (constraints.avoid.get(candidate.machine.host) ?? 0);
@@ -87,7 +87,7 @@
 }
 
 /** Deducts one task from the candidate's free capacity, or adds it back with `sign` -1. */
-export function occupy(candidate: Slot, spec: Capacity, sign: 1 | -1 = 1): void {
+export function occupy(candidate: CandidateMachine, spec: Capacity, sign: 1 | -1 = 1): void {
   candidate.free.cpus -= sign * spec.cpus;
   candidate.free.gpus -= sign * spec.gpus;
   candidate.free.ram -= sign * spec.ram;
@@ -100,14 +100,14 @@
 export function placeTasks(
   spec: JobSpec,
   count: number,
-  candidates: Slot[],
+  candidates: CandidateMachine[],
   already: ReadonlyMap<string, number>,
   avoid: ReadonlyMap<string, number>,
   allOrNone: boolean,
-): Slot[] {
+): CandidateMachine[] {
   const limit = zoneLimit(spec);
-  const attempt = (zone: string | null): Slot[] => {
-    const chosen: Slot[] = [];
+  const attempt = (zone: string | null): CandidateMachine[] => {
+    const chosen: CandidateMachine[] = [];
     const inZone = new Map(already);
     const zoneCapacity = (name: string): number => (limit === null ? Infinity : limit - (inZone.get(name) ?? 0));
     while (chosen.length < count) {
@@ -116,7 +116,7 @@
       // The fullest machine stays the fullest as it fills up, so it is filled in one step: looking at every machine
       // for every task would cost tasks times machines.
       const name = candidate.machine.zone;
-      const n = Math.max(1, Math.min(count - chosen.length, copies(spec, candidate.free), zoneCapacity(name)));
+      const n = Math.max(1, Math.min(count - chosen.length, copiesThatFit(spec, candidate.free), zoneCapacity(name)));
       for (let i = 0; i < n; i++) {
         occupy(candidate, spec);
         chosen.push(candidate);
@@ -125,7 +125,7 @@
     }
     return chosen;
   };
-  const undo = (chosen: Slot[]): void => chosen.forEach((candidate) => occupy(candidate, spec, -1));
+  const undo = (chosen: CandidateMachine[]): void => chosen.forEach((candidate) => occupy(candidate, spec, -1));
   // Old attempts stay in their zones until they exit, so `oneZone` (`samePlace` on the wire) binds the job to these
   // zones.
   const bound = [...already].filter(([, n]) => n > 0).map(([zone]) => zone);
@@ -135,7 +135,7 @@
     : bound.length === 1
       ? bound
       : [...new Set(candidates.map((s) => s.machine.zone))].sort();
-  let best: Slot[] = [];
+  let best: CandidateMachine[] = [];
   for (const zone of zones) {
     const chosen = attempt(zone);
     if (chosen.length === count) {
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -1,14 +1,14 @@
 import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
 import type { Machine } from "../workers/machine.js";
-import { inOrder, rank, type LocalOrder } from "./order.js";
-import { shift, stoppingCapacity } from "./room.js";
-import { ready, usableSlots, zonesInUse, type PassContext } from "./pass.js";
-import { allowed, fits, occupy, placeTasks, type Slot } from "./placement.js";
-import { suspect, type Placement, type Unit } from "./unit.js";
+import { sortTaskSets, rank, type QueueOrder } from "./order.js";
+import { addCapacity, stoppingCapacity } from "./room.js";
+import { isReady, usableCandidates, zonesInUse, type SchedulingContext } from "./pass.js";
+import { isAllowed, fits, occupy, placeTasks, type CandidateMachine } from "./placement.js";
+import { failsRepeatedly, type Placement, type TaskSet } from "./unit.js";
 
 /** Inputs for the choice of tasks to preempt. */
-export interface PreemptionContext extends PassContext {
-  guaranteed: (taskSet: Unit) => boolean;
+export interface PreemptionContext extends SchedulingContext {
+  guaranteed: (taskSet: TaskSet) => boolean;
   /** How long work within a guarantee waits for capacity that becomes free by itself, in ms. */
   claimAfterMs: number;
   /** What each team runs beyond its guarantee, over all partitions. */
@@ -24,7 +24,7 @@
 function lostWorkS(placement: Placement, now: number): number {
   if (placement.runningAt === null) return 0;
   const ran = (now - placement.runningAt) / 1000;
-  const { checkpointS, flushS } = placement.unit.spec;
+  const { checkpointS, flushS } = placement.taskSet.spec;
   return checkpointS > 0 ? Math.min(ran, flushS) : ran;
 }
 
@@ -32,7 +32,7 @@
  * Seconds that stopping one of its tasks adds to a job's completion: a whole run if no other task of it waits, next
  * to nothing if most of it still does. A half-done job is of no use to anyone.
  */
-function delayS({ unit: taskSet }: Placement, expectS: (taskSet: Unit) => number): number {
+function delayS({ taskSet: taskSet }: Placement, expectS: (taskSet: TaskSet) => number): number {
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
@@ -41,7 +41,7 @@
 
 /** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
 function recentlyStarted(placement: Placement, now: number): number {
-  const { runningAt, unit: taskSet } = placement;
+  const { runningAt, taskSet: taskSet } = placement;
   return taskSet.spec.checkpointS > 0 && (runningAt === null || now - runningAt < MIN_USEFUL_RUN_S * 1000) ? 1 : 0;
 }
 
@@ -52,20 +52,20 @@
 class StopOrder {
   private readonly sorted = new Map<Machine, Placement[]>();
 
-  private readonly arrivals = new Map<Unit, number>();
+  private readonly arrivals = new Map<TaskSet, number>();
 
   constructor(
     private readonly now: number,
-    private readonly order: LocalOrder,
+    private readonly order: QueueOrder,
   ) {}
 
   /**
    * The later a job's effective arrival, the sooner its tasks are stopped, so that nearly finished work continues.
    */
-  private arrival(taskSet: Unit): number {
+  private arrival(taskSet: TaskSet): number {
     const known = this.arrivals.get(taskSet);
     if (known !== undefined) return known;
-    const at = this.order.arrival(taskSet);
+    const at = this.order.effectiveArrival(taskSet);
     this.arrivals.set(taskSet, at);
     return at;
   }
@@ -74,12 +74,12 @@
     let list = this.sorted.get(machine);
     if (list === undefined) {
       list = [...machine.placements.values()]
-        .filter((p) => p.stop === null && p.unit.spec.kind !== "gang")
+        .filter((p) => p.stop === null && p.taskSet.spec.kind !== "gang")
         .sort(
           (a, b) =>
-            rank(b.unit.urgency) - rank(a.unit.urgency) ||
+            rank(b.taskSet.urgency) - rank(a.taskSet.urgency) ||
             recentlyStarted(a, this.now) - recentlyStarted(b, this.now) ||
-            this.arrival(b.unit) - this.arrival(a.unit) ||
+            this.arrival(b.taskSet) - this.arrival(a.taskSet) ||
             lostWorkS(a, this.now) - lostWorkS(b, this.now),
         );
       this.sorted.set(machine, list);
@@ -92,8 +92,8 @@
  * True for a task of strictly lower priority that belongs to no gang; stopping one task of a gang would stop all of
  * it.
  */
-function isPreemptible(placement: Placement, taskSet: Unit): boolean {
-  return placement.unit.spec.kind !== "gang" && rank(placement.unit.urgency) > rank(taskSet.urgency);
+function isPreemptible(placement: Placement, taskSet: TaskSet): boolean {
+  return placement.taskSet.spec.kind !== "gang" && rank(placement.taskSet.urgency) > rank(taskSet.urgency);
 }
 
 /**
@@ -101,8 +101,8 @@
  * `unit` its guarantee. Excludes work of higher priority: it comes first in the queue, so it would take back the
  * capacity that it was stopped for, over and over.
  */
-export function beyond(placement: Placement, taskSet: Unit, excess: ReadonlyMap<string, Usage>): boolean {
-  const { spec, urgency } = placement.unit;
+export function isBeyondGuarantee(placement: Placement, taskSet: TaskSet, excess: ReadonlyMap<string, Usage>): boolean {
+  const { spec, urgency } = placement.taskSet;
   if (spec.kind === "gang" || spec.team === taskSet.spec.team || rank(urgency) < rank(taskSet.urgency)) return false;
   const over = excess.get(spec.team);
   const slack = 1e-6;
@@ -120,27 +120,27 @@
  * after others of their priority.
  */
 function victimsOn(
-  candidate: Slot,
-  taskSet: Unit,
+  candidate: CandidateMachine,
+  taskSet: TaskSet,
   taken: ReadonlySet<Placement>,
   stopOrder: StopOrder,
   mayStop: (placement: Placement) => boolean,
 ): Placement[] | null {
-  const afterStopping: Slot = { machine: candidate.machine, free: { ...candidate.free } };
+  const afterStopping: CandidateMachine = { machine: candidate.machine, free: { ...candidate.free } };
   const victims: Placement[] = [];
   for (const placement of stopOrder.victimsOn(candidate.machine)) {
     if (fits(taskSet.spec, afterStopping.free)) break;
     if (taken.has(placement) || !mayStop(placement)) continue;
     victims.push(placement);
-    occupy(afterStopping, placement.unit.spec, -1);
+    occupy(afterStopping, placement.taskSet.spec, -1);
   }
   return fits(taskSet.spec, afterStopping.free) ? victims : null;
 }
 
 /** Where a job's tasks would go: free capacity, and capacity made by stopping other tasks. */
 interface PreemptionPlan {
-  placed: Slot[];
-  preempted: { slot: Slot; victims: Placement[]; cost: number }[];
+  placed: CandidateMachine[];
+  preempted: { slot: CandidateMachine; victims: Placement[]; cost: number }[];
 }
 
 /**
@@ -150,7 +150,7 @@
  */
 function preemptInBestZone(
   bound: ReadonlyMap<string, number>,
-  candidateMachines: Slot[],
+  candidateMachines: CandidateMachine[],
   attempt: (zone: string) => PreemptionPlan,
   undo: (clearing: PreemptionPlan) => void,
 ): PreemptionPlan {
@@ -175,17 +175,17 @@
   if (partition.phase !== "serving") return [];
   const { now } = context;
   const waiting = [...partition.taskSets.values()].filter(
-    (taskSet) => ready(taskSet, now) && !suspect(taskSet) && now - taskSet.arrivedAt >= context.patienceMs,
+    (taskSet) => isReady(taskSet, now) && !failsRepeatedly(taskSet) && now - taskSet.arrivedAt >= context.patienceMs,
   );
   if (waiting.length === 0) return [];
   const chosen: Placement[] = [];
   const taken = new Set<Placement>();
-  const candidateMachines = usableSlots(partition, now, context.silentMs);
+  const candidateMachines = usableCandidates(partition, now, context.silentMs);
   // Tasks that are already stopping make capacity for the jobs that they were stopped for.
-  for (const candidate of candidateMachines) shift(candidate.free, stoppingCapacity(candidate.machine), 1);
+  for (const candidate of candidateMachines) addCapacity(candidate.free, stoppingCapacity(candidate.machine), 1);
   const usage = copyUsageByTeam(partition);
   const excess = new Map([...context.excess].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
-  const deductExcess = ({ unit: { spec } }: Placement, sign: 1 | -1): void => {
+  const deductExcess = ({ taskSet: { spec } }: Placement, sign: 1 | -1): void => {
     const over = excess.get(spec.team);
     if (over === undefined) return;
     over.cpus -= sign * spec.cpus;
@@ -193,17 +193,17 @@
   };
   const stopOrder = new StopOrder(now, context.order);
   const unschedulable = new Map<string, number>();
-  for (const taskSet of inOrder(waiting, context.order)) {
+  for (const taskSet of sortTaskSets(waiting, context.order)) {
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const allotment = context.allotment(spec.team);
     const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const isGang = spec.kind === "gang";
-    const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.atOnce(taskSet));
+    const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.maxStarts(taskSet));
     // Free capacity only shrinks during a cycle: a shape that did not fit for one job does not fit for another.
     const usesGuarantee = context.guaranteed(taskSet) && now - taskSet.arrivedAt >= context.claimAfterMs;
     const shape = `${taskSet.urgency}|${usesGuarantee ? spec.team : ""}|${taskSet.shape}`;
-    const mayStop = (p: Placement): boolean => isPreemptible(p, taskSet) || (usesGuarantee && beyond(p, taskSet, excess));
+    const mayStop = (p: Placement): boolean => isPreemptible(p, taskSet) || (usesGuarantee && isBeyondGuarantee(p, taskSet, excess));
     const least = isGang ? wanted : 1;
     if (least >= (unschedulable.get(shape) ?? Infinity)) continue;
     if (wanted === 0 || (isGang && wanted < taskSet.waiting.length)) continue;
@@ -216,9 +216,9 @@
       // Stopping tasks for a job that spreads over zones would need the zones' balance as well; such jobs wait for
       // their turn.
       for (let missing = wanted - placed.length; missing > 0 && !spec.spread; missing--) {
-        let best: { slot: Slot; victims: Placement[]; cost: number } | null = null;
+        let best: { slot: CandidateMachine; victims: Placement[]; cost: number } | null = null;
         for (const candidate of candidateMachines) {
-          if (!allowed(task, candidate.machine) || taskSet.failedOn.has(candidate.machine.host)) continue;
+          if (!isAllowed(task, candidate.machine) || taskSet.failedOn.has(candidate.machine.host)) continue;
           const victims = victimsOn(candidate, taskSet, taken, stopOrder, mayStop);
           if (victims === null || victims.length === 0) continue;
           const cost =
@@ -230,7 +230,7 @@
         for (const victim of best.victims) {
           taken.add(victim);
           deductExcess(victim, 1);
-          occupy(best.slot, victim.unit.spec, -1);
+          occupy(best.slot, victim.taskSet.spec, -1);
         }
         occupy(best.slot, spec);
         preempted.push(best);
@@ -243,7 +243,7 @@
         for (const victim of victims) {
           taken.delete(victim);
           deductExcess(victim, -1);
-          occupy(candidate, victim.unit.spec);
+          occupy(candidate, victim.taskSet.spec);
         }
       }
       for (const candidate of placed) occupy(candidate, spec, -1);
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -2,20 +2,20 @@
 import type { Partition, Usage } from "../parts/part.js";
 import type { Capacity } from "../workers/machine.js";
 import { rank } from "./order.js";
-import { allowed, copies, type Slot } from "./placement.js";
-import { beyond } from "./preempt.js";
-import { shift } from "./room.js";
-import type { Unit } from "./unit.js";
+import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
+import { isBeyondGuarantee } from "./preempt.js";
+import { addCapacity } from "./room.js";
+import type { TaskSet } from "./unit.js";
 
 /** A machine during the simulation of the queue. */
-export interface SimulatedMachine extends Slot {
+export interface SimulatedMachine extends CandidateMachine {
   zone: number;
   index: number;
 }
 
 /** Rights to stop other work: guarantees of teams, and what each team runs beyond its own. */
 export interface PreemptionRights {
-  guaranteed: (taskSet: Unit) => boolean;
+  guaranteed: (taskSet: TaskSet) => boolean;
   excess: ReadonlyMap<string, Usage>;
 }
 
@@ -35,12 +35,12 @@
   ) {
     let lowest = -1;
     for (const taskSet of partition.taskSets.values()) {
-      if (taskSet.placed.size > 0 && taskSet.spec.kind !== "gang") lowest = Math.max(lowest, rank(taskSet.urgency));
+      if (taskSet.placements.size > 0 && taskSet.spec.kind !== "gang") lowest = Math.max(lowest, rank(taskSet.urgency));
     }
     this.lowest = lowest;
   }
 
-  private candidatesFor(taskSet: Unit, level: number, claims: boolean): { simulated: SimulatedMachine; free: Capacity }[] {
+  private candidatesFor(taskSet: TaskSet, level: number, claims: boolean): { simulated: SimulatedMachine; free: Capacity }[] {
     const name = `${level}|${claims ? taskSet.spec.team : ""}`;
     let list = this.lists.get(name);
     if (list === undefined) {
@@ -49,9 +49,9 @@
         if (!simulated.machine.fenced || !simulated.machine.up) continue;
         const free = { ...simulated.free };
         for (const placement of simulated.machine.placements.values()) {
-          const { spec, urgency } = placement.unit;
+          const { spec, urgency } = placement.taskSet;
           const lower = spec.kind !== "gang" && rank(urgency) > level;
-          if (lower || (claims && beyond(placement, taskSet, this.context.excess))) shift(free, spec, 1);
+          if (lower || (claims && isBeyondGuarantee(placement, taskSet, this.context.excess))) addCapacity(free, spec, 1);
         }
         list.push({ simulated, free });
       }
@@ -64,7 +64,7 @@
    * Returns true if that many tasks of the job fit once lower work is stopped, and deducts them, so that the capacity
    * is not counted for another job.
    */
-  reserve(taskSet: Unit, tasks: number): boolean {
+  reserve(taskSet: TaskSet, tasks: number): boolean {
     const { spec } = taskSet;
     const level = rank(taskSet.urgency);
     const claims = this.context.guaranteed(taskSet);
@@ -86,12 +86,12 @@
     for (const { simulated, free } of list) {
       if (missing === 0) break;
       if (zone !== null && simulated.machine.zone !== zone) continue;
-      const n = allowed(spec, simulated.machine) ? Math.min(missing, copies(spec, free)) : 0;
+      const n = isAllowed(spec, simulated.machine) ? Math.min(missing, copiesThatFit(spec, free)) : 0;
       if (n > 0) chosen.push({ free, n });
       missing -= n;
     }
     if (missing > 0) return false;
-    for (const { free, n } of chosen) shift(free, spec, -n);
+    for (const { free, n } of chosen) addCapacity(free, spec, -n);
     return true;
   }
 }
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -1,16 +1,16 @@
 import type { Partition } from "../parts/part.js";
 import { isUsable, type Capacity, type Machine } from "../workers/machine.js";
-import { allowed, copies, type Slot } from "./placement.js";
-import type { Unit } from "./unit.js";
+import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
+import type { TaskSet } from "./unit.js";
 
 /** Inputs for reservations. */
 export interface ReservationContext {
   now: number;
   silentMs: number;
   /** Expected run time of a job's tasks, in seconds. */
-  expectS: (taskSet: Unit) => number;
+  expectS: (taskSet: TaskSet) => number;
   /** Expected remaining run time in seconds of a task that has run for `ranS` seconds. */
-  leftS: (taskSet: Unit, ranS: number) => number;
+  leftS: (taskSet: TaskSet, ranS: number) => number;
   /** Expected time in ms between renting a machine and its being up. */
   bootMs: (machine: Machine) => number;
   /** Time in ms that a wide gang of the class waits before capacity is reserved for it. */
@@ -19,7 +19,7 @@
 
 /** Machines reserved for a gang. Jobs that end before `until` may still use them. */
 export interface Reservation {
-  slots: ReadonlySet<Slot>;
+  slots: ReadonlySet<CandidateMachine>;
   until: number;
 }
 
@@ -29,12 +29,12 @@
 }
 
 /** When, as running tasks end, the machine will hold how many more tasks of the gang. */
-function capacityGains(machine: Machine, taskSet: Unit, free: Capacity, context: ReservationContext): CapacityGain[] {
+function capacityGains(machine: Machine, taskSet: TaskSet, free: Capacity, context: ReservationContext): CapacityGain[] {
   const list: CapacityGain[] = [];
   const capacity = { ...free };
-  let held = copies(taskSet.spec, capacity);
+  let held = copiesThatFit(taskSet.spec, capacity);
   const ends = [...machine.placements.values()]
-    .map(({ unit: other, runningAt }) => ({
+    .map(({ taskSet: other, runningAt }) => ({
       spec: other.spec,
       at: context.now + context.leftS(other, runningAt === null ? 0 : (context.now - runningAt) / 1000) * 1000,
     }))
@@ -43,7 +43,7 @@
     capacity.cpus += spec.cpus;
     capacity.gpus += spec.gpus;
     capacity.ram += spec.ram;
-    const then = copies(taskSet.spec, capacity);
+    const then = copiesThatFit(taskSet.spec, capacity);
     if (then > held) list.push({ at, tasks: then - held });
     held = then;
   }
@@ -55,7 +55,7 @@
  * so it must have waited longer: a gang of the average width of the waiting gangs of its class waits half of the
  * time.
  */
-function widthFactor(partition: Partition, taskSet: Unit): number {
+function widthFactor(partition: Partition, taskSet: TaskSet): number {
   let tasks = 0;
   let gangs = 0;
   for (const { spec, waiting } of partition.taskSets.values()) {
@@ -72,26 +72,26 @@
  * for the first gang that has waited long, where it should be complete the soonest; a job that ends before then may
  * still use it. Returns null if the gang has not waited long enough or cannot be completed.
  */
-export function reserve(partition: Partition, taskSet: Unit, candidates: Slot[], context: ReservationContext): Reservation | null {
+export function reserve(partition: Partition, taskSet: TaskSet, candidates: CandidateMachine[], context: ReservationContext): Reservation | null {
   const { spec } = taskSet;
   const { now } = context;
   if (spec.spread || now - taskSet.arrivedAt < context.reserveAfterMs(spec.klass) * widthFactor(partition, taskSet)) return null;
   const free = new Map(candidates.map((candidate) => [candidate.machine, candidate]));
-  const byZone = new Map<string, { have: number; freeMachines: Slot[]; gains: CapacityGain[] }>();
+  const byZone = new Map<string, { have: number; freeMachines: CandidateMachine[]; gains: CapacityGain[] }>();
   for (const machine of partition.machines.values()) {
-    if (!allowed(spec, machine) || machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
+    if (!isAllowed(spec, machine) || machine.deleting || machine.draining || machine.lost || machine.noticeAt !== null) continue;
     const zone = spec.oneZone ? machine.zone : "";
     let entry = byZone.get(zone);
     if (entry === undefined) byZone.set(zone, (entry = { have: 0, freeMachines: [], gains: [] }));
     const candidate = free.get(machine);
     if (candidate !== undefined) {
-      const held = copies(spec, candidate.free);
+      const held = copiesThatFit(spec, candidate.free);
       entry.have += held;
       if (held > 0) entry.freeMachines.push(candidate);
       entry.gains.push(...capacityGains(machine, taskSet, candidate.free, context));
     } else if (!machine.up) {
       const at = Math.max(now + 1000, machine.rentedAt + context.bootMs(machine));
-      entry.gains.push({ at, tasks: copies(spec, machine.capacity) });
+      entry.gains.push({ at, tasks: copiesThatFit(spec, machine.capacity) });
     } else if (!isUsable(machine, now, context.silentMs)) {
       continue;
     }
@@ -112,7 +112,7 @@
 }
 
 /** The candidates that a job may use, without machines reserved for others beyond the job's expected end. */
-export function unreservedCandidates(taskSet: Unit, candidates: Slot[], reservations: Reservation[], context: ReservationContext): Slot[] {
+export function unreservedCandidates(taskSet: TaskSet, candidates: CandidateMachine[], reservations: Reservation[], context: ReservationContext): CandidateMachine[] {
   const end = context.now + context.leftS(taskSet, 0) * 1000;
   const binding = reservations.filter((reservation) => end > reservation.until);
   return binding.length === 0
--- a/src/queue/room.ts
+++ b/src/queue/room.ts
@@ -1,7 +1,7 @@
 import type { Capacity, Machine } from "../workers/machine.js";
 
 /** Adds `by`, multiplied by `times`, to the capacity `room` in place. */
-export function shift(capacity: Capacity, by: Capacity, times: number): void {
+export function addCapacity(capacity: Capacity, by: Capacity, times: number): void {
   capacity.cpus += by.cpus * times;
   capacity.gpus += by.gpus * times;
   capacity.ram += by.ram * times;
@@ -10,6 +10,6 @@
 /** Capacity that becomes free on the machine when the tasks that were ordered to stop have exited. */
 export function stoppingCapacity(machine: Machine): Capacity {
   const released = { cpus: 0, gpus: 0, ram: 0 };
-  for (const { stop, unit: taskSet } of machine.placements.values()) if (stop !== null) shift(released, taskSet.spec, 1);
+  for (const { stop, taskSet: taskSet } of machine.placements.values()) if (stop !== null) addCapacity(released, taskSet.spec, 1);
   return released;
 }
--- a/src/queue/unit.ts
+++ b/src/queue/unit.ts
@@ -6,7 +6,7 @@
 
 /** One attempt at one task on one machine, from its start order until it is proven gone. */
 export interface Placement {
-  unit: Unit;
+  taskSet: TaskSet;
   task: number;
   attempt: number;
   host: string;
@@ -15,21 +15,21 @@
   state: TaskState | null;
   runningAt: number | null;
   /** False if this process was stalled during the attempt, which makes its observed times unreliable. */
-  timed: boolean;
+  timesReliable: boolean;
   /**
    * `unresolved`: a direct start got no answer, so it may still arrive as long as the session lasts. Such an attempt
    * is never cleared, because a late start order would start it again.
    */
-  direct: "none" | "flying" | "unresolved" | "answered";
+  directStart: "none" | "flying" | "unresolved" | "answered";
   stop: { graceS: number } | null;
   /** Sequence number of the newest report whose answer carried the start order. */
-  offeredSeq: number;
+  startSentSeq: number;
 }
 
 /**
  * The tasks of one job, or of one slice of an array, in one partition. Partitions own, queue and migrate task sets.
  */
-export interface Unit {
+export interface TaskSet {
   key: string;
   spec: JobSpec;
   /** The job's own urgency, or that of a job that depends on it if that is higher. */
@@ -40,42 +40,42 @@
   /** Tasks that are neither done nor have an attempt that may be on a machine, in start order. */
   waiting: number[];
   /** The current attempt of each task. Other attempts of a task may still be on machines, see `attempts`. */
-  placed: Map<number, Placement>;
+  placements: Map<number, Placement>;
   /** All attempts that may be on machines of the partition, of this job and others. */
   attempts: AttemptRegistry<Placement>;
   /** For tasks that are not done: the last attempt that is gone, with the proof. */
   lastGone: Map<number, TerminatedAttempt>;
   submittedWall: number;
   arrivedAt: number;
-  moved: boolean;
+  migrated: boolean;
   /** The exchange has looked for a better partition and has found none so far. */
-  weighed: boolean;
+  migrationConsidered: boolean;
   /** A transaction that gives the task set away is in progress: its tasks must not be started. */
-  leaving: boolean;
+  migrating: boolean;
   /**
    * Tasks from this number on are being given away as a slice and must not be started; Infinity if there are none.
    */
-  leavingFrom: number;
+  migratingFrom: number;
   started: boolean;
   notBefore: number;
   failures: number;
   /** Number of failures per host, so that the next attempt goes to another host. */
   failedOn: Map<string, number>;
   ended: boolean;
-  committing: boolean;
+  endWritePending: boolean;
   /** A write of its progress is scheduled. */
-  recordDue: boolean;
+  progressWriteScheduled: boolean;
   /** Equal for task sets whose tasks fit the same free capacity, whatever their job. */
   shape: string;
 }
 
 /** Task ID as used on the wire, such as `run-000412/3`, with the task number within the job. */
-export function pieceName(taskSet: Unit, task: number): string {
+export function taskId(taskSet: TaskSet, task: number): string {
   return `${taskSet.spec.ref}/${taskSet.lo + task}`;
 }
 
 /** Splits a task ID as used on the wire into the job reference and the task number within the job. */
-export function splitPiece(piece: string): { ref: string; task: number } {
+export function parseTaskId(piece: string): { ref: string; task: number } {
   const slash = piece.lastIndexOf("/");
   return { ref: piece.slice(0, slash), task: Number(piece.slice(slash + 1)) };
 }
@@ -85,7 +85,7 @@
 }
 
 /** Creates a task set for tasks `lo` to `hi` (exclusive) of a job; every task that is not done waits. */
-export function newUnit(key: string, spec: JobSpec, lo: number, hi: number, done: Bits, submittedWall: number, now: number): Unit {
+export function newTaskSet(key: string, spec: JobSpec, lo: number, hi: number, done: Bits, submittedWall: number, now: number): TaskSet {
   const waiting: number[] = [];
   for (let i = 0; i < hi - lo; i++) if (!done.has(i)) waiting.push(i);
   return {
@@ -96,42 +96,42 @@
     hi,
     done,
     waiting,
-    placed: new Map(),
+    placements: new Map(),
     attempts: new AttemptRegistry(),
     lastGone: new Map(),
     submittedWall,
     arrivedAt: now,
-    moved: false,
-    weighed: false,
-    leaving: false,
-    leavingFrom: Infinity,
+    migrated: false,
+    migrationConsidered: false,
+    migrating: false,
+    migratingFrom: Infinity,
     started: false,
     notBefore: -Infinity,
     failures: 0,
     failedOn: new Map(),
     ended: false,
-    committing: false,
-    recordDue: false,
+    endWritePending: false,
+    progressWriteScheduled: false,
     shape: schedulingShape(spec),
   };
 }
 
 /** Records an attempt as the current one of its task, which no longer waits. */
-export function place(taskSet: Unit, placement: Placement): void {
-  taskSet.placed.set(placement.task, placement);
+export function addPlacement(taskSet: TaskSet, placement: Placement): void {
+  taskSet.placements.set(placement.task, placement);
   taskSet.started = true;
-  withhold(taskSet, placement.task);
+  removeWaiting(taskSet, placement.task);
 }
 
 /** Removes a task from the waiting tasks because an attempt of it, current or not, may be on a machine. */
-export function withhold(taskSet: Unit, task: number): void {
+export function removeWaiting(taskSet: TaskSet, task: number): void {
   const at = taskSet.waiting.indexOf(task);
   if (at >= 0) taskSet.waiting.splice(at, 1);
 }
 
 /** Detaches an attempt that is proven gone and already removed from the registry, and requeues its task. */
-export function release(taskSet: Unit, placement: Placement): void {
-  if (taskSet.placed.get(placement.task) === placement) taskSet.placed.delete(placement.task);
+export function releasePlacement(taskSet: TaskSet, placement: Placement): void {
+  if (taskSet.placements.get(placement.task) === placement) taskSet.placements.delete(placement.task);
   requeue(taskSet, placement.task);
 }
 
@@ -139,25 +139,25 @@
  * Puts the task back at the head of the waiting tasks, unless it is done, is being given away, or another attempt of
  * it may still be on a machine.
  */
-export function requeue(taskSet: Unit, task: number): void {
-  if (taskSet.done.has(task) || task >= taskSet.leavingFrom || taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task)) return;
+export function requeue(taskSet: TaskSet, task: number): void {
+  if (taskSet.done.has(task) || task >= taskSet.migratingFrom || taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task)) return;
   if (!taskSet.waiting.includes(task)) taskSet.waiting.unshift(task);
 }
 
 /** Records the proof that allows the task to start again, for the log of its next start. */
-export function noteGone(taskSet: Unit, task: number, gone: TerminatedAttempt): void {
+export function recordGoneAttempt(taskSet: TaskSet, task: number, gone: TerminatedAttempt): void {
   if (!taskSet.done.has(task)) taskSet.lastGone.set(task, gone);
 }
 
-function markDone(taskSet: Unit, task: number): void {
+function markDone(taskSet: TaskSet, task: number): void {
   taskSet.done.set(task);
   taskSet.lastGone.delete(task);
   // A task on a machine is not in `waiting`; skipping the search matters with tens of thousands of waiting tasks.
-  if (!taskSet.placed.has(task)) withhold(taskSet, task);
+  if (!taskSet.placements.has(task)) removeWaiting(taskSet, task);
 }
 
 /** Marks a task as done. A gang completes together: when one of its tasks is done, all are. */
-export function markFinished(taskSet: Unit, task: number): void {
+export function markFinished(taskSet: TaskSet, task: number): void {
   // A job with a mistake in its submission never completes a task, so the earlier failures were caused by machines.
   taskSet.failedOn.clear();
   taskSet.notBefore = -Infinity;
@@ -166,18 +166,18 @@
 }
 
 /** True for a gang with some tasks placed and others neither placed nor done: it can never be complete. */
-export function isBrokenGang(taskSet: Unit): boolean {
-  return taskSet.spec.kind === "gang" && taskSet.placed.size > 0 && taskSet.placed.size + taskSet.done.count < taskSet.hi - taskSet.lo;
+export function isBrokenGang(taskSet: TaskSet): boolean {
+  return taskSet.spec.kind === "gang" && taskSet.placements.size > 0 && taskSet.placements.size + taskSet.done.count < taskSet.hi - taskSet.lo;
 }
 
 /**
  * Number of consecutive tasks at the end that are waiting, neither done nor with an attempt that may be on a machine;
  * counts up to `most`.
  */
-export function tailOf(taskSet: Unit, most: number): number {
+export function waitingTailLength(taskSet: TaskSet, max: number): number {
   const waits = (task: number): boolean => !taskSet.done.has(task) && !taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task);
   let n = 0;
-  for (let task = taskSet.hi - taskSet.lo - 1; task >= 0 && n < most && waits(task); task--) n++;
+  for (let task = taskSet.hi - taskSet.lo - 1; task >= 0 && n < max && waits(task); task--) n++;
   return Math.min(n, taskSet.waiting.length);
 }
 
@@ -185,18 +185,18 @@
  * True if the job failed on several machines and never completed a task: it was probably submitted with a mistake,
  * and then fails on every machine until its user cancels it.
  */
-export function suspect(taskSet: Unit): boolean {
+export function failsRepeatedly(taskSet: TaskSet): boolean {
   return taskSet.failedOn.size > 1 && taskSet.done.count === 0;
 }
 
 /** Number of waiting tasks that may start together: a job that fails repeatedly is tried with a single task. */
-export function mayStart(taskSet: Unit): number {
-  if (taskSet.spec.kind === "gang" || !suspect(taskSet)) return taskSet.waiting.length;
-  return taskSet.placed.size > 0 ? 0 : 1;
+export function startableTasks(taskSet: TaskSet): number {
+  if (taskSet.spec.kind === "gang" || !failsRepeatedly(taskSet)) return taskSet.waiting.length;
+  return taskSet.placements.size > 0 ? 0 : 1;
 }
 
 /** Truncates the task set after the tasks from `hi` on have become a slice of their own. */
-export function shorten(taskSet: Unit, hi: number): void {
+export function truncate(taskSet: TaskSet, hi: number): void {
   taskSet.hi = hi;
   for (const task of [...taskSet.lastGone.keys()]) if (task >= hi - taskSet.lo) taskSet.lastGone.delete(task);
   taskSet.waiting = taskSet.waiting.filter((task) => task < hi - taskSet.lo);
--- a/src/served/account.ts
+++ b/src/served/account.ts
@@ -8,12 +8,12 @@
  * machine.
  */
 export const ATTEMPT_ENDS = ["done", "stopped", "mates", "error", "refused", "machine", "withdrawn", "unseen"] as const;
-export type End = (typeof ATTEMPT_ENDS)[number];
+export type AttemptEnd = (typeof ATTEMPT_ENDS)[number];
 
 /** An attempt that has ended, with its cause. */
-export interface Ended {
+export interface EndedAttempt {
   placement: Placement;
-  end: End;
+  end: AttemptEnd;
   /** The proof that the attempt is gone. */
   proof: TerminationProof;
   /** Observed run time in seconds; 0 if it was never seen to run. */
@@ -28,7 +28,7 @@
 export interface ClassAccount {
   begun: number;
   /** How attempts that were seen to run have ended. */
-  ends: Record<End, number>;
+  ends: Record<AttemptEnd, number>;
   /** Attempts that ended before they ran: while fetching, or waiting for their gang. */
   neverRan: number;
   usefulCoreS: number;
@@ -42,7 +42,7 @@
 const OTHER_CLASSES = "(other)";
 
 function emptyAccount(): ClassAccount {
-  const ends = Object.fromEntries(ATTEMPT_ENDS.map((end) => [end, 0])) as Record<End, number>;
+  const ends = Object.fromEntries(ATTEMPT_ENDS.map((end) => [end, 0])) as Record<AttemptEnd, number>;
   return { begun: 0, ends, neverRan: 0, usefulCoreS: 0, lostCoreS: 0, usefulGpuS: 0, lostGpuS: 0 };
 }
 
@@ -51,7 +51,7 @@
  * begun work is finished, and the cause of lost work. Every attempt seen to begin is counted under exactly one end of
  * its class, or still runs.
  */
-export class Account {
+export class ClassAccounting {
   private readonly classes = new Map<string, ClassAccount>();
 
   private of(klass: string): ClassAccount {
@@ -62,13 +62,13 @@
   }
 
   /** Counts an attempt that was seen to begin running. */
-  began({ unit: taskSet }: Placement): void {
+  recordStart({ taskSet: taskSet }: Placement): void {
     this.of(taskSet.spec.klass).begun++;
   }
 
   /** Counts the end of an attempt and the time that it used. */
-  ended({ placement, end, ranS, kept }: Ended): void {
-    const { spec } = placement.unit;
+  recordEnd({ placement, end, ranS, kept }: EndedAttempt): void {
+    const { spec } = placement.taskSet;
     const account = this.of(spec.klass);
     if (placement.runningAt === null) {
       account.neverRan++;
--- a/src/served/shares.ts
+++ b/src/served/shares.ts
@@ -43,7 +43,7 @@
  * result is the same on all controllers and survives a takeover. The floor is needed because, with more work than
  * capacity, the queue order alone can leave one of several classes with next to nothing.
  */
-export class Shares {
+export class ClassShares {
   private readonly open = new Set<string>();
   /** Jobs done by class, one map per bucket of the window, newest first. */
   private done: Map<string, number>[] = [new Map()];
@@ -86,7 +86,7 @@
   }
 
   /** Classes whose work currently comes before the rest of its priority. */
-  behind(): Set<string> {
+  underserved(): Set<string> {
     const now = this.scope.clock.now();
     if (now - this.last.at < this.settings.timing.reportMs) return this.last.set;
     for (; now - this.bucketStartedAt >= this.windowMs() / BUCKETS; this.bucketStartedAt += this.windowMs() / BUCKETS) {
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -62,7 +62,7 @@
     stalls: stalls.count,
     stoodStillMs: stalls.ms,
     present: settings.nodes.filter((node) => ownership.alive(node)),
-    jobsWaitingForOthers: needs.waiting,
+    jobsWaitingForOthers: needs.blockedJobs,
     parts: partitions,
     configuration: { version: configuration.version, inForce: configuration.inForce() },
     allotments: quotaShares,
--- a/src/workers/blame.ts
+++ b/src/workers/blame.ts
@@ -1,6 +1,6 @@
 /** Failure attribution: decides whether a failed task counts against its machine or against its job. */
 import type { Partition } from "../parts/part.js";
-import { suspect, type Unit } from "../queue/unit.js";
+import { failsRepeatedly, type TaskSet } from "../queue/unit.js";
 import type { Machine } from "./machine.js";
 
 /** Times that failure attribution depends on: `now` on the controller's steady clock, the lease duration and the base back-off, all in ms. */
@@ -11,7 +11,7 @@
 }
 
 /** Removes the failures of a job from the machines that it failed on, because the job caused them. */
-export function clearFailures(partition: Partition, taskSet: Unit): void {
+export function clearFailures(partition: Partition, taskSet: TaskSet): void {
   for (const host of taskSet.failedOn.keys()) {
     const machine = partition.machines.get(host);
     if (machine?.failuresByJob.delete(taskSet.spec.ref) === true) machine.avoidUntil = -Infinity;
@@ -26,9 +26,9 @@
  * more than one job fails that is not considered faulty, with no task completed in
  * between, is drained.
  */
-export function attributeFailure(partition: Partition, machine: Machine, taskSet: Unit, { now, leaseMs, coolMs }: FailureTiming): void {
+export function attributeFailure(partition: Partition, machine: Machine, taskSet: TaskSet, { now, leaseMs, coolMs }: FailureTiming): void {
   taskSet.failedOn.set(machine.host, (taskSet.failedOn.get(machine.host) ?? 0) + 1);
-  if (suspect(taskSet)) {
+  if (failsRepeatedly(taskSet)) {
     taskSet.notBefore = now + Math.min(leaseMs * 3, coolMs * 2 ** Math.min(taskSet.failedOn.size, 8));
     clearFailures(partition, taskSet);
     return;
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -6,7 +6,7 @@
 import type { Calls } from "../calls/calls.js";
 import { workersThrough } from "../calls/through.js";
 import type { Scope } from "../platform/scope.js";
-import { pieceName } from "../queue/unit.js";
+import { taskId } from "../queue/unit.js";
 import { attemptKey, type Machine } from "./machine.js";
 import { ordersFor } from "./orders.js";
 
@@ -62,14 +62,14 @@
     const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
     for (const key of startKeys) {
       machine.unresolvedStarts.add(key);
-      machine.placements.get(key)!.direct = "flying";
+      machine.placements.get(key)!.directStart = "flying";
     }
     const resolveStarts = (direct: "none" | "unresolved" | "answered"): void => {
       if (machine.session !== session) return; // a new session has begun, so the command can no longer take effect
       for (const key of startKeys) {
         if (direct !== "unresolved") machine.unresolvedStarts.delete(key);
         const placement = machine.placements.get(key);
-        if (placement !== undefined && placement.direct === "flying") placement.direct = direct;
+        if (placement !== undefined && placement.directStart === "flying") placement.directStart = direct;
       }
     };
     let retryNow = false;
@@ -92,12 +92,12 @@
     }
     const hasUnsentOrders = [...machine.placements.values()].some(
       (placement) =>
-        (placement.state === null && placement.direct === "none" && placement.stop === null) ||
+        (placement.state === null && placement.directStart === "none" && placement.stop === null) ||
         (placement.stop !== null &&
           !orders.some(
             (order) =>
               order.verb === "stop" &&
-              attemptKey(order.piece, order.attempt) === attemptKey(pieceName(placement.unit, placement.task), placement.attempt),
+              attemptKey(order.piece, order.attempt) === attemptKey(taskId(placement.taskSet, placement.task), placement.attempt),
           )),
     );
     if (retryNow || (hasUnsentOrders && !failed)) void this.send(partition, machine);
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -125,7 +125,7 @@
   };
 }
 
-function adjustUsage(machine: Machine, { unit: { spec } }: Placement, sign: 1 | -1): void {
+function adjustUsage(machine: Machine, { taskSet: { spec } }: Placement, sign: 1 | -1): void {
   const { used, teamUsage } = machine;
   if (sign < 0 && machine.placements.size === 0) machine.used = { cpus: 0, gpus: 0, ram: 0 };
   else {
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,6 +1,6 @@
 /** Builds the start, stop and clear orders for a machine, for answers to reports and for direct commands. */
 import type { Order, ReportedTask } from "@thorntrail/protocol/worker";
-import { pieceName, type Placement } from "../queue/unit.js";
+import { taskId, type Placement } from "../queue/unit.js";
 import type { Machine } from "./machine.js";
 
 /** Inputs that determine the orders for a machine besides its own record. */
@@ -25,13 +25,13 @@
  * period and lease together are within `cancel_s`.
  */
 function resolvesDirectStart(placement: Placement, { now, leaseMs }: WorkerOrderContext): boolean {
-  return placement.direct === "unresolved" && now - placement.orderedAt < leaseMs;
+  return placement.directStart === "unresolved" && now - placement.orderedAt < leaseMs;
 }
 
 /** Checks, immediately before a start is sent, that no other attempt at the task may be on a machine; reports a violation. */
-function canSendStart({ attempts }: Machine, placement: Placement, { onStartRefused: refused }: WorkerOrderContext): boolean {
-  const others = attempts.others(placement);
-  if (others.length > 0) refused(placement, others);
+function canSendStart({ attempts }: Machine, placement: Placement, { onStartRefused }: WorkerOrderContext): boolean {
+  const others = attempts.otherAttempts(placement);
+  if (others.length > 0) onStartRefused(placement, others);
   return others.length === 0;
 }
 
@@ -40,25 +40,25 @@
  * answer to a report or in a direct command.
  */
 export function ordersFor(machine: Machine, channel: "report" | "direct", context: WorkerOrderContext): Order[] {
-  const { isClearable: clearable, max } = context;
+  const { isClearable, max } = context;
   const orders: Order[] = [];
   for (const placement of machine.placements.values()) {
     if (orders.length >= max) return orders;
-    const taskId = pieceName(placement.unit, placement.task);
+    const id = taskId(placement.taskSet, placement.task);
     if (placement.stop !== null) {
       if (channel === "report" && placement.state === null && resolvesDirectStart(placement, context)) {
         if (!canSendStart(machine, placement, context)) continue;
         orders.push(
-          { verb: "start", piece: taskId, attempt: placement.attempt },
-          { verb: "stop", piece: taskId, attempt: placement.attempt, graceS: 0 },
+          { verb: "start", piece: id, attempt: placement.attempt },
+          { verb: "stop", piece: id, attempt: placement.attempt, graceS: 0 },
         );
       } else if (placement.state !== null && !(placement.state === "saving" && placement.stop.graceS > 0)) {
-        orders.push({ verb: "stop", piece: taskId, attempt: placement.attempt, graceS: placement.stop.graceS });
+        orders.push({ verb: "stop", piece: id, attempt: placement.attempt, graceS: placement.stop.graceS });
       }
-    } else if (placement.state === null && !placement.unit.ended) {
-      if (channel === "direct" && placement.direct !== "none") continue;
+    } else if (placement.state === null && !placement.taskSet.ended) {
+      if (channel === "direct" && placement.directStart !== "none") continue;
       if (!canSendStart(machine, placement, context)) continue;
-      orders.push({ verb: "start", piece: taskId, attempt: placement.attempt });
+      orders.push({ verb: "start", piece: id, attempt: placement.attempt });
     }
   }
   // Sent only in answers to reports, which cannot overtake each other: after a `clear`, a
@@ -66,7 +66,7 @@
   if (channel === "report") {
     for (const [key, task] of machine.exited) {
       if (orders.length >= max) break;
-      if (!machine.unresolvedStarts.has(key) && clearable(task)) orders.push({ verb: "clear", piece: task.piece, attempt: task.attempt });
+      if (!machine.unresolvedStarts.has(key) && isClearable(task)) orders.push({ verb: "clear", piece: task.piece, attempt: task.attempt });
     }
   }
   return orders;
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -5,16 +5,16 @@
 import {
   isBrokenGang,
   markFinished,
-  noteGone,
-  place,
-  release,
+  recordGoneAttempt,
+  addPlacement,
+  releasePlacement,
   requeue,
-  splitPiece,
-  withhold,
+  parseTaskId,
+  removeWaiting,
   type Placement,
-  type Unit,
+  type TaskSet,
 } from "../queue/unit.js";
-import type { End, Ended } from "../served/account.js";
+import type { AttemptEnd, EndedAttempt } from "../served/account.js";
 import { attributeFailure, type FailureTiming } from "./blame.js";
 import { fence } from "./fence.js";
 import { proofFlaw, type TerminationProof } from "./gone.js";
@@ -25,21 +25,21 @@
   /** Something changed that may allow queued work to start. */
   changed: boolean;
   /** Task sets with completed tasks that are not yet recorded in the state service. */
-  finished: Set<Unit>;
+  finished: Set<TaskSet>;
   /** Run times of tasks that were observed from start to completion, for the estimator. */
-  runs: { taskSet: Unit; seconds: number; host: string }[];
+  runs: { taskSet: TaskSet; seconds: number; host: string }[];
   /** Attempts that were reported as running for the first time. */
   started: Placement[];
   /** Attempts that this owner has no record of ordering; `wanted` if they may continue. */
   adopted: { placement: Placement; wanted: boolean }[];
   /** Attempts that provably no longer exist, and how they ended. */
-  ended: Ended[];
+  ended: EndedAttempt[];
   /** Attempts that were to be removed on the basis of an invalid proof, and therefore remain registered. */
   unproven: { placement: Placement; proof: TerminationProof; flaw: string }[];
   /** Machines that have become fenced, and the proof. */
   fenced: { machine: Machine; proof: FenceProof }[];
   /** Gangs that lost a member and must be stopped before they can start again. */
-  brokenGangs: Set<Unit>;
+  brokenGangs: Set<TaskSet>;
 }
 
 /** Inputs for applying a report besides the report itself. */
@@ -47,7 +47,7 @@
   /** True for a report that the worker sent by itself, false for the body of a reply to a command. */
   viaReport: boolean;
   /** Returns a placeholder task set for a job that is not queued in this partition or has ended, so that its usage is counted. */
-  placeholderFor: (ref: string) => Unit;
+  placeholderFor: (ref: string) => TaskSet;
 }
 
 /** Returns findings without any entry. */
@@ -64,9 +64,9 @@
 }
 
 /** How an attempt ended, and the proof that it no longer exists. */
-interface AttemptEnd {
+interface ProvenEnd {
   proof: TerminationProof;
-  end: End;
+  end: AttemptEnd;
   /** The attempt's progress was saved. */
   kept?: boolean;
 }
@@ -79,9 +79,9 @@
   { partition: partition, machine, now, findings }: DropContext,
   key: string,
   placement: Placement,
-  ending: AttemptEnd,
+  ending: ProvenEnd,
 ): void {
-  const { unit: taskSet, runningAt, timed, attempt, host } = placement;
+  const { taskSet, runningAt, timesReliable: timed, attempt, host } = placement;
   const { proof, end, kept = false } = ending;
   const flaw = proofFlaw(proof, partition.term);
   if (flaw !== null) {
@@ -90,13 +90,13 @@
   }
   findings.ended.push({ placement, end, proof, kept, ranS: runningAt === null || !timed ? 0 : Math.max(0, now - runningAt) / 1000 });
   removeAttempt(machine, key);
-  release(taskSet, placement);
-  noteGone(taskSet, placement.task, { attempt, host, by: proof.by });
+  releasePlacement(taskSet, placement);
+  recordGoneAttempt(taskSet, placement.task, { attempt, host, by: proof.by });
   // The attempt was registered before its job was queued here, or while another task set contained the task.
   const found = findTaskSet(partition, taskSet.spec.ref, taskNumber(placement));
-  if (found !== null && found.unit !== taskSet) {
-    requeue(found.unit, found.task);
-    noteGone(found.unit, found.task, { attempt, host, by: proof.by });
+  if (found !== null && found.taskSet !== taskSet) {
+    requeue(found.taskSet, found.task);
+    recordGoneAttempt(found.taskSet, found.task, { attempt, host, by: proof.by });
   }
   findings.changed = true;
   if (isBrokenGang(taskSet)) findings.brokenGangs.add(taskSet);
@@ -111,7 +111,7 @@
 }
 
 /** Stops all attempts at a completed task that may still be on machines. */
-function stopOtherAttempts(taskSet: Unit, task: number): void {
+function stopOtherAttempts(taskSet: TaskSet, task: number): void {
   for (const other of taskSet.attempts.ofTask(taskSet.spec.ref, taskSet.lo + task)) other.stop ??= { graceS: 0 };
 }
 
@@ -122,11 +122,11 @@
   task: ReportedTask,
   timing: FailureTiming,
 ): void {
-  const { unit: taskSet } = placement;
+  const { taskSet: taskSet } = placement;
   switch (task.cause) {
     case "done":
-      if (placement.runningAt !== null && placement.timed)
-        findings.runs.push({ taskSet: taskSet, seconds: (now - placement.runningAt) / 1000, host: machine.host });
+      if (placement.runningAt !== null && placement.timesReliable)
+        findings.runs.push({ taskSet, seconds: (now - placement.runningAt) / 1000, host: machine.host });
       markFinished(taskSet, placement.task);
       stopOtherAttempts(taskSet, placement.task);
       machine.failuresByJob.clear();
@@ -149,7 +149,7 @@
   }
 }
 
-function attemptOutcome({ cause }: ReportedTask, taskSet: Unit): End {
+function attemptOutcome({ cause }: ReportedTask, taskSet: TaskSet): AttemptEnd {
   if (cause === "done" || cause === "error") return cause;
   if (taskSet.ended) return "withdrawn";
   if (cause === "stopped") return "stopped";
@@ -157,33 +157,33 @@
 }
 
 /** Returns whether an attempt that this owner did not order may continue. */
-function isWanted(taskSet: Unit, task: number, attempt: number): boolean {
-  if (taskSet.ended || taskSet.leaving || task >= taskSet.leavingFrom || taskSet.done.has(task) || taskSet.placed.has(task)) return false;
-  return taskSet.spec.kind !== "gang" || [...taskSet.placed.values()].every((member) => member.attempt === attempt);
+function isWanted(taskSet: TaskSet, task: number, attempt: number): boolean {
+  if (taskSet.ended || taskSet.migrating || task >= taskSet.migratingFrom || taskSet.done.has(task) || taskSet.placements.has(task)) return false;
+  return taskSet.spec.kind !== "gang" || [...taskSet.placements.values()].every((member) => member.attempt === attempt);
 }
 
 /** Registers an attempt that this owner did not order. An unwanted one is stopped, and its task does not start until it is gone. */
 function adoptAttempt(partition: Partition, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
-  const { ref, task: number } = splitPiece(task.piece);
+  const { ref, task: number } = parseTaskId(task.piece);
   const found = findTaskSet(partition, ref, number);
   const placement: Placement = {
-    unit: found?.unit ?? context.placeholderFor(ref),
+    taskSet: found?.taskSet ?? context.placeholderFor(ref),
     task: found?.task ?? number,
     attempt: task.attempt,
     host: machine.host,
     orderedAt: context.now,
     state: task.state,
     runningAt: null,
-    timed: true,
-    direct: "answered",
+    timesReliable: true,
+    directStart: "answered",
     stop: null,
-    offeredSeq: -1,
+    startSentSeq: -1,
   };
-  const wanted = found !== null && isWanted(found.unit, found.task, task.attempt);
-  if (wanted) place(found.unit, placement);
+  const wanted = found !== null && isWanted(found.taskSet, found.task, task.attempt);
+  if (wanted) addPlacement(found.taskSet, placement);
   else {
     placement.stop = { graceS: 0 };
-    if (found !== null) withhold(found.unit, found.task);
+    if (found !== null) removeWaiting(found.taskSet, found.task);
   }
   addAttempt(machine, attemptKey(task.piece, task.attempt), placement);
   findings.adopted.push({ placement, wanted });
@@ -197,12 +197,12 @@
  * the first one, and the task must not start again.
  */
 function recordUnorderedCompletion(partition: Partition, { piece: taskId }: ReportedTask, findings: Findings): void {
-  const { ref, task: number } = splitPiece(taskId);
+  const { ref, task: number } = parseTaskId(taskId);
   const found = findTaskSet(partition, ref, number);
-  if (found === null || found.unit.done.has(found.task)) return;
-  markFinished(found.unit, found.task);
-  stopOtherAttempts(found.unit, found.task);
-  findings.finished.add(found.unit);
+  if (found === null || found.taskSet.done.has(found.task)) return;
+  markFinished(found.taskSet, found.task);
+  stopOtherAttempts(found.taskSet, found.task);
+  findings.finished.add(found.taskSet);
 }
 
 function isNewer(machine: Machine, report: Report): boolean {
@@ -256,14 +256,14 @@
       recordExit(dropContext, registered, task, context);
       dropAttempt(dropContext, key, registered, {
         proof: { by: "exited", token },
-        end: attemptOutcome(task, registered.unit),
+        end: attemptOutcome(task, registered.taskSet),
         kept: task.saved,
       });
     } else if (task.cause === "done") recordUnorderedCompletion(partition, task, findings);
     return;
   }
   const placement = registered ?? adoptAttempt(partition, machine, task, context, findings);
-  if (task.state !== "fetching") machine.images.add(placement.unit.spec.image);
+  if (task.state !== "fetching") machine.images.add(placement.taskSet.spec.image);
   if (task.state === "running" && placement.state !== "running") {
     placement.runningAt = context.now;
     findings.started.push(placement);
@@ -274,7 +274,7 @@
 /** Removes registered attempts that the report does not list, where this proves that they no longer exist. */
 function dropUnlistedAttempts(dropContext: DropContext, listed: ReadonlySet<string>, report: Report, viaReport: boolean): void {
   const { machine } = dropContext;
-  const unlistedEnd: AttemptEnd = { proof: { by: "not listed", token: report.token }, end: "unseen" };
+  const unlistedEnd: ProvenEnd = { proof: { by: "not listed", token: report.token }, end: "unseen" };
   for (const key of [...machine.exited.keys()]) if (!listed.has(key)) machine.exited.delete(key);
   for (const [key, placement] of [...machine.placements]) {
     if (listed.has(key)) continue;
@@ -285,8 +285,8 @@
     }
     // An order in an answer is executed before the next report or never. A direct
     // order without a reply may still arrive, so its attempt remains registered.
-    const settled = placement.direct === "none" && viaReport && report.seq > placement.offeredSeq;
-    if (settled && (placement.stop !== null || placement.unit.ended)) dropAttempt(dropContext, key, placement, unlistedEnd);
+    const settled = placement.directStart === "none" && viaReport && report.seq > placement.startSentSeq;
+    if (settled && (placement.stop !== null || placement.taskSet.ended)) dropAttempt(dropContext, key, placement, unlistedEnd);
   }
 }
 
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -3,8 +3,8 @@
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { spawnController } from "../src/rehearsal/spawn.js";
-import { Account, ATTEMPT_ENDS, type ClassAccount } from "../src/served/account.js";
-import { newUnit, type Placement } from "../src/queue/unit.js";
+import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/account.js";
+import { newTaskSet, type Placement } from "../src/queue/unit.js";
 import { Bits } from "../src/platform/bits.js";
 import { specOf } from "./world/parts.js";
 
@@ -44,7 +44,7 @@
       const running = new Map<string, number>();
       for (const partition of controller!.leader.partitions.values())
         for (const machine of partition.machines.values())
-          for (const { unit: taskSet, runningAt } of machine.placements.values())
+          for (const { taskSet: taskSet, runningAt } of machine.placements.values())
             if (runningAt !== null) running.set(taskSet.spec.klass, (running.get(taskSet.spec.klass) ?? 0) + 1);
       for (const [klass, account] of Object.entries(controller!.leader.account.view())) {
         assert.equal(endsOf(account) + (running.get(klass) ?? 0), account.begun, `${klass} at ${at}`);
@@ -61,10 +61,10 @@
 });
 
 test("the number of class names from users is bounded", () => {
-  const account = new Account();
+  const account = new ClassAccounting();
   for (let i = 0; i < 500; i++) {
-    const taskSet = newUnit("t/j/x", specOf({ klass: `class-${i}` }), 0, 1, new Bits(1), 0, 0);
-    account.began({ unit: taskSet } as Placement);
+    const taskSet = newTaskSet("t/j/x", specOf({ klass: `class-${i}` }), 0, 1, new Bits(1), 0, 0);
+    account.recordStart({ taskSet: taskSet } as Placement);
   }
   const view = account.view();
   assert.ok(Object.keys(view).length <= 51);
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import { decodeReport, type Report, type ReportedTask } from "@thorntrail/protocol/worker";
 import { nextAttemptNumber, type Partition } from "../src/parts/part.js";
-import { ready, runPass } from "../src/queue/pass.js";
+import { isReady, runSchedulingCycle } from "../src/queue/pass.js";
 import { StartGuard } from "../src/parts/start-guard.js";
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
 import { Scope } from "../src/platform/scope.js";
-import { tailOf, type Unit } from "../src/queue/unit.js";
+import { waitingTailLength, type TaskSet } from "../src/queue/unit.js";
 import { addAttempt, type Machine } from "../src/workers/machine.js";
 import { ordersFor } from "../src/workers/orders.js";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
@@ -58,10 +58,10 @@
   }
 
   /** Runs a scheduling cycle and returns the hosts on which it started tasks of the task set. */
-  startTasks(taskSet: Unit): string[] {
-    const before = new Set(taskSet.placed.values());
-    runPass(this.partition, pass);
-    return [...taskSet.placed.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
+  startTasks(taskSet: TaskSet): string[] {
+    const before = new Set(taskSet.placements.values());
+    runSchedulingCycle(this.partition, pass);
+    return [...taskSet.placements.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
   }
 }
 
@@ -107,7 +107,7 @@
     const owner = new NewOwner(2);
     const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
     const [host] = owner.startTasks(taskSet);
-    const ownAttempt = [...taskSet.placed.values()][0]!.attempt;
+    const ownAttempt = [...taskSet.placements.values()][0]!.attempt;
     owner.receiveReport(host!, [listed("run-000001/0", 1), exited("run-000001/0", ownAttempt, "busy")]);
     taskSet.notBefore = -Infinity;
     assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on the machine");
@@ -124,9 +124,9 @@
   await t.test("an attempt is reported while its job is being migrated, and the migration is abandoned", () => {
     const owner = new NewOwner(2);
     const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
-    taskSet.leaving = true;
+    taskSet.migrating = true;
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
-    taskSet.leaving = false;
+    taskSet.migrating = false;
     assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on i-0");
   });
 
@@ -136,7 +136,7 @@
     owner.receiveReport("i-0", [listed("run-000001/3", 1)]);
     owner.receiveReport("i-1", [listed("run-000001/3", 2)]);
     owner.receiveReport("i-0", []);
-    assert.equal(tailOf(taskSet, 4), 0);
+    assert.equal(waitingTailLength(taskSet, 4), 0);
   });
 
   await t.test("refused for lack of capacity, or as unknown: no attempt is on the machine, and the task waits again", () => {
@@ -144,9 +144,9 @@
       const owner = new NewOwner(2);
       const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
       const [host] = owner.startTasks(taskSet);
-      owner.receiveReport(host!, [exited("run-000001/0", [...taskSet.placed.values()][0]!.attempt, cause)]);
+      owner.receiveReport(host!, [exited("run-000001/0", [...taskSet.placements.values()][0]!.attempt, cause)]);
       taskSet.notBefore = -Infinity;
-      assert.ok(ready(taskSet, NOW), cause);
+      assert.ok(isReady(taskSet, NOW), cause);
     }
   });
 });
@@ -165,7 +165,7 @@
   const owner = new NewOwner(2);
   const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
   const [host] = owner.startTasks(taskSet);
-  const placement = [...taskSet.placed.values()][0]!;
+  const placement = [...taskSet.placements.values()][0]!;
   const other = owner.machine(host === "i-0" ? "i-1" : "i-0");
   addAttempt(other, "run-000001/0#1", { ...placement, attempt: 1, host: other.host, state: "running" });
   const lines: unknown[] = [];
@@ -203,10 +203,10 @@
   const owner = new NewOwner(2);
   const taskSet = queueUp(owner.partition, specOf({ cpus: 8 }));
   const [host] = owner.startTasks(taskSet);
-  const ownAttempt = [...taskSet.placed.values()][0]!;
+  const ownAttempt = [...taskSet.placements.values()][0]!;
   owner.receiveReport(host!, [listed("run-000001/0", ownAttempt.attempt), listed("run-000001/7", 1)]);
-  assert.deepEqual([taskSet.placed.get(0), taskSet.waiting, ownAttempt.stop], [ownAttempt, [], null]);
+  assert.deepEqual([taskSet.placements.get(0), taskSet.waiting, ownAttempt.stop], [ownAttempt, [], null]);
   const [, outside] = [...owner.machine(host!).placements.values()];
-  assert.notEqual(outside!.unit, taskSet);
+  assert.notEqual(outside!.taskSet, taskSet);
   assert.deepEqual(outside!.stop, { graceS: 0 }, "counted, and ordered to stop");
 });
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Bits } from "../src/platform/bits.js";
-import { ready, runPass } from "../src/queue/pass.js";
-import { suspect, type Unit } from "../src/queue/unit.js";
+import { isReady, runSchedulingCycle } from "../src/queue/pass.js";
+import { failsRepeatedly, type TaskSet } from "../src/queue/unit.js";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import type { Partition } from "../src/parts/part.js";
@@ -11,12 +11,12 @@
 const room = { cpus: 4, gpus: 0, ram: 64 };
 
 /** Every task placed on the machine comes to this end. */
-function end(part: Partition, host: string, cause: ReportedTask["cause"], only?: Unit): void {
+function end(part: Partition, host: string, cause: ReportedTask["cause"], only?: TaskSet): void {
   const machine = part.machines.get(host)!;
   const tasks = [...machine.placements.values()]
-    .filter((p) => only === undefined || p.unit === only)
+    .filter((p) => only === undefined || p.taskSet === only)
     .map((p): ReportedTask => ({
-      piece: `${p.unit.spec.ref}/${p.task}`,
+      piece: `${p.taskSet.spec.ref}/${p.task}`,
       attempt: p.attempt,
       state: "exited",
       cause,
@@ -32,9 +32,9 @@
     },
   };
   const seen = { host, addr: host, type: "m", zone: "a", spot: false, session: 1, seq: machine.seq + 1, token: 5, noticeS: null };
-  const others = [...machine.placements.values()].filter((p) => only !== undefined && p.unit !== only);
+  const others = [...machine.placements.values()].filter((p) => only !== undefined && p.taskSet !== only);
   const running = others.map((p): ReportedTask => ({
-    piece: `${p.unit.spec.ref}/${p.task}`,
+    piece: `${p.taskSet.spec.ref}/${p.task}`,
     attempt: p.attempt,
     state: "running",
     cause: null,
@@ -46,32 +46,32 @@
 test("jobs that fail wherever they go are at fault, not the machines, and try again with one task", () => {
   const { part } = partOf(4, room);
   const units = ["run-000001", "run-000002"].map((ref) => queueUp(part, specOf({ ref, tasks: 8, cpus: 1 })));
-  runPass(part, pass);
+  runSchedulingCycle(part, pass);
   for (const host of part.machines.keys()) end(part, host, "error");
-  for (const unit of units) assert.ok(suspect(unit), `${unit.spec.ref} failed on ${unit.failedOn.size} machines`);
+  for (const unit of units) assert.ok(failsRepeatedly(unit), `${unit.spec.ref} failed on ${unit.failedOn.size} machines`);
   for (const machine of part.machines.values()) assert.deepEqual([machine.draining, machine.failuresByJob.size], [false, 0]);
-  assert.equal(ready(units[0]!, NOW), false, "it waits before it tries again");
+  assert.equal(isReady(units[0]!, NOW), false, "it waits before it tries again");
   const later = NOW + 60_000;
   for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = later;
-  runPass(part, { ...pass, now: later });
+  runSchedulingCycle(part, { ...pass, now: later });
   assert.deepEqual(
-    units.map((unit) => unit.placed.size),
+    units.map((unit) => unit.placements.size),
     [1, 1],
   );
   // One of them gets done after all: the mistake was not the job's.
-  end(part, [...units[0]!.placed.values()][0]!.host, "done", units[0]);
-  assert.equal(suspect(units[0]!), false);
+  end(part, [...units[0]!.placements.values()][0]!.host, "done", units[0]);
+  assert.equal(failsRepeatedly(units[0]!), false);
 });
 
 test("a machine that fails several jobs that run elsewhere is set aside", () => {
   const { part } = partOf(3, room);
   const a = queueUp(part, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
   const b = queueUp(part, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
-  runPass(part, pass);
-  const sick = [...a.placed.values()].map((p) => p.host).find((host) => [...b.placed.values()].some((p) => p.host === host))!;
+  runSchedulingCycle(part, pass);
+  const sick = [...a.placements.values()].map((p) => p.host).find((host) => [...b.placements.values()].some((p) => p.host === host))!;
   end(part, sick, "error");
   assert.equal(part.machines.get(sick)!.draining, true);
-  assert.equal(suspect(a) || suspect(b), false);
+  assert.equal(failsRepeatedly(a) || failsRepeatedly(b), false);
 });
 
 test("a stored map is read number by number as it is read whole", () => {
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -11,8 +11,8 @@
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
-import { runPass } from "../src/queue/pass.js";
-import { Account } from "../src/served/account.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
+import { ClassAccounting } from "../src/served/account.js";
 import { proofFlaw, type TerminationProof } from "../src/workers/gone.js";
 import { isLeaseExpired } from "../src/workers/lease.js";
 import type { Machine } from "../src/workers/machine.js";
@@ -26,10 +26,10 @@
 function partitionWithOneTask(): { part: Partition; machine: Machine; other: Machine } {
   const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
   queueUp(partition, specOf({ cpus: 4 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   const machines = [...partition.machines.values()];
   const machine = machines.find(({ placements }) => placements.size > 0)!;
-  for (const placement of machine.placements.values()) Object.assign(placement, { state: "running", direct: "answered" });
+  for (const placement of machine.placements.values()) Object.assign(placement, { state: "running", directStart: "answered" });
   machine.answeredAt = NOW;
   return { part: partition, machine, other: machines.find((one) => one !== machine)! };
 }
@@ -78,7 +78,7 @@
     assert.equal(machine.placements.size, 1, "the attempt still counts");
     assert.equal(findings.ended.length, 0);
     assert.ok(findings.unproven.length > 0);
-    runPass(partition, { ...pass, now: NOW });
+    runSchedulingCycle(partition, { ...pass, now: NOW });
     assert.equal(other.placements.size, 0, "its task does not start elsewhere");
     const logged: { entry: Record<string, unknown>; text: string }[] = [];
     const ignore = (): void => undefined;
@@ -89,7 +89,7 @@
     const leaderContext = {
       scope,
       audit: new Audit(clock, log, () => 0, 1),
-      account: new Account(),
+      account: new ClassAccounting(),
       requestSchedulingCycle: ignore,
     } as unknown as LeaderContext;
     const noProgress = { record: ignore } as unknown as Progress & Recovery;
@@ -132,7 +132,7 @@
   const audit = new Audit(new VirtualClock(), log, () => readAgoMs, 2000);
   const [placement] = machine.placements.values();
   audit.logOrdered(partition, placement!);
-  placement!.unit.lastGone.set(0, { attempt: 4, host: "i-9", by: "exited" });
+  placement!.taskSet.lastGone.set(0, { attempt: 4, host: "i-9", by: "exited" });
   audit.logOrdered(partition, placement!);
   readAgoMs = 9000;
   audit.logOrdered(partition, placement!);
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -7,8 +7,8 @@
 import { AttemptRegistry, type Attempt } from "../src/queue/attempts.js";
 import { estimateWaits, type EstimateContext } from "../src/queue/estimate.js";
 import { UnschedulableShapes } from "../src/queue/unschedulable.js";
-import { RunHistory } from "../src/queue/history.js";
-import { runPass } from "../src/queue/pass.js";
+import { RunTimeHistory } from "../src/queue/history.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, order, partOf, pass, queueUp, specOf, unlimited } from "./world/parts.js";
 
@@ -30,7 +30,7 @@
 test("placing an array looks at machines once for each machine filled, not once for each task", () => {
   const { part: partition, looks } = partOf(100, { cpus: 8, gpus: 0, ram: 64 });
   const taskSet = queueUp(partition, specOf({ tasks: 800 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   assert.equal(taskSet.waiting.length, 0);
   assert.ok(looks() <= 100 * 100, `${looks()} looks`);
   assert.equal(copyUsageByTeam(partition).get("ops")?.cpus, 800);
@@ -72,7 +72,7 @@
   const taskSet = { spec: { ref: "run-000001" }, lo: 0 };
   let looks = 0;
   const attemptOf = (task: number): Attempt => ({
-    get unit() {
+    get taskSet() {
       looks++;
       return taskSet;
     },
@@ -83,9 +83,9 @@
   const [one, other] = [attemptOf(4000), attemptOf(4000)];
   registry.add(one);
   registry.add(other);
-  assert.deepEqual([registry.others(one), registry.hasJob("run-000001")], [[other], true]);
+  assert.deepEqual([registry.otherAttempts(one), registry.hasJob("run-000001")], [[other], true]);
   registry.remove(one);
-  assert.deepEqual([registry.others(other), registry.hasTask("run-000001", 4000)], [[], true]);
+  assert.deepEqual([registry.otherAttempts(other), registry.hasTask("run-000001", 4000)], [[], true]);
   registry.remove(other);
   assert.equal(registry.hasTask("run-000001", 4000), false);
   assert.ok(looks <= 30, `${looks} looks`);
@@ -94,7 +94,7 @@
 test("waits of gangs and arrays on a full partition follow from the ends of its tasks", () => {
   const { part: partition } = partOf(10, { cpus: 16, gpus: 0, ram: 64 });
   queueUp(partition, specOf({ tasks: 10, cpus: 15 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 6, cpus: 15 }));
   const array = queueUp(partition, specOf({ ref: "run-000003", tasks: 8, cpus: 15 }));
   const large = queueUp(partition, specOf({ ref: "run-000004", kind: "gang", tasks: 12, cpus: 15 }));
@@ -102,7 +102,7 @@
     now: NOW,
     silentMs: 5000,
     order,
-    history: new RunHistory("owner"),
+    history: new RunTimeHistory("owner"),
     bootMs: () => 0,
     preemptAfterMs: 1000,
     guaranteed: () => false,
@@ -149,7 +149,7 @@
           queueUp(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, kind: "gang", tasks, cpus: 15, guessS: runS })),
         );
         const waits = estimateWaits(partition, {
-          ...{ now: NOW, silentMs: 5000, order, history: new RunHistory("owner"), bootMs: () => 0 },
+          ...{ now: NOW, silentMs: 5000, order, history: new RunTimeHistory("owner"), bootMs: () => 0 },
           ...{ preemptAfterMs: 1000, guaranteed: () => false, excess: new Map() },
         });
         assert.deepEqual(
@@ -165,31 +165,31 @@
 test("capacity is reserved for a gang that has waited, but jobs that end in time may use it", () => {
   const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
   const running = queueUp(partition, specOf({ tasks: 1, cpus: 15 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   assert.equal(running.waiting.length, 0);
   // Two machines are free; the gang needs all three, when the task ends in 60 s.
   const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
   const long = queueUp(partition, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
   const short = queueUp(partition, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   assert.deepEqual(
     [gang, long, short].map((taskSet) => taskSet.waiting.length),
     [3, 1, 0],
   );
   // Before the gang has waited long enough, others come first.
-  runPass(partition, { ...pass, reserveAfterMs: () => 5000 });
+  runSchedulingCycle(partition, { ...pass, reserveAfterMs: () => 5000 });
   assert.equal(long.waiting.length, 0);
 });
 
 test("a task that has outrun its expected run time is not expected to end at once", () => {
-  const history = new RunHistory("learned");
+  const history = new RunTimeHistory("learned");
   const spec = specOf({ guessS: 100 });
-  assert.equal(history.leftS(spec, 40), 60);
-  assert.ok(history.leftS(spec, 100) > 20);
+  assert.equal(history.remainingRunS(spec, 40), 60);
+  assert.ok(history.remainingRunS(spec, 100) > 20);
   // All tasks of the class run exactly as long as estimated, which leaves hardly any spread.
-  for (let i = 0; i < 200; i++) history.note(spec, 100);
-  assert.ok(history.leftS(spec, 100) < 5);
-  assert.equal(Math.round(history.expectS(spec)), 100);
+  for (let i = 0; i < 200; i++) history.record(spec, 100);
+  assert.ok(history.remainingRunS(spec, 100) < 5);
+  assert.equal(Math.round(history.expectedRunS(spec)), 100);
 });
 
 const type: MachineType = {
@@ -226,14 +226,14 @@
   const taskSet = queueUp(partition, specOf({ tasks: 2, cpus: 15 }));
   assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 0);
   assert.equal(planFor(partition, { weighMs: NOW }).wanted.size, 1, "it has waited long enough");
-  taskSet.weighed = true;
+  taskSet.migrationConsidered = true;
   assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 1, "it stays");
 });
 
 test("no machine is rented for tasks that find capacity before the machine would be up", () => {
   const { part: partition } = partOf(2, type);
   queueUp(partition, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   queueUp(partition, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
   const rented = (change: Change): number => [...planFor(partition, change).wanted.values()].reduce((n, { count }) => n + count, 0);
   assert.equal(rented({ soonMs: 10_000, leftMs: 11_000 }), 3);
@@ -261,13 +261,13 @@
 test("tasks at least as large as one that did not fit are skipped, smaller ones are tried", () => {
   const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 64 });
   queueUp(partition, specOf({ ref: "run-000001", tasks: 7, cpus: 1.1 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   const taskSets = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => queueUp(partition, specOf({ ref: `run-10000${i}`, cpus })));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   // Two machines with three tasks of 1.1 CPUs each have 0.7 left: one place of 0.5, and 0.2 beside it or on the other
   // machine.
   assert.deepEqual(
-    taskSets.map((taskSet) => taskSet.placed.size),
+    taskSets.map((taskSet) => taskSet.placements.size),
     [0, 0, 1, 0, 1],
   );
   const unschedulable = new UnschedulableShapes();
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -3,10 +3,10 @@
 import { test } from "node:test";
 import type { JobRecord } from "../src/ledger/records.js";
 import { teamsBelowGuarantee, grantGuarantees } from "../src/parts/guarantees.js";
-import { inOrder, localOrder } from "../src/queue/order.js";
-import { runPass } from "../src/queue/pass.js";
+import { sortTaskSets, queueOrder } from "../src/queue/order.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import type { Unit } from "../src/queue/unit.js";
+import type { TaskSet } from "../src/queue/unit.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const teams = [
@@ -35,11 +35,11 @@
 test("a guaranteed job preempts work beyond another team's guarantee, and no more than that", () => {
   const { part: partition } = partOf(2, { cpus: 8, gpus: 4, ram: 64 });
   const borrowing = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   assert.equal(borrowing.waiting.length, 0);
   const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 6, gpus: 1 }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 500, excess: new Map([["lab", { cpus: 0, gpus: 4 }]]) };
-  const stopped = (guaranteed: (taskSet: Unit) => boolean): number => choosePreemptions(partition, { ...context, guaranteed }).length;
+  const stopped = (guaranteed: (taskSet: TaskSet) => boolean): number => choosePreemptions(partition, { ...context, guaranteed }).length;
   assert.equal(
     stopped(() => false),
     0,
@@ -56,7 +56,7 @@
   const { part: partition } = partOf(1, { cpus: 8, gpus: 4, ram: 64 });
   const raised = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
   raised.urgency = "urgent";
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map([["lab", { cpus: 8, gpus: 0 }]]) };
   const stopped = (): number => choosePreemptions(partition, { ...context, guaranteed: (taskSet) => taskSet === claim }).length;
@@ -96,16 +96,16 @@
   const small = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
   const other = queueUp(partition, specOf({ ref: "run-000003", team: "lab", tasks: 1 }));
   Object.assign(small, { submittedWall: 60_000 });
-  const order = localOrder({
+  const order = queueOrder({
     mode: "aims",
     nowWall: 100_000,
-    finishS: () => Infinity,
-    startS: () => Infinity,
-    expectS: () => 60,
-    yieldS: 1800,
-    beginS: 108,
-    guaranteed: () => false,
-    owed: ({ spec }) => spec.team === "ops",
+    finishObjectiveS: () => Infinity,
+    startObjectiveS: () => Infinity,
+    expectedRunS: () => 60,
+    maxSizeDelayS: 1800,
+    firstTaskAfterS: 108,
+    withinGuarantee: () => false,
+    underserved: ({ spec }) => spec.team === "ops",
   });
-  assert.deepEqual(inOrder([other, large, small], order), [small, large, other]);
+  assert.deepEqual(sortTaskSets([other, large, small], order), [small, large, other]);
 });
--- a/test/holding.test.ts
+++ b/test/holding.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { runPass } from "../src/queue/pass.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import { release, type Placement } from "../src/queue/unit.js";
+import { releasePlacement, type Placement } from "../src/queue/unit.js";
 import { attemptKey, removeAttempt } from "../src/workers/machine.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
@@ -13,8 +13,8 @@
 test("capacity freed by preempted tasks is held for the gang for which they were stopped", () => {
   const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
   const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 20, cpus: 4, urgency: "low" }));
-  runPass(partition, pass);
-  assert.equal(low.placed.size, 12);
+  runSchedulingCycle(partition, pass);
+  assert.equal(low.placements.size, 12);
   const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15, urgency: "urgent" }));
   const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
   const victims = choosePreemptions(partition, context);
@@ -22,29 +22,29 @@
   for (const victim of victims) victim.stop = { graceS: 0 };
   const exit = (placement: Placement): void => {
     removeAttempt(partition.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
-    release(low, placement);
+    releasePlacement(low, placement);
   };
   victims.forEach((victim, i) => {
     exit(victim);
-    runPass(partition, pass);
-    if (i < victims.length - 1) assert.equal(low.placed.size, victims.length - 1 - i, `after ${i + 1} exits`);
+    runSchedulingCycle(partition, pass);
+    if (i < victims.length - 1) assert.equal(low.placements.size, victims.length - 1 - i, `after ${i + 1} exits`);
   });
-  assert.equal(gang.placed.size, 3);
-  assert.equal(low.placed.size, 0);
+  assert.equal(gang.placements.size, 3);
+  assert.equal(low.placements.size, 0);
 });
 
 test("freed capacity that an array needs is held for it, and the rest is available to other jobs", () => {
   const { part: partition } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const low = queueUp(partition, specOf({ ref: "run-000001", tasks: 4, cpus: 4, urgency: "low" }));
-  runPass(partition, pass);
-  for (const placement of low.placed.values()) placement.stop = { graceS: 0 };
+  runSchedulingCycle(partition, pass);
+  for (const placement of low.placements.values()) placement.stop = { graceS: 0 };
   queueUp(partition, specOf({ ref: "run-000002", tasks: 1, cpus: 8, urgency: "urgent" }));
   const small = queueUp(partition, specOf({ ref: "run-000003", tasks: 3, cpus: 4, urgency: "low" }));
-  const [first, second, third] = [...low.placed.values()];
+  const [first, second, third] = [...low.placements.values()];
   for (const placement of [first!, second!, third!]) {
     removeAttempt(partition.machines.get(placement.host)!, attemptKey(`${low.spec.ref}/${placement.task}`, placement.attempt));
-    low.placed.delete(placement.task);
+    low.placements.delete(placement.task);
   }
-  runPass(partition, pass);
-  assert.equal(small.placed.size, 1);
+  runSchedulingCycle(partition, pass);
+  assert.equal(small.placements.size, 1);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -8,7 +8,7 @@
 import fc from "fast-check";
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { momentOf } from "../src/rehearsal/moments.js";
-import { runPass } from "../src/queue/pass.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
 import { isUsable } from "../src/workers/machine.js";
@@ -151,10 +151,10 @@
 function startedUnheard() {
   const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const unit = queueUp(part, specOf({ tasks: 1 }));
-  runPass(part, pass);
+  runSchedulingCycle(part, pass);
   const machine = [...part.machines.values()][0]!;
-  const placement = [...unit.placed.values()][0]!;
-  placement.direct = "unresolved";
+  const placement = [...unit.placements.values()][0]!;
+  placement.directStart = "unresolved";
   const piece = "run-000001/0";
   const report = (seq: number, tasks: ReportedTask[]): Report => ({
     host: machine.host,
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -2,14 +2,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import { Needs } from "../src/pipelines/needs.js";
-import { inOrder } from "../src/queue/order.js";
+import { JobDependencies } from "../src/pipelines/needs.js";
+import { sortTaskSets } from "../src/queue/order.js";
 import { mirrorByHand } from "./world/mirror.js";
 import { order, partOf, queueUp, specOf } from "./world/parts.js";
 
 function ledger() {
   const mirror = mirrorByHand();
-  const needs = new Needs(mirror);
+  const needs = new JobDependencies(mirror);
   const ready: string[] = [];
   needs.ready$.subscribe((ref) => ready.push(ref));
   let stamp = 0;
@@ -36,20 +36,20 @@
   put("a", []);
   put("b", []);
   put("c", ["a", "b"]);
-  assert.ok(needs.waits("c") && !needs.waits("a"));
+  assert.ok(needs.isBlocked("c") && !needs.isBlocked("a"));
   end("b", "done", 500);
   assert.deepEqual(ready, []);
   end("a", "done", 400);
   assert.deepEqual(ready, ["c"]);
-  assert.ok(!needs.waits("c"));
-  assert.equal(needs.sinceWall(mirror.get<JobRecord>(keys.job("c"))!.v), 500);
+  assert.ok(!needs.isBlocked("c"));
+  assert.equal(needs.eligibleSinceWall(mirror.get<JobRecord>(keys.job("c"))!.v), 500);
 });
 
 test("records may arrive in any order", () => {
   const { needs, ready, put, end } = ledger();
   put("c", ["a", "b"]);
   put("d", ["c"], { urgency: "urgent" });
-  assert.ok(needs.waits("c"));
+  assert.ok(needs.isBlocked("c"));
   put("b", [], { urgency: "low" });
   put("a", [], { urgency: "low" }, { end: "done" });
   assert.equal(needs.urgency("b"), "urgent");
@@ -57,7 +57,7 @@
   assert.deepEqual(ready, ["c"]);
   // A job that is recorded as done before the job that depends on it.
   put("e", ["a"]);
-  assert.ok(!needs.waits("e"));
+  assert.ok(!needs.isBlocked("e"));
 });
 
 test("a job inherits the urgency of a dependant as long as that one is not cancelled", () => {
@@ -81,13 +81,13 @@
   for (let i = 1; i < 20_000; i++) put(`run-${i}`, [`run-${i - 1}`], i === 19_999 ? { urgency: "urgent" } : {});
   assert.equal(needs.urgency("run-0"), "urgent");
   end("run-1", "withdrawn");
-  assert.equal(needs.fate("run-19999"), "withdrawn");
-  assert.equal(needs.fate("run-0"), undefined);
+  assert.equal(needs.outcome("run-19999"), "withdrawn");
+  assert.equal(needs.outcome("run-0"), undefined);
   end("run-0", "done");
   assert.deepEqual(ready, []);
   // A later job that depends on a cancelled one.
   put("run-20000", ["run-19999"]);
-  assert.equal(needs.fate("run-20000"), "withdrawn");
+  assert.equal(needs.outcome("run-20000"), "withdrawn");
 });
 
 test("a job with dependencies in separate lists waits until all lists have arrived", () => {
@@ -95,11 +95,11 @@
   put("a", [], {}, { end: "done" });
   put("b", []);
   put("j", ["a"], {}, { needLists: { name: "x", count: 2 } });
-  assert.ok(needs.waits("j"));
+  assert.ok(needs.isBlocked("j"));
   list("j", 1, ["b"]);
-  assert.ok(needs.waits("j"));
+  assert.ok(needs.isBlocked("j"));
   list("j", 0, ["a"]);
-  assert.ok(needs.waits("j"));
+  assert.ok(needs.isBlocked("j"));
   end("b", "done");
   assert.deepEqual(ready, ["j"]);
 });
@@ -113,6 +113,6 @@
     queueUp(partition, specOf({ ref: "urgent", urgency: "urgent" })),
     queueUp(partition, specOf({ ref: "low", urgency: "low" })),
   ];
-  const refs = inOrder([lifted, ...rest], order).map((taskSet) => taskSet.spec.ref);
+  const refs = sortTaskSets([lifted, ...rest], order).map((taskSet) => taskSet.spec.ref);
   assert.deepEqual(refs, ["urgent", "lifted", "normal", "low"]);
 });
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -15,7 +15,7 @@
 import { Scope } from "../src/platform/scope.js";
 import { momentOf } from "../src/rehearsal/moments.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
-import { runPass } from "../src/queue/pass.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import type { Settings } from "../src/settings/derived.js";
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
@@ -112,10 +112,10 @@
     fc.property(fc.array(report, { minLength: 1, maxLength: 40 }), (reports) => {
       const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
       const taskSet = queueUp(part, specOf({ ref: "run-000001", tasks: 1 }));
-      runPass(part, pass);
+      runSchedulingCycle(part, pass);
       const machine = [...part.machines.values()][0]!;
-      const [placement] = [...taskSet.placed.values()];
-      placement!.direct = "answered";
+      const [placement] = [...taskSet.placements.values()];
+      placement!.directStart = "answered";
       let newest = { session: machine.session, seq: machine.seq };
       let finished = 0;
       for (const one of reports) {
@@ -142,7 +142,7 @@
         const here = machine.placements.size > 0;
         if (newer && one.session === 2) assert.equal(here, false);
         if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !here);
-        assert.equal(taskSet.waiting.length + taskSet.placed.size + taskSet.done.count, 1, "the task is in exactly one state");
+        assert.equal(taskSet.waiting.length + taskSet.placements.size + taskSet.done.count, 1, "the task is in exactly one state");
       }
     }),
     { seed: 5, numRuns: 300 },
