--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { Partition } from "../src/parts/part.js";
-import { inOrder, localOrder, type OrderContext, type OrderMode } from "../src/queue/order.js";
-import { runPass } from "../src/queue/pass.js";
+import { sortTaskSets, queueOrder, type OrderContext, type OrderMode } from "../src/queue/order.js";
+import { runSchedulingCycle } from "../src/queue/pass.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import { markFinished, release, type Unit } from "../src/queue/unit.js";
+import { markFinished, releasePlacement, type TaskSet } from "../src/queue/unit.js";
 import { removeAttempt } from "../src/workers/machine.js";
 import { underservedClasses, type ClassCounts } from "../src/served/shares.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
@@ -14,16 +14,16 @@
 const YIELD_S = 1800;
 
 function orderAt(nowS: number, mode: OrderMode = "aims", change: Partial<OrderContext> = {}) {
-  return localOrder({
+  return queueOrder({
     mode,
     nowWall: nowS * 1000,
-    finishS: () => Infinity,
-    startS: () => Infinity,
-    expectS: () => RUN_S,
-    yieldS: YIELD_S,
-    beginS: Infinity,
-    guaranteed: () => false,
-    owed: () => false,
+    finishObjectiveS: () => Infinity,
+    startObjectiveS: () => Infinity,
+    expectedRunS: () => RUN_S,
+    maxSizeDelayS: YIELD_S,
+    firstTaskAfterS: Infinity,
+    withinGuarantee: () => false,
+    underserved: () => false,
     ...change,
   });
 }
@@ -33,8 +33,8 @@
   for (const machine of partition.machines.values()) {
     for (const [key, placement] of [...machine.placements]) {
       removeAttempt(machine, key);
-      markFinished(placement.unit, placement.task);
-      release(placement.unit, placement);
+      markFinished(placement.taskSet, placement.task);
+      releasePlacement(placement.taskSet, placement);
     }
   }
   for (const taskSet of [...partition.taskSets.values()]) {
@@ -42,7 +42,7 @@
     finished.add(taskSet.spec.ref);
     partition.taskSets.delete(taskSet.key);
   }
-  runPass(partition, { ...pass, order: orderAt(nowS, mode, change) });
+  runSchedulingCycle(partition, { ...pass, order: orderAt(nowS, mode, change) });
 }
 
 /**
@@ -89,11 +89,11 @@
 test("jobs with fewer remaining tasks come first among jobs of the same age", () => {
   const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const order = orderAt(100);
-  const [large, small] = [40, 8].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
-  assert.ok(order.arrival(small) < order.arrival(large));
+  const [large, small] = [40, 8].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
+  assert.ok(order.effectiveArrival(small) < order.effectiveArrival(large));
   // Most of it is done, so it should be finished first.
   large.waiting.splice(0, 38);
-  assert.ok(order.arrival(large) < order.arrival(small));
+  assert.ok(order.effectiveArrival(large) < order.effectiveArrival(small));
 });
 
 test("nothing waits forever: a job older by the maximum delay comes first, however large", () => {
@@ -101,11 +101,11 @@
   let n = 0;
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 100_000 }), fc.integer({ min: 1, max: 100_000 }), fc.nat(5000), (old, young, extraS) => {
-      const unitOf = (tasks: number): Unit => queueUp(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
+      const unitOf = (tasks: number): TaskSet => queueUp(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
       const [first, second] = [unitOf(old), unitOf(young)];
       second.submittedWall = first.submittedWall + (YIELD_S + extraS) * 1000;
       const order = orderAt(10_000);
-      assert.ok(order.arrival(first) < order.arrival(second));
+      assert.ok(order.effectiveArrival(first) < order.effectiveArrival(second));
     }),
     { seed: 34, numRuns: 200 },
   );
@@ -114,11 +114,11 @@
 // Archive pages of sixty tasks should start within 40 s; behind every smaller job they would not.
 test("a class with a start objective is delayed by no more than that objective", () => {
   const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const [large, small] = [60, 1].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [Unit, Unit];
+  const [large, small] = [60, 1].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
   small.submittedWall = 41_000;
-  const due = orderAt(100, "aims", { startS: () => 40 });
-  assert.ok(due.arrival(large) < due.arrival(small));
-  assert.ok(orderAt(100).arrival(small) < orderAt(100).arrival(large));
+  const due = orderAt(100, "aims", { startObjectiveS: () => 40 });
+  assert.ok(due.effectiveArrival(large) < due.effectiveArrival(small));
+  assert.ok(orderAt(100).effectiveArrival(small) < orderAt(100).effectiveArrival(large));
 });
 
 test("work within a guarantee is not delayed for its size, nor is any work in modes without objectives", () => {
@@ -126,10 +126,10 @@
   const large = queueUp(partition, specOf({ ref: "run-000001", tasks: 500 }));
   const small = queueUp(partition, specOf({ ref: "run-000002", tasks: 1 }));
   small.submittedWall = 1000;
-  assert.ok(orderAt(100).arrival(small) < orderAt(100).arrival(large));
-  const granted = orderAt(100, "aims", { guaranteed: (taskSet) => taskSet === large });
-  assert.ok(granted.arrival(large) < granted.arrival(small));
-  for (const mode of ["arrival", "urgency"] as const) assert.ok(orderAt(100, mode).arrival(large) < orderAt(100, mode).arrival(small));
+  assert.ok(orderAt(100).effectiveArrival(small) < orderAt(100).effectiveArrival(large));
+  const granted = orderAt(100, "aims", { withinGuarantee: (taskSet) => taskSet === large });
+  assert.ok(granted.effectiveArrival(large) < granted.effectiveArrival(small));
+  for (const mode of ["arrival", "urgency"] as const) assert.ok(orderAt(100, mode).effectiveArrival(large) < orderAt(100, mode).effectiveArrival(small));
 });
 
 // Stopped tasks that cannot save their progress restart from the beginning: taken from a job that is nearly done,
@@ -137,16 +137,16 @@
 test("for work of higher priority, tasks of the low-priority job with the most remaining work are stopped", () => {
   const { part: partition } = partOf(2, { cpus: 8, gpus: 0, ram: 64 });
   const nearly = queueUp(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
-  runPass(partition, pass);
+  runSchedulingCycle(partition, pass);
   // It came last, but none of its tasks wait; most of the other job is still waiting.
   const begun = queueUp(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
   begun.submittedWall = nearly.submittedWall - 60_000;
-  runPass(partition, pass);
-  assert.deepEqual([nearly.placed.size, begun.placed.size], [8, 8]);
+  runSchedulingCycle(partition, pass);
+  assert.deepEqual([nearly.placements.size, begun.placements.size], [8, 8]);
   queueUp(partition, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
   const context = { ...pass, order: orderAt(200), patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
   const stopped = choosePreemptions(partition, context);
-  assert.deepEqual([...new Set(stopped.map(({ unit: taskSet }) => taskSet.spec.ref))], ["run-000002"]);
+  assert.deepEqual([...new Set(stopped.map(({ taskSet: taskSet }) => taskSet.spec.ref))], ["run-000002"]);
   assert.equal(stopped.length, 3);
 });
 
@@ -181,9 +181,9 @@
   const early = queueUp(partition, specOf({ ref: "run-000001", urgency: "low", tasks: 50 }));
   const late = queueUp(partition, specOf({ ref: "run-000002", urgency: "low", tasks: 2 }));
   Object.assign(late, { submittedWall: 10_000 });
-  assert.deepEqual(inOrder([early, late], orderAt(100)), [late, early]);
+  assert.deepEqual(sortTaskSets([early, late], orderAt(100)), [late, early]);
   for (const taskSet of [early, late]) taskSet.urgency = "urgent";
-  assert.deepEqual(inOrder([early, late], orderAt(100)), [early, late]);
+  assert.deepEqual(sortTaskSets([early, late], orderAt(100)), [early, late]);
 });
 
 test("the largest arrays start with one task each, at next to no cost for smaller ones", () => {
@@ -193,7 +193,7 @@
     const { part: partition } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
     const finished = new Set<string>();
     const large = [0, 1, 2].map((i) => queueUp(partition, specOf({ ref: `run-00090${i}`, tasks: 100, cpus: 1, urgency: "low" })));
-    const began = new Map<Unit, number>();
+    const began = new Map<TaskSet, number>();
     for (let t = 0; t < 20; t++) {
       for (let i = 0; i < 3; i++) {
         const taskSet = queueUp(
@@ -202,7 +202,7 @@
         );
         taskSet.submittedWall = t * RUN_S * 1000;
       }
-      turn(partition, t * RUN_S, "aims", finished, { beginS });
+      turn(partition, t * RUN_S, "aims", finished, { firstTaskAfterS: beginS });
       for (const taskSet of large) if (taskSet.started && !began.has(taskSet)) began.set(taskSet, t * RUN_S);
     }
     return { largest: large.map((taskSet) => began.get(taskSet)), finished: finished.size };
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { doneOf, keys, partOf, settled, type JobRecord } from "../src/ledger/records.js";
 import { encodeFrame, FrameReader, PROTOCOL_VERSION, type Message } from "../src/peers/messages.js";
-import { Needs } from "../src/pipelines/needs.js";
+import { JobDependencies } from "../src/pipelines/needs.js";
 import { mirrorByHand } from "./world/mirror.js";
 import { specOf } from "./world/parts.js";
 
@@ -27,7 +27,7 @@
 
 test("a job recorded by version 0.3.0 can be needed, owned and updated like any other", () => {
   const replica = mirrorByHand();
-  const needs = new Needs(replica);
+  const needs = new JobDependencies(replica);
   const old: JobRecord = { spec: specOf({ ref: "run-000001", tasks: 9 }), part: 2, hi: 9, done: "/w==", at: 70 };
   replica.put(keys.job("run-000001"), old, 1);
   const later: JobRecord = { spec: specOf({ ref: "run-000002", needs: ["run-000001"] }), part: -1, home: 1, hi: 1, done: "", at: 50 };
@@ -35,11 +35,11 @@
   assert.equal(partOf(old), 2);
   assert.equal(doneOf(old, 9).count, 8);
   assert.deepEqual(settled(old), old);
-  assert.ok(needs.waits("run-000002"));
+  assert.ok(needs.isBlocked("run-000002"));
   // 0.3.0 writes the end without its time, and keeps members it does not support when it writes a record back.
   replica.put(keys.job("run-000001"), { ...old, end: "done" }, 3);
-  assert.ok(!needs.waits("run-000002"));
-  assert.equal(needs.sinceWall(later), 70);
+  assert.ok(!needs.isBlocked("run-000002"));
+  assert.equal(needs.eligibleSinceWall(later), 70);
   replica.put(keys.job("run-000002"), { ...later, end: "withdrawn" }, 4);
-  assert.equal(needs.fate("run-000002"), "withdrawn");
+  assert.equal(needs.outcome("run-000002"), "withdrawn");
 });
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,7 +1,7 @@
 import type { Report } from "@thorntrail/protocol/worker";
 import { addMachine, addTaskSet, newPartition } from "../../src/parts/part.js";
 import { Bits } from "../../src/platform/bits.js";
-import { newUnit } from "../../src/queue/unit.js";
+import { newTaskSet } from "../../src/queue/unit.js";
 import { fence } from "../../src/workers/fence.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { dropAllAttempts, newFindings, applyReport } from "../../src/workers/report-intake.js";
@@ -65,7 +65,7 @@
 /** The heir's view as the code has it. `over`: the job is recorded as cancelled, which the heir knows. */
 function heirOf(state: State) {
   const part = newPartition(0, NEW, 0);
-  const unit = newUnit("t/j/run-000001", specOf({ tasks: 1 }), 0, 1, new Bits(1), 0, 0);
+  const unit = newTaskSet("t/j/run-000001", specOf({ tasks: 1 }), 0, 1, new Bits(1), 0, 0);
   addTaskSet(part, unit);
   const machine: Machine = newMachine("i-1", "m", "a", false, { cpus: 9, gpus: 0, ram: 9 }, 0);
   const { holds, ...rest } = state.heard!;
--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -1,9 +1,9 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/part.js";
 import { Bits } from "../../src/platform/bits.js";
-import { localOrder } from "../../src/queue/order.js";
-import type { PassContext } from "../../src/queue/pass.js";
-import { newUnit, type Unit } from "../../src/queue/unit.js";
+import { queueOrder } from "../../src/queue/order.js";
+import type { SchedulingContext } from "../../src/queue/pass.js";
+import { newTaskSet, type TaskSet } from "../../src/queue/unit.js";
 import { newMachine, type Capacity, type Machine } from "../../src/workers/machine.js";
 
 /** Parts made by hand, for tests of decisions. */
@@ -35,20 +35,20 @@
   };
 }
 
-export const order = localOrder({
+export const order = queueOrder({
   mode: "urgency",
   nowWall: NOW,
-  finishS: () => Infinity,
-  startS: () => Infinity,
-  expectS: () => 60,
-  yieldS: 1800,
-  beginS: 108,
-  guaranteed: () => false,
-  owed: () => false,
+  finishObjectiveS: () => Infinity,
+  startObjectiveS: () => Infinity,
+  expectedRunS: () => 60,
+  maxSizeDelayS: 1800,
+  firstTaskAfterS: 108,
+  withinGuarantee: () => false,
+  underserved: () => false,
 });
 export const unlimited = (): { cpus: number; gpus: number } => ({ cpus: Infinity, gpus: Infinity });
 
-export const pass: PassContext = {
+export const pass: SchedulingContext = {
   now: NOW,
   silentMs: 5000,
   order,
@@ -80,8 +80,8 @@
   return { part, looks: () => looks };
 }
 
-export function queueUp(part: Partition, spec: JobSpec): Unit {
-  const unit = newUnit(`t/j/${spec.ref}`, spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0);
+export function queueUp(part: Partition, spec: JobSpec): TaskSet {
+  const unit = newTaskSet(`t/j/${spec.ref}`, spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0);
   addTaskSet(part, unit);
   return unit;
 }
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -20,9 +20,9 @@
 import { StartGuard } from "../../src/parts/start-guard.js";
 import { LeaseWatch } from "../../src/parts/lease-watch.js";
 import { Scope } from "../../src/platform/scope.js";
-import { RunHistory } from "../../src/queue/history.js";
-import { runPass } from "../../src/queue/pass.js";
-import { Account } from "../../src/served/account.js";
+import { RunTimeHistory } from "../../src/queue/history.js";
+import { runSchedulingCycle } from "../../src/queue/pass.js";
+import { ClassAccounting } from "../../src/served/account.js";
 import { CommandDispatcher } from "../../src/workers/dispatch.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { callsFor, TIMING } from "./calls.js";
@@ -133,11 +133,11 @@
       settings: { timing: TIMING, self: "nest-0" } as unknown as LeaderContext["settings"],
       scope: this.scope,
       partitions: this.parts,
-      history: new RunHistory("owner"),
+      history: new RunTimeHistory("owner"),
       types: [],
       typeOf: () => undefined,
       stats: { starts: 0, takeovers: 0, preemptions: 0, fencedMs: 0, superseded: 0 },
-      account: new Account(),
+      account: new ClassAccounting(),
       audit: new Audit(clock, this.scope.log, () => 0, TIMING.reportMs),
       startGuard: new StartGuard(this.scope),
       dispatch$: this.dispatch$,
@@ -164,7 +164,7 @@
   /** Time passes: leases end, the fence is looked at, and what waits is placed. */
   look(): void {
     this.watch.check();
-    const { touched } = runPass(this.part, { ...pass, now: this.scope.clock.now() });
+    const { changedMachines: touched } = runSchedulingCycle(this.part, { ...pass, now: this.scope.clock.now() });
     for (const machine of touched) this.dispatch$.next({ partition: this.part, machine });
   }
 
@@ -175,7 +175,7 @@
     if (chosen === undefined || chosen.stop !== null) return;
     const machine = this.part.machines.get(chosen.host)!;
     machine.avoidUntil = this.scope.clock.now() + 10_000;
-    const { spec, placed } = chosen.unit;
+    const { spec, placements: placed } = chosen.taskSet;
     for (const one of spec.kind === "gang" ? placed.values() : [chosen]) one.stop = { graceS: spec.flushS };
     this.dispatch$.next({ partition: this.part, machine });
   }
@@ -183,7 +183,7 @@
   get surplus(): number {
     let count = 0;
     for (const machine of this.part.machines.values())
-      for (const placement of machine.placements.values()) if (placement.unit.placed.get(placement.task) !== placement) count++;
+      for (const placement of machine.placements.values()) if (placement.taskSet.placements.get(placement.task) !== placement) count++;
     return count;
   }
 }
