--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -52,11 +52,11 @@
     for (const [operation, duties, fixedMs] of DUTIES)
       for (let d = 0; d < duties; d++) {
         const caller = calls.of(operation);
-        const rest = (): Promise<void> => (kind === "policy" ? caller.rest() : new Promise((resolve) => clock.after(fixedMs, resolve)));
+        const rest = (): Promise<void> => (kind === "policy" ? caller.backOff() : new Promise((resolve) => clock.after(fixedMs, resolve)));
         const duty = async (): Promise<void> => {
           for (;;) {
             if (
-              await caller.ask(serve).then(
+              await caller.call(serve).then(
                 () => true,
                 () => false,
               )
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -1,7 +1,7 @@
-import { isInForce, standingsOf } from "../src/configuration/in-force.js";
+import { isInForce, partitionStatuses } from "../src/configuration/in-force.js";
 import { ConfigurationStore } from "../src/configuration/store.js";
 import { keys } from "../src/ledger/records.js";
-import { HttpState } from "../src/ledger/state-client.js";
+import { HttpStateClient } from "../src/ledger/state-client.js";
 import type { TeamSettings } from "../src/settings/platform-file.js";
 import { Cluster } from "../test/world/cluster.js";
 import { options, progress, report, Times } from "./harness.js";
@@ -55,7 +55,7 @@
   try {
     await cell.start();
     await sleep(10_000);
-    const api = new HttpState(cell.stateAddress, TIMEOUT_MS);
+    const api = new HttpStateClient(cell.stateAddress, TIMEOUT_MS);
     const store = new ConfigurationStore(api, teams, state);
     const times = new Times();
     let never = 0;
@@ -65,9 +65,9 @@
         const evidence = {
           ...{ version, partitions: controllers, elapsedMs: steadyMs() - from, silentAfterMs: SILENT_AFTER_MS },
           owner: (partition: number) => owners.get(keys.owner(partition)),
-          presence: (node: string) => presence.get(keys.alive(node))?.v,
+          presence: (node: string) => presence.get(keys.presenceOf(node))?.v,
         };
-        if (isInForce(standingsOf(evidence))) return times.add(steadyMs() - from);
+        if (isInForce(partitionStatuses(evidence))) return times.add(steadyMs() - from);
         await sleep(LOOK_EVERY_MS);
       }
       never++;
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -4,10 +4,10 @@
 import { VirtualState } from "../packages/emulator/src/virtual/service-links.js";
 import { Rate } from "../packages/protocol/src/rate.js";
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
-import { Mirror } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/mirror.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { JobDependencies } from "../src/pipelines/needs.js";
-import { Rentals } from "../src/ledger/rentals.js";
+import { RentalIndex } from "../src/ledger/rentals.js";
 import { addTaskSet, newPartition } from "../src/parts/part.js";
 import { systemClock } from "../src/platform/clock.js";
 import { Costs } from "../src/platform/costs.js";
@@ -54,11 +54,11 @@
 }
 
 /** A replica of the state that follows nothing. */
-export function mirrorHere(): Mirror {
+export function mirrorHere(): StateReplica {
   const clock = new VirtualClock();
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
-  const mirror = new Mirror(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
-  new Rentals(mirror);
+  const mirror = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+  new RentalIndex(mirror);
   new JobDependencies(mirror);
   return mirror;
 }
--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -74,7 +74,7 @@
    * Makes one call. `act` receives its time limit in ms: the policy's limit, or the time left until `deadline`
    * (steady ms) if that is less. Past the deadline nothing is sent, and the call throws NoReply as refused.
    */
-  async ask<T>(act: (limitMs: number) => Promise<T>, deadline = Infinity): Promise<T> {
+  async call<T>(act: (limitMs: number) => Promise<T>, deadline = Infinity): Promise<T> {
     const limitMs = Math.min(this.policy.limitMs, deadline - this.clock.now());
     if (limitMs <= 0) {
       this.stats.expired++;
@@ -113,7 +113,7 @@
   }
 
   /** Pause before the next retry, in ms. `failures`: consecutive failures, if the caller counts its own. */
-  pauseMs(failures = this.failures): number {
+  nextPauseMs(failures = this.failures): number {
     this.stats.pauses++;
     if (this.condition.budget.spend()) return backoffMs(this.policy, failures, this.random());
     this.stats.longPauses++;
@@ -124,8 +124,8 @@
    * Resolves when the call may be retried. The pause ends early, though not before the length of a first pause, when
    * the target answers any call: in an outage all callers pause for long, and the first answer ends their pauses.
    */
-  rest(failures = this.failures): Promise<void> {
-    const fullMs = this.pauseMs(failures);
+  backOff(failures = this.failures): Promise<void> {
+    const fullMs = this.nextPauseMs(failures);
     const minMs = Math.min(fullMs, backoffMs(this.policy, 1, this.random()));
     return new Promise((resolve) => {
       let minPassed = false;
--- a/src/calls/through.ts
+++ b/src/calls/through.ts
@@ -5,32 +5,32 @@
 import type { Caller, Calls } from "./calls.js";
 
 /** Wraps a client of the state service so that every call follows its policy for time limits and statistics. */
-export function stateThrough(state: StateApi, calls: Calls, clock: Clock): StateApi {
+export function stateWithPolicies(state: StateApi, calls: Calls, clock: Clock): StateApi {
   const read = calls.of("state.read");
   const lease = calls.of("state.lease");
   const txn = calls.of("state.txn");
   const until = (limitMs: number | undefined): number => clock.now() + (limitMs ?? Infinity);
   return {
-    txn: (conditions, apply, limitMs) => txn.ask((ms) => state.txn(conditions, apply, ms), until(limitMs)),
-    follow: (prefix, from, blockMs, limitMs) => read.ask((ms) => state.follow(prefix, from, blockMs, ms), until(limitMs)),
-    range: (prefix, from, limit, limitMs) => read.ask((ms) => state.range(prefix, from, limit, ms), until(limitMs)),
-    grant: (ttlMs) => lease.ask((ms) => state.grant(ttlMs, ms)),
-    renew: (permit) => lease.ask((ms) => state.renew(permit, ms)),
+    txn: (conditions, apply, limitMs) => txn.call((ms) => state.txn(conditions, apply, ms), until(limitMs)),
+    follow: (prefix, from, blockMs, limitMs) => read.call((ms) => state.follow(prefix, from, blockMs, ms), until(limitMs)),
+    range: (prefix, from, limit, limitMs) => read.call((ms) => state.range(prefix, from, limit, ms), until(limitMs)),
+    grant: (ttlMs) => lease.call((ms) => state.grant(ttlMs, ms)),
+    renew: (permit) => lease.call((ms) => state.renew(permit, ms)),
   };
 }
 
 /** Wraps a cloud client in the same way. */
-export function cloudThrough(cloud: CloudApi, calls: Calls): CloudApi {
+export function cloudWithPolicies(cloud: CloudApi, calls: Calls): CloudApi {
   const read = calls.of("cloud.read");
   return {
-    types: () => read.ask((ms) => cloud.types(ms)),
-    list: (from, limit) => read.ask((ms) => cloud.list(from, limit, ms)),
-    hire: (name, offer, count) => calls.of("cloud.hire").ask((ms) => cloud.hire(name, offer, count, ms)),
-    remove: (hosts) => calls.of("cloud.delete").ask((ms) => cloud.remove(hosts, ms)),
+    types: () => read.call((ms) => cloud.types(ms)),
+    list: (from, limit) => read.call((ms) => cloud.list(from, limit, ms)),
+    hire: (name, offer, count) => calls.of("cloud.hire").call((ms) => cloud.hire(name, offer, count, ms)),
+    remove: (hosts) => calls.of("cloud.delete").call((ms) => cloud.remove(hosts, ms)),
   };
 }
 
 /** Wraps a worker client for commands of one purpose: orders, fencing under a new term, or probes. */
-export function workersThrough(workers: WorkerApi, caller: Caller): WorkerApi {
-  return { command: (addr, token, session, orders) => caller.ask((ms) => workers.command(addr, token, session, orders, ms)) };
+export function workersWithPolicy(workers: WorkerApi, caller: Caller): WorkerApi {
+  return { command: (addr, token, session, orders) => caller.call((ms) => workers.command(addr, token, session, orders, ms)) };
 }
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 import { performance } from "node:perf_hooks";
 import { parseChange } from "../configuration/change-file.js";
-import { isInForce, standingsOf, type PartitionStanding } from "../configuration/in-force.js";
+import { isInForce, partitionStatuses, type PartitionVersionStatus } from "../configuration/in-force.js";
 import { ChangeRefused, ConfigurationStore } from "../configuration/store.js";
 import type { ConfigurationHistoryRecord } from "../ledger/records.js";
 import { keys } from "../ledger/records.js";
-import { HttpState } from "../ledger/state-client.js";
+import { HttpStateClient } from "../ledger/state-client.js";
 import { DRIFT, type Settings } from "../settings/derived.js";
 import { SettingsError } from "../settings/platform-file.js";
 import { CommandFailed } from "./client.js";
@@ -16,7 +16,7 @@
 
 function openStore(settings: Settings): ConfigurationStore {
   const { endpoints, deployment } = settings.platform;
-  return new ConfigurationStore(new HttpState(endpoints.state, settings.timing.stateTimeoutMs), deployment.teams, settings.state);
+  return new ConfigurationStore(new HttpStateClient(endpoints.state, settings.timing.stateTimeoutMs), deployment.teams, settings.state);
 }
 
 /** Converts a refused change into the error that the other commands throw: SettingsError or CommandFailed. */
@@ -60,14 +60,14 @@
   version: number,
   at: number,
   waitedMs: number,
-): Promise<PartitionStanding[]> {
+): Promise<PartitionVersionStatus[]> {
   const [owners, presence] = [await store.owners(), await store.presence()];
   const { clock_off_ms } = settings.platform.deployment;
-  return standingsOf({
+  return partitionStatuses({
     version,
     partitions: settings.nodes.length,
     owner: (partition) => owners.get(keys.owner(partition)),
-    presence: (node) => presence.get(keys.alive(node))?.v,
+    presence: (node) => presence.get(keys.presenceOf(node))?.v,
     // Both times of day may be off by clock_off_ms; the time waited in this process is exact.
     elapsedMs: Math.max(waitedMs, Date.now() - at - 2 * clock_off_ms),
     silentAfterMs: settings.timing.silentAfterMs * (1 + 2 * DRIFT),
--- a/src/configuration/current.ts
+++ b/src/configuration/current.ts
@@ -1,4 +1,4 @@
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import {
   keys,
   type ConfigurationRecord,
@@ -9,7 +9,7 @@
 } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { isInForce, standingsOf } from "./in-force.js";
+import { isInForce, partitionStatuses } from "./in-force.js";
 import { mergeTeams, type Team } from "./teams.js";
 
 /** Configuration that this controller applies: the platform's file and the changes recorded in the state service. */
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly replica: Mirror,
+    private readonly replica: StateReplica,
     private readonly scope: Scope,
   ) {
     scope.listen(replica.changes$, (key) => this.onRecordChanged(key));
@@ -59,12 +59,12 @@
 
   private mergedTeams(): NonNullable<Configuration["cached"]> {
     if (this.cached !== null) return this.cached;
-    const teams = mergeTeams(this.settings.platform.deployment.teams, this.changed());
+    const teams = mergeTeams(this.settings.platform.deployment.teams, this.teamRecords());
     return (this.cached = { teams, byName: new Map(teams.map((team) => [team.name, team])) });
   }
 
   /** Team records written by changes. */
-  changed(): TeamRecord[] {
+  teamRecords(): TeamRecord[] {
     if (this.record === undefined) return [];
     const rows = this.replica.rows<TeamRecord>(keys.configurationRoot);
     return [...rows].filter(([key]) => key.startsWith(keys.changedTeams)).map(([, { v }]) => v);
@@ -84,7 +84,7 @@
    * Teams whose jobs are accepted. Jobs of a removed team are accepted until its removal is in force everywhere: before,
    * another controller would still accept jobs that this one refuses permanently.
    */
-  get accepting(): readonly Team[] {
+  get acceptingTeams(): readonly Team[] {
     const { teams } = this;
     return teams.some(({ removed }) => removed) && this.inForce() ? teams.filter(({ removed }) => !removed) : teams;
   }
@@ -93,11 +93,11 @@
   inForce(): boolean {
     const { version, replica, settings } = this;
     if (version === this.inForceVersion) return true;
-    const statuses = standingsOf({
+    const statuses = partitionStatuses({
       version,
       partitions: settings.nodes.length,
       owner: (partition) => replica.get<OwnerRecord>(keys.owner(partition)),
-      presence: (node) => replica.get<PresenceRecord>(keys.alive(node))?.v,
+      presence: (node) => replica.get<PresenceRecord>(keys.presenceOf(node))?.v,
       elapsedMs: this.scope.clock.now() - this.newestSeen.at,
       silentAfterMs: settings.timing.silentAfterMs,
     });
--- a/src/configuration/in-force.ts
+++ b/src/configuration/in-force.ts
@@ -16,7 +16,7 @@
   | "away";
 
 /** Status of a version in one partition; `owner` is null if the partition is not owned. */
-export interface PartitionStanding {
+export interface PartitionVersionStatus {
   partition: number;
   owner: string | null;
   standing: VersionStatus;
@@ -46,7 +46,7 @@
 }
 
 /** Status of the version in every partition. */
-export function standingsOf(evidence: InForceEvidence): PartitionStanding[] {
+export function partitionStatuses(evidence: InForceEvidence): PartitionVersionStatus[] {
   return Array.from({ length: evidence.partitions }, (_, partition) => {
     const owner = evidence.owner(partition);
     return { partition, owner: owner?.v.owner ?? null, standing: partitionStatus(evidence, owner) };
@@ -54,6 +54,6 @@
 }
 
 /** Whether the version is in force in all partitions. */
-export function isInForce(statuses: readonly PartitionStanding[]): boolean {
+export function isInForce(statuses: readonly PartitionVersionStatus[]): boolean {
   return statuses.every(({ standing }) => standing === "in force");
 }
--- a/src/configuration/quota-shares.ts
+++ b/src/configuration/quota-shares.ts
@@ -14,13 +14,13 @@
 const SLACK = 1e-6;
 
 /** Sum of the shares; infinite while any partition has no limit. */
-export function sumOf(shares: Shares): number {
+export function totalShares(shares: Shares): number {
   return shares.reduce((sum: number, share) => sum + (share ?? Infinity), 0);
 }
 
 /** Whether tasks may be started within the shares under this limit. */
 export function startsAllowed(shares: Shares, limit: Limit): boolean {
-  return limit === null || sumOf(shares) <= limit + SLACK;
+  return limit === null || totalShares(shares) <= limit + SLACK;
 }
 
 /** Splits an amount into equal whole numbers; the last one also gets the remainder. */
@@ -33,13 +33,13 @@
  * Shares that the partition's owner writes next; null if it has nothing to change. `raises`: this partition's owner is
  * the one that distributes the additional amount of a raised limit.
  */
-export function adjusted(shares: Shares, limit: Limit, own: { partition: number; used: number; raises: boolean }): Shares | null {
+export function adjustedShares(shares: Shares, limit: Limit, own: { partition: number; used: number; raises: boolean }): Shares | null {
   const { partition, used, raises } = own;
   const share = shares[partition];
   const withOwn = (next: number): Shares => shares.map((current, i) => (i === partition ? next : current));
   if (limit === null) return raises && shares.some((other) => other !== null) ? shares.map(() => null) : null;
   if (share === null || share === undefined) return withOwn(used);
-  const excess = sumOf(shares) - limit;
+  const excess = totalShares(shares) - limit;
   if (excess > SLACK && share > used + SLACK) return withOwn(Math.max(used, share - excess));
   if (excess < -SLACK && raises) {
     const added = splitEvenly(-excess, shares.length);
--- a/src/configuration/teams.ts
+++ b/src/configuration/teams.ts
@@ -76,7 +76,7 @@
 }
 
 /** Why a job can never run within the team's limits; null if it can. */
-export function beyondLimits(spec: JobSpec, team: TeamSettings): string | null {
+export function limitExceeded(spec: JobSpec, team: TeamSettings): string | null {
   const concurrentTasks = spec.kind === "array" ? 1 : spec.tasks;
   if (team.cpus_max > 0 && spec.cpus * concurrentTasks > team.cpus_max + SLACK) return "needs more CPUs than the team's limit";
   if (team.gpus_max > 0 && spec.gpus * concurrentTasks > team.gpus_max + SLACK) return "needs more accelerators than the team's limit";
@@ -88,7 +88,7 @@
   const limits = new Map(set.map((team) => [team.name, team]));
   for (const spec of open) {
     const team = limits.get(spec.team);
-    const reason = team === undefined ? null : beyondLimits(spec, team);
+    const reason = team === undefined ? null : limitExceeded(spec, team);
     if (reason !== null) return `${spec.ref} of team ${spec.team} was accepted and ${reason}`;
   }
   return null;
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -5,12 +5,12 @@
 import { Leader } from "./parts/leader.js";
 import { Ownership } from "./parts/ownership.js";
 import { Configuration } from "./configuration/current.js";
-import { Committer } from "./ledger/committer.js";
-import { Mirror } from "./ledger/mirror.js";
+import { GroupCommitter } from "./ledger/committer.js";
+import { StateReplica } from "./ledger/mirror.js";
 import type { PresenceRecord } from "./ledger/records.js";
-import { Rentals } from "./ledger/rentals.js";
+import { RentalIndex } from "./ledger/rentals.js";
 import type { Calls } from "./calls/calls.js";
-import { cloudThrough, stateThrough, workersThrough } from "./calls/through.js";
+import { cloudWithPolicies, stateWithPolicies, workersWithPolicy } from "./calls/through.js";
 import type { CloudApi } from "@thorntrail/protocol/cloud";
 import { Rate } from "@thorntrail/protocol/rate";
 import type { StateApi } from "@thorntrail/protocol/state";
@@ -21,10 +21,10 @@
 import { Jobs } from "./intake/jobs.js";
 import { Submissions } from "./intake/submissions.js";
 import { Relay } from "./intake/relay.js";
-import { Detector } from "./membership/detector.js";
+import { FailureDetector } from "./membership/detector.js";
 import { Presence } from "./membership/presence.js";
 import { JobDependencies } from "./pipelines/needs.js";
-import { Overload, type Held } from "./overload/overload.js";
+import { OverloadMonitor, type MemoryUsage } from "./overload/overload.js";
 import type { PeerApi } from "./peers/links.js";
 import type { Scope } from "./platform/scope.js";
 import type { Settings } from "./settings/derived.js";
@@ -42,18 +42,18 @@
   /** Policies for all calls to other processes. */
   calls: Calls;
   /** Memory usage of this process; left out in virtual time, where it is not modelled. */
-  memory?: () => Held;
+  memory?: () => MemoryUsage;
 }
 
 /** One controller: creates, connects and starts all its components. */
 export class Controller {
-  readonly mirror: Mirror;
+  readonly mirror: StateReplica;
   readonly configuration: Configuration;
-  readonly rentals: Rentals;
+  readonly rentals: RentalIndex;
   readonly needs: JobDependencies;
-  readonly committer: Committer;
+  readonly committer: GroupCommitter;
   readonly presence: Presence;
-  readonly detector: Detector;
+  readonly detector: FailureDetector;
   readonly ownership: Ownership;
   readonly fitness: Fitness;
   readonly quotaShares: QuotaShares;
@@ -64,7 +64,7 @@
   readonly exchange: Exchange;
   readonly jobs: Jobs;
   readonly relay: Relay;
-  readonly overload: Overload;
+  readonly overload: OverloadMonitor;
   readonly stalls = { count: 0, ms: 0 };
   readonly calls: Calls;
   private stateReportedAt = new Map<string, number>();
@@ -86,48 +86,48 @@
     // less than the age at which this node counts as cut off.
     const { calls } = deps;
     this.calls = calls;
-    const service = stateThrough(deps.state, calls, clock);
+    const service = stateWithPolicies(deps.state, calls, clock);
     const pace = { readGapMs: 3000 / (state.rps * share), blockMs: Math.min(timing.contactMs, timing.silentAfterMs / 2) / 4 };
-    this.mirror = new Mirror(service, clock, requests, pace, calls.of("state.read"), scope.costs);
+    this.mirror = new StateReplica(service, clock, requests, pace, calls.of("state.read"), scope.costs);
     this.configuration = new Configuration(settings, this.mirror, scope);
-    this.rentals = new Rentals(this.mirror);
+    this.rentals = new RentalIndex(this.mirror);
     this.needs = new JobDependencies(this.mirror);
-    this.committer = new Committer(
+    this.committer = new GroupCommitter(
       service,
       this.mirror,
       clock,
       requests,
       writes,
       calls.of("state.txn"),
-      { txnOps: state.txnOps, laneMs: timing.stateTimeoutMs / 20 },
+      { txnOps: state.txnOps, slowAfterMs: timing.stateTimeoutMs / 20 },
       log,
       scope.costs,
     );
-    this.overload = new Overload({
+    this.overload = new OverloadMonitor({
       settings,
       scope,
-      memory: deps.memory ?? (() => ({ resident: 0, heap: 0, heapMost: 0 })),
+      memory: deps.memory ?? (() => ({ resident: 0, heap: 0, heapMax: 0 })),
       backlog: () => this.committer.backlog,
     });
     this.presence = new Presence({
       settings,
-      life: incarnation,
+      incarnation: incarnation,
       state: service,
-      mirror: this.mirror,
+      replica: this.mirror,
       rate: requests,
       calls: calls.of("state.lease"),
       scope,
       cutOff: () => this.fitness.unfit,
       acts: () => this.presenceActs(),
     });
-    this.detector = new Detector({
+    this.detector = new FailureDetector({
       settings,
       presence: this.presence,
-      mirror: this.mirror,
+      replica: this.mirror,
       committer: this.committer,
       peers: deps.peers,
       scope,
-      late: () => this.overload.measured.lagMs > timing.presenceMs * LATE_TIMER_SHARE,
+      lagging: () => this.overload.measured.lagMs > timing.presenceMs * LATE_TIMER_SHARE,
     });
     this.ownership = new Ownership({
       settings,
@@ -158,7 +158,7 @@
       this.overload,
       scope,
     );
-    const probes = workersThrough(deps.workers, calls.of("worker.probe"));
+    const probes = workersWithPolicy(deps.workers, calls.of("worker.probe"));
     this.fitness = new Fitness(
       settings,
       this.leader.partitions,
@@ -173,7 +173,7 @@
     const { peers } = deps;
     this.fleet = new Fleet({
       settings,
-      cloud: cloudThrough(deps.cloud, calls),
+      cloud: cloudWithPolicies(deps.cloud, calls),
       leader,
       quotaShares,
       replica,
@@ -269,8 +269,8 @@
     this.stalls.count++;
     this.stalls.ms += Math.round(ms);
     this.leader.onStall(ms);
-    this.presence.stoodStill(ms);
-    this.detector.stoodStill(ms);
+    this.presence.onStall(ms);
+    this.detector.onStall(ms);
     this.fleet.onStall(ms);
     this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.partitions.keys()] }, "this process stood still while its clocks ran on");
   }
--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -1,7 +1,7 @@
 /** Bids for jobs of other partitions. */
 import { keys, type JobRecord } from "../ledger/records.js";
 import { tasksThatFit } from "../parts/part.js";
-import type { Query } from "../peers/messages.js";
+import type { BidRequest } from "../peers/messages.js";
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
 import { newTaskSet } from "../queue/unit.js";
@@ -15,7 +15,7 @@
    * Sends a bid for the job. The bid has an infinite wait if the partition is not served here, the job's record is not
    * available, or this controller lacks proof of authority or sheds load.
    */
-  onBidRequest(query: Query): void {
+  onBidRequest(query: BidRequest): void {
     const partition = this.dependencies.leader.partitions.get(query.part);
     const job = this.dependencies.replica.get<JobRecord>(keys.job(query.job))?.v;
     if (
--- a/src/exchange/around.ts
+++ b/src/exchange/around.ts
@@ -1,11 +1,11 @@
 /** Dependencies of the exchange, and helpers that its modules share. */
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
 import { usageOfTeam, type Partition, type Usage } from "../parts/part.js";
-import type { Overload } from "../overload/overload.js";
+import type { OverloadMonitor } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
@@ -20,11 +20,11 @@
   leader: Leader;
   ownership: Ownership;
   quotaShares: QuotaShares;
-  replica: Mirror;
+  replica: StateReplica;
   needs: JobDependencies;
-  committer: Committer;
+  committer: GroupCommitter;
   peers: PeerApi;
-  overload: Overload;
+  overload: OverloadMonitor;
   scope: Scope;
 }
 
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -6,8 +6,8 @@
 import { Migration } from "./moving.js";
 import { Volunteers } from "./volunteers.js";
 import type { Partition } from "../parts/part.js";
-import { firstId } from "../peers/ids.js";
-import type { Answer } from "../peers/messages.js";
+import { firstRequestId } from "../peers/ids.js";
+import type { BidResponse } from "../peers/messages.js";
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
 import { sortTaskSets } from "../queue/order.js";
 import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/unit.js";
@@ -45,7 +45,7 @@
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
   constructor(private readonly dependencies: ExchangeDependencies) {
-    this.lastRequestId = firstId(dependencies.incarnation);
+    this.lastRequestId = firstRequestId(dependencies.incarnation);
     this.volunteers = new Volunteers(dependencies);
     this.bidResponder = new BidResponder(dependencies);
     this.migration = new Migration(dependencies, (taskSet) => this.nextRequestAt.delete(taskSet.key));
@@ -191,7 +191,7 @@
   }
 
   /** Records a bid and decides once all have arrived. */
-  private onBid(answer: Answer): void {
+  private onBid(answer: BidResponse): void {
     const request = this.pendingRequest;
     if (request === null || request.id !== answer.id || !request.unanswered.delete(answer.part)) return;
     request.bids.push(answer);
--- a/src/exchange/moving.ts
+++ b/src/exchange/moving.ts
@@ -1,5 +1,5 @@
 /** Transactions that move jobs and slices to other partitions. */
-import { fitting, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
+import { fitToLimit, keys, partitionOf, withPartitionAssigned, type JobRecord, type SliceRecord } from "../ledger/records.js";
 import type { Partition } from "../parts/part.js";
 import { waitingTailLength, type TaskSet } from "../queue/unit.js";
 import type { ExchangeDependencies } from "./around.js";
@@ -18,14 +18,14 @@
     this.dependencies.scope.log.debug({ part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref }, "migration begun");
     const draft = () => {
       const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
-      if (entry === undefined || partOf(entry.v) !== partition.id || entry.v.end !== undefined) return null;
+      if (entry === undefined || partitionOf(entry.v) !== partition.id || entry.v.end !== undefined) return null;
       if (this.dependencies.replica.stamp(keys.owner(partition.id)) !== partition.term) return null;
       return {
         conditions: [
           { k: taskSet.key, stamp: entry.stamp },
           { k: keys.owner(partition.id), stamp: partition.term },
         ],
-        apply: [{ write: taskSet.key, v: { ...settled(entry.v), part: target, moved: true } }],
+        apply: [{ write: taskSet.key, v: { ...withPartitionAssigned(entry.v), part: target, moved: true } }],
       };
     };
     void this.dependencies.committer.commit("move", draft).then((outcome) => {
@@ -57,10 +57,10 @@
     const key = keys.slice(ref, lo);
     const draft = () => {
       const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
-      if (entry === undefined || partOf(entry.v) !== partition.id || entry.v.end !== undefined || entry.v.hi !== endBefore) return null;
+      if (entry === undefined || partitionOf(entry.v) !== partition.id || entry.v.end !== undefined || entry.v.hi !== endBefore) return null;
       if (this.dependencies.replica.stamp(keys.owner(partition.id)) !== partition.term || this.dependencies.replica.get(key) !== undefined)
         return null;
-      const rest = fitting<JobRecord>({ ...settled(entry.v), hi: lo }, lo, this.dependencies.settings.state.valueKb);
+      const rest = fitToLimit<JobRecord>({ ...withPartitionAssigned(entry.v), hi: lo }, lo, this.dependencies.settings.state.valueKb);
       if (rest === null) return null;
       const slice: SliceRecord = { ref, part: target, lo, hi: endBefore, done: "", moved: true };
       return {
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -1,7 +1,7 @@
 /** Transfers of team quota between partitions. */
-import { keys, type AllotmentRecord } from "../ledger/records.js";
+import { keys, type QuotaShareRecord } from "../ledger/records.js";
 import { quotaShareOf, type Partition, type Usage } from "../parts/part.js";
-import type { Want } from "../peers/messages.js";
+import type { QuotaRequest } from "../peers/messages.js";
 import type { QuotaShortage } from "../queue/pass.js";
 import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./around.js";
 
@@ -11,7 +11,7 @@
 /** Quota request of another partition that waits for the giving partition's turn. */
 interface PendingQuotaRequest {
   givingPartition: Partition;
-  request: Want;
+  request: QuotaRequest;
   /** Granted share of the requesting partition when the request arrived. */
   grantedBefore: Usage;
 }
@@ -59,7 +59,7 @@
   }
 
   /** Schedules the transfer from each owned partition to the requesting one, at the partition's turn. */
-  onQuotaRequest(request: Want): void {
+  onQuotaRequest(request: QuotaRequest): void {
     for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.id === request.part || partition.phase !== "serving") continue;
       const label = `${partition.id}|${request.team}|${request.part}`;
@@ -76,8 +76,8 @@
     }
   }
 
-  private quotaRecord(team: string): AllotmentRecord | undefined {
-    return this.dependencies.replica.get<AllotmentRecord>(keys.allotment(team))?.v;
+  private quotaRecord(team: string): QuotaShareRecord | undefined {
+    return this.dependencies.replica.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
   }
 
   private grantedShare(partition: number, team: string): Usage {
@@ -85,7 +85,7 @@
   }
 
   /** Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. All read the same record. */
-  private givingOrder(giver: number, { part: partition, team, cpus }: Want): number {
+  private givingOrder(giver: number, { part: partition, team, cpus }: QuotaRequest): number {
     const quotaRecord = this.quotaRecord(team);
     if (quotaRecord === undefined) return 0;
     const shares = cpus > 0 ? quotaRecord.cpus : quotaRecord.gpus;
@@ -107,7 +107,7 @@
   }
 
   /** Returns the request reduced by what the requesting partition has been granted since it arrived. */
-  private remainingRequest(request: Want, grantedBefore: Usage): Want {
+  private remainingRequest(request: QuotaRequest, grantedBefore: Usage): QuotaRequest {
     const granted = this.grantedShare(request.part, request.team);
     const received = (resource: "cpus" | "gpus"): number => {
       const more = granted[resource] - grantedBefore[resource];
@@ -122,7 +122,7 @@
   }
 
   /** Returns how much of the team's quota the partition can give. */
-  private availableQuota(partition: Partition, { team, nowCpus, nowGpus }: Want): Usage {
+  private availableQuota(partition: Partition, { team, nowCpus, nowGpus }: QuotaRequest): Usage {
     // Quota for tasks that wait here because of missing capacity is unused as well, so it
     // may go to a partition that has capacity for the team now.
     const unused = unusedQuota(this.dependencies, partition, team);
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -1,13 +1,13 @@
 import type { CloudApi } from "@thorntrail/protocol/cloud";
 import type { Rate } from "@thorntrail/protocol/rate";
 import type { Calls } from "../calls/calls.js";
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
 import type { Partition } from "../parts/part.js";
-import type { Overload } from "../overload/overload.js";
+import type { OverloadMonitor } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import { sleep } from "../platform/clock.js";
 import type { Scope } from "../platform/scope.js";
@@ -19,14 +19,14 @@
   cloud: CloudApi;
   leader: Leader;
   quotaShares: QuotaShares;
-  replica: Mirror;
-  rentals: Rentals;
-  committer: Committer;
+  replica: StateReplica;
+  rentals: RentalIndex;
+  committer: GroupCommitter;
   /** This node's share of the rate limit for calls to the cloud. */
   rate: Rate;
   calls: Calls;
   peers: PeerApi;
-  overload: Overload;
+  overload: OverloadMonitor;
   scope: Scope;
   stats: FleetStats;
 }
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -59,7 +59,7 @@
         for (const listed of page.machines) {
           hosts.add(listed.host);
           const record = this.deps.rentals.get(listed.host);
-          const partition = record === undefined ? undefined : this.deps.leader.partitions.get(record.part);
+          const partition = record === undefined ? undefined : this.deps.leader.partitions.get(record.partition);
           if (record === undefined) {
             unregistered.add(listed.host);
             const since = this.unregisteredSince.get(listed.host) ?? now;
@@ -81,7 +81,7 @@
       this.listing = { readAt: now, hosts };
       for (const host of this.unregisteredSince.keys()) if (!unregistered.has(host)) this.unregisteredSince.delete(host);
       if (expired.length > 0 && this.deps.leader.partitions.has(Math.min(...this.deps.leader.partitions.keys()))) {
-        await this.deps.replica.fresh();
+        await this.deps.replica.refresh();
         const toDelete = expired.filter((host) => this.deps.rentals.get(host) === undefined).slice(0, MAX_DELETE_HOSTS);
         await waitForRate(this.deps);
         if (!this.deps.leader.isSoleOwner()) return;
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -41,7 +41,7 @@
     for (const partition of [...this.deps.leader.partitions.values()]) {
       // Completes rentals begun earlier by this controller or a former owner before new ones are begun.
       let pending = false;
-      for (const [key, record] of this.deps.rentals.begun(partition.id)) {
+      for (const [key, record] of this.deps.rentals.pendingRentals(partition.id)) {
         pending = true;
         await this.executeRental(partition, key.slice(keys.rentals.length), record);
       }
@@ -148,7 +148,7 @@
     } catch (error) {
       if (!(error instanceof NoReply)) throw error;
       this.deps.scope.log.debug({ hire: name, err: error.message }, "rental not answered; retrying under the same name");
-      await this.deps.calls.of("cloud.hire").rest();
+      await this.deps.calls.of("cloud.hire").backOff();
     } finally {
       this.inProgress.delete(name);
     }
@@ -174,7 +174,7 @@
           apply: records.length === 0 ? [{ remove: key }] : records.map((v, i) => ({ write: keys.rental(name, i), v })),
         };
       },
-      { turn: "soon" },
+      { priority: "soon" },
     );
     // "settled" means that an earlier attempt was executed and only its answer lost. A record that still
     // lists no hosts is left for another owner to complete.
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -182,7 +182,7 @@
         await sleep(this.deps.scope.clock, this.deps.settings.timing.reportMs);
       } catch (error) {
         if (!(error instanceof NoReply)) throw error;
-        await this.deps.calls.of("cloud.delete").rest(++failures);
+        await this.deps.calls.of("cloud.delete").backOff(++failures);
       }
     }
     this.deps.stats.returned += machines.length;
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,7 +1,7 @@
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Leader } from "../parts/leader.js";
-import { beyondLimits } from "../configuration/teams.js";
+import { limitExceeded } from "../configuration/teams.js";
 import type { Configuration } from "../configuration/current.js";
 import type { TeamSettings } from "../settings/platform-file.js";
 
@@ -19,7 +19,7 @@
       spec.ram <= type.ram + slack,
   );
   if (!fitsSomeType) return "a task fits no allowed machine type";
-  return beyondLimits(spec, team);
+  return limitExceeded(spec, team);
 }
 
 /** Decides by the current configuration whether a submission is accepted. */
@@ -31,12 +31,12 @@
 
   /** Returns why the job can never run, or null. */
   rejectionReason(spec: JobSpec): string | null {
-    return neverRuns(spec, this.configuration.accepting, this.leader.types);
+    return neverRuns(spec, this.configuration.acceptingTeams, this.leader.types);
   }
 
   /** Whether a prepared but undecided configuration change would make the job exceed its team's limits. */
   affectedByPreparedChange(spec: JobSpec): boolean {
     const team = this.configuration.prepared?.teams.find(({ name }) => name === spec.team);
-    return team !== undefined && beyondLimits(spec, team) !== null;
+    return team !== undefined && limitExceeded(spec, team) !== null;
   }
 }
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -1,7 +1,7 @@
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
-import { doneOf, fitting, keys, type JobRecord } from "../ledger/records.js";
-import type { Overload } from "../overload/overload.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import { doneTasks, fitToLimit, keys, type JobRecord } from "../ledger/records.js";
+import type { OverloadMonitor } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
 import type { Leader } from "../parts/leader.js";
 import type { JobDependencies } from "../pipelines/needs.js";
@@ -23,12 +23,12 @@
   constructor(
     private readonly settings: Settings,
     private readonly leader: Leader,
-    private readonly replica: Mirror,
+    private readonly replica: StateReplica,
     private readonly needs: JobDependencies,
     private readonly submissions: Submissions,
     private readonly admission: Admission,
-    private readonly committer: Committer,
-    private readonly overload: Overload,
+    private readonly committer: GroupCommitter,
+    private readonly overload: OverloadMonitor,
     private readonly scope: Scope,
   ) {}
 
@@ -68,7 +68,7 @@
   private async refreshReplica(patienceMs: number): Promise<boolean> {
     const limitMs = Math.min(patienceMs, this.settings.timing.stateTimeoutMs * 0.75);
     const startedAt = this.scope.clock.now();
-    const read = this.replica.fresh(startedAt + limitMs);
+    const read = this.replica.refresh(startedAt + limitMs);
     return (await this.completesWithin(read, limitMs)) && this.scope.clock.now() - startedAt <= limitMs + this.settings.timing.stallMs;
   }
 
@@ -162,10 +162,10 @@
         () => {
           const entry = this.replica.get<JobRecord>(key);
           if (entry === undefined || this.isTerminal(ref)) return null;
-          const v = fitting<JobRecord>({ ...entry.v, end: "withdrawn" }, entry.v.hi, this.settings.state.valueKb);
+          const v = fitToLimit<JobRecord>({ ...entry.v, end: "withdrawn" }, entry.v.hi, this.settings.state.valueKb);
           return { conditions: [{ k: key, stamp: entry.stamp }], apply: [{ write: key, v }] };
         },
-        { shedAfterMs, turn: "now" },
+        { shedAfterMs, priority: "now" },
       ),
       shedAfterMs * 1.5,
     );
@@ -179,11 +179,11 @@
     const total = job.spec.tasks;
     // A job is cancelled as soon as one of its dependencies is, even before its own record is updated.
     const terminalState = this.needs.outcome(ref);
-    let done = terminalState === "done" ? total : doneOf(job, job.hi).count;
+    let done = terminalState === "done" ? total : doneTasks(job, job.hi).count;
     let running = 0;
     if (terminalState === undefined) {
       if (job.hi < total) {
-        for (const [, { v }] of this.replica.slicesOf(ref)) done += doneOf(v, v.hi - v.lo).count;
+        for (const [, { v }] of this.replica.slicesOf(ref)) done += doneTasks(v, v.hi - v.lo).count;
       }
       for (const partition of this.leader.partitions.values()) {
         for (const taskSet of partition.taskSetsByJob.get(ref) ?? [])
--- a/src/intake/relay.ts
+++ b/src/intake/relay.ts
@@ -1,5 +1,5 @@
 import type { PeerApi } from "../peers/links.js";
-import { firstId } from "../peers/ids.js";
+import { firstRequestId } from "../peers/ids.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import type { Jobs, Response } from "./jobs.js";
@@ -48,7 +48,7 @@
     private readonly scope: Scope,
     life: string,
   ) {
-    this.lastId = firstId(life);
+    this.lastId = firstRequestId(life);
   }
 
   start(): void {
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -1,19 +1,19 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { createHash } from "node:crypto";
 import type { Configuration } from "../configuration/current.js";
-import type { Committer, Outcome } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { GroupCommitter, CommitOutcome } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import {
   keys,
   recordBytes,
   sliceCapacity,
-  specRoom,
-  waitingFor,
+  maxSpecBytes,
+  waitingAssignment,
   type ConfigurationRecord,
   type JobRecord,
   type SliceRecord,
 } from "../ledger/records.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
 import type { JobDependencies } from "../pipelines/needs.js";
@@ -42,10 +42,10 @@
   admission: Admission;
   leader: Leader;
   ownership: Ownership;
-  replica: Mirror;
-  rentals: Rentals;
+  replica: StateReplica;
+  rentals: RentalIndex;
   needs: JobDependencies;
-  committer: Committer;
+  committer: GroupCommitter;
   scope: Scope;
 }
 
@@ -75,7 +75,7 @@
   /** Whether the job description, without its list of needed jobs, fits into a record. */
   descriptionFits(spec: JobSpec): boolean {
     const { needs: _needs, ...rest } = spec;
-    return recordBytes(rest) <= specRoom(this.deps.settings.state.valueKb);
+    return recordBytes(rest) <= maxSpecBytes(this.deps.settings.state.valueKb);
   }
 
   /**
@@ -83,10 +83,10 @@
    * written before it: slices and lists of needed jobs have no effect until the job's own
    * record exists. Rows left by an earlier attempt are kept.
    */
-  async record(spec: JobSpec, partition: number, shedAfterMs: number): Promise<Outcome> {
+  async record(spec: JobSpec, partition: number, shedAfterMs: number): Promise<CommitOutcome> {
     const { txnOps } = this.deps.settings.state;
     const key = keys.job(spec.ref);
-    const options = { shedAfterMs, turn: "now" } as const;
+    const options = { shedAfterMs, priority: "now" } as const;
     const draftOf = (rowsOf: () => Map<string, unknown>) => () => {
       if (this.deps.replica.get(key) !== undefined || this.notAdmitted(spec)) return null;
       const rows = [...rowsOf()].filter(([k]) => this.deps.replica.get(k) === undefined);
@@ -134,7 +134,7 @@
         const { prepared: _prepared, ...rest } = record.v;
         return { conditions: [{ k: keys.configuration, stamp }], apply: [{ write: keys.configuration, v: rest }] };
       },
-      { turn: "now", shedAfterMs: settings.timing.stateTimeoutMs },
+      { priority: "now", shedAfterMs: settings.timing.stateTimeoutMs },
     );
   }
 
@@ -145,7 +145,7 @@
 
   /** Splits the refs of needed jobs into those that fit into the job's own record and further lists, which are named by a hash of their content. */
   private splitNeeds(spec: JobSpec): { inline: string[]; name: string; lists: string[][] } {
-    const maxBytes = specRoom(this.deps.settings.state.valueKb);
+    const maxBytes = maxSpecBytes(this.deps.settings.state.valueKb);
     const { needs = [], ...rest } = spec;
     const remaining = [...needs];
     const inline = takeRefs(remaining, maxBytes - recordBytes(rest));
@@ -167,7 +167,7 @@
     for (let lo = size, i = 1; lo < spec.tasks; lo += size, i++) {
       const slicePartition = singlePartition ? partition : (partition + i) % n;
       const slice: SliceRecord = {
-        ...(spec.needs === undefined ? { part: slicePartition } : waitingFor(slicePartition)),
+        ...(spec.needs === undefined ? { part: slicePartition } : waitingAssignment(slicePartition)),
         ref: spec.ref,
         lo,
         hi: Math.min(lo + size, spec.tasks),
@@ -189,7 +189,7 @@
     if (outcomes.every((fate) => fate === "done")) return { spec: plain, part: partition, hi, done: "", at };
     const { inline, name, lists } = this.splitNeeds(spec);
     return {
-      ...waitingFor(partition),
+      ...waitingAssignment(partition),
       spec: { ...plain, needs: inline },
       hi,
       done: "",
--- a/src/ledger/committer.ts
+++ b/src/ledger/committer.ts
@@ -6,7 +6,7 @@
 import { OverRate, TooLarge, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
 import { Costs } from "../platform/costs.js";
 import type { Log } from "../platform/log.js";
-import type { Mirror } from "./mirror.js";
+import type { StateReplica } from "./mirror.js";
 
 /** Conditions and changes that a pending write adds to a transaction. */
 export interface Draft {
@@ -18,7 +18,7 @@
  * Outcome of a pending write. `done`: applied. `settled`: its draft had nothing left to write, and the
  * caller reads the replica for the current state. `shed`: never sent, or refused for its size.
  */
-export type Outcome = "done" | "settled" | "shed";
+export type CommitOutcome = "done" | "settled" | "shed";
 
 /** Pending writes that share one transaction, with their merged conditions and changes. */
 interface Batch {
@@ -38,7 +38,7 @@
 interface PendingWrite {
   label: string;
   draft: () => Draft | null;
-  resolve: (outcome: Outcome) => void;
+  resolve: (outcome: CommitOutcome) => void;
   /** Sent at least once without a definite answer, so an earlier copy may still be applied late. */
   outcomeUnknown: boolean;
   shedAt: number;
@@ -67,7 +67,7 @@
  * derived from. A write without a definite answer is read back and drafted again until one arrives, since the
  * first copy can still be applied late.
  */
-export class Committer {
+export class GroupCommitter {
   private queue: PendingWrite[] = [];
   private running = false;
   private readonly inFlight = new Set<InFlightTransaction>();
@@ -76,14 +76,14 @@
 
   constructor(
     private readonly state: StateApi,
-    private readonly replica: Mirror,
+    private readonly replica: StateReplica,
     private readonly clock: Clock,
     private readonly requests: Rate,
     private readonly writes: Rate,
     /** Backoff between repeated transactions. */
     private readonly calls: Caller,
     /** Maximum number of changes in one transaction, and the time in flight (ms) after which a transaction no longer holds back the next one. */
-    private readonly limits: { txnOps: number; laneMs: number },
+    private readonly limits: { txnOps: number; slowAfterMs: number },
     private readonly log: Log,
     private readonly costs = new Costs(),
   ) {}
@@ -100,8 +100,8 @@
   commit(
     label: string,
     draft: () => Draft | null,
-    options: { shedAfterMs?: number; turn?: WritePriority; alone?: boolean } = {},
-  ): Promise<Outcome> {
+    options: { shedAfterMs?: number; priority?: WritePriority; exclusive?: boolean } = {},
+  ): Promise<CommitOutcome> {
     return new Promise((resolve) => {
       if (this.queue.length >= MAX_QUEUE) return resolve("shed");
       const shedAt = options.shedAfterMs === undefined ? Infinity : this.clock.now() + options.shedAfterMs;
@@ -111,11 +111,11 @@
         resolve,
         outcomeUnknown: false,
         shedAt,
-        rank: RANK[options.turn ?? "later"],
-        exclusive: options.alone === true,
+        rank: RANK[options.priority ?? "later"],
+        exclusive: options.exclusive === true,
       });
       if (!this.running) void this.run();
-      else if (options.turn === "now") this.wake?.();
+      else if (options.priority === "now") this.wake?.();
     });
   }
 
@@ -143,7 +143,7 @@
     // fits would delay the most urgent change as well.
     const maxOps = Math.min(this.limits.txnOps, Math.floor(this.writes.available()));
     const batch = this.costs.spend("transaction", () => this.assembleBatch(maxOps));
-    if (batch === null) return this.queue.length > 0 ? this.pause(this.limits.laneMs) : undefined;
+    if (batch === null) return this.queue.length > 0 ? this.pause(this.limits.slowAfterMs) : undefined;
     const reserved = Math.min(...batch.pendingWrites.map((pendingWrite) => this.reservedWrites(pendingWrite)));
     const waitMs = Math.max(this.requests.waitMs(1), this.writes.waitMs(batch.apply.length + reserved));
     // The batch is assembled again after the pause, since more writes may have arrived to share the transaction.
@@ -185,7 +185,7 @@
     if (this.inFlight.size === 0) return 0;
     if (this.inFlight.size >= MAX_CONCURRENT_TRANSACTIONS) return Infinity;
     const lastSentAt = Math.max(...[...this.inFlight].map(({ sentAt }) => sentAt));
-    return Math.max(0, lastSentAt + this.limits.laneMs - this.clock.now());
+    return Math.max(0, lastSentAt + this.limits.slowAfterMs - this.clock.now());
   }
 
   /** Pauses for `ms`, or until a transaction finishes or a write with priority `now` arrives. */
@@ -222,7 +222,7 @@
     } catch (error) {
       if (error instanceof OverRate) {
         this.writes.drain();
-        await this.calls.rest();
+        await this.calls.backOff();
         return pendingWrites;
       }
       if (!(error instanceof NoReply)) throw error;
@@ -233,7 +233,7 @@
         this.stats.unanswered++;
         for (const pendingWrite of pendingWrites) pendingWrite.outcomeUnknown = true;
       }
-      await this.calls.rest();
+      await this.calls.backOff();
       await this.readBack();
     }
     return pendingWrites;
@@ -263,10 +263,10 @@
   /** Brings the replica up to date; false if the state service could not be read. */
   private async readBack(): Promise<boolean> {
     try {
-      await this.replica.fresh();
+      await this.replica.refresh();
       return true;
     } catch {
-      await this.calls.rest();
+      await this.calls.backOff();
       return false;
     }
   }
--- a/src/ledger/mirror.ts
+++ b/src/ledger/mirror.ts
@@ -26,7 +26,7 @@
 }
 
 /** Replica cache of the state service: a copy of all records, kept up to date by `/follow`, with a bound on its age. */
-export class Mirror {
+export class StateReplica {
   /** Keys of records that changed; an empty string after a full load. */
   readonly changes$ = new Subject<string>();
   private readonly tables = new Map<string, Map<string, Entry<unknown>>>();
@@ -37,7 +37,7 @@
   private readonly tombstones = new Map<string, number>();
   private revision = -1;
   /** Steady time in ms; the replica holds everything that was in the state service at this time. */
-  provenAt = -Infinity;
+  currentAsOf = -Infinity;
   loaded = false;
   private refreshing: Promise<void> | null = null;
   private nextRefresh: Promise<void> | null = null;
@@ -67,7 +67,7 @@
           const line = { err: (error as Error).message };
           if (error instanceof NoReply) scope.log.debug(line, "replica read failed");
           else scope.log.warn(line, "the state service's answer could not be read");
-          await this.calls.rest();
+          await this.calls.backOff();
         }
       },
     );
@@ -95,7 +95,7 @@
     }
     this.revision = first;
     this.loaded = true;
-    this.provenAt = Math.max(this.provenAt, startedAt);
+    this.currentAsOf = Math.max(this.currentAsOf, startedAt);
     this.changes$.next("");
   }
 
@@ -120,7 +120,7 @@
       for (const event of events) this.apply(event);
     });
     if (result.ledger > this.revision) this.revision = result.ledger;
-    this.provenAt = Math.max(this.provenAt, startedAt);
+    this.currentAsOf = Math.max(this.currentAsOf, startedAt);
   }
 
   /**
@@ -129,7 +129,7 @@
    * No read starts or continues past the latest deadline (steady ms) of the calls that share it: users whose
    * requests have expired must not delay those behind them.
    */
-  fresh(deadline = Infinity): Promise<void> {
+  refresh(deadline = Infinity): Promise<void> {
     this.nextRefreshDeadline = this.nextRefresh === null ? deadline : Math.max(this.nextRefreshDeadline, deadline);
     if (this.nextRefresh !== null) return this.nextRefresh;
     const run = async (): Promise<void> => {
@@ -238,6 +238,6 @@
 
   /** Upper bound on the age of the replica's content, in ms. */
   ageMs(): number {
-    return this.clock.now() - this.provenAt;
+    return this.clock.now() - this.currentAsOf;
   }
 }
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -18,19 +18,19 @@
 }
 
 /** Returns the partition that the record's tasks belong to. */
-export function partOf(record: PartitionAssignment): number {
+export function partitionOf(record: PartitionAssignment): number {
   return record.part === NO_PARTITION && record.home !== undefined ? record.home : record.part;
 }
 
 /** Assignment of a waiting job to the partition `home`, hidden from versions that would not wait. */
-export function waitingFor(home: number): PartitionAssignment {
+export function waitingAssignment(home: number): PartitionAssignment {
   return { part: NO_PARTITION, home };
 }
 
 /** The record as it is written once the job no longer waits: with its partition in `part`. */
-export function settled<T extends PartitionAssignment>(record: T): T {
+export function withPartitionAssigned<T extends PartitionAssignment>(record: T): T {
   const { home: _home, ...rest } = record;
-  return { ...rest, part: partOf(record) } as T;
+  return { ...rest, part: partitionOf(record) } as T;
 }
 
 /** Finished tasks of a slice: `done` is a bit map; `packed` adds all tasks before `from` and a bit map of the rest. */
@@ -106,7 +106,7 @@
 }
 
 /** A team's limit, split into one share per partition; null means no limit. */
-export interface AllotmentRecord {
+export interface QuotaShareRecord {
   cpus: (number | null)[];
   gpus: (number | null)[];
 }
@@ -157,7 +157,7 @@
   owners: "t/o/",
   presence: "t/l/",
   suspicions: "t/x/",
-  allotments: "t/q/",
+  quotaShares: "t/q/",
   configurationRoot: "t/c/",
   /** Sorts before the teams, so a paged read of all records never returns a head newer than the teams. */
   configuration: "t/c/head",
@@ -169,10 +169,10 @@
   /** `index` above 0 is for further records of a rental that does not fit into one. */
   rental: (name: string, index = 0) => `t/m/${name}${index > 0 ? `/${index}` : ""}`,
   owner: (part: number) => `t/o/${part}`,
-  alive: (node: string) => `t/l/${node}`,
+  presenceOf: (node: string) => `t/l/${node}`,
   suspicion: (node: string) => `t/x/${node}`,
   /** Team names may contain any character; keys must not contain spaces. */
-  allotment: (team: string) => `t/q/${encodeURIComponent(team)}`,
+  quotaShare: (team: string) => `t/q/${encodeURIComponent(team)}`,
   changedTeam: (team: string) => `t/c/team/${encodeURIComponent(team)}`,
   configurationVersion: (version: number) => `t/c/was/${String(version).padStart(10, "0")}`,
 };
@@ -193,7 +193,7 @@
 }
 
 /** Tasks that are recorded as done in a slice of `size` tasks. */
-export function doneOf({ done, packed }: TaskProgress, size: number): Bits {
+export function doneTasks({ done, packed }: TaskProgress, size: number): Bits {
   const bits = Bits.decode(size, done);
   if (packed !== undefined) {
     // A slice that was shortened after packing can end before `from`.
@@ -226,17 +226,17 @@
  * never too many. If that does not fit either, the progress of an ended job is dropped, since its end is sufficient.
  * Before the end, the progress cannot be recorded: the result is null, and workers keep the task results.
  */
-export function fitting<T extends TaskProgress & { end?: unknown }>(record: T, size: number, valueKb: number): T | null {
+export function fitToLimit<T extends TaskProgress & { end?: unknown }>(record: T, size: number, valueKb: number): T | null {
   const fits = (candidate: T): boolean => recordBytes(candidate) <= valueKb * 1024;
   if (fits(record)) return record;
-  const packed = { ...record, done: "", packed: pack(doneOf(record, size)) };
+  const packed = { ...record, done: "", packed: pack(doneTasks(record, size)) };
   if (fits(packed)) return packed;
   const { packed: _packed, ...rest } = record;
   return record.end === undefined ? null : ({ ...rest, done: "" } as T);
 }
 
 /** Largest size of a job's description in its record, in bytes. */
-export function specRoom(valueKb: number): number {
+export function maxSpecBytes(valueKb: number): number {
   return Math.floor(Math.min(valueKb, 32) * 1024 * (1 - BIT_MAP_SHARE)) - RESERVED_BYTES;
 }
 
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -1,5 +1,5 @@
 import { Subject } from "rxjs";
-import type { Mirror } from "./mirror.js";
+import type { StateReplica } from "./mirror.js";
 import { keys, type RentalRecord } from "./records.js";
 
 /** A machine according to the rental records. */
@@ -7,7 +7,7 @@
   host: string;
   /** Key of the rental record that lists the machine. */
   key: string;
-  part: number;
+  partition: number;
   type: string;
   zone: string;
   spot: boolean;
@@ -21,7 +21,7 @@
  * per machine, a fleet of hundreds would use the whole write rate for most of a minute before its first task could
  * start.
  */
-export class Rentals {
+export class RentalIndex {
   /** Hosts whose record was added, changed or removed. */
   readonly changes$ = new Subject<string>();
   private readonly machines = new Map<string, RecordedMachine>();
@@ -30,7 +30,7 @@
   /** Keys of rentals whose machines are not recorded yet. */
   private readonly pending = new Set<string>();
 
-  constructor(private readonly replica: Mirror) {
+  constructor(private readonly replica: StateReplica) {
     replica.changes$.subscribe((key) => {
       if (key.startsWith(keys.rentals)) this.update(key);
     });
@@ -47,7 +47,7 @@
   }
 
   /** Rentals for the partition, by this or a former owner, whose machines are not recorded yet. */
-  begun(part: number): [key: string, record: RentalRecord][] {
+  pendingRentals(part: number): [key: string, record: RentalRecord][] {
     const list: [string, RentalRecord][] = [];
     for (const key of this.pending) {
       const record = this.replica.get<RentalRecord>(key)?.v;
@@ -77,7 +77,7 @@
     for (const host of before ?? []) {
       if (host in hosts) continue;
       const gone = this.machines.get(host);
-      if (gone !== undefined) this.adjustCount(gone.part, -1);
+      if (gone !== undefined) this.adjustCount(gone.partition, -1);
       this.machines.delete(host);
       changed.push(host);
     }
@@ -88,9 +88,9 @@
         const addr = text === "" ? null : text;
         const indexed = this.machines.get(host);
         if (indexed !== undefined && indexed.key === key && indexed.addr === addr) continue;
-        if (indexed !== undefined) this.adjustCount(indexed.part, -1);
+        if (indexed !== undefined) this.adjustCount(indexed.partition, -1);
         this.adjustCount(part, 1);
-        this.machines.set(host, { host, key, part, type, zone, spot, at, addr });
+        this.machines.set(host, { host, key, partition: part, type, zone, spot, at, addr });
         changed.push(host);
       }
       this.byKey.set(key, new Set(Object.keys(hosts)));
--- a/src/ledger/state-client.ts
+++ b/src/ledger/state-client.ts
@@ -17,7 +17,7 @@
  * Client of the state service over HTTP. All methods throw OverRate for status 429 and NoReply if there is no usable
  * answer.
  */
-export class HttpState implements StateApi {
+export class HttpStateClient implements StateApi {
   private readonly http = new HttpClient(8);
 
   constructor(
--- a/src/membership/detector.ts
+++ b/src/membership/detector.ts
@@ -1,22 +1,22 @@
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type PresenceRecord, type SuspicionRecord } from "../ledger/records.js";
 import type { PeerApi } from "../peers/links.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import type { Presence } from "./presence.js";
-import { stands, suspect, verdict, type Evidence, type Limits, type OwnHealth, type PeerStatus } from "./suspicion.js";
+import { isUnrefuted, nextSuspicion, peerStatus, type Evidence, type SuspicionLimits, type OwnHealth, type PeerStatus } from "./suspicion.js";
 
 /** Dependencies of the failure detector. */
 export interface DetectorDependencies {
   settings: Settings;
   presence: Presence;
-  mirror: Mirror;
-  committer: Committer;
+  replica: StateReplica;
+  committer: GroupCommitter;
   peers: PeerApi;
   scope: Scope;
   /** Whether this process is lagging behind its timers. */
-  late: () => boolean;
+  lagging: () => boolean;
 }
 
 /** What this node has observed of one peer. Times are steady, in ms. */
@@ -38,7 +38,7 @@
  * count as gone. This decides who claims partitions, never what may be placed: a claim begins a new term with the
  * usual fencing.
  */
-export class Detector {
+export class FailureDetector {
   private readonly observations = new Map<string, PeerObservation>();
   private readonly writing = new Set<string>();
   /** Time since which this node's own view is up to date; earlier observations may be due to a fault of this node. */
@@ -49,7 +49,7 @@
 
   /** Starts listening to peers and to suspicions, and evaluates the evidence ten times per report interval. */
   start(): void {
-    const { scope, peers, settings, mirror: replica, presence } = this.dependencies;
+    const { scope, peers, settings, replica: replica, presence } = this.dependencies;
     scope.listen(peers.incoming$, ({ from, message }) => {
       if (!("Health" in message)) return;
       const observation = this.observation(from);
@@ -80,21 +80,21 @@
   }
 
   /** Discounts a stall of this process, in ms: observations missed meanwhile are no evidence. */
-  stoodStill(ms: number): void {
+  onStall(ms: number): void {
     this.upToDateSince = null;
     for (const observation of this.observations.values()) if (observation.suspicion !== null) observation.suspicion.at += ms;
   }
 
   /** Time limits of suspicions, as ratios of the presence lease. */
-  private limits(): Limits {
+  private limits(): SuspicionLimits {
     const { presenceMs } = this.dependencies.settings.timing;
-    return { suspectMs: presenceMs / 32, verdictMs: presenceMs / 4, againMs: presenceMs };
+    return { suspectMs: presenceMs / 32, verdictMs: presenceMs / 4, repeatMs: presenceMs };
   }
 
   /** Whether this node's own observations are reliable. */
   private health(): OwnHealth {
-    const { presence, mirror: replica, settings } = this.dependencies;
-    return { informed: presence.own() && replica.ageMs() < settings.timing.contactMs, late: this.dependencies.late() };
+    const { presence, replica: replica, settings } = this.dependencies;
+    return { upToDate: presence.ownVisible() && replica.ageMs() < settings.timing.contactMs, lagging: this.dependencies.lagging() };
   }
 
   /** Age of the evidence against a peer, counting only the time in which this node's own view was up to date. */
@@ -109,21 +109,21 @@
 
   /** Updates the status of each peer and writes a suspicion where the evidence requires one. */
   private evaluate(): void {
-    const { settings, mirror: replica, scope } = this.dependencies;
+    const { settings, replica: replica, scope } = this.dependencies;
     const now = scope.clock.now();
-    this.upToDateSince = this.health().informed ? (this.upToDateSince ?? now) : null;
+    this.upToDateSince = this.health().upToDate ? (this.upToDateSince ?? now) : null;
     const limits = this.limits();
     const own = settings.nodes.indexOf(settings.self);
     settings.nodes.forEach((node, i) => {
       if (node === settings.self) return;
       const recorded = replica.get<SuspicionRecord>(keys.suspicion(node))?.v;
-      const presence = replica.get<PresenceRecord>(keys.alive(node))?.v;
+      const presence = replica.get<PresenceRecord>(keys.presenceOf(node))?.v;
       const observation = this.observation(node);
-      this.trackSuspicion(node, observation, recorded, stands(recorded, presence), now);
+      this.trackSuspicion(node, observation, recorded, isUnrefuted(recorded, presence), now);
       // One suspicion is enough: nodes further from the peer in the node order wait longer, so the first usually writes it.
       const distance = (own - i + settings.nodes.length) % settings.nodes.length;
       const staggered = { ...limits, suspectMs: limits.suspectMs * distance };
-      const suspicion = suspect(recorded, presence, this.evidence(node), this.health(), now - observation.lastSuspectedAt, staggered);
+      const suspicion = nextSuspicion(recorded, presence, this.evidence(node), this.health(), now - observation.lastSuspectedAt, staggered);
       if (suspicion !== null) this.writeSuspicion(node, { ...suspicion, by: settings.self });
     });
   }
@@ -139,7 +139,7 @@
     const id = `${recorded?.life} ${recorded?.n}`;
     if (!unrefuted) {
       if (observation.suspicion !== null) {
-        const refuted = recorded !== undefined && this.dependencies.presence.alive(node);
+        const refuted = recorded !== undefined && this.dependencies.presence.isPresent(node);
         if (refuted) this.stats.refuted++;
         this.dependencies.scope.log.info(
           { peer: node, n: recorded?.n, ms: Math.round(now - observation.suspicion.at) },
@@ -151,7 +151,7 @@
       observation.suspicion = { id, at: now };
       this.dependencies.scope.log.info({ peer: node, by: recorded?.by, n: recorded?.n, ...this.evidence(node) }, "controller is suspected");
     }
-    const status = this.standing(node);
+    const status = this.status(node);
     if (status === "gone" && observation.reportedStatus !== "gone") {
       this.stats.verdicts++;
       this.dependencies.scope.log.warn(
@@ -166,30 +166,30 @@
   private writeSuspicion(node: string, record: SuspicionRecord): void {
     if (this.writing.has(node)) return;
     this.writing.add(node);
-    const { mirror: replica, committer, settings } = this.dependencies;
+    const { replica: replica, committer, settings } = this.dependencies;
     const key = keys.suspicion(node);
     const suspicionStamp = replica.stamp(key);
-    const presenceStamp = replica.stamp(keys.alive(node));
+    const presenceStamp = replica.stamp(keys.presenceOf(node));
     const draft = () =>
-      replica.stamp(key) !== suspicionStamp || replica.stamp(keys.alive(node)) !== presenceStamp
+      replica.stamp(key) !== suspicionStamp || replica.stamp(keys.presenceOf(node)) !== presenceStamp
         ? null
         : {
             conditions: [
               { k: key, stamp: suspicionStamp },
-              { k: keys.alive(node), stamp: presenceStamp },
+              { k: keys.presenceOf(node), stamp: presenceStamp },
             ],
             apply: [{ write: key, v: record }],
           };
-    void committer.commit("suspicion", draft, { turn: "now", shedAfterMs: settings.timing.presenceMs / 8 }).then((outcome) => {
+    void committer.commit("suspicion", draft, { priority: "now", shedAfterMs: settings.timing.presenceMs / 8 }).then((outcome) => {
       this.writing.delete(node);
       if (outcome === "done") this.stats.suspicions++;
     });
   }
 
   /** This node's status of a peer whose presence record still exists. */
-  standing(node: string): PeerStatus {
+  status(node: string): PeerStatus {
     const suspicion = this.observations.get(node)?.suspicion ?? null;
     const unrefutedMs = suspicion === null ? null : this.dependencies.scope.clock.now() - suspicion.at;
-    return verdict(unrefutedMs, this.evidence(node), this.health(), this.limits());
+    return peerStatus(unrefutedMs, this.evidence(node), this.health(), this.limits());
   }
 }
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -3,20 +3,20 @@
 import type { Rate } from "@thorntrail/protocol/rate";
 import { LostPermit, type StateApi } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type PresenceRecord, type SuspicionRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { endsBefore, restMs, shown } from "./returns.js";
-import { refutation } from "./suspicion.js";
+import { precedingEarlyExits, restartBackoffMs, presenceRecord } from "./returns.js";
+import { requiredRefutation } from "./suspicion.js";
 
 /** Dependencies of the presence of a node. */
 export interface PresenceDependencies {
   settings: Settings;
   /** Identifies this run of the process. */
-  life: string;
+  incarnation: string;
   state: StateApi;
-  mirror: Mirror;
+  replica: StateReplica;
   rate: Rate;
   /** Backoff of repeated renewals. */
   calls: Caller;
@@ -56,7 +56,7 @@
 
   /** Starts the routine that renews the presence key four times per lease. */
   start(): void {
-    const { scope, mirror: replica, settings } = this.dependencies;
+    const { scope, replica: replica, settings } = this.dependencies;
     // The former incarnation's key can only be evaluated once all records are loaded.
     scope.listen(replica.changes$, (key) => {
       if (key === "" && this.earlyExits === null) void this.renew();
@@ -73,8 +73,8 @@
   async renew(): Promise<void> {
     if (this.renewing) return;
     this.renewing = true;
-    const { settings, state, mirror: replica, rate, scope } = this.dependencies;
-    const key = keys.alive(settings.self);
+    const { settings, state, replica: replica, rate, scope } = this.dependencies;
+    const key = keys.presenceOf(settings.self);
     try {
       while (!rate.take()) await new Promise<void>((resolve) => scope.clock.after(rate.waitMs(), resolve));
       await this.extend();
@@ -89,7 +89,7 @@
         return replica.put(key, value, result.ledger);
       }
       // The key was just written by the former incarnation, or by a late copy of this one's write.
-      await replica.fresh();
+      await replica.refresh();
       this.scheduleRenewal();
     } catch (error) {
       scope.log.debug({ err: (error as Error).message }, "presence not renewed");
@@ -119,7 +119,7 @@
   private scheduleRenewal(): void {
     if (this.renewalScheduled) return;
     this.renewalScheduled = true;
-    void this.dependencies.calls.rest().then(() => {
+    void this.dependencies.calls.backOff().then(() => {
       this.renewalScheduled = false;
       if (!this.dependencies.scope.closed) void this.renew();
     });
@@ -127,8 +127,8 @@
 
   /** Counts early exits by the record of the former incarnation. */
   private countEarlyExits(former: PresenceRecord | undefined): void {
-    this.earlyExits = endsBefore(former);
-    const ms = restMs(this.earlyExits, this.dependencies.settings.timing.leaseMs);
+    this.earlyExits = precedingEarlyExits(former);
+    const ms = restartBackoffMs(this.earlyExits, this.dependencies.settings.timing.leaseMs);
     if (ms > 0)
       this.dependencies.scope.log.warn({ ends: this.earlyExits, ms }, "this controller keeps ending: others should lead for a while");
   }
@@ -136,18 +136,18 @@
   /** The presence record that this node should show now. */
   private desiredRecord(): PresenceRecord {
     const young = this.ageMs() < this.dependencies.settings.timing.leaseMs;
-    return shown(this.dependencies.life, this.unfit(), this.earlyExits ?? 0, young, this.refutation(), this.dependencies.acts());
+    return presenceRecord(this.dependencies.incarnation, this.unfit(), this.earlyExits ?? 0, young, this.refutation(), this.dependencies.acts());
   }
 
   /** Number up to which this incarnation has to refute suspicions. */
   private refutation(): number {
-    const { mirror: replica, settings, life: incarnation } = this.dependencies;
-    return refutation(replica.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, incarnation);
+    const { replica: replica, settings, incarnation: incarnation } = this.dependencies;
+    return requiredRefutation(replica.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, incarnation);
   }
 
   /** Whether a suspicion of this incarnation has not been refuted yet. */
   isSuspected(): boolean {
-    return this.own() && (this.record(this.dependencies.settings.self)?.refutes ?? 0) < this.refutation();
+    return this.ownVisible() && (this.record(this.dependencies.settings.self)?.refutes ?? 0) < this.refutation();
   }
 
   /** Time since the start of this process, in ms. */
@@ -163,43 +163,43 @@
   /** Whether this node keeps exiting while another node is eligible as owner. */
   private backsOff(): boolean {
     const { settings } = this.dependencies;
-    if (this.ageMs() >= restMs(this.earlyExits ?? 0, settings.timing.leaseMs)) return false;
-    return settings.nodes.some((node) => node !== settings.self && this.able(node));
+    if (this.ageMs() >= restartBackoffMs(this.earlyExits ?? 0, settings.timing.leaseMs)) return false;
+    return settings.nodes.some((node) => node !== settings.self && this.isEligible(node));
   }
 
   /** Whether the published presence record differs from this node's state. */
-  outdated(): boolean {
+  isOutdated(): boolean {
     const { acts, settings } = this.dependencies;
-    if (this.unfit() !== this.saysUnfit(settings.self) || this.isSuspected()) return true;
+    if (this.unfit() !== this.reportsUnfit(settings.self) || this.isSuspected()) return true;
     return !isDeepStrictEqual(this.record(settings.self)?.acts ?? null, acts());
   }
 
   private record(node: string): PresenceRecord | undefined {
-    return this.dependencies.mirror.get<PresenceRecord>(keys.alive(node))?.v;
+    return this.dependencies.replica.get<PresenceRecord>(keys.presenceOf(node))?.v;
   }
 
   /** Whether any incarnation of the node is present. */
-  alive(node: string): boolean {
+  isPresent(node: string): boolean {
     return this.record(node) !== undefined;
   }
 
   /** Whether the published record is that of this incarnation. */
-  own(): boolean {
-    return this.record(this.dependencies.settings.self)?.life === this.dependencies.life;
+  ownVisible(): boolean {
+    return this.record(this.dependencies.settings.self)?.life === this.dependencies.incarnation;
   }
 
   /** Whether the node reports itself as unfit to own partitions. */
-  saysUnfit(node: string): boolean {
+  reportsUnfit(node: string): boolean {
     return this.record(node)?.unfit === true;
   }
 
   /** Whether the node is present and fit to own partitions. */
-  able(node: string): boolean {
-    return this.alive(node) && !this.saysUnfit(node);
+  isEligible(node: string): boolean {
+    return this.isPresent(node) && !this.reportsUnfit(node);
   }
 
   /** Whether this process has run for longer than a lease, so that a node absent all the time is gone. */
-  settled(): boolean {
+  isSettled(): boolean {
     return this.ageMs() > this.dependencies.settings.timing.presenceMs;
   }
 
@@ -215,20 +215,20 @@
   }
 
   /** Discounts a stall of this process, in ms: records missed meanwhile prove nothing about other nodes. */
-  stoodStill(ms: number): void {
+  onStall(ms: number): void {
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
   }
 
   /** Tracks and logs whether a node is absent or back. `partsOf` returns the partitions that a node owns according to the records. */
-  noteSilence(node: string, partsOf: (node: string) => number[]): void {
+  trackAbsence(node: string, partsOf: (node: string) => number[]): void {
     const missing = this.missingMs(node);
-    if (this.alive(node)) {
+    if (this.isPresent(node)) {
       if (missing === null) return;
       this.missingSince.delete(node);
       this.dependencies.scope.log.info({ peer: node, ms: Math.round(missing) }, "controller is back");
     } else if (missing === null) {
       this.missingSince.set(node, this.dependencies.scope.clock.now());
-      if (this.settled()) this.dependencies.scope.log.warn({ peer: node, parts: partsOf(node) }, "controller is silent");
+      if (this.isSettled()) this.dependencies.scope.log.warn({ peer: node, parts: partsOf(node) }, "controller is silent");
     }
   }
 }
--- a/src/membership/returns.ts
+++ b/src/membership/returns.ts
@@ -13,7 +13,7 @@
  * than a lease omits `ends`. A record that expired before this incarnation started counts as none, and so does one of
  * a version without `ends`.
  */
-export function endsBefore(former: PresenceRecord | undefined): number {
+export function precedingEarlyExits(former: PresenceRecord | undefined): number {
   return former?.ends === undefined ? 0 : former.ends + 1;
 }
 
@@ -21,13 +21,13 @@
  * Time after its start, in ms, for which a node that keeps exiting leaves its partitions to others. Otherwise each of
  * its incarnations would raise the terms and have all machines fenced again without placing any task.
  */
-export function restMs(earlyExits: number, leaseMs: number): number {
+export function restartBackoffMs(earlyExits: number, leaseMs: number): number {
   if (earlyExits < EARLY_EXITS_BEFORE_BACKOFF) return 0;
   return leaseMs * Math.min(MAX_BACKOFF, MIN_BACKOFF * 2 ** Math.min(earlyExits - EARLY_EXITS_BEFORE_BACKOFF, 10));
 }
 
 /** Builds the presence record of a node. `ends` is included only while the incarnation is `young`. */
-export function shown(
+export function presenceRecord(
   life: string,
   unfit: boolean,
   ends: number,
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -13,22 +13,22 @@
 /** State of this node. An unhealthy node does not trust its own observations. */
 export interface OwnHealth {
   /** This node's presence is published and its replica of the records is recent. */
-  informed: boolean;
+  upToDate: boolean;
   /** This node is lagging or was stalled recently, so missing observations prove nothing. */
-  late: boolean;
+  lagging: boolean;
 }
 
 /** This node's view of a peer whose presence record exists. */
 export type PeerStatus = "sound" | "suspected" | "gone";
 
 /** Time limits of suspicions, in ms. */
-export interface Limits {
+export interface SuspicionLimits {
   /** Age of evidence from which on the peer is suspected. */
   suspectMs: number;
   /** Time after which an unrefuted suspicion makes the peer count as gone, while the evidence persists. */
   verdictMs: number;
   /** Pause before the next suspicion of the same incarnation, doubled with each refuted one. */
-  againMs: number;
+  repeatMs: number;
 }
 
 /** Limit on doublings of the pause between suspicions of an incarnation that keeps refuting them. */
@@ -40,13 +40,13 @@
 }
 
 /** Whether the suspicion is unrefuted. A suspicion of a former incarnation, or of a version that cannot refute it, does not count. */
-export function stands(suspicion: SuspicionRecord | undefined, presence: PresenceRecord | undefined): boolean {
+export function isUnrefuted(suspicion: SuspicionRecord | undefined, presence: PresenceRecord | undefined): boolean {
   if (suspicion === undefined || presence?.refutes === undefined) return false;
   return suspicion.life === presence.life && presence.refutes < suspicion.n;
 }
 
 /** Number that the incarnation has to publish in `refutes` to refute all suspicions of it. */
-export function refutation(suspicion: SuspicionRecord | undefined, incarnation: string): number {
+export function requiredRefutation(suspicion: SuspicionRecord | undefined, incarnation: string): number {
   return suspicion?.life === incarnation ? suspicion.n : 0;
 }
 
@@ -55,18 +55,18 @@
  * peer whose connections are refused for a long time refutes every suspicion; the pauses between suspicions grow, so
  * that they cost a bounded number of writes.
  */
-export function suspect(
+export function nextSuspicion(
   recorded: SuspicionRecord | undefined,
   presence: PresenceRecord | undefined,
   evidence: Evidence,
   health: OwnHealth,
   sinceMs: number,
-  limits: Limits,
+  limits: SuspicionLimits,
 ): Pick<SuspicionRecord, "life" | "n"> | null {
-  if (!health.informed || health.late || presence?.refutes === undefined || stands(recorded, presence)) return null;
+  if (!health.upToDate || health.lagging || presence?.refutes === undefined || isUnrefuted(recorded, presence)) return null;
   if ((evidenceAgeMs(evidence) ?? -1) < limits.suspectMs) return null;
   const previous = recorded?.life === presence.life ? recorded.n : 0;
-  const pauseMs = previous === 0 ? 0 : limits.againMs * 2 ** Math.min(previous - 1, MAX_DOUBLINGS);
+  const pauseMs = previous === 0 ? 0 : limits.repeatMs * 2 ** Math.min(previous - 1, MAX_DOUBLINGS);
   return sinceMs < pauseMs ? null : { life: presence.life, n: previous + 1 };
 }
 
@@ -74,7 +74,7 @@
  * Status of a peer whose suspicion this node has seen unrefuted for `unrefutedMs`; null means that there is none.
  * Without evidence of its own, a node never takes a peer for gone because of another node's suspicion.
  */
-export function verdict(unrefutedMs: number | null, evidence: Evidence, health: OwnHealth, limits: Limits): PeerStatus {
+export function peerStatus(unrefutedMs: number | null, evidence: Evidence, health: OwnHealth, limits: SuspicionLimits): PeerStatus {
   if (unrefutedMs === null) return "sound";
-  return unrefutedMs >= limits.verdictMs && evidenceAgeMs(evidence) !== null && health.informed && !health.late ? "gone" : "suspected";
+  return unrefutedMs >= limits.verdictMs && evidenceAgeMs(evidence) !== null && health.upToDate && !health.lagging ? "gone" : "suspected";
 }
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -19,10 +19,10 @@
 const MB = 1e6;
 
 /** Memory in bytes: resident size of the process, V8's heap including garbage, and the limit of that heap. */
-export interface Held {
+export interface MemoryUsage {
   resident: number;
   heap: number;
-  heapMost: number;
+  heapMax: number;
 }
 
 /** Dependencies of the overload monitor. */
@@ -30,7 +30,7 @@
   settings: Settings;
   scope: Scope;
   /** Memory use of this process, in bytes. */
-  memory: () => Held;
+  memory: () => MemoryUsage;
   /** Number of changes that wait for the state service. */
   backlog: () => number;
 }
@@ -39,7 +39,7 @@
  * Measures overload several times per report interval. Other modules check `sheds` before they accept work that can
  * wait; the monitor does not depend on them.
  */
-export class Overload {
+export class OverloadMonitor {
   /** Current overload level. */
   level: Level = 0;
   readonly stats = { shed: 0, worstLevel: 0 as Level, worstLagMs: 0, worstMemory: 0 };
@@ -121,7 +121,7 @@
   private memory(): number {
     const { settings, memory } = this.dependencies;
     if (this.sampleCount++ % SAMPLES_PER_REPORT > 0) return this.measured.memory;
-    const { resident, heap, heapMost: heapMax } = memory();
+    const { resident, heap, heapMax: heapMax } = memory();
     this.heapSamples.push(heapMax > 0 ? heap / heapMax : 0);
     if (this.heapSamples.length > HEAP_SAMPLES) this.heapSamples.shift();
     return Math.max(resident / (settings.platform.deployment.quota.mem_mb * MB), Math.min(...this.heapSamples));
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -1,5 +1,5 @@
 /** Detects that this node is cut off from its workers while other controllers reach theirs. */
-import type { Rentals } from "../ledger/rentals.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Report, WorkerApi } from "@thorntrail/protocol/worker";
 import type { Scope } from "../platform/scope.js";
@@ -61,7 +61,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly partitions: ReadonlyMap<number, Partition>,
-    private readonly rentals: Rentals,
+    private readonly rentals: RentalIndex,
     private readonly workers: WorkerApi,
     private readonly hasStateService: () => boolean,
     /** Receives the report in each reply to a probe. */
@@ -124,7 +124,7 @@
    */
   async canReachMachines(partition?: number): Promise<boolean> {
     const registered = [...this.rentals.all()].filter(
-      (machine) => machine.addr !== null && (partition === undefined || machine.part === partition),
+      (machine) => machine.addr !== null && (partition === undefined || machine.partition === partition),
     );
     const chosen = Array.from(
       { length: Math.min(PROBES_PER_ROUND, registered.length) },
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -1,7 +1,7 @@
 /** Team guarantees: which jobs they cover, and which teams use less or more than theirs over all partitions. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Configuration } from "../configuration/current.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import type { JobRecord } from "../ledger/records.js";
 import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
@@ -79,7 +79,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly configuration: Configuration,
-    private readonly mirror: Mirror,
+    private readonly mirror: StateReplica,
     private readonly needs: JobDependencies,
     private readonly scope: Scope,
   ) {}
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -2,11 +2,11 @@
 import { Subject } from "rxjs";
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { Report, ReportAnswer } from "@thorntrail/protocol/worker";
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import type { JobDependencies } from "../pipelines/needs.js";
-import type { Overload } from "../overload/overload.js";
+import type { OverloadMonitor } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
 import { RunTimeHistory } from "../queue/history.js";
 import type { QueueOrder } from "../queue/order.js";
@@ -63,13 +63,13 @@
   constructor(
     readonly settings: Settings,
     incarnation: string,
-    private readonly mirror: Mirror,
-    rentals: Rentals,
+    private readonly mirror: StateReplica,
+    rentals: RentalIndex,
     needs: JobDependencies,
-    committer: Committer,
+    committer: GroupCommitter,
     private readonly quotaShares: QuotaShares,
     readonly guarantees: Guarantees,
-    overload: Overload,
+    overload: OverloadMonitor,
     readonly scope: Scope,
   ) {
     this.audit = new Audit(scope.clock, scope.log, () => mirror.ageMs(), settings.timing.contactMs);
@@ -111,11 +111,11 @@
   }
 
   get provenAt(): number {
-    return this.mirror.provenAt;
+    return this.mirror.currentAsOf;
   }
 
   proveOwnership(): Promise<void> {
-    return this.mirror.fresh();
+    return this.mirror.refresh();
   }
 
   /**
@@ -125,7 +125,7 @@
    * and return them.
    */
   isSilent(): boolean {
-    return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.provenAt < this.stallEndedAt;
+    return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.currentAsOf < this.stallEndedAt;
   }
 
   /** Logs the begin and end of the time in which this node answers no worker and orders nothing. */
@@ -158,7 +158,7 @@
   onStall(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
       this.stallEndedAt = this.now;
-      void this.mirror.fresh().catch(() => undefined);
+      void this.mirror.refresh().catch(() => undefined);
     }
     for (const partition of this.partitions.values()) {
       partition.takenOverAt += ms;
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -1,8 +1,8 @@
 /** Records machines that have come up. */
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type RentalRecord } from "../ledger/records.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import type { Machine } from "../workers/machine.js";
 import type { LeaderContext } from "./leader-context.js";
 import type { Partition } from "./part.js";
@@ -14,9 +14,9 @@
 
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: Mirror,
-    private readonly rentals: Rentals,
-    private readonly committer: Committer,
+    private readonly mirror: StateReplica,
+    private readonly rentals: RentalIndex,
+    private readonly committer: GroupCommitter,
   ) {}
 
   /** Records all machines of the rental that have come up, in one write. */
@@ -48,7 +48,7 @@
         apply: [{ write: key, v: { ...entry.v, hosts } satisfies RentalRecord }],
       };
     };
-    void this.committer.commit("up", draft, { turn: "soon" }).then((outcome) => {
+    void this.committer.commit("up", draft, { priority: "soon" }).then((outcome) => {
       this.pending.delete(key);
       if (outcome === "shed") return;
       // Records machines that came up during the write.
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -1,7 +1,7 @@
 /** Keeps the set of owned partitions, their machines and their task sets in line with the state service's records. */
-import type { Mirror } from "../ledger/mirror.js";
-import { doneOf, keys, partOf, type JobRecord, type OwnerRecord, type SliceRecord } from "../ledger/records.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import { doneTasks, keys, partitionOf, type JobRecord, type OwnerRecord, type SliceRecord } from "../ledger/records.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import { sleep } from "../platform/clock.js";
 import type { JobDependencies } from "../pipelines/needs.js";
 import { newTaskSet, truncate, type TaskSet } from "../queue/unit.js";
@@ -27,8 +27,8 @@
   constructor(
     private readonly context: LeaderContext,
     private readonly incarnation: string,
-    private readonly mirror: Mirror,
-    private readonly rentals: Rentals,
+    private readonly mirror: StateReplica,
+    private readonly rentals: RentalIndex,
     private readonly needs: JobDependencies,
     private readonly progress: Progress,
     private readonly effects: FindingEffects,
@@ -57,7 +57,7 @@
     }
     if (key.startsWith(keys.owners)) this.reconcileOwner(Number(key.slice(keys.owners.length)));
     else if (key.startsWith(keys.jobs) || key.startsWith(keys.slices)) this.reconcileWork(key);
-    else if (key.startsWith(keys.allotments)) this.context.requestSchedulingCycle();
+    else if (key.startsWith(keys.quotaShares)) this.context.requestSchedulingCycle();
   }
 
   /** Gives up the partition if its record names another owner or term, and starts a takeover if it names this process. */
@@ -91,7 +91,7 @@
       { part: partition.id, term: partition.term, ...seen, readAgoMs: Math.round(this.mirror.ageMs()) },
       "part lost: a worker shows a newer owner's token",
     );
-    void this.mirror.fresh().catch(() => undefined);
+    void this.mirror.refresh().catch(() => undefined);
     return true;
   }
 
@@ -106,7 +106,7 @@
     this.takingOver.add(claim);
     for (;;) {
       try {
-        await this.mirror.fresh();
+        await this.mirror.refresh();
         break;
       } catch {
         await sleep(this.context.scope.clock, this.context.settings.timing.reportMs / 5);
@@ -123,7 +123,7 @@
     const partition = newPartition(id, term, this.context.now);
     this.context.partitions.set(id, partition);
     this.context.stats.takeovers++;
-    for (const { host, part: of } of this.rentals.all()) if (of === id) this.reconcileMachine(host);
+    for (const { host, partition: of } of this.rentals.all()) if (of === id) this.reconcileMachine(host);
     for (const key of this.mirror.openJobs().keys()) this.reconcileWork(key);
     for (const key of this.mirror.rows(keys.slices).keys()) this.reconcileWork(key);
     const readAgoMs = Math.round(this.mirror.ageMs());
@@ -139,7 +139,7 @@
     const entry = this.rentals.get(host);
     for (const partition of this.context.partitions.values()) {
       const machine = partition.machines.get(host);
-      if (entry === undefined || entry.part !== partition.id) {
+      if (entry === undefined || entry.partition !== partition.id) {
         if (machine !== undefined) {
           // The record is removed only after the cloud has confirmed the deletion.
           this.forgetMachine(partition, machine);
@@ -200,7 +200,7 @@
       this.slicesReconciled.add(ref);
       this.reconcileSlices(ref);
     }
-    const partitionId = partOf(entry.v);
+    const partitionId = partitionOf(entry.v);
     const lo = isJob ? 0 : (entry.v as SliceRecord).lo;
     for (const partition of this.context.partitions.values()) {
       const taskSet = partition.taskSets.get(key);
@@ -213,7 +213,7 @@
         if (taskSet.done.full) this.progress.record(partition, taskSet);
       }
       if (taskSet === undefined) {
-        const bits = doneOf(entry.v, entry.v.hi - lo);
+        const bits = doneTasks(entry.v, entry.v.hi - lo);
         const added = newTaskSet(key, job.spec, lo, entry.v.hi, bits, this.needs.eligibleSinceWall(job), this.context.now);
         added.urgency = this.needs.urgency(ref);
         added.migrated = entry.v.moved === true;
@@ -223,7 +223,7 @@
     }
     // A slice changed, perhaps to complete: the owner of the first slice may now record the job as done.
     if (!isJob) {
-      const partition = this.context.partitions.get(partOf(job));
+      const partition = this.context.partitions.get(partitionOf(job));
       const first = partition?.taskSets.get(keys.job(ref));
       if (partition !== undefined && first !== undefined && first.done.full) this.progress.record(partition, first);
     }
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -1,8 +1,8 @@
 /** Decides which partitions this controller claims, and writes the claims to the state service. */
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type OwnerRecord } from "../ledger/records.js";
-import type { Detector } from "../membership/detector.js";
+import type { FailureDetector } from "../membership/detector.js";
 import type { Presence } from "../membership/presence.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
@@ -13,9 +13,9 @@
   settings: Settings;
   incarnation: string;
   presence: Presence;
-  detector: Detector;
-  mirror: Mirror;
-  committer: Committer;
+  detector: FailureDetector;
+  mirror: StateReplica;
+  committer: GroupCommitter;
   scope: Scope;
   /**
    * Called after a successful claim with its reason; `silentMs` is how long the former owner had been
@@ -50,17 +50,17 @@
 
   /** Returns whether the node's presence key exists. */
   alive(node: string): boolean {
-    return this.dependencies.presence.alive(node);
+    return this.dependencies.presence.isPresent(node);
   }
 
   /** Returns whether the node is present and not suspected, so that jobs may migrate to it and requests may be sent to it. */
   isHealthy(node: string): boolean {
-    return this.alive(node) && this.dependencies.detector.standing(node) === "sound";
+    return this.alive(node) && this.dependencies.detector.status(node) === "sound";
   }
 
   /** Returns whether the node can own partitions, as far as this node can tell. */
   private canOwn(node: string): boolean {
-    return this.dependencies.presence.able(node) && this.dependencies.detector.standing(node) !== "gone";
+    return this.dependencies.presence.isEligible(node) && this.dependencies.detector.status(node) !== "gone";
   }
 
   /** Returns the owner record of the partition, if there is one. */
@@ -81,9 +81,9 @@
     const { settings, presence } = this.dependencies;
     const { self } = settings;
     if (!this.hasCurrentView()) return;
-    if (presence.outdated()) void presence.renew();
-    for (const node of settings.nodes) presence.noteSilence(node, (one) => this.partitionsOf(one));
-    const unfit = presence.unfit() || presence.saysUnfit(self);
+    if (presence.isOutdated()) void presence.renew();
+    for (const node of settings.nodes) presence.trackAbsence(node, (one) => this.partitionsOf(one));
+    const unfit = presence.unfit() || presence.reportsUnfit(self);
     settings.nodes.forEach((home, partition) => {
       const entry = this.dependencies.mirror.get<OwnerRecord>(keys.owner(partition));
       const record = entry?.v;
@@ -93,11 +93,11 @@
         home,
         record,
         canOwn: (node) => this.canOwn(node),
-        alive: (node) => presence.alive(node),
-        reportsUnfit: (node) => presence.saysUnfit(node),
+        alive: (node) => presence.isPresent(node),
+        reportsUnfit: (node) => presence.reportsUnfit(node),
         successor: () => this.successor(partition),
         ownerOverdue: record !== undefined && (presence.missingMs(record.owner) ?? 0) > settings.timing.presenceMs,
-        presenceSettled: presence.settled(),
+        presenceSettled: presence.isSettled(),
         termEnded: entry !== undefined && this.dependencies.termEnded(partition, entry.stamp),
         unfit,
       });
@@ -122,7 +122,7 @@
     if (
       reached &&
       this.hasCurrentView() &&
-      this.dependencies.presence.able(this.dependencies.settings.self) &&
+      this.dependencies.presence.isEligible(this.dependencies.settings.self) &&
       !this.dependencies.presence.unfit()
     )
       this.claim(partition, "home again");
@@ -133,7 +133,7 @@
     return (
       this.dependencies.mirror.loaded &&
       this.dependencies.mirror.ageMs() <= this.dependencies.settings.timing.presenceMs / 2 &&
-      this.dependencies.presence.own()
+      this.dependencies.presence.ownVisible()
     );
   }
 
@@ -154,7 +154,7 @@
       if (current?.stamp !== recorded?.stamp) return null;
       const owner = recorded?.v.owner;
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
-      const alive = owner === undefined ? null : { key: keys.alive(owner), stamp: this.dependencies.mirror.stamp(keys.alive(owner)) };
+      const alive = owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.mirror.stamp(keys.presenceOf(owner)) };
       const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, alive, reason);
       // The claim fails unless this node knows the newest configuration.
       conditions.push({ k: keys.configuration, stamp: this.dependencies.mirror.stamp(keys.configuration) });
@@ -166,7 +166,7 @@
     // A transaction of its own: the stamp becomes the term, and two partitions claimed in one transaction would share
     // a term, with attempt numbers and tokens that cannot be told apart.
     void this.dependencies.committer
-      .commit("claim", draft, { turn: "now", alone: true, shedAfterMs: this.dependencies.settings.timing.presenceMs })
+      .commit("claim", draft, { priority: "now", exclusive: true, shedAfterMs: this.dependencies.settings.timing.presenceMs })
       .then((outcome) => {
         this.claiming.delete(partition);
         if (outcome !== "done") return;
--- a/src/parts/part.ts
+++ b/src/parts/part.ts
@@ -1,6 +1,6 @@
 /** The in-memory state of an owned partition: its machines, task sets, attempts and resource usage. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { AllotmentRecord } from "../ledger/records.js";
+import type { QuotaShareRecord } from "../ledger/records.js";
 import type { FenceProof, Machine, Usage } from "../workers/machine.js";
 import { AttemptRegistry } from "../queue/attempts.js";
 import { removeWaiting, type Placement, type TaskSet } from "../queue/unit.js";
@@ -104,7 +104,7 @@
 }
 
 /** Returns the partition's share of a team's quota: nothing without a record, infinite where the team has no limit. */
-export function quotaShareOf(record: AllotmentRecord | undefined, partition: number): Usage {
+export function quotaShareOf(record: QuotaShareRecord | undefined, partition: number): Usage {
   if (record === undefined) return { cpus: 0, gpus: 0 };
   return { cpus: record.cpus[partition] ?? Infinity, gpus: record.gpus[partition] ?? Infinity };
 }
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -1,7 +1,7 @@
 /** Records finished tasks durably in the state service. */
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
-import { doneOf, fitting, isDone, keys, partOf, settled, type JobRecord, type SliceRecord } from "../ledger/records.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import { doneTasks, fitToLimit, isDone, keys, partitionOf, withPartitionAssigned, type JobRecord, type SliceRecord } from "../ledger/records.js";
 import type { TaskSet } from "../queue/unit.js";
 import { parseTaskId } from "../queue/unit.js";
 import type { LeaderContext } from "./leader-context.js";
@@ -11,8 +11,8 @@
 export class Progress {
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: Mirror,
-    private readonly committer: Committer,
+    private readonly mirror: StateReplica,
+    private readonly committer: GroupCommitter,
   ) {}
 
   /**
@@ -48,18 +48,18 @@
     const draft = () => {
       const entry = this.mirror.get<JobRecord | SliceRecord>(taskSet.key);
       const job = this.mirror.get<JobRecord>(keys.job(ref));
-      if (entry === undefined || job === undefined || job.v.end !== undefined || partOf(entry.v) !== partition.id) return null;
+      if (entry === undefined || job === undefined || job.v.end !== undefined || partitionOf(entry.v) !== partition.id) return null;
       if (this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
-      const bits = doneOf(entry.v, taskSet.hi - taskSet.lo);
+      const bits = doneTasks(entry.v, taskSet.hi - taskSet.lo);
       const recordedCount = bits.count;
       bits.merge(taskSet.done);
       const complete = isJob && bits.full && this.allSlicesDone(ref);
       if (bits.count === recordedCount && !complete) return null;
       writtenCount = taskSet.done.count;
-      const { packed: _packed, ...plain } = settled(entry.v);
+      const { packed: _packed, ...plain } = withPartitionAssigned(entry.v);
       const value = { ...plain, done: bits.encode() };
       if (complete) Object.assign(value, { end: "done", endedAt: this.context.scope.clock.wall() } satisfies Partial<JobRecord>);
-      const v = fitting(value, taskSet.hi - taskSet.lo, this.context.settings.state.valueKb);
+      const v = fitToLimit(value, taskSet.hi - taskSet.lo, this.context.settings.state.valueKb);
       if (v === null) return null;
       return {
         conditions: [
@@ -69,7 +69,7 @@
         apply: [{ write: taskSet.key, v }],
       };
     };
-    void this.committer.commit("done", draft, { turn: taskSet.done.full ? "soon" : "later" }).then((outcome) => {
+    void this.committer.commit("done", draft, { priority: taskSet.done.full ? "soon" : "later" }).then((outcome) => {
       taskSet.endWritePending = false;
       if (outcome === "done") {
         this.context.scope.log.debug(
@@ -88,7 +88,7 @@
     if (spec.hi >= spec.spec.tasks) return true;
     let covered = spec.hi;
     for (const [, { v: slice }] of this.mirror.slicesOf(ref)) {
-      if (!doneOf(slice, slice.hi - slice.lo).full) return false;
+      if (!doneTasks(slice, slice.hi - slice.lo).full) return false;
       covered += slice.hi - slice.lo;
     }
     return covered >= spec.spec.tasks;
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -1,9 +1,9 @@
 /** The partitions' shares of the team limits: their records, adjustments and transfers. */
 import type { Configuration } from "../configuration/current.js";
-import { adjusted, startsAllowed, type Limit } from "../configuration/quota-shares.js";
-import type { Committer } from "../ledger/committer.js";
-import type { Mirror } from "../ledger/mirror.js";
-import { keys, type AllotmentRecord } from "../ledger/records.js";
+import { adjustedShares, startsAllowed, type Limit } from "../configuration/quota-shares.js";
+import type { GroupCommitter } from "../ledger/committer.js";
+import type { StateReplica } from "../ledger/mirror.js";
+import { keys, type QuotaShareRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "./part.js";
@@ -51,8 +51,8 @@
     private readonly configuration: Configuration,
     /** The partitions that this node owns. */
     private readonly partitions: () => ReadonlyMap<number, Partition>,
-    private readonly mirror: Mirror,
-    private readonly committer: Committer,
+    private readonly mirror: StateReplica,
+    private readonly committer: GroupCommitter,
     private readonly scope: Scope,
   ) {}
 
@@ -68,7 +68,7 @@
     );
     this.scope.listen(this.mirror.changes$, (key) => {
       if (key.startsWith(keys.owners) || key.startsWith(keys.configurationRoot)) this.reviewSoon();
-      else if (this.configuration.version > 0 && key.startsWith(keys.allotments)) this.reviewSoon();
+      else if (this.configuration.version > 0 && key.startsWith(keys.quotaShares)) this.reviewSoon();
     });
   }
 
@@ -96,10 +96,10 @@
   private createMissing(): void {
     const n = this.settings.nodes.length;
     for (const team of this.configuration.teams) {
-      const key = keys.allotment(team.name);
+      const key = keys.quotaShare(team.name);
       if (this.mirror.get(key) !== undefined || this.creating.has(key)) continue;
       if (this.reviewCount <= OWNER_ONLY_REVIEWS && !this.partitions().has(responsiblePartition(team.name, n))) continue;
-      const value: AllotmentRecord = { cpus: splitLimit(team.cpus_max, n), gpus: splitLimit(team.gpus_max, n) };
+      const value: QuotaShareRecord = { cpus: splitLimit(team.cpus_max, n), gpus: splitLimit(team.gpus_max, n) };
       this.creating.add(key);
       const draft = () =>
         this.mirror.get(key) !== undefined ? null : { conditions: [{ k: key, stamp: 0 }], apply: [{ write: key, v: value }] };
@@ -115,14 +115,14 @@
 
   /** Returns how much of the team's limit the partition may use, without what is being transferred away. */
   grantedShare(partition: number, team: string): Usage {
-    const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
+    const record = this.mirror.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const share = this.startableShare(quotaShareOf(record, partition), record, team);
     const pending = this.transferring.get(`${partition}|${team}`);
     return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
   }
 
   /** Returns the share in which tasks may start: nothing while the shares still sum to more than a lowered limit. */
-  private startableShare(share: Usage, record: AllotmentRecord | undefined, team: string): Usage {
+  private startableShare(share: Usage, record: QuotaShareRecord | undefined, team: string): Usage {
     const limits = this.configuration.version === 0 ? undefined : this.configuration.team(team);
     if (limits === undefined || record === undefined) return share;
     return {
@@ -133,7 +133,7 @@
 
   /** Adjusts the shares of the owned partitions to the limits of the newest configuration. */
   private adjustAll(): void {
-    for (const { name } of this.configuration.changed())
+    for (const { name } of this.configuration.teamRecords())
       for (const partition of this.partitions().values()) if (partition.phase === "serving") this.adjust(partition, name);
   }
 
@@ -142,7 +142,7 @@
     if (this.adjusting.has(label) || this.transferring.has(label) || this.nextShares(partition, team) === null) return;
     this.adjusting.add(label);
     const { term } = partition;
-    const key = keys.allotment(team);
+    const key = keys.quotaShare(team);
     const draft = () => {
       if (this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
       const next = this.nextShares(partition, team);
@@ -163,14 +163,14 @@
   }
 
   /** Returns the team's record as this partition's owner would write it next; null if nothing changes. */
-  private nextShares(partition: Partition, team: string): AllotmentRecord | null {
-    const record = this.mirror.get<AllotmentRecord>(keys.allotment(team))?.v;
+  private nextShares(partition: Partition, team: string): QuotaShareRecord | null {
+    const record = this.mirror.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const limits = this.configuration.team(team);
     if (record === undefined || limits === undefined) return null;
     const used = usageOfTeam(partition, team);
     const raises = responsiblePartition(team, this.settings.nodes.length) === partition.id;
-    const next = (name: "cpus" | "gpus"): AllotmentRecord["cpus"] | null => {
-      const shares = adjusted(record[name], limitOf(limits[`${name}_max`]), { partition: partition.id, used: used[name], raises });
+    const next = (name: "cpus" | "gpus"): QuotaShareRecord["cpus"] | null => {
+      const shares = adjustedShares(record[name], limitOf(limits[`${name}_max`]), { partition: partition.id, used: used[name], raises });
       return shares === null ? null : [...shares];
     };
     const [cpus, gpus] = [next("cpus"), next("gpus")];
@@ -187,12 +187,12 @@
       gpus: Math.min(finite(want.gpus), finite(surplus.gpus)),
     };
     if (transferred.cpus <= 0 && transferred.gpus <= 0) return;
-    const key = keys.allotment(team);
+    const key = keys.quotaShare(team);
     this.transferring.set(label, transferred);
     const term = partition.term;
     const expectedStamp = this.mirror.stamp(key);
     const draft = () => {
-      const entry = this.mirror.get<AllotmentRecord>(key);
+      const entry = this.mirror.get<QuotaShareRecord>(key);
       if (entry === undefined || entry.stamp !== expectedStamp || this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
       const move = (list: (number | null)[], amount: number): (number | null)[] =>
         list.map((x, i) => (x === null ? null : i === partition.id ? x - amount : i === to ? x + amount : x));
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -1,9 +1,9 @@
 /** Handles workers' reports, replies to direct commands and replies to probes. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Order, ReportAnswer, Report, ReportedTask } from "@thorntrail/protocol/worker";
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type JobRecord, type OwnerRecord } from "../ledger/records.js";
-import type { Rentals } from "../ledger/rentals.js";
+import type { RentalIndex } from "../ledger/rentals.js";
 import { BoundedLog } from "../platform/bounded-log.js";
 import { Bits } from "../platform/bits.js";
 import { newTaskSet, type TaskSet } from "../queue/unit.js";
@@ -28,8 +28,8 @@
 
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: Mirror,
-    private readonly rentals: Rentals,
+    private readonly mirror: StateReplica,
+    private readonly rentals: RentalIndex,
     private readonly progress: Progress,
     private readonly machineStartup: MachineStartup,
     private readonly effects: FindingEffects,
@@ -47,11 +47,11 @@
       this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from an unregistered machine");
       return { kind: "elsewhere", boss: null };
     }
-    const partition = this.context.partitions.get(record.part);
-    if (partition === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null };
+    const partition = this.context.partitions.get(record.partition);
+    if (partition === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null };
     if (report.token > partition.term) {
       this.handleNewerToken(partition, report, "report");
-      const owner = this.mirror.get<OwnerRecord>(keys.owner(record.part))?.v.owner ?? null;
+      const owner = this.mirror.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null;
       return { kind: "elsewhere", boss: owner === this.context.settings.self ? null : owner };
     }
     const machine = partition.machines.get(report.host);
@@ -94,7 +94,7 @@
 
   /** Handles a worker's reply to a probe. Only the token in it is used. */
   onProbeReply(report: Report): void {
-    const partition = this.context.partitions.get(this.rentals.get(report.host)?.part ?? -1);
+    const partition = this.context.partitions.get(this.rentals.get(report.host)?.partition ?? -1);
     if (partition !== undefined && report.token > partition.term) this.handleNewerToken(partition, report, "probe");
   }
 
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -1,5 +1,5 @@
 /** Runs the scheduling cycles of the owned partitions: placement, then preemption. */
-import type { Overload } from "../overload/overload.js";
+import type { OverloadMonitor } from "../overload/overload.js";
 import { queueOrder, type QueueOrder } from "../queue/order.js";
 import { runSchedulingCycle } from "../queue/pass.js";
 import { choosePreemptions, PREEMPT_AFTER_PHI } from "../queue/preempt.js";
@@ -38,7 +38,7 @@
     private readonly context: LeaderContext,
     private readonly quotaShares: QuotaShares,
     private readonly guarantees: Guarantees,
-    private readonly overload: Overload,
+    private readonly overload: OverloadMonitor,
     private readonly classShares: ClassShares,
   ) {}
 
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -79,7 +79,7 @@
       if (this.outgoing.get(node) === socket) this.outgoing.delete(node);
       const nextFailures = connected ? 0 : failures + 1;
       if (!connected && this.connectedBefore.has(node) && !this.unreachable.has(node)) this.unreachable.set(node, this.scope.clock.now());
-      this.scope.clock.after(this.calls.pauseMs(nextFailures), () => this.connectTo(node, addr, nextFailures));
+      this.scope.clock.after(this.calls.nextPauseMs(nextFailures), () => this.connectTo(node, addr, nextFailures));
     });
   }
 
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -16,14 +16,14 @@
   utilization: number;
 }
 /** Asks the owner of a partition to bid for a job. */
-export interface Query {
+export interface BidRequest {
   id: number;
   part: number;
   job: string;
   from: string;
 }
 /** Bid of a partition: expected wait and run time in ms, its utilization, and how many tasks can run at once. */
-export interface Answer {
+export interface BidResponse {
   id: number;
   part: number;
   waitMs: number;
@@ -32,7 +32,7 @@
   atOnce: number;
 }
 /** A partition asks for a larger quota share of a team. */
-export interface Want {
+export interface QuotaRequest {
   part: number;
   team: string;
   cpus: number;
@@ -70,9 +70,9 @@
 export type Message =
   | { Hello: Hello }
   | { Volunteer: Volunteer }
-  | { Query: Query }
-  | { Answer: Answer }
-  | { Want: Want }
+  | { Query: BidRequest }
+  | { Answer: BidResponse }
+  | { Want: QuotaRequest }
   | { Health: Health }
   | { Sought: OfferingSought }
   | { Relay: RelayRequest }
--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -1,6 +1,6 @@
 import type { Urgency } from "@thorntrail/protocol/jobs";
 import { Subject } from "rxjs";
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type JobRecord, type NeedListRecord } from "../ledger/records.js";
 import { rank } from "../queue/order.js";
 
@@ -34,7 +34,7 @@
   readonly urgencyChanged$ = new Subject<string>();
   private readonly nodes = new Map<string, JobNode>();
 
-  constructor(private readonly mirror: Mirror) {
+  constructor(private readonly mirror: StateReplica) {
     mirror.changes$.subscribe((key) => {
       if (key.startsWith(keys.jobs)) this.applyRecord(key);
       else if (key.startsWith(keys.needLists)) this.applyRecord(keys.job(mirror.get<NeedListRecord>(key)?.v.ref ?? ""));
--- a/src/rehearsal/moments.ts
+++ b/src/rehearsal/moments.ts
@@ -10,7 +10,7 @@
   if (what === FENCING_STARTED) return Number(detail["machines"]) > 0 ? "fencing" : null;
   if (what !== "txn") return null;
   const operations = detail["apply"] as { write?: string; v?: { end?: unknown; spec?: { needs?: unknown } } }[];
-  const isQuotaKey = (key: string | undefined): boolean => key?.startsWith(keys.allotments) === true;
+  const isQuotaKey = (key: string | undefined): boolean => key?.startsWith(keys.quotaShares) === true;
   // The initial split of a limit is not a transfer, so transactions with several quota records are left out.
   if (operations.some(({ write }) => isQuotaKey(write)) && operations.every(({ write }) => isQuotaKey(write)) && operations.length === 1)
     return "cession";
--- a/src/rehearsal/spawn.ts
+++ b/src/rehearsal/spawn.ts
@@ -3,7 +3,7 @@
 import { Calls } from "../calls/calls.js";
 import { callPolicies } from "../calls/policy.js";
 import { Controller } from "../controller.js";
-import type { Held } from "../overload/overload.js";
+import type { MemoryUsage } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import { Invariants } from "../platform/invariants.js";
 import type { Log } from "../platform/log.js";
@@ -17,7 +17,7 @@
 /** Starts a controller with the clock, the services and the peers of a rehearsal. */
 export function spawnController(
   environment: Spawned,
-  memory?: () => Held,
+  memory?: () => MemoryUsage,
   adjust: (settings: Settings) => Settings = (settings) => settings,
 ) {
   const settings = adjust(derive(checkPlatform("rehearsal", environment.platform), checkOperators("rehearsal", {})));
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -7,7 +7,7 @@
 import { Controller } from "./controller.js";
 import { HttpCloud } from "./fleet/cloud-client.js";
 import { answerWithoutExpress, INTERNAL_FAULT, send, type UserApiDependencies } from "./intake/server.js";
-import { HttpState } from "./ledger/state-client.js";
+import { HttpStateClient } from "./ledger/state-client.js";
 import { PeerLinks } from "./peers/links.js";
 import { systemClock } from "./platform/clock.js";
 import { maxConcurrentCommands, Doors } from "./platform/doors.js";
@@ -44,14 +44,14 @@
   const controller = new Controller(
     settings,
     {
-      state: new HttpState(endpoints.state, calls.of("state.read").policy.limitMs),
+      state: new HttpStateClient(endpoints.state, calls.of("state.read").policy.limitMs),
       cloud: new HttpCloud(endpoints.cloud, calls.of("cloud.read").policy.limitMs),
       workers: new HttpWorkerClient(calls.of("worker.order").policy.limitMs, maxConcurrentCommands(deployment.quota.sockets), settings.self),
       peers,
       calls,
       memory: () => {
         const { used_heap_size: heap, heap_size_limit: heapMost } = getHeapStatistics();
-        return { resident: process.memoryUsage.rss(), heap, heapMost };
+        return { resident: process.memoryUsage.rss(), heap, heapMax: heapMost };
       },
     },
     scope,
--- a/src/served/shares.ts
+++ b/src/served/shares.ts
@@ -1,4 +1,4 @@
-import type { Mirror } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type JobRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import { rank } from "../queue/order.js";
@@ -52,7 +52,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly mirror: Mirror,
+    private readonly mirror: StateReplica,
     private readonly scope: Scope,
   ) {}
 
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -1,5 +1,5 @@
 import type { Controller } from "../controller.js";
-import { keys, type AllotmentRecord } from "../ledger/records.js";
+import { keys, type QuotaShareRecord } from "../ledger/records.js";
 import { LEVELS } from "../overload/levels.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
 
@@ -26,7 +26,7 @@
   const partitions = settings.nodes.map((_, id) => {
     const partition = leader.partitions.get(id);
     const owner = ownership.owner(id);
-    const recorded = machines.filter((machine) => machine.part === id);
+    const recorded = machines.filter((machine) => machine.partition === id);
     const base = {
       part: id,
       owner: owner?.owner ?? null,
@@ -47,7 +47,7 @@
     };
   });
   const quotaShares = configuration.teams.map(({ name }) => {
-    const record = replica.get<AllotmentRecord>(keys.allotment(name))?.v;
+    const record = replica.get<QuotaShareRecord>(keys.quotaShare(name))?.v;
     return { team: name, cpus: record?.cpus ?? [], gpus: record?.gpus ?? [] };
   });
   return {
@@ -55,7 +55,7 @@
     ready: controller.unready() ?? "yes",
     stateAgeMs: Number.isFinite(replica.ageMs()) ? Math.round(replica.ageMs()) : null,
     silent: presence.silentNodes(),
-    doubt: { ...detector.stats, ...Object.fromEntries(settings.nodes.map((node) => [node, detector.standing(node)])) },
+    doubt: { ...detector.stats, ...Object.fromEntries(settings.nodes.map((node) => [node, detector.status(node)])) },
     cutOffFromWorkers: fitness.unfit,
     overload: { level: LEVELS[overload.level], ...overload.measured, ...overload.stats },
     served: leader.account.view(),
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -4,7 +4,7 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
-import { workersThrough } from "../calls/through.js";
+import { workersWithPolicy } from "../calls/through.js";
 import type { Scope } from "../platform/scope.js";
 import { taskId } from "../queue/unit.js";
 import { attemptKey, type Machine } from "./machine.js";
@@ -56,7 +56,7 @@
     const recordFailure = (why: string): void => {
       failed = true;
       machine.lastCommandError = why;
-      machine.nextCommandAt = this.scope.clock.now() + caller.pauseMs(++machine.failedCommands);
+      machine.nextCommandAt = this.scope.clock.now() + caller.nextPauseMs(++machine.failedCommands);
     };
     const session = Math.max(1, machine.session);
     const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
@@ -74,7 +74,7 @@
     };
     let retryNow = false;
     try {
-      const reply = await workersThrough(this.workers, caller).command(machine.addr, partition.term, session, orders);
+      const reply = await workersWithPolicy(this.workers, caller).command(machine.addr, partition.term, session, orders);
       resolveStarts(reply.executed ? "answered" : "none");
       retryNow = fencing && !reply.executed && reply.report.session !== session;
       // The worker refused because it has a higher token or another session. An immediate
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -8,8 +8,8 @@
 import { test } from "node:test";
 import { backoffMs, RetryBudget } from "../src/calls/pauses.js";
 import { callPolicies } from "../src/calls/policy.js";
-import { stateThrough } from "../src/calls/through.js";
-import { Mirror } from "../src/ledger/mirror.js";
+import { stateWithPolicies } from "../src/calls/through.js";
+import { StateReplica } from "../src/ledger/mirror.js";
 import { callsFor, TIMING } from "./world/calls.js";
 
 const policies = callPolicies({ timing: TIMING, writeRps: 25 });
@@ -61,9 +61,9 @@
     void (async () => {
       for (;;) {
         asked.push({ operation, at: clock.now() });
-        const done = await caller.ask(() => (down ? refuse() : Promise.resolve(true))).catch(() => false);
+        const done = await caller.call(() => (down ? refuse() : Promise.resolve(true))).catch(() => false);
         if (done) return;
-        await caller.rest();
+        await caller.backOff();
       }
     })();
   }
@@ -91,13 +91,13 @@
   void (async () => {
     for (;;) {
       tries++;
-      await txn.ask(refuse).catch(() => undefined);
-      await txn.rest();
+      await txn.call(refuse).catch(() => undefined);
+      await txn.backOff();
     }
   })();
   void (async () => {
     for (;;) {
-      await calls.of("state.read").ask(() => Promise.resolve(1));
+      await calls.of("state.read").call(() => Promise.resolve(1));
       await new Promise<void>((resolve) => clock.after(10, resolve));
     }
   })();
@@ -112,16 +112,16 @@
   const txn = calls.of("state.txn");
   for (const error of [new OverRate(), new TooLarge("400")]) {
     await assert.rejects(
-      txn.ask(() => Promise.reject(error)),
+      txn.call(() => Promise.reject(error)),
       (seen) => seen === error,
     );
   }
   let rested = -1;
   void calls
     .of("state.lease")
-    .rest(30)
+    .backOff(30)
     .then(() => (rested = clock.now()));
-  void calls.of("state.read").ask(() => Promise.resolve(1));
+  void calls.of("state.read").call(() => Promise.resolve(1));
   await clock.run(20_000);
   assert.ok(rested >= policies["state.lease"].maxMs / 2);
   assert.equal(txn.stats.refused, 1);
@@ -142,9 +142,9 @@
   const read = callsFor(clock).of("state.read");
   const given: number[] = [];
   const act = (limitMs: number): Promise<void> => Promise.resolve(void given.push(limitMs));
-  await read.ask(act);
-  await read.ask(act, clock.now() + 300);
-  await assert.rejects(read.ask(act, clock.now()), (error: unknown) => error instanceof NoReply && error.kind === "refused");
+  await read.call(act);
+  await read.call(act, clock.now() + 300);
+  await assert.rejects(read.call(act, clock.now()), (error: unknown) => error instanceof NoReply && error.kind === "refused");
   assert.deepEqual(given, [policies["state.read"].limitMs, 300]);
   assert.equal(read.stats.expired, 1);
 });
@@ -154,25 +154,25 @@
   const service = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = service.client("n", (fn) => fn());
   const calls = callsFor(clock);
-  const callClient = stateThrough(client, calls, clock);
-  const replica = new Mirror(callClient, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, calls.of("state.read"));
-  void replica.fresh();
+  const callClient = stateWithPolicies(client, calls, clock);
+  const replica = new StateReplica(callClient, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, calls.of("state.read"));
+  void replica.refresh();
   await clock.run(100);
   // One answer is lost: without a deadline the read would last until the policy's limit.
   service.links.add({ from: "n", to: "state", what: "follow", effect: { kind: "drop" }, count: 1 });
-  const failed = assert.rejects(replica.fresh(clock.now() + 400));
+  const failed = assert.rejects(replica.refresh(clock.now() + 400));
   await clock.run(150);
   let seen = -1;
-  void replica.fresh(clock.now() + 1500).then(() => (seen = clock.now()));
+  void replica.refresh(clock.now() + 1500).then(() => (seen = clock.now()));
   await clock.run(3000);
   await failed;
   assert.ok(seen > 0 && seen < 600, `${seen}`);
   // A refresh queued behind a slow read: its deadline has passed before it starts, so no request is sent.
   const asked = calls.of("state.read").stats.asked;
   service.links.add({ from: "n", to: "state", what: "follow", effect: { kind: "drop" }, count: 1 });
-  const slow = assert.rejects(replica.fresh(clock.now() + 1000));
+  const slow = assert.rejects(replica.refresh(clock.now() + 1000));
   await clock.run(clock.now() + 10);
-  const expired = assert.rejects(replica.fresh(clock.now() + 200));
+  const expired = assert.rejects(replica.refresh(clock.now() + 200));
   await clock.run(clock.now() + 3000);
   await Promise.all([slow, expired]);
   assert.equal(calls.of("state.read").stats.asked, asked + 1);
--- a/test/committer.test.ts
+++ b/test/committer.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Committer } from "../src/ledger/committer.js";
+import { GroupCommitter } from "../src/ledger/committer.js";
 import { Links } from "@thorntrail/emulator/links";
-import { Mirror } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/mirror.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { Scope } from "../src/platform/scope.js";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
-import { stateThrough } from "../src/calls/through.js";
+import { stateWithPolicies } from "../src/calls/through.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
 const quiet = { error: () => undefined, warn: () => undefined, info: () => undefined, debug: () => undefined, isLevelEnabled: () => false };
@@ -21,13 +21,13 @@
   const client = service.client("n", (fn) => fn());
   const rate = new Rate(clock, 100);
   const calls = callsFor(clock);
-  const callClient = stateThrough(client, calls, clock);
-  const replica = new Mirror(callClient, clock, rate, { readGapMs: 10, blockMs: 500 }, calls.of("state.read"));
+  const callClient = stateWithPolicies(client, calls, clock);
+  const replica = new StateReplica(callClient, clock, rate, { readGapMs: 10, blockMs: 500 }, calls.of("state.read"));
   const scope = new Scope(clock, quiet);
   replica.start(scope);
   await clock.run(100);
   const writes = new Rate(clock, 5, 16);
-  const committer = new Committer(callClient, replica, clock, rate, writes, calls.of("state.txn"), { txnOps: 16, laneMs: 100 }, quiet);
+  const committer = new GroupCommitter(callClient, replica, clock, rate, writes, calls.of("state.txn"), { txnOps: 16, slowAfterMs: 100 }, quiet);
   const write =
     (key: string, v: unknown = {}) =>
     () =>
@@ -38,12 +38,12 @@
 test("users' writes do not wait behind the backlog of an outage", async () => {
   const { clock, service, write, committer, scope } = await createEnvironment();
   service.outage = true;
-  for (let i = 0; i < 60; i++) void committer.commit("done", write(`t/x/${i}`), { turn: "soon" });
+  for (let i = 0; i < 60; i++) void committer.commit("done", write(`t/x/${i}`), { priority: "soon" });
   await clock.run(10_000);
   service.endOutage();
   let tookMs = -1;
   const from = clock.now();
-  void committer.commit("submit", write("t/x/user"), { turn: "now" }).then(() => (tookMs = clock.now() - from));
+  void committer.commit("submit", write("t/x/user"), { priority: "now" }).then(() => (tookMs = clock.now() - from));
   await clock.run(from + 2000);
   assert.ok(tookMs >= 0 && tookMs < 600, `took ${tookMs} ms`);
   // No write starves: the rest is written at the available rate.
@@ -58,7 +58,7 @@
   const from = clock.now();
   const finished = new Map<string, number>();
   const commit = (key: string): void =>
-    void committer.commit("submit", write(key), { turn: "now" }).then((outcome) => finished.set(`${key} ${outcome}`, clock.now() - from));
+    void committer.commit("submit", write(key), { priority: "now" }).then((outcome) => finished.set(`${key} ${outcome}`, clock.now() - from));
   commit("t/x/slow");
   await clock.run(from + 5);
   latency.ms = 2;
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { parseChange } from "../src/configuration/change-file.js";
-import { isInForce, standingsOf, type InForceEvidence } from "../src/configuration/in-force.js";
+import { isInForce, partitionStatuses, type InForceEvidence } from "../src/configuration/in-force.js";
 import { ChangeRefused, ConfigurationStore, HISTORY_VERSIONS } from "../src/configuration/store.js";
 import { changeErrors, unrunnableJob, mergeTeams } from "../src/configuration/teams.js";
 import { keys, type PresenceRecord } from "../src/ledger/records.js";
@@ -61,7 +61,7 @@
       elapsedMs,
       silentAfterMs: 22_000,
     };
-    return standingsOf(evidence)[0]!.standing;
+    return partitionStatuses(evidence)[0]!.standing;
   };
   assert.equal(statusFor({ life: "l1", acts: { version: 3, term: 40 } }), "in force");
   assert.equal(statusFor({ life: "l1", acts: { version: 2, term: 40 } }), "behind");
@@ -72,7 +72,7 @@
   assert.equal(statusFor(undefined, 22_000), "in force");
   assert.ok(
     isInForce(
-      standingsOf({ version: 3, partitions: 2, owner: () => undefined, presence: () => undefined, elapsedMs: 0, silentAfterMs: 1 }),
+      partitionStatuses({ version: 3, partitions: 2, owner: () => undefined, presence: () => undefined, elapsedMs: 0, silentAfterMs: 1 }),
     ),
   );
 });
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -5,7 +5,7 @@
 import { seeded } from "@thorntrail/emulator/luck";
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Condition, Op, StateApi } from "@thorntrail/protocol/state";
-import { keys, type AllotmentRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
+import { keys, type QuotaShareRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
 import { momentOf } from "../src/rehearsal/moments.js";
 import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
 
@@ -82,7 +82,7 @@
 /** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
 function assertConsistentRecords({ mirror, settings }: Rehearsed): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
-    const { cpus } = mirror.get<AllotmentRecord>(keys.allotment(name))!.v;
+    const { cpus } = mirror.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
     const sum = cpus.reduce<number>((all, one) => all + (one ?? 0), 0);
     assert.equal(sum, cpus_max, `the quota shares of ${name} add up to its limit`);
     assert.ok(cpus.every((one) => one === null || one >= 0));
--- a/test/mirror.test.ts
+++ b/test/mirror.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { Mirror } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/mirror.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
@@ -11,14 +11,14 @@
   const clock = new VirtualClock();
   const service = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = service.client("n", (fn) => fn());
-  const replica = new Mirror(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
-  void replica.fresh();
+  const replica = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+  void replica.refresh();
   await clock.run(100);
   for (let i = 1; i <= 3; i++) {
     void client.txn([], [{ write: "t/j/x", v: i }]);
     await clock.run(i * 100 + 50);
     let seen: unknown;
-    void replica.fresh().then(() => (seen = replica.get("t/j/x")?.v));
+    void replica.refresh().then(() => (seen = replica.get("t/j/x")?.v));
     await clock.run(i * 100 + 99);
     assert.equal(seen, i);
   }
@@ -35,7 +35,7 @@
   });
   fc.assert(
     fc.property(fc.array(change, { maxLength: 40 }), (changes) => {
-      const replica = new Mirror(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+      const replica = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
       for (const { key, stamp, what } of changes) {
         if (what === "remove") replica.drop(key, stamp);
         else replica.put(key, what === "open" ? { ref: "a" } : { ref: "a", end: what }, stamp);
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -24,7 +24,7 @@
     return spawnController(asked, () => ({
       resident: (memory.get(name) ?? 0.3) * quota * MB,
       heap: heap.get(name) ?? 0,
-      heapMost: 1,
+      heapMax: 1,
     }));
   });
   for (const name of world.nodes.keys()) world.startNode(name);
@@ -129,9 +129,9 @@
   assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   let reads = 0;
   const { mirror } = controllerOf(world, "nest-0");
-  const fresh = mirror.fresh.bind(mirror);
+  const fresh = mirror.refresh.bind(mirror);
   const runs = new Set<Promise<void>>();
-  mirror.fresh = (deadline) => {
+  mirror.refresh = (deadline) => {
     const run = fresh(deadline);
     if (!runs.has(run)) reads++;
     runs.add(run);
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
-import type { Committer, Draft, Outcome } from "../src/ledger/committer.js";
-import type { Mirror } from "../src/ledger/mirror.js";
+import type { GroupCommitter, Draft, CommitOutcome } from "../src/ledger/committer.js";
+import type { StateReplica } from "../src/ledger/mirror.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import type { LeaderContext } from "../src/parts/leader-context.js";
 import { Progress } from "../src/parts/progress.js";
@@ -10,7 +10,7 @@
 import { partOf, queueUp, specOf } from "./world/parts.js";
 
 /** A partition with one job of one task that is done, and a group committer that returns the given outcomes. */
-function finished(outcomes: Outcome[]) {
+function finished(outcomes: CommitOutcome[]) {
   const { part: partition } = partOf(1, { cpus: 4, gpus: 0, ram: 64 });
   const taskSet = queueUp(partition, specOf({ tasks: 1 }));
   markFinished(taskSet, 0);
@@ -20,14 +20,14 @@
     get: (key: string) => (key === taskSet.key || key === keys.job(taskSet.spec.ref) ? { v: record, stamp: 7 } : undefined),
     stamp: (key: string) => (key === keys.owner(partition.id) ? partition.term : 0),
     slicesOf: () => [],
-  } as unknown as Mirror;
+  } as unknown as StateReplica;
   const drafts: (Draft | null)[] = [];
   const committer = {
-    commit: (_label: string, draft: () => Draft | null): Promise<Outcome> => {
+    commit: (_label: string, draft: () => Draft | null): Promise<CommitOutcome> => {
       drafts.push(draft());
       return Promise.resolve(outcomes.shift() ?? "done");
     },
-  } as unknown as Committer;
+  } as unknown as GroupCommitter;
   const leaderContext = {
     partitions: new Map([[partition.id, partition]]),
     settings: { timing: { leaseMs: 18_000 }, state: { valueKb: 32 } },
--- a/test/quota-model.test.ts
+++ b/test/quota-model.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { adjusted, startsAllowed, sumOf } from "../src/configuration/quota-shares.js";
+import { adjustedShares, startsAllowed, totalShares } from "../src/configuration/quota-shares.js";
 import { exploreQuota, type Wrong } from "./world/quota-model.js";
 
 const MAX_STATES = 400_000;
@@ -37,7 +37,7 @@
         const settle = (): void => {
           for (let round = 0; round < 4; round++)
             shares.forEach((_, partition) => {
-              const next = adjusted(shares, limit, { partition, used: used[partition]!, raises: partition === 0 });
+              const next = adjustedShares(shares, limit, { partition, used: used[partition]!, raises: partition === 0 });
               if (next !== null) shares = [...next];
               if (limit !== null) for (const [i, one] of used.entries()) assert.ok((shares[i] ?? Infinity) >= one);
             });
@@ -45,10 +45,10 @@
         settle();
         if (limit === null) return assert.ok(shares.every((one) => one === null));
         const runs = used.reduce((a, b) => a + b, 0);
-        assert.ok(Math.abs(sumOf(shares) - Math.max(limit, runs)) < 1e-6, JSON.stringify([shares, used, limit]));
+        assert.ok(Math.abs(totalShares(shares) - Math.max(limit, runs)) < 1e-6, JSON.stringify([shares, used, limit]));
         used.fill(0);
         settle();
-        assert.ok(startsAllowed(shares, limit) && Math.abs(sumOf(shares) - limit) < 1e-6);
+        assert.ok(startsAllowed(shares, limit) && Math.abs(totalShares(shares) - limit) < 1e-6);
       },
     ),
   );
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -2,16 +2,16 @@
 import { test } from "node:test";
 import { Bits } from "../src/platform/bits.js";
 import {
-  doneOf,
-  fitting,
+  doneTasks,
+  fitToLimit,
   isDone,
-  partOf,
+  partitionOf,
   recordBytes,
   rentalRecords,
-  settled,
+  withPartitionAssigned,
   sliceCapacity,
-  specRoom,
-  waitingFor,
+  maxSpecBytes,
+  waitingAssignment,
 } from "../src/ledger/records.js";
 import { specOf } from "./world/parts.js";
 
@@ -43,19 +43,19 @@
     const all = new Bits(hi);
     for (let i = 0; i < hi; i++) all.set(i);
     const spec = specOf({ image: "" });
-    spec.image = "x".repeat(specRoom(valueKb) - recordBytes(spec));
-    const record = { ...waitingFor(4), spec, hi, done: all.encode(), at: 1_700_000_000_000.123, moved: true };
+    spec.image = "x".repeat(maxSpecBytes(valueKb) - recordBytes(spec));
+    const record = { ...waitingAssignment(4), spec, hi, done: all.encode(), at: 1_700_000_000_000.123, moved: true };
     const last = { ...record, end: "done", endedAt: 1_700_000_000_000.123, needLists: { name: "0123456789abcdef", count: 99 } };
     assert.ok(recordBytes(last) <= valueKb * 1024, `${recordBytes(last)} of ${valueKb} KB`);
   }
 });
 
 test("a waiting job belongs to no partition for versions without support for needs", () => {
-  const record = { ...waitingFor(2), hi: 1 };
+  const record = { ...waitingAssignment(2), hi: 1 };
   assert.equal(record.part, -1);
-  assert.equal(partOf(record), 2);
-  assert.deepEqual(settled(record), { part: 2, hi: 1 });
-  assert.deepEqual(settled({ part: 1, hi: 1 }), { part: 1, hi: 1 });
+  assert.equal(partitionOf(record), 2);
+  assert.deepEqual(withPartitionAssigned(record), { part: 2, hi: 1 });
+  assert.deepEqual(withPartitionAssigned({ part: 1, hi: 1 }), { part: 1, hi: 1 });
 });
 
 test("the progress of an array recorded under larger limits is packed, and an earlier version sees none of it as done", () => {
@@ -64,17 +64,17 @@
   for (let i = 0; i < 17_000; i++) bits.set(i);
   for (let i = 17_001; i < 19_000; i += 3) bits.set(i);
   const record = { part: 0, spec: specOf({ tasks: size }), hi: size, at: 1, done: bits.encode() };
-  assert.equal(fitting(record, size, 32), record);
-  const packed = fitting(record, size, 2)!;
+  assert.equal(fitToLimit(record, size, 32), record);
+  const packed = fitToLimit(record, size, 2)!;
   assert.ok(recordBytes(packed) <= 2048 && packed.done === "");
-  assert.equal(doneOf(packed, size).encode(), record.done);
+  assert.equal(doneTasks(packed, size).encode(), record.done);
   for (const task of [0, 16_999, 17_000, 17_001, 17_002, 17_004, 18_999, 19_001])
     assert.equal(isDone(packed, task), bits.has(task), String(task));
   // Tasks that an earlier version adds to the plain bit map count as well; tasks beyond a shortened slice do not.
   const more = new Bits(size);
   more.set(24_000);
-  assert.equal(doneOf({ ...packed, done: more.encode() }, size).count, bits.count + 1);
-  assert.equal(doneOf(packed, 100).count, 100);
+  assert.equal(doneTasks({ ...packed, done: more.encode() }, size).count, bits.count + 1);
+  assert.equal(doneTasks(packed, 100).count, 100);
 });
 
 test("progress that does not fit even when packed is not recorded before the end of the job", () => {
@@ -82,9 +82,9 @@
   const bits = new Bits(size);
   for (let i = 0; i < size; i += 2) bits.set(i);
   const record = { part: 0, spec: specOf({ tasks: size }), hi: size, at: 1, done: bits.encode() };
-  assert.equal(fitting(record, size, 2), null);
-  assert.deepEqual(fitting({ ...record, end: "done" }, size, 2), { ...record, end: "done", done: "" });
+  assert.equal(fitToLimit(record, size, 2), null);
+  assert.deepEqual(fitToLimit({ ...record, end: "done" }, size, 2), { ...record, end: "done", done: "" });
   const all = new Bits(size);
   for (let i = 0; i < size; i++) all.set(i);
-  assert.ok(doneOf(fitting({ ...record, done: all.encode() }, size, 2)!, size).full);
+  assert.ok(doneTasks(fitToLimit({ ...record, done: all.encode() }, size, 2)!, size).full);
 });
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -9,7 +9,7 @@
 import { keys, type OwnerRecord } from "../src/ledger/records.js";
 import type { Jobs } from "../src/intake/jobs.js";
 import { Relay } from "../src/intake/relay.js";
-import { endsBefore, restMs, shown } from "../src/membership/returns.js";
+import { precedingEarlyExits, restartBackoffMs, presenceRecord } from "../src/membership/returns.js";
 import type { Message } from "../src/peers/messages.js";
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
@@ -167,19 +167,19 @@
 });
 
 test("consecutive incarnations that end early are counted; one that lives longer resets the count", () => {
-  assert.equal(endsBefore(undefined), 0);
-  assert.equal(endsBefore({ life: "a" }), 0, "record of a long-lived incarnation, or of a version that does not count");
-  let record = shown("l0", false, 0, true);
+  assert.equal(precedingEarlyExits(undefined), 0);
+  assert.equal(precedingEarlyExits({ life: "a" }), 0, "record of a long-lived incarnation, or of a version that does not count");
+  let record = presenceRecord("l0", false, 0, true);
   for (let n = 1; n <= 5; n++) {
-    assert.equal(endsBefore(record), n);
-    record = shown(`l${n}`, false, endsBefore(record), true);
+    assert.equal(precedingEarlyExits(record), n);
+    record = presenceRecord(`l${n}`, false, precedingEarlyExits(record), true);
   }
-  assert.equal(endsBefore(shown("l5", false, 5, false)), 0);
+  assert.equal(precedingEarlyExits(presenceRecord("l5", false, 5, false)), 0);
   fc.assert(
     fc.property(fc.nat(100), fc.integer({ min: 1, max: 60_000 }), (ends, leaseMs) => {
-      assert.ok(restMs(ends, leaseMs) <= restMs(ends + 1, leaseMs));
-      assert.ok(restMs(ends, leaseMs) <= leaseMs * 2);
-      assert.equal(restMs(ends, leaseMs) > 0, ends > 2);
+      assert.ok(restartBackoffMs(ends, leaseMs) <= restartBackoffMs(ends + 1, leaseMs));
+      assert.ok(restartBackoffMs(ends, leaseMs) <= leaseMs * 2);
+      assert.equal(restartBackoffMs(ends, leaseMs) > 0, ends > 2);
     }),
     { seed: 1 },
   );
@@ -243,7 +243,7 @@
   for (let at = 5000; at < 45_000; at += 400) {
     void presence.renew();
     await world.clock.run(at);
-    for (const node of world.nodes.values()) assert.ok(node.controller!.presence.alive("nest-0"), `gone at ${at} ms`);
+    for (const node of world.nodes.values()) assert.ok(node.controller!.presence.isPresent("nest-0"), `gone at ${at} ms`);
   }
   assert.equal(world.lines.filter((line) => line === "part taken").length, 3);
   for (const name of world.nodes.keys()) world.killNode(name);
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { doneOf, keys, partOf, settled, type JobRecord } from "../src/ledger/records.js";
+import { doneTasks, keys, partitionOf, withPartitionAssigned, type JobRecord } from "../src/ledger/records.js";
 import { encodeFrame, FrameReader, PROTOCOL_VERSION, type Message } from "../src/peers/messages.js";
 import { JobDependencies } from "../src/pipelines/needs.js";
 import { mirrorByHand } from "./world/mirror.js";
@@ -32,9 +32,9 @@
   replica.put(keys.job("run-000001"), old, 1);
   const later: JobRecord = { spec: specOf({ ref: "run-000002", needs: ["run-000001"] }), part: -1, home: 1, hi: 1, done: "", at: 50 };
   replica.put(keys.job("run-000002"), later, 2);
-  assert.equal(partOf(old), 2);
-  assert.equal(doneOf(old, 9).count, 8);
-  assert.deepEqual(settled(old), old);
+  assert.equal(partitionOf(old), 2);
+  assert.equal(doneTasks(old, 9).count, 8);
+  assert.deepEqual(withPartitionAssigned(old), old);
   assert.ok(needs.isBlocked("run-000002"));
   // 0.3.0 writes the end without its time, and keeps members it does not support when it writes a record back.
   replica.put(keys.job("run-000001"), { ...old, end: "done" }, 3);
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -1,6 +1,6 @@
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { plainPlan, World, type Plan } from "@thorntrail/emulator/entry";
-import { isInForce, standingsOf, type PartitionStanding } from "../../src/configuration/in-force.js";
+import { isInForce, partitionStatuses, type PartitionVersionStatus } from "../../src/configuration/in-force.js";
 import { ConfigurationStore } from "../../src/configuration/store.js";
 import type { TeamChange } from "../../src/configuration/teams.js";
 import { keys } from "../../src/ledger/records.js";
@@ -54,15 +54,15 @@
   }
 
   /** As the operator reads it, which takes until the state service answers. */
-  async standings(version: number, elapsedMs: number): Promise<PartitionStanding[]> {
-    let seen: PartitionStanding[] | null = null;
+  async standings(version: number, elapsedMs: number): Promise<PartitionVersionStatus[]> {
+    let seen: PartitionVersionStatus[] | null = null;
     const read = async (): Promise<void> => {
       const [owners, presence] = [await this.store.owners(), await this.store.presence()];
-      seen = standingsOf({
+      seen = partitionStatuses({
         version,
         partitions: this.world.nodes.size,
         owner: (partition) => owners.get(keys.owner(partition)),
-        presence: (node) => presence.get(keys.alive(node))?.v,
+        presence: (node) => presence.get(keys.presenceOf(node))?.v,
         elapsedMs,
         silentAfterMs: SILENT_AFTER_MS,
       });
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -1,5 +1,5 @@
 import type { OwnerRecord, PresenceRecord, SuspicionRecord } from "../../src/ledger/records.js";
-import { refutation, stands, suspect, verdict, type Evidence, type Limits, type OwnHealth } from "../../src/membership/suspicion.js";
+import { requiredRefutation, isUnrefuted, nextSuspicion, peerStatus, type Evidence, type SuspicionLimits, type OwnHealth } from "../../src/membership/suspicion.js";
 import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/parts/claims.js";
 
 /**
@@ -56,8 +56,8 @@
   gullible?: boolean;
 }
 
-const LIMITS: Limits = { suspectMs: 1, verdictMs: 1, againMs: 0 };
-const WELL: OwnHealth = { informed: true, late: false };
+const LIMITS: SuspicionLimits = { suspectMs: 1, verdictMs: 1, repeatMs: 0 };
+const WELL: OwnHealth = { upToDate: true, lagging: false };
 const MOST_DOUBTS = 2;
 
 /** All of it is plain data. */
@@ -78,7 +78,7 @@
   else if (write.what === "doubt") store.doubt[write.of] = { v: write.v, stamp };
   else {
     const former = store.owner?.v.owner as Node | undefined;
-    if (sent.reason === "owner suspected" && former !== undefined && !stands(store.doubt[former]?.v, store.alive[former]?.v))
+    if (sent.reason === "owner suspected" && former !== undefined && !isUnrefuted(store.doubt[former]?.v, store.alive[former]?.v))
       faults.push("a part is taken from one that has answered");
     store.owner = { v: write.v, stamp, by: sent.by };
   }
@@ -91,9 +91,9 @@
 function standing(state: State, observer: Node, node: Node, variant: Variant): "sound" | "suspected" | "gone" {
   const seen = state.seen[observer];
   const [doubt, shown] = [seen.doubt[node]?.v, seen.alive[node]?.v];
-  const stood = variant.deaf === true ? doubt !== undefined && doubt.life === shown?.life : stands(doubt, shown);
+  const stood = variant.deaf === true ? doubt !== undefined && doubt.life === shown?.life : isUnrefuted(doubt, shown);
   const evidence = variant.gullible === true ? { unlinkedMs: 2, statelessMs: null } : evidenceOf(state, node);
-  return verdict(stood ? 2 : null, evidence, WELL, LIMITS);
+  return peerStatus(stood ? 2 : null, evidence, WELL, LIMITS);
 }
 
 /** All that may happen next. */
@@ -152,7 +152,7 @@
     const seen = state.seen[node];
     if (JSON.stringify(seen) !== JSON.stringify(state.store)) step((to) => (to.seen[node] = clone(to.store)));
     const shown = seen.alive[node];
-    const refutes = refutation(seen.doubt[node]?.v, life);
+    const refutes = requiredRefutation(seen.doubt[node]?.v, life);
     if (shown?.v.life !== life || (shown.v.refutes ?? 0) < refutes)
       step((to) =>
         send(to, {
@@ -168,7 +168,7 @@
     for (const other of NODES) {
       if (other === node || state.left.doubts === 0) continue;
       const known = seen.doubt[other];
-      const word = suspect(known?.v, seen.alive[other]?.v, evidenceOf(state, other), WELL, Infinity, LIMITS);
+      const word = nextSuspicion(known?.v, seen.alive[other]?.v, evidenceOf(state, other), WELL, Infinity, LIMITS);
       if (word === null || word.n > MOST_DOUBTS) continue;
       step((to) => {
         to.left.doubts--;
--- a/test/world/mirror.ts
+++ b/test/world/mirror.ts
@@ -1,13 +1,13 @@
 import { callsFor } from "./calls.js";
-import { Mirror } from "../../src/ledger/mirror.js";
+import { StateReplica } from "../../src/ledger/mirror.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
 /** A mirror that nothing keeps up: tests put into it what it should hold. */
-export function mirrorByHand(): Mirror {
+export function mirrorByHand(): StateReplica {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 2, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = state.client("n", (fn) => fn());
-  return new Mirror(client, clock, new Rate(clock, 100), { readGapMs: 10, blockMs: 500 }, callsFor(clock).of("state.read"));
+  return new StateReplica(client, clock, new Rate(clock, 100), { readGapMs: 10, blockMs: 500 }, callsFor(clock).of("state.read"));
 }
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -1,4 +1,4 @@
-import { adjusted, startsAllowed, sumOf, type Shares } from "../../src/configuration/quota-shares.js";
+import { adjustedShares, startsAllowed, totalShares, type Shares } from "../../src/configuration/quota-shares.js";
 
 /**
  * A team's limit that changes while its tasks run, over two partitions, by the very functions that decide it: every
@@ -64,7 +64,7 @@
     }
     const counted = wrong.ignoresUse === true ? 0 : used;
     const written =
-      state.known[i] === state.version ? adjusted(state.shares, limit, { partition: i, used: counted, raises: i === 0 }) : null;
+      state.known[i] === state.version ? adjustedShares(state.shares, limit, { partition: i, used: counted, raises: i === 0 }) : null;
     if (written !== null) addWrite(state, written, null, add);
     const spare = wrong.cedesUsed === true ? share : startsAllowed(state.shares, limit) ? share - used : 0;
     if (spare > 0 && ceding === 0) addWrite(state, replaced(replaced(state.shares, i, share - 1), 1 - i, state.shares[1 - i]! + 1), i, add);
@@ -105,7 +105,7 @@
     const key = JSON.stringify([{ ...state, stamp: 0, late: state.late === null ? null : { ...state.late, stamp: current } }]);
     if (seen.has(key)) continue;
     seen.add(key);
-    sums = Math.max(sums, sumOf(state.shares));
+    sums = Math.max(sums, totalShares(state.shares));
     for (const { next, fault } of successors(state, wrong)) {
       if (fault !== null) faults.add(fault);
       else open.push(next);
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -6,8 +6,8 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
-import type { Mirror } from "../../src/ledger/mirror.js";
-import type { Rentals } from "../../src/ledger/rentals.js";
+import type { StateReplica } from "../../src/ledger/mirror.js";
+import type { RentalIndex } from "../../src/ledger/rentals.js";
 import { Audit } from "../../src/parts/audit.js";
 import type { MachineStartup } from "../../src/parts/machine-startup.js";
 import { FindingEffects } from "../../src/parts/finding-effects.js";
@@ -96,8 +96,8 @@
       isRecordedDone: (piece: string) => done.has(piece),
     } as unknown as Progress;
     const recovery = { checkCompletion: ignore, recordFenced: ignore, recordTaskStart: ignore } as unknown as Recovery;
-    const mirror = { loaded: true, get: () => undefined, fresh: () => Promise.resolve() } as unknown as Mirror;
-    const rentals = { get: () => ({ part: 0 }) } as unknown as Rentals;
+    const mirror = { loaded: true, get: () => undefined, refresh: () => Promise.resolve() } as unknown as StateReplica;
+    const rentals = { get: () => ({ partition: 0 }) } as unknown as RentalIndex;
     const effects = new FindingEffects(context, progress, recovery);
     this.watch = new LeaseWatch(context, progress, effects, recovery);
     this.reports = new ReportHandler(
