--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -4,7 +4,7 @@
 import { OverRate } from "../packages/protocol/src/state.js";
 import { Calls } from "../src/calls/calls.js";
 import { callPolicies, type Operation } from "../src/calls/policy.js";
-import { luckOf } from "../src/platform/luck.js";
+import { seededRandom } from "../src/platform/luck.js";
 import { TIMING } from "../test/world/calls.js";
 import { median, options, progress, report, Times } from "./harness.js";
 
@@ -34,7 +34,7 @@
 
 async function play(seed: number, kind: "policy" | "fixed"): Promise<Outcome> {
   const clock = new VirtualClock();
-  const luck = luckOf(seed);
+  const luck = seededRandom(seed);
   const served = new Rate(clock, SERVICE_RPS);
   const downAt = 2000 + luck() * 1000;
   const upAt = downAt + OUTAGE_MS;
@@ -48,7 +48,7 @@
     return served.take() ? Promise.resolve() : Promise.reject(new OverRate());
   };
   for (let c = 0; c < CONTROLLERS; c++) {
-    const calls = new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), luckOf(seed * 100 + c));
+    const calls = new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), seededRandom(seed * 100 + c));
     for (const [operation, duties, fixedMs] of DUTIES)
       for (let d = 0; d < duties; d++) {
         const caller = calls.of(operation);
--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -3,7 +3,7 @@
 import { BOUNDS } from "../packages/graphs/src/admission.js";
 import { GraphMachine } from "../packages/graphs/src/machine.js";
 import type { Out, TaskAsked } from "../packages/graphs/src/model.js";
-import { luckOf } from "../src/platform/luck.js";
+import { seededRandom } from "../src/platform/luck.js";
 import { median, options, progress, report, Times } from "./harness.js";
 
 /**
@@ -257,7 +257,7 @@
   const ratios: number[] = [];
   const plains: number[] = [];
   for (let i = 0; i < given.repeats; i++) {
-    const luck = luckOf(given.seed + i);
+    const luck = seededRandom(given.seed + i);
     const jobs = shape((ms) => ms * (0.8 + 0.4 * luck()));
     const least = bound(jobs);
     ratios.push(makespan(jobs) / least);
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -10,7 +10,7 @@
 import { RentalIndex } from "../src/ledger/rentals.js";
 import { addTaskSet, newPartition } from "../src/parts/part.js";
 import { systemClock } from "../src/platform/clock.js";
-import { Costs } from "../src/platform/costs.js";
+import { CpuAccounting } from "../src/platform/costs.js";
 import { Scope } from "../src/platform/scope.js";
 import { openLog } from "../src/platform/log.js";
 import { Bits } from "../src/platform/bits.js";
@@ -74,7 +74,7 @@
 }
 
 async function connections(count: number): Promise<number> {
-  const scope = new Scope(systemClock, openLog("measure"), new Costs());
+  const scope = new Scope(systemClock, openLog("measure"), new CpuAccounting());
   const server = createNetServer({ noDelay: true, allowHalfOpen: true });
   const door = { onReport: () => ({ kind: "silent" }) as const, countResponse: () => undefined, onInvalidReport: () => undefined, costs: scope.costs };
   new ReportFastPath({ endpoint: door, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(server);
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -1,5 +1,5 @@
 import { playVirtual, Spread, loadPlan } from "../../packages/emulator/src/entry.js";
-import { momentOf } from "../../src/rehearsal/moments.js";
+import { injectionPointOf } from "../../src/rehearsal/moments.js";
 import { spawnController } from "../../src/rehearsal/spawn.js";
 import type { Point } from "./line.js";
 import { slopeOf, type Slope } from "./slope.js";
@@ -25,7 +25,7 @@
     };
     const spreads = { fenced: new Spread(), back: new Spread() };
     for (const seed of SEEDS) {
-      const { recoveries } = await playVirtual({ plan, seed, spawn: spawnController, momentOf });
+      const { recoveries } = await playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
       for (const span of recoveries) {
         if (span.fenced !== null) spreads.fenced.add(span.fenced);
         if (span.back !== null) spreads.back.add(span.back);
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -1,7 +1,7 @@
 import { encodeJob } from "../packages/protocol/src/jobs.js";
 import { plainPlan, World, type Spawned } from "../packages/emulator/src/entry.js";
 import { Spread } from "../packages/emulator/src/report.js";
-import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
 import { specOf } from "../test/world/parts.js";
 import { options, progress, report } from "./harness.js";
 
@@ -18,9 +18,9 @@
 const TASKS = "run-000001";
 const ROOMY = "run-000002";
 
-function place(seed: number): World<Rehearsed> {
+function place(seed: number): World<RehearsedController> {
   const type = { gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] };
-  return new World<Rehearsed>(
+  return new World<RehearsedController>(
     {
       ...plainPlan(),
       seed,
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -291,7 +291,7 @@
    * another node is better: in an outage of the state service all nodes are equal, and being
    * marked unhealthy would delay users after the outage ends.
    */
-  unready(): string | null {
+  unreadyReason(): string | null {
     if (!this.mirror.loaded) return "starting";
     if (this.leader.types.length === 0) return "machine types are not known yet";
     if (this.stateReachable()) return null;
--- a/src/exchange/answers.ts
+++ b/src/exchange/answers.ts
@@ -42,7 +42,7 @@
     candidate.urgency = this.dependencies.needs.urgency(query.job);
     const atOnce = new Map<string, number>();
     const context = estimateContext(this.dependencies);
-    const waits = this.dependencies.scope.costs.spend("estimate", () =>
+    const waits = this.dependencies.scope.costs.charge("estimate", () =>
       estimateWaits(partition, context, [candidate], (taskSet) => taskSet === candidate, atOnce),
     );
     const waitMs = waits.get(candidate.key) ?? Infinity;
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -11,7 +11,7 @@
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
 import { sortTaskSets } from "../queue/order.js";
 import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/unit.js";
-import { aimS } from "../settings/derived.js";
+import { objectiveS } from "../settings/derived.js";
 
 /** Bid request that has been sent and not decided. */
 interface PendingBidRequest {
@@ -71,7 +71,7 @@
     scope.routine(
       "exchange",
       () => settings.timing.reportMs / 5,
-      () => scope.costs.spend("exchange", () => this.requestBidsForWaitingJobs()),
+      () => scope.costs.charge("exchange", () => this.requestBidsForWaitingJobs()),
     );
   }
 
@@ -97,7 +97,7 @@
     // Other partitions would repeat the failures before they consider the job faulty.
     if (failsRepeatedly(taskSet)) return false;
     // A job that is late already would take capacity from jobs that can still start in time.
-    if (this.dependencies.scope.clock.wall() - taskSet.submittedWall > aimS(this.dependencies.settings.platform, "wait", klass) * 1000)
+    if (this.dependencies.scope.clock.wall() - taskSet.submittedWall > objectiveS(this.dependencies.settings.platform, "wait", klass) * 1000)
       return false;
     return (
       kind === "array" &&
@@ -127,7 +127,7 @@
       if (candidates.length === 0) continue;
       const candidateSet = new Set(candidates);
       const context = estimateContext(this.dependencies);
-      const waits = this.dependencies.scope.costs.spend("estimate", () =>
+      const waits = this.dependencies.scope.costs.charge("estimate", () =>
         estimateWaits(partition, context, [], (taskSet) => candidateSet.has(taskSet)),
       );
       for (const taskSet of candidates) {
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -33,7 +33,7 @@
 
 /** Numbers of machines rented and returned, of refused rentals, and of unregistered machines deleted. */
 export interface FleetStats {
-  hired: number;
+  rented: number;
   returned: number;
   refused: number;
   unregistered: number;
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -7,7 +7,7 @@
 
 /** Rents, returns and reconciles machines, and keeps the list of machine types up to date. */
 export class Fleet {
-  readonly stats: FleetStats = { hired: 0, returned: 0, refused: 0, unregistered: 0 };
+  readonly stats: FleetStats = { rented: 0, returned: 0, refused: 0, unregistered: 0 };
   private readonly deps: FleetDependencies;
   private readonly availability: OfferingAvailability;
   private readonly renter: Renter;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -16,14 +16,14 @@
   order: QueueOrder;
   types: MachineType[];
   /** False for an offering that the cloud refused recently. */
-  open: (offer: Offer) => boolean;
-  allotment: (team: string) => Usage;
+  isAvailable: (offer: Offer) => boolean;
+  quotaShare: (team: string) => Usage;
   /** Time in ms after its arrival in which nothing is rented for a job that may still migrate to another partition. */
-  weighMs: number;
+  migrationGraceMs: number;
   /** Capacity that becomes free within this time in ms counts as free: a machine rented now would not be up sooner. */
-  soonMs: number;
+  freeSoonMs: number;
   /** Expected remaining run time of a task in ms. */
-  leftMs: (placement: Placement) => number;
+  remainingMs: (placement: Placement) => number;
 }
 
 /** Returns the key of a machine offering: type, zone, and spot or on-demand. */
@@ -40,7 +40,7 @@
 
 /** Machines to rent for a partition's queue, and machines that must be kept for it. */
 export interface RentalPlan {
-  wanted: Map<string, { offer: Offer; count: number }>;
+  toRent: Map<string, { offer: Offer; count: number }>;
   /** Machines, idle or booting, on which waiting tasks will be placed. */
   needed: Set<string>;
 }
@@ -50,7 +50,7 @@
  * machines; the rest is placed on hypothetical machines of the offering that is cheapest per
  * task, and later tasks use the capacity that is left on those.
  */
-export function planHires(partition: Partition, context: PlanContext): RentalPlan {
+export function planRentals(partition: Partition, context: PlanContext): RentalPlan {
   const toRent = new Map<string, { offer: Offer; count: number }>();
   const needed = new Set<string>();
   const { now } = context;
@@ -58,7 +58,7 @@
   const usable = new Set(candidateMachines.map((slot) => slot.machine));
   for (const { machine, free } of candidateMachines) {
     for (const placement of machine.placements.values())
-      if (context.leftMs(placement) <= context.soonMs) addCapacity(free, placement.taskSet.spec, 1);
+      if (context.remainingMs(placement) <= context.freeSoonMs) addCapacity(free, placement.taskSet.spec, 1);
   }
   for (const machine of partition.machines.values()) {
     const booting = !machine.deleting && !machine.draining && !machine.lost && machine.noticeAt === null && !usable.has(machine);
@@ -74,7 +74,7 @@
   for (const taskSet of queue) {
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const quotaShare = context.allotment(spec.team);
+    const quotaShare = context.quotaShare(spec.team);
     let left = Math.min(
       taskSet.waiting.length,
       context.order.maxStarts(taskSet),
@@ -85,7 +85,7 @@
     // No machines are rented for a job that fails on every machine.
     if (failsRepeatedly(taskSet)) continue;
     // A machine rented while the job still bids for other partitions might come up after the job has migrated.
-    if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.weighMs) continue;
+    if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs) continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
     // A smaller shape already found neither free capacity nor an offering.
     if (unschedulable.has(spec)) continue;
@@ -129,7 +129,7 @@
       }
     }
   }
-  return { wanted: toRent, needed };
+  return { toRent: toRent, needed };
 }
 
 /** Failures per waiting task after which a machine no longer counts as capacity for a job. */
@@ -193,7 +193,7 @@
     for (const zone of type.zones) {
       for (const spot of taskSet.spec.spot ? [true, false] : [false]) {
         const offer = { type: type.name, zone, spot };
-        if (!isAllowed(task, offer) || !context.open(offer) || !accepts(offer)) continue;
+        if (!isAllowed(task, offer) || !context.isAvailable(offer) || !accepts(offer)) continue;
         const cost = (spot ? type.spotPrice : type.price) / holds;
         if (best === null || cost < best.cost) best = { type, offer, tasksPerMachine: holds, cost };
       }
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -4,7 +4,7 @@
 import type { Partition } from "../parts/part.js";
 import { ownsPartition, waitForRate, type FleetDependencies } from "./dependencies.js";
 import type { OfferingAvailability } from "./offering-availability.js";
-import { MAX_RENTAL_COUNT, planHires, type RentalPlan } from "./plan.js";
+import { MAX_RENTAL_COUNT, planRentals, type RentalPlan } from "./plan.js";
 
 /** Number of completed rentals remembered: many times what can be requested from the cloud while a late copy of a record is in transit. */
 const MAX_COMPLETED_RENTALS = 1000;
@@ -49,7 +49,7 @@
       // Each machine adds reports, and reports are never shed because they renew leases.
       if (this.deps.overload.sheds("growth")) continue;
       const plan = this.plan(partition);
-      for (const { offer, count } of plan.wanted.values()) {
+      for (const { offer, count } of plan.toRent.values()) {
         const freeMachines = this.deps.settings.maxMachines - this.deps.rentals.count(partition.id);
         if (freeMachines > 0) await this.beginRental(partition, offer, Math.min(count, freeMachines));
       }
@@ -61,25 +61,25 @@
     const now = this.deps.scope.clock.now();
     const last = this.plans.get(partition);
     if (last !== undefined && now - last.at < this.deps.settings.timing.reportMs / 6) return last.plan;
-    const plan = this.deps.scope.costs.spend("planning", () => this.makePlan(partition, now));
+    const plan = this.deps.scope.costs.charge("planning", () => this.makePlan(partition, now));
     this.plans.set(partition, { at: now, plan });
     return plan;
   }
 
   private makePlan(partition: Partition, now: number): RentalPlan {
-    return planHires(partition, {
+    return planRentals(partition, {
       now,
       silentMs: this.deps.settings.timing.silentMs,
       order: this.deps.leader.queueOrder(),
       types: this.deps.leader.types,
-      open: (offer) => this.availability.isAvailable(offer),
-      allotment: (team) => this.deps.quotaShares.grantedShare(partition.id, team),
-      soonMs: this.freeSoonMs(),
-      leftMs: ({ taskSet: unit, runningAt }) => {
+      isAvailable: (offer) => this.availability.isAvailable(offer),
+      quotaShare: (team) => this.deps.quotaShares.grantedShare(partition.id, team),
+      freeSoonMs: this.freeSoonMs(),
+      remainingMs: ({ taskSet: unit, runningAt }) => {
         const { history } = this.deps.leader;
         return 1000 * history.remainingRunS(unit.spec, runningAt === null ? 0 : (now - runningAt) / 1000);
       },
-      weighMs:
+      migrationGraceMs:
         this.deps.settings.operators.exchange.mode === "off"
           ? 0
           : this.deps.settings.operators.exchange.answer_limit * BID_WAIT_ANSWER_LIMITS * 1000,
@@ -142,7 +142,7 @@
       else this.availability.recordGrant(offer);
       await this.recordRental(partition, name, rental, hosts ?? []);
       if (hosts !== null) {
-        this.deps.stats.hired += hosts.length;
+        this.deps.stats.rented += hosts.length;
         this.deps.scope.log.info({ part: partition.id, hire: name, ...offer, asked: rental.count, got: hosts.length }, "machines rented");
       } else this.deps.scope.log.info({ part: partition.id, ...offer, asked: rental.count }, "no capacity");
     } catch (error) {
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -1,5 +1,5 @@
 import { loadPlan, playReal, BRISK } from "@thorntrail/emulator/entry";
-import { momentOf } from "../rehearsal/moments.js";
+import { injectionPointOf } from "../rehearsal/moments.js";
 
 /** Time in seconds at which the leader is restarted and a machine is lost. */
 const FAULTS_AT_S = 4;
@@ -19,7 +19,7 @@
   plan: { ...plan, seconds: DURATION_S, fault },
   timing: BRISK,
   seed: 1,
-  momentOf,
+  momentOf: injectionPointOf,
   progress: () => undefined,
   patienceMs: 1000,
   stop: AbortSignal.timeout(30_000),
--- a/src/ledger/committer.ts
+++ b/src/ledger/committer.ts
@@ -4,7 +4,7 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Rate } from "@thorntrail/protocol/rate";
 import { OverRate, TooLarge, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
-import { Costs } from "../platform/costs.js";
+import { CpuAccounting } from "../platform/costs.js";
 import type { Log } from "../platform/log.js";
 import type { StateReplica } from "./mirror.js";
 
@@ -85,7 +85,7 @@
     /** Maximum number of changes in one transaction, and the time in flight (ms) after which a transaction no longer holds back the next one. */
     private readonly limits: { txnOps: number; slowAfterMs: number },
     private readonly log: Log,
-    private readonly costs = new Costs(),
+    private readonly costs = new CpuAccounting(),
   ) {}
 
   /** Writes that are queued or in flight. */
@@ -142,7 +142,7 @@
     // Takes only as many changes as the write rate allows now: waiting until the whole backlog
     // fits would delay the most urgent change as well.
     const maxOps = Math.min(this.limits.txnOps, Math.floor(this.writes.available()));
-    const batch = this.costs.spend("transaction", () => this.assembleBatch(maxOps));
+    const batch = this.costs.charge("transaction", () => this.assembleBatch(maxOps));
     if (batch === null) return this.queue.length > 0 ? this.pause(this.limits.slowAfterMs) : undefined;
     const reserved = Math.min(...batch.pendingWrites.map((pendingWrite) => this.reservedWrites(pendingWrite)));
     const waitMs = Math.max(this.requests.waitMs(1), this.writes.waitMs(batch.apply.length + reserved));
--- a/src/ledger/mirror.ts
+++ b/src/ledger/mirror.ts
@@ -1,7 +1,7 @@
 import { Subject } from "rxjs";
 import type { Clock } from "../platform/clock.js";
 import { sleep } from "../platform/clock.js";
-import { Costs } from "../platform/costs.js";
+import { CpuAccounting } from "../platform/costs.js";
 import type { Rate } from "@thorntrail/protocol/rate";
 import type { StateApi, StateEvent } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
@@ -51,7 +51,7 @@
     private readonly pace: { readGapMs: number; blockMs: number },
     /** Backoff after a failed read. */
     private readonly calls: Caller,
-    private readonly costs = new Costs(),
+    private readonly costs = new CpuAccounting(),
   ) {}
 
   /** Starts the routine that loads all records and then follows their changes. */
@@ -116,7 +116,7 @@
       return;
     }
     const { events } = result;
-    this.costs.spend("follow", () => {
+    this.costs.charge("follow", () => {
       for (const event of events) this.apply(event);
     });
     if (result.ledger > this.revision) this.revision = result.ledger;
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -207,8 +207,8 @@
 
 /** Whether a task of the slice, counted from its start, is recorded as done. */
 export function isDone({ done, packed }: TaskProgress, task: number): boolean {
-  if (Bits.stored(done, task)) return true;
-  return packed !== undefined && (task < packed.from || Bits.stored(packed.map, task - packed.from));
+  if (Bits.storedHas(done, task)) return true;
+  return packed !== undefined && (task < packed.from || Bits.storedHas(packed.map, task - packed.from));
 }
 
 /** Packs a bit map. Tasks start in order, so the finished ones form a prefix and a short remainder. */
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -42,7 +42,7 @@
   private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
     const { taskSet: taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
-    this.context.scope.invariants.violated("an attempt is gone only by proof under this owner's term", {
+    this.context.scope.invariants.reportViolation("an attempt is gone only by proof under this owner's term", {
       ...{ part: partition.id, term: partition.term, host, piece: taskId(taskSet, task), attempt },
       ...{ reason, ...times, flaw },
     });
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -5,7 +5,7 @@
 import type { JobRecord } from "../ledger/records.js";
 import type { JobDependencies } from "../pipelines/needs.js";
 import type { Scope } from "../platform/scope.js";
-import { aimS, type Settings } from "../settings/derived.js";
+import { objectiveS, type Settings } from "../settings/derived.js";
 import type { TeamSettings } from "../settings/platform-file.js";
 import type { Usage } from "./part.js";
 
@@ -123,7 +123,7 @@
    * would start all of them on a full day and finish few.
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
-    if (Number.isFinite(aimS(this.settings.platform, "guarantee", undefined)))
+    if (Number.isFinite(objectiveS(this.settings.platform, "guarantee", undefined)))
       return { job: (spec) => this.isGuaranteed(spec.ref), team: () => false };
     const owed = teamsBelowGuarantee(this.teams, this.totalUsage(own));
     return { job: () => false, team: (spec) => owed.has(spec.team) };
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -101,7 +101,7 @@
       () => this.settings.timing.reportMs / 5,
       () => {
         this.logSilenceChange();
-        this.scope.costs.spend("watch", () => this.leaseWatch.check());
+        this.scope.costs.charge("watch", () => this.leaseWatch.check());
       },
     );
   }
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -4,7 +4,7 @@
 import type { StateReplica } from "../ledger/mirror.js";
 import { keys, type JobRecord, type OwnerRecord } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
-import { BoundedLog } from "../platform/bounded-log.js";
+import { RateLimitedLog } from "../platform/bounded-log.js";
 import { Bits } from "../platform/bits.js";
 import { newTaskSet, type TaskSet } from "../queue/unit.js";
 import type { Machine } from "../workers/machine.js";
@@ -24,7 +24,7 @@
 
 /** Applies what workers report to the owned partitions and determines the answers. */
 export class ReportHandler {
-  private readonly anomalies: BoundedLog;
+  private readonly anomalies: RateLimitedLog;
 
   constructor(
     private readonly context: LeaderContext,
@@ -36,7 +36,7 @@
     private readonly leaseWatch: LeaseWatch,
   ) {
     const { clock, log } = context.scope;
-    this.anomalies = new BoundedLog(clock, log, context.settings.timing.leaseMs);
+    this.anomalies = new RateLimitedLog(clock, log, context.settings.timing.leaseMs);
   }
 
   /** Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or silence. */
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -4,7 +4,7 @@
 import { runSchedulingCycle } from "../queue/pass.js";
 import { choosePreemptions, PREEMPT_AFTER_PHI } from "../queue/preempt.js";
 import type { TaskSet } from "../queue/unit.js";
-import { aimS } from "../settings/derived.js";
+import { objectiveS } from "../settings/derived.js";
 import type { ClassShares } from "../served/shares.js";
 import type { Machine } from "../workers/machine.js";
 import type { QuotaShares } from "./quota-shares.js";
@@ -48,7 +48,7 @@
     this.cycleDue = true;
     this.context.scope.clock.after(this.cycleGapMs(), () => {
       this.cycleDue = false;
-      if (!this.context.scope.closed) this.context.scope.costs.spend("pass", () => this.runCycle());
+      if (!this.context.scope.closed) this.context.scope.costs.charge("pass", () => this.runCycle());
     });
   }
 
@@ -71,8 +71,8 @@
     return queueOrder({
       mode: this.context.settings.operators.queue.order,
       nowWall: this.context.scope.clock.wall(),
-      finishObjectiveS: memoize((klass) => aimS(platform, "finished", klass)),
-      startObjectiveS: memoize((klass) => aimS(platform, "wait", klass)),
+      finishObjectiveS: memoize((klass) => objectiveS(platform, "finished", klass)),
+      startObjectiveS: memoize((klass) => objectiveS(platform, "wait", klass)),
       expectedRunS: (taskSet) => this.context.history.expectedRunS(taskSet.spec),
       maxSizeDelayS: (this.context.settings.timing.leaseMs / 1000) * MAX_YIELD_LEASES,
       firstTaskAfterS: (this.context.settings.timing.leaseMs / 1000) * ARRAY_START_LEASES,
@@ -88,13 +88,13 @@
 
   /** Returns the wait after which capacity is reserved for a gang, in ms: the aim for the class's start, or two leases without one. */
   private reserveAfterMs(klass: string): number {
-    const aim = aimS(this.context.settings.platform, "wait", klass);
+    const aim = objectiveS(this.context.settings.platform, "wait", klass);
     return Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs * 2;
   }
 
   /** Returns the wait after which guaranteed work preempts, in ms: half of the aim for its start, or half a lease without one. */
   private claimAfterMs(): number {
-    const aim = aimS(this.context.settings.platform, "guarantee", undefined);
+    const aim = objectiveS(this.context.settings.platform, "guarantee", undefined);
     return (Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs) / 2;
   }
 
@@ -133,10 +133,10 @@
         reserveAfterMs: (klass: string) => this.reserveAfterMs(klass),
       };
       const { costs } = this.context.scope;
-      const result = costs.spend("pass", () => runSchedulingCycle(partition, context));
+      const result = costs.charge("pass", () => runSchedulingCycle(partition, context));
       for (const placement of result.placements) this.context.audit.logOrdered(partition, placement);
       const patienceMs = this.context.settings.operators.exchange.phi * PREEMPT_AFTER_PHI * 1000;
-      const chosen = costs.spend("preemption", () => choosePreemptions(partition, { ...context, ...preemption, patienceMs }));
+      const chosen = costs.charge("preemption", () => choosePreemptions(partition, { ...context, ...preemption, patienceMs }));
       for (const placement of chosen) {
         const { spec } = placement.taskSet;
         placement.stop = { graceS: spec.checkpointS > 0 ? spec.flushS : 0 };
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -23,7 +23,7 @@
       const machine = partition.machines.get(host);
       return { attempt, host, session: machine?.session, state, direct, stopping: stop !== null, fenced: machine?.fenced };
     };
-    this.scope.invariants.violated("a task starts only if no other attempt of it may be on a machine", {
+    this.scope.invariants.reportViolation("a task starts only if no other attempt of it may be on a machine", {
       part: partition.id,
       term: partition.term,
       piece: taskId(placement.taskSet, placement.task),
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -48,7 +48,7 @@
     this.server.on("error", (error) => this.scope.log.error({ err: error.message }, "peer listener failed"));
     this.server.listen(Number(port), host);
     for (const peer of this.settings.platform.known) this.connectTo(peer.host_name, peer.peer_addr, 0);
-    this.scope.onEnd(() => {
+    this.scope.onClose(() => {
       this.server?.close();
       for (const socket of [...this.outgoing.values(), ...this.inbound]) socket.destroy();
     });
@@ -105,7 +105,7 @@
             from = message.Hello.node;
           } else {
             const sender = from;
-            this.scope.costs.spend("peers", () => this.incoming$.next({ from: sender, message }));
+            this.scope.costs.charge("peers", () => this.incoming$.next({ from: sender, message }));
           }
         }
       } catch (error) {
--- a/src/platform/bits.ts
+++ b/src/platform/bits.ts
@@ -22,7 +22,7 @@
    * owner of a partition checks this for each task that a worker has finished, and an
    * array may have tens of thousands.
    */
-  static stored(text: string, i: number): boolean {
+  static storedHas(text: string, i: number): boolean {
     const byte = i >> 3;
     const group = Math.floor(byte / 3);
     const raw = Buffer.from(text.slice(group * 4, group * 4 + 4), "base64");
--- a/src/platform/bounded-log.ts
+++ b/src/platform/bounded-log.ts
@@ -5,7 +5,7 @@
  * Limits the rate of log lines that other processes can cause without bound: each message is logged at most once per
  * interval, with the number of lines suppressed since the last one.
  */
-export class BoundedLog {
+export class RateLimitedLog {
   private readonly lastLogged = new Map<string, { at: number; suppressed: number }>();
 
   constructor(
--- a/src/platform/costs.ts
+++ b/src/platform/costs.ts
@@ -31,7 +31,7 @@
  * Accounts the time of this process by activity. Time is counted once: an activity called from within
  * another is charged to itself only. Each run costs two reads of the clock.
  */
-export class Costs {
+export class CpuAccounting {
   private readonly ms = new Float64Array(ACTIVITIES.length);
   private readonly runs = new Float64Array(ACTIVITIES.length);
   private readonly stack: number[] = [];
@@ -40,7 +40,7 @@
   constructor(private readonly now: () => number = () => performance.now()) {}
 
   /** Runs the synchronous function `act` and charges its time to the activity. */
-  spend<T>(activity: Activity, act: () => T): T {
+  charge<T>(activity: Activity, act: () => T): T {
     const index = ACTIVITIES.indexOf(activity);
     const { stack } = this;
     const outer = stack.at(-1);
--- a/src/platform/doors.ts
+++ b/src/platform/doors.ts
@@ -18,7 +18,7 @@
  * would look as if they had never come up. Above a threshold, connections are therefore
  * closed after the answer, so that each is held only while it is needed.
  */
-export class Doors {
+export class InboundConnections {
   private open = 0;
 
   constructor(
@@ -38,7 +38,7 @@
   }
 
   /** Whether connections should be closed after the answer. */
-  crowded(): boolean {
+  closesAfterAnswer(): boolean {
     return this.open > this.sockets * CLOSE_AFTER_ANSWER_SHARE;
   }
 }
--- a/src/platform/invariants.ts
+++ b/src/platform/invariants.ts
@@ -16,7 +16,7 @@
   ) {}
 
   /** Reports a violation. Throws InvariantViolated if strict. */
-  violated(invariant: string, detail: Record<string, unknown>): void {
+  reportViolation(invariant: string, detail: Record<string, unknown>): void {
     this.violations++;
     this.log.error({ invariant, ...detail }, "invariant violated");
     if (this.strict) throw new InvariantViolated(`${invariant}: ${JSON.stringify(detail)}`);
--- a/src/platform/scope.ts
+++ b/src/platform/scope.ts
@@ -1,6 +1,6 @@
 import { Observable, Subject, takeUntil, type Subscription } from "rxjs";
 import { sleep, type Clock } from "./clock.js";
-import { Costs } from "./costs.js";
+import { CpuAccounting } from "./costs.js";
 import { Invariants } from "./invariants.js";
 import type { Log } from "./log.js";
 
@@ -15,19 +15,19 @@
   constructor(
     readonly clock: Clock,
     readonly log: Log,
-    readonly costs: Costs = new Costs(),
+    readonly costs: CpuAccounting = new CpuAccounting(),
     readonly invariants: Invariants = new Invariants(log),
   ) {}
 
   /** Creates a scope that closes with this one. */
   child(): Scope {
     const scope = new Scope(this.clock, this.log, this.costs, this.invariants);
-    this.onEnd(() => scope.close());
+    this.onClose(() => scope.close());
     return scope;
   }
 
   /** Runs `cleanup` when the scope closes. */
-  onEnd(cleanup: () => void): void {
+  onClose(cleanup: () => void): void {
     this.end$.subscribe({ complete: cleanup });
   }
 
--- a/src/rehearsal/moments.ts
+++ b/src/rehearsal/moments.ts
@@ -4,7 +4,7 @@
 const FENCING_STARTED = "leading; fencing machines";
 
 /** Maps a call, write or log line of the controller to the injection point of a plan that it marks, or null. */
-export const momentOf: MomentOf = ({ what, detail }) => {
+export const injectionPointOf: MomentOf = ({ what, detail }) => {
   if (what === "hire") return "rental-in-flight";
   if (what === "part taken") return detail["reason"] === "home again" ? "handing-over" : null;
   if (what === FENCING_STARTED) return Number(detail["machines"]) > 0 ? "fencing" : null;
--- a/src/rehearsal/spawn.ts
+++ b/src/rehearsal/spawn.ts
@@ -8,7 +8,7 @@
 import { Invariants } from "../platform/invariants.js";
 import type { Log } from "../platform/log.js";
 import { Scope } from "../platform/scope.js";
-import { luckOf } from "../platform/luck.js";
+import { seededRandom } from "../platform/luck.js";
 import { StallDetectingClock } from "../platform/stall.js";
 import { derive, type Settings } from "../settings/derived.js";
 import { checkOperators } from "../settings/operators.js";
@@ -27,7 +27,7 @@
   const scope = new Scope(new StallDetectingClock(environment.clock, settings.timing.stallMs), log, undefined, new Invariants(log, true));
   const { state, cloud, workers } = environment;
   // The generator is seeded by the incarnation, so that a rehearsal is reproducible by its seed.
-  const random = luckOf(createHash("sha256").update(`${settings.self} ${environment.life}`).digest().readInt32BE());
+  const random = seededRandom(createHash("sha256").update(`${settings.self} ${environment.life}`).digest().readInt32BE());
   const calls = new Calls(scope.clock, callPolicies({ timing: settings.timing, writeRps: settings.state.writeRps }), random);
   const deps = {
     state,
@@ -47,4 +47,4 @@
 }
 
 /** A controller in a rehearsal. */
-export type Rehearsed = ReturnType<typeof spawnController>;
+export type RehearsedController = ReturnType<typeof spawnController>;
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -1,13 +1,13 @@
 import type { playVirtual, RehearsalPlan, RehearseVirtual } from "@thorntrail/emulator/entry";
-import { momentOf } from "./moments.js";
-import { spawnController, type Rehearsed } from "./spawn.js";
+import { injectionPointOf } from "./moments.js";
+import { spawnController, type RehearsedController } from "./spawn.js";
 
 /** Plays one plan in virtual time with this build's controller. */
 export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof playVirtual> {
-  return (await import("@thorntrail/emulator/entry")).playVirtual({ plan, seed, spawn: spawnController, momentOf });
+  return (await import("@thorntrail/emulator/entry")).playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
 }
 
 /** Rehearses this build's controller in virtual time. */
-export async function rehearseVirtual(options: Omit<RehearseVirtual<Rehearsed>, "spawn" | "momentOf">): Promise<void> {
-  await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, momentOf });
+export async function rehearseVirtual(options: Omit<RehearseVirtual<RehearsedController>, "spawn" | "momentOf">): Promise<void> {
+  await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, momentOf: injectionPointOf });
 }
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -10,8 +10,8 @@
 import { HttpStateClient } from "./ledger/state-client.js";
 import { PeerLinks } from "./peers/links.js";
 import { systemClock } from "./platform/clock.js";
-import { maxConcurrentCommands, Doors } from "./platform/doors.js";
-import { luckOf } from "./platform/luck.js";
+import { maxConcurrentCommands, InboundConnections } from "./platform/doors.js";
+import { seededRandom } from "./platform/luck.js";
 import { openLog } from "./platform/log.js";
 import { Scope } from "./platform/scope.js";
 import { StallDetectingClock } from "./platform/stall.js";
@@ -39,7 +39,7 @@
   const scope = new Scope(new StallDetectingClock(systemClock, settings.timing.stallMs), log);
   const { endpoints, deployment, front } = settings.platform;
   const { timing } = settings;
-  const calls = new Calls(scope.clock, callPolicies({ timing, writeRps: settings.state.writeRps }), luckOf(randomInt(2 ** 31)));
+  const calls = new Calls(scope.clock, callPolicies({ timing, writeRps: settings.state.writeRps }), seededRandom(randomInt(2 ** 31)));
   const peers = new PeerLinks(settings, scope, calls.of("peer.link"));
   const controller = new Controller(
     settings,
@@ -60,7 +60,7 @@
   scope.listen(controller.leader.taskStarted$, ({ klass, waitS }) => metrics.countWait(klass, waitS));
   const userApi: UserApiDependencies = {
     relay: controller.relay,
-    unreadyReason: () => controller.unready(),
+    unreadyReason: () => controller.unreadyReason(),
     countResponse: (status) => metrics.countAnswer(status),
     onShed: (path, status, why) => log.debug({ path, status, why }, "not taken"),
     viewsRetryAfterS: () => (controller.overload.sheds("view") ? controller.overload.retryAfterS() : null),
@@ -84,10 +84,10 @@
     costs: scope.costs,
   };
   const httpServer = createHttpServer((req, res) => {
-    if (inbound.crowded()) res.shouldKeepAlive = false;
+    if (inbound.closesAfterAnswer()) res.shouldKeepAlive = false;
     if (req.url === REPORT_PATH && req.method === "POST") handleReportRequest(reports, req, res);
     else
-      scope.costs.spend("users", () => {
+      scope.costs.charge("users", () => {
         if (!answerWithoutExpress(userApi, req, res))
           void app().then(
             (handle) => handle(req, res),
@@ -100,11 +100,11 @@
   // This server does not listen itself; the event starts its timeout checks for incomplete requests.
   httpServer.emit("listening");
   const server = createServer({ noDelay: true, allowHalfOpen: true });
-  const inbound = new Doors(server, deployment.quota.sockets);
+  const inbound = new InboundConnections(server, deployment.quota.sockets);
   new ReportFastPath({
     endpoint: reports,
     httpServer: httpServer,
-    isNearSocketLimit: () => inbound.crowded(),
+    isNearSocketLimit: () => inbound.closesAfterAnswer(),
     scope,
     idleMs: timing.expiryMs * IDLE_EXPIRIES,
   }).start(server);
@@ -114,7 +114,7 @@
   });
   const [host, port] = front.split(":") as [string, string];
   server.listen(Number(port), host);
-  scope.onEnd(() => {
+  scope.onClose(() => {
     server.close();
     httpServer.close();
   });
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -119,7 +119,7 @@
 }
 
 /** Returns the tightest objective of a kind for a class, in seconds; Infinity if there is none. */
-export function aimS(platform: PlatformSettings, kind: string, klass: string | undefined): number {
+export function objectiveS(platform: PlatformSettings, kind: string, klass: string | undefined): number {
   let minS = Infinity;
   for (const objective of platform.deployment.objectives) {
     if (objective.kind === kind && objective.class === klass && objective.within_s !== undefined) minS = Math.min(minS, objective.within_s);
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -73,7 +73,7 @@
     gauge("moves_asked_total", "Jobs moved after asking every peer", () => exchange.stats.asked);
     gauge("slices_moved_total", "Slices of arrays moved to parts with room", () => exchange.stats.slices);
     gauge("queries_total", "Queries sent to other parts", () => exchange.stats.queries);
-    gauge("hired_total", "Machines rented", () => fleet.stats.hired);
+    gauge("hired_total", "Machines rented", () => fleet.stats.rented);
     gauge("returned_total", "Machines returned", () => fleet.stats.returned);
     gauge("hire_refusals_total", "Rentals refused or partly filled", () => fleet.stats.refused);
     gauge("state_transactions_total", "Transactions sent", () => committer.stats.transactions);
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -52,7 +52,7 @@
   });
   return {
     node: settings.self,
-    ready: controller.unready() ?? "yes",
+    ready: controller.unreadyReason() ?? "yes",
     stateAgeMs: Number.isFinite(replica.ageMs()) ? Math.round(replica.ageMs()) : null,
     silent: presence.silentNodes(),
     doubt: { ...detector.stats, ...Object.fromEntries(settings.nodes.map((node) => [node, detector.status(node)])) },
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -1,6 +1,6 @@
 /** Decodes workers' reports and encodes the answers, independently of the HTTP server that received them. */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Costs } from "../platform/costs.js";
+import type { CpuAccounting } from "../platform/costs.js";
 import { type ReportAnswer, decodeReport, encodeOrders, type Report } from "@thorntrail/protocol/worker";
 
 /** HTTP path to which workers post their reports. */
@@ -18,7 +18,7 @@
   countResponse: (status: number) => void;
   /** Called for a body that is not a valid report, with the reason and the beginning of the body. */
   onInvalidReport: (why: string, bodyStart: string) => void;
-  costs: Costs;
+  costs: CpuAccounting;
 }
 
 /** HTTP response to a report. */
@@ -36,7 +36,7 @@
 
 /** Decodes the body of a request to the report path, has the report applied and returns the response. */
 export function answerReport(door: ReportEndpointDependencies, body: Buffer): ReportResponse {
-  return door.costs.spend("report", () => {
+  return door.costs.charge("report", () => {
     const refuse = (error: string): ReportResponse => {
       door.onInvalidReport(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
       return jsonResponse(400, { error });
--- a/test/doors.test.ts
+++ b/test/doors.test.ts
@@ -2,7 +2,7 @@
 import { Agent, createServer, get, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { Doors } from "../src/platform/doors.js";
+import { InboundConnections } from "../src/platform/doors.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import { HttpWorkerClient } from "../src/workers/worker-client.js";
 
@@ -18,10 +18,10 @@
 
 test("more clients than sockets are all served, because connections are closed after the answer above the threshold", async () => {
   const server = createServer((_req, res) => {
-    if (connections.crowded()) res.shouldKeepAlive = false;
+    if (connections.closesAfterAnswer()) res.shouldKeepAlive = false;
     res.end("ok");
   });
-  const connections = new Doors(server, 20);
+  const connections = new InboundConnections(server, 20);
   const port = await listen(server);
   const ask = (agent: Agent): Promise<string | undefined> =>
     new Promise((resolve, reject) => {
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -80,9 +80,9 @@
   const text = bits.encode();
   const whole = Bits.decode(1003, text);
   assert.equal(whole.count, 7);
-  for (let i = 0; i < 1003; i++) assert.equal(Bits.stored(text, i), whole.has(i), String(i));
+  for (let i = 0; i < 1003; i++) assert.equal(Bits.storedHas(text, i), whole.has(i), String(i));
   // What another map has beyond the last number does not count.
   const short = Bits.decode(5, Buffer.from([0xff, 0xff]).toString("base64"));
   assert.deepEqual([short.count, short.full], [5, true]);
-  assert.equal(Bits.stored("", 3), false);
+  assert.equal(Bits.storedHas("", 3), false);
 });
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { planHires } from "../src/fleet/plan.js";
+import { planRentals } from "../src/fleet/plan.js";
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/parts/part.js";
 import { AttemptRegistry, type Attempt } from "../src/queue/attempts.js";
@@ -208,26 +208,26 @@
 type Change = { closed?: (offer: { zone: string; spot: boolean }) => boolean; weighMs?: number; soonMs?: number; leftMs?: number };
 
 function planFor(partition: Partition, change: Change) {
-  return planHires(partition, {
-    soonMs: change.soonMs ?? 0,
-    leftMs: () => change.leftMs ?? Infinity,
+  return planRentals(partition, {
+    freeSoonMs: change.soonMs ?? 0,
+    remainingMs: () => change.leftMs ?? Infinity,
     now: NOW,
     silentMs: 5000,
     order,
     types: [type],
-    open: (offer) => !(change.closed?.(offer) ?? false),
-    allotment: unlimited,
-    weighMs: change.weighMs ?? 0,
+    isAvailable: (offer) => !(change.closed?.(offer) ?? false),
+    quotaShare: unlimited,
+    migrationGraceMs: change.weighMs ?? 0,
   });
 }
 
 test("no machine is rented for a job that the exchange may still migrate, unless that takes long", () => {
   const { part: partition } = partOf(0, type);
   const taskSet = queueUp(partition, specOf({ tasks: 2, cpus: 15 }));
-  assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 0);
-  assert.equal(planFor(partition, { weighMs: NOW }).wanted.size, 1, "it has waited long enough");
+  assert.equal(planFor(partition, { weighMs: NOW + 1 }).toRent.size, 0);
+  assert.equal(planFor(partition, { weighMs: NOW }).toRent.size, 1, "it has waited long enough");
   taskSet.migrationConsidered = true;
-  assert.equal(planFor(partition, { weighMs: NOW + 1 }).wanted.size, 1, "it stays");
+  assert.equal(planFor(partition, { weighMs: NOW + 1 }).toRent.size, 1, "it stays");
 });
 
 test("no machine is rented for tasks that find capacity before the machine would be up", () => {
@@ -235,7 +235,7 @@
   queueUp(partition, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
   runSchedulingCycle(partition, pass);
   queueUp(partition, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
-  const rented = (change: Change): number => [...planFor(partition, change).wanted.values()].reduce((n, { count }) => n + count, 0);
+  const rented = (change: Change): number => [...planFor(partition, change).toRent.values()].reduce((n, { count }) => n + count, 0);
   assert.equal(rented({ soonMs: 10_000, leftMs: 11_000 }), 3);
   assert.equal(rented({ soonMs: 10_000, leftMs: 9_000 }), 1);
   assert.equal(rented({ soonMs: 0, leftMs: 9_000 }), 3);
@@ -245,7 +245,7 @@
   const { part: partition } = partOf(0, type);
   queueUp(partition, specOf({ tasks: 5000, cpus: 15 }));
   const plan = planFor(partition, {});
-  assert.deepEqual([...plan.wanted.values()].map((w) => w.count).sort(), [50, 50]);
+  assert.deepEqual([...plan.toRent.values()].map((w) => w.count).sort(), [50, 50]);
 });
 
 test("machines for a gang bound to one zone are rented in one zone only", () => {
@@ -253,7 +253,7 @@
   queueUp(partition, specOf({ kind: "gang", tasks: 3, cpus: 15, oneZone: true }));
   const plan = planFor(partition, {});
   assert.deepEqual(
-    [...plan.wanted.values()].map((w) => [w.offer.zone, w.count]),
+    [...plan.toRent.values()].map((w) => [w.offer.zone, w.count]),
     [["a", 2]],
   );
 });
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -6,8 +6,8 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Condition, Op, StateApi } from "@thorntrail/protocol/state";
 import { keys, type QuotaShareRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
-import { momentOf } from "../src/rehearsal/moments.js";
-import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
 
 const base = await loadPlan("deploy/meetings.hcl");
 const changedKey = (op: Op): string => ("write" in op ? op.write : op.remove);
@@ -73,14 +73,14 @@
 }
 
 async function runPlan(plan: RehearsalPlan, seed: number, faults: StateFaults) {
-  let last: Rehearsed | undefined;
-  const spawn = (options: Spawned): Rehearsed => (last = spawnController({ ...options, state: faults.wrapState(options) }));
-  const report = await playVirtual({ plan, seed, spawn, momentOf });
+  let last: RehearsedController | undefined;
+  const spawn = (options: Spawned): RehearsedController => (last = spawnController({ ...options, state: faults.wrapState(options) }));
+  const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
   return { report, last: last! };
 }
 
 /** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
-function assertConsistentRecords({ mirror, settings }: Rehearsed): void {
+function assertConsistentRecords({ mirror, settings }: RehearsedController): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
     const { cpus } = mirror.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
     const sum = cpus.reduce<number>((all, one) => all + (one ?? 0), 0);
@@ -156,7 +156,7 @@
   let restoredCount = 0;
   const requestedAgain: string[] = [];
   const endedNames = new Set<string>();
-  const spawn = (options: Spawned): Rehearsed => {
+  const spawn = (options: Spawned): RehearsedController => {
     const { state, cloud, clock } = options;
     const rentalOf = (op: Op): string | null =>
       changedKey(op).startsWith(keys.rentals) ? changedKey(op).slice(keys.rentals.length) : null;
@@ -199,7 +199,7 @@
   };
   // One type has no machines, so its rentals yield nothing and their records are removed.
   const plan = { ...base, machine: base.machine.map((one) => ({ ...one, count: one.name === "fotolab" ? 0 : 2, spot: 0 })), fault: [] };
-  await playVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf });
+  await playVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf: injectionPointOf });
   assert.ok(removedCount > 3 && restoredCount > 3, `${removedCount} removed, ${restoredCount} restored`);
   assert.deepEqual(requestedAgain, []);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -7,7 +7,7 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import fc from "fast-check";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import { momentOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
 import { runSchedulingCycle } from "../src/queue/pass.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
@@ -254,7 +254,7 @@
       return controller;
     };
     const plan = { ...base, fault: Array.from({ length: 6 }, (_, i) => ({ at: 15 + i * 13, fault: restart(i) })) };
-    const report = await playVirtual({ plan, seed, spawn, momentOf });
+    const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
     assert.deepEqual(report.broken, []);
   }
   assert.ok(renewed > 20, `${renewed} answers`);
@@ -284,7 +284,7 @@
 test("two or three troubles drawn by seed break no rule, and all work comes to its end", async () => {
   let both = 0;
   for (let seed = 1; seed <= 12; seed++) {
-    const report = await playVirtual({ plan: drawnPlan(base, seed), seed, spawn: spawnController, momentOf });
+    const report = await playVirtual({ plan: drawnPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (report.faults.filter(({ met }) => met.length > 0).length > 1) both++;
   }
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { encodeJob } from "@thorntrail/protocol/jobs";
-import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
 import { specOf } from "./world/parts.js";
 
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
@@ -10,7 +10,7 @@
 const MB = 1e6;
 
 /** Three controllers in the emulator. `memory` and `heap` set the shares in use per controller. */
-function createWorld(rate = 100): { world: World<Rehearsed>; memory: Map<string, number>; heap: Map<string, number> } {
+function createWorld(rate = 100): { world: World<RehearsedController>; memory: Map<string, number>; heap: Map<string, number> } {
   const plan = plainPlan();
   plan.teams = [team];
   plan.types = [TYPE];
@@ -33,10 +33,10 @@
 
 const wireOf = (ref: string, urgency: "low" | "urgent"): Record<string, unknown> =>
   encodeJob(specOf({ ref, urgency, tasks: 4, guessS: 10 }));
-const controllerOf = (world: World<Rehearsed>, name: string): Rehearsed => world.nodes.get(name)!.controller!;
+const controllerOf = (world: World<RehearsedController>, name: string): RehearsedController => world.nodes.get(name)!.controller!;
 
 /** Sends one request to nest-0, without a user's retries, and returns the answer. */
-async function ask(world: World<Rehearsed>, kind: "submit" | "poll" | "cancel", body: unknown) {
+async function ask(world: World<RehearsedController>, kind: "submit" | "poll" | "cancel", body: unknown) {
   let answer: { status: number; retryAfterS?: number; body: Record<string, unknown> } | undefined;
   void controllerOf(world, "nest-0")
     .answer(kind, body)
@@ -64,7 +64,7 @@
   assert.equal((await ask(world, "poll", "run-000003")).status, 200);
   assert.equal((await ask(world, "cancel", "run-000003")).body["status"], "withdrawn");
   assert.equal(
-    controllerOf(world, "nest-0").unready(),
+    controllerOf(world, "nest-0").unreadyReason(),
     null,
     "a busy node is still healthy: if its users were sent elsewhere, they would overload the others",
   );
@@ -102,7 +102,7 @@
   for (let i = 10; i < 22; i++)
     void world.submit(wireOf(`run-0000${i}`, "low"), specOf({ ref: `run-0000${i}`, tasks: 4, guessS: 10 }), "nest-1");
   await world.clock.run(60_000);
-  assert.equal(fleet.stats.hired, 0);
+  assert.equal(fleet.stats.rented, 0);
   assert.equal(
     [...leader.partitions.values()].reduce((n, part) => n + part.taskSets.size, 0),
     0,
@@ -170,7 +170,7 @@
   }
   await world.clock.run(60_000);
   const node = controllerOf(world, "nest-0");
-  assert.equal(node.unready(), null);
+  assert.equal(node.unreadyReason(), null);
   assert.equal((await ask(world, "poll", "run-509999")).body["status"], "done");
   assert.equal(node.mirror.openJobs().size, 0);
   assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -6,12 +6,12 @@
 import { decodeFault } from "@thorntrail/emulator/faults";
 import { Links } from "@thorntrail/emulator/links";
 import fc from "fast-check";
-import { momentOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 
 const base = await loadPlan("deploy/rehearsal.hcl");
 const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof playVirtual> =>
-  playVirtual({ plan, seed, spawn: spawnController, momentOf });
+  playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
 
 function sound(report: Report): void {
   assert.deepEqual(report.broken, [], report.plan);
--- a/test/report-endpoint.test.ts
+++ b/test/report-endpoint.test.ts
@@ -2,7 +2,7 @@
 import { createServer, request } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { Costs } from "../src/platform/costs.js";
+import { CpuAccounting } from "../src/platform/costs.js";
 import { handleReportRequest } from "../src/workers/report-endpoint.js";
 
 const report = { host: "i-1", addr: "10.0.0.1:1", shift: 1, tick: 1, baton: 0, pieces: [] };
@@ -15,7 +15,7 @@
       {
         countResponse: () => undefined,
         onInvalidReport: (why, bodyStart) => void refused.push(`${why}: ${bodyStart}`),
-        costs: new Costs(),
+        costs: new CpuAccounting(),
         onReport: ({ host }) => {
           reportedHosts.push(host);
           if (host === "i-2") return { kind: "elsewhere", boss: "nest-1" };
--- a/test/report-lane.test.ts
+++ b/test/report-lane.test.ts
@@ -3,8 +3,8 @@
 import { connect, createServer, type AddressInfo } from "node:net";
 import { test } from "node:test";
 import fc from "fast-check";
-import { Costs } from "../src/platform/costs.js";
-import { Doors } from "../src/platform/doors.js";
+import { CpuAccounting } from "../src/platform/costs.js";
+import { InboundConnections } from "../src/platform/doors.js";
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
 import { systemClock } from "../src/platform/clock.js";
@@ -31,7 +31,7 @@
   port: number;
   reportedHosts: string[];
   requestsToHttpServer: string[];
-  doors: Doors;
+  doors: InboundConnections;
   close: () => void;
 }
 
@@ -39,7 +39,7 @@
   const reportedHosts: string[] = [];
   const requestsToHttpServer: string[] = [];
   const door: ReportEndpointDependencies = {
-    costs: new Costs(),
+    costs: new CpuAccounting(),
     onInvalidReport: () => undefined,
     countResponse: () => undefined,
     onReport: ({ host }) => {
@@ -55,8 +55,8 @@
     req.resume().on("end", () => res.end(`http ${req.url}`));
   });
   const server = createServer({ noDelay: true, allowHalfOpen: true });
-  const doors = new Doors(server, options.sockets ?? 1000);
-  new ReportFastPath({ endpoint: door, httpServer: others, isNearSocketLimit: () => doors.crowded(), scope, idleMs: options.idleMs ?? 60_000 }).start(server);
+  const doors = new InboundConnections(server, options.sockets ?? 1000);
+  new ReportFastPath({ endpoint: door, httpServer: others, isNearSocketLimit: () => doors.closesAfterAnswer(), scope, idleMs: options.idleMs ?? 60_000 }).start(server);
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     port: (server.address() as AddressInfo).port,
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -13,7 +13,7 @@
 import type { Message } from "../src/peers/messages.js";
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
-import { momentOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 import { runSchedulingCycle } from "../src/queue/pass.js";
 import type { Settings } from "../src/settings/derived.js";
@@ -76,7 +76,7 @@
 test("with controllers that end and restart at once at any time, no rule is broken and every job finishes", async () => {
   await fc.assert(
     fc.asyncProperty(randomFaults, fc.nat(1000), async (faults, seed) => {
-      const report = await playVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf });
+      const report = await playVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf: injectionPointOf });
       assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
     }),
     { numRuns: 15, seed: 34 },
@@ -100,7 +100,7 @@
     return controller;
   };
   const faults = [12, 14, 20, 21, 22, 30].map((at): [number, FaultFields] => [at, { kind: "restart", target: "all", for: 0.1 }]);
-  const report = await playVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf });
+  const report = await playVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf: injectionPointOf });
   assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
   assert.ok(answers > 100);
 });
@@ -160,7 +160,7 @@
   );
   let found = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const report = await playVirtual({ plan, seed, spawn, momentOf });
+    const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
     if (report.broken.length + report.jobs.unfinished.length > 0) found++;
   }
   assert.ok(found > 0, "six rehearsals under former terms, none of which broke a rule or left a job unfinished");
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { BRISK, loadPlan, soakSeed, timeless, type RehearsalPlan, type SoakRun } from "@thorntrail/emulator/entry";
-import { momentOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
 
 /** Short, and judged by rules that a slow machine cannot break for the controllers. The long form: docs/operations/rehearsals.md. */
 const SECONDS = 24;
@@ -18,7 +18,7 @@
 async function soak(plan: RehearsalPlan, seed: number): Promise<SoakRun & { left: string[] }> {
   const keep = mkdtempSync(join(tmpdir(), "soak-test-"));
   try {
-    const run = await soakSeed({ program, plan, timing: BRISK, momentOf, keep }, seed);
+    const run = await soakSeed({ program, plan, timing: BRISK, momentOf: injectionPointOf, keep }, seed);
     const dir = join(keep, `seed-${seed}`);
     return { ...run, left: existsSync(dir) ? readdirSync(dir).sort() : [] };
   } finally {
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -4,7 +4,7 @@
 import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
 import { soakPlan } from "@thorntrail/emulator/drawn";
 import { metSplitWhileRefused } from "@thorntrail/emulator/report";
-import { momentOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/moments.js";
 import { spawnController } from "../src/rehearsal/spawn.js";
 import { playScenario } from "./world/scenario.js";
 
@@ -20,7 +20,7 @@
   const base = await loadPlan("deploy/soak.hcl");
   let splits = 0;
   for (let seed = FIRST; seed < FIRST + SEEDS; seed++) {
-    const report = await playVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf });
+    const report = await playVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (metSplitWhileRefused(report.faults, LEASE_S)) splits++;
   }
--- a/test/told.test.ts
+++ b/test/told.test.ts
@@ -5,7 +5,7 @@
 import { seeded } from "@thorntrail/emulator/luck";
 import type { StateApi } from "@thorntrail/protocol/state";
 import { keys } from "../src/ledger/records.js";
-import { spawnController, type Rehearsed } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
 import { playScenario } from "./world/scenario.js";
 
 /**
@@ -54,7 +54,7 @@
   ].join("\n");
 }
 
-async function playAndCheck(text: string, spawn?: (options: Spawned) => Rehearsed) {
+async function playAndCheck(text: string, spawn?: (options: Spawned) => RehearsedController) {
   const { world, failures } = await playScenario(text, spawn);
   const answers = world.history.filter((one): one is Extract<Happening, { kind: "told" }> => one.kind === "told");
   return { broken: brokenRules(world.history, world.limits()), failures, errors: world.errors, answers, met: world.crowd.met };
@@ -90,11 +90,11 @@
 /** Returns a function that starts a controller whose transactions are replaced, as if it wrote jobs incorrectly. */
 const withTransactions =
   (txn: (state: StateApi, options: Spawned) => StateApi["txn"]) =>
-  (options: Spawned): Rehearsed =>
+  (options: Spawned): RehearsedController =>
     spawnController({ ...options, state: { ...options.state, txn: txn(options.state, options) } });
 const isJob = (key: string): boolean => key.startsWith(keys.jobs);
 
-const FAULTY_VARIANTS: Record<string, { spawn: (options: Spawned) => Rehearsed; what: RegExp }> = {
+const FAULTY_VARIANTS: Record<string, { spawn: (options: Spawned) => RehearsedController; what: RegExp }> = {
   "polls are answered without a read that began after the poll": {
     spawn: (options) => {
       const controller = spawnController(options);
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -4,7 +4,7 @@
 import { ConfigurationStore } from "../../src/configuration/store.js";
 import type { TeamChange } from "../../src/configuration/teams.js";
 import { keys } from "../../src/ledger/records.js";
-import { spawnController, type Rehearsed } from "../../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn.js";
 import { specOf } from "./parts.js";
 
 const OPERATOR = "operator";
@@ -13,12 +13,12 @@
 
 /** A cluster in virtual time, and an operator who changes its configuration. */
 export class Cluster {
-  readonly world: World<Rehearsed>;
+  readonly world: World<RehearsedController>;
   private readonly store: ConfigurationStore;
   private readonly outcomes: Promise<unknown>[] = [];
 
   constructor(change: Partial<Plan>, spawn: typeof spawnController = spawnController) {
-    this.world = new World<Rehearsed>({ ...plainPlan(), ...change }, (asked) => spawn(asked));
+    this.world = new World<RehearsedController>({ ...plainPlan(), ...change }, (asked) => spawn(asked));
     const { clock, state, plan } = this.world;
     const rest = (ms: number): Promise<void> => new Promise((resolve) => clock.after(ms, resolve));
     this.store = new ConfigurationStore(
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -3,9 +3,9 @@
 import { carryOut, decodeFault } from "@thorntrail/emulator/faults";
 import { virtualStage } from "@thorntrail/emulator/virtual/play";
 import { plainPlan, World as AnyWorld, type Plan, type Spawned } from "@thorntrail/emulator/entry";
-import { spawnController, type Rehearsed } from "../../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn.js";
 
-type World = AnyWorld<Rehearsed>;
+type World = AnyWorld<RehearsedController>;
 
 /**
  * Scenario files: one sentence a line. `given` lines describe the place, `at N`
@@ -117,7 +117,7 @@
 /** `spawn`: what is played, where it is not the controller as it is. */
 export async function playScenario(
   text: string,
-  spawn: (asked: Spawned) => Rehearsed = spawnController,
+  spawn: (asked: Spawned) => RehearsedController = spawnController,
 ): Promise<{ world: World; failures: string[] }> {
   const { plan, steps } = parse(text);
   const world = new AnyWorld(plan, spawn);
