--- a/src/controller.ts
+++ b/src/controller.ts
@@ -47,7 +47,7 @@
 
 /** One controller: creates, connects and starts all its components. */
 export class Controller {
-  readonly mirror: StateReplica;
+  readonly replica: StateReplica;
   readonly configuration: Configuration;
   readonly rentals: RentalIndex;
   readonly needs: JobDependencies;
@@ -88,13 +88,13 @@
     this.calls = calls;
     const service = stateWithPolicies(deps.state, calls, clock);
     const pace = { readGapMs: 3000 / (state.rps * share), blockMs: Math.min(timing.contactMs, timing.silentAfterMs / 2) / 4 };
-    this.mirror = new StateReplica(service, clock, requests, pace, calls.of("state.read"), scope.costs);
-    this.configuration = new Configuration(settings, this.mirror, scope);
-    this.rentals = new RentalIndex(this.mirror);
-    this.needs = new JobDependencies(this.mirror);
+    this.replica = new StateReplica(service, clock, requests, pace, calls.of("state.read"), scope.costs);
+    this.configuration = new Configuration(settings, this.replica, scope);
+    this.rentals = new RentalIndex(this.replica);
+    this.needs = new JobDependencies(this.replica);
     this.committer = new GroupCommitter(
       service,
-      this.mirror,
+      this.replica,
       clock,
       requests,
       writes,
@@ -111,9 +111,9 @@
     });
     this.presence = new Presence({
       settings,
-      incarnation: incarnation,
+      incarnation,
       state: service,
-      replica: this.mirror,
+      replica: this.replica,
       rate: requests,
       calls: calls.of("state.lease"),
       scope,
@@ -123,7 +123,7 @@
     this.detector = new FailureDetector({
       settings,
       presence: this.presence,
-      replica: this.mirror,
+      replica: this.replica,
       committer: this.committer,
       peers: deps.peers,
       scope,
@@ -131,10 +131,10 @@
     });
     this.ownership = new Ownership({
       settings,
-      incarnation: incarnation,
+      incarnation,
       presence: this.presence,
       detector: this.detector,
-      mirror: this.mirror,
+      replica: this.replica,
       committer: this.committer,
       scope,
       onTaken: (partition, term, reason, silentMs) => {
@@ -144,12 +144,12 @@
       termEnded: (partition, term) => this.leader.termEnded(partition, term),
       canReachMachines: (partition) => this.fitness.canReachMachines(partition),
     });
-    this.quotaShares = new QuotaShares(settings, this.configuration, () => this.leader.partitions, this.mirror, this.committer, scope);
-    this.guarantees = new Guarantees(settings, this.configuration, this.mirror, this.needs, scope);
+    this.quotaShares = new QuotaShares(settings, this.configuration, () => this.leader.partitions, this.replica, this.committer, scope);
+    this.guarantees = new Guarantees(settings, this.configuration, this.replica, this.needs, scope);
     this.leader = new Leader(
       settings,
       incarnation,
-      this.mirror,
+      this.replica,
       this.rentals,
       this.needs,
       this.committer,
@@ -169,7 +169,7 @@
       scope,
     );
     this.dispatch = new CommandDispatcher(this.leader, deps.workers, calls, scope);
-    const { leader, ownership, quotaShares, mirror: replica, rentals, needs, committer } = this;
+    const { leader, ownership, quotaShares, replica, rentals, needs, committer } = this;
     const { peers } = deps;
     this.fleet = new Fleet({
       settings,
@@ -188,11 +188,11 @@
     const { overload } = this;
     this.exchange = new Exchange({
       settings,
-      incarnation: incarnation,
+      incarnation,
       leader,
       ownership,
       quotaShares,
-      replica: replica,
+      replica,
       needs,
       committer,
       peers,
@@ -227,7 +227,7 @@
     this.leader.start();
     this.fitness.start();
     this.dispatch.start();
-    this.mirror.start(this.scope);
+    this.replica.start(this.scope);
     this.presence.start();
     this.detector.start();
     this.ownership.start();
@@ -277,7 +277,7 @@
 
   /** Whether the replica cache proves recent contact with the state service. */
   private stateReachable(): boolean {
-    return this.mirror.loaded && this.mirror.ageMs() < this.settings.timing.contactMs;
+    return this.replica.loaded && this.replica.ageMs() < this.settings.timing.contactMs;
   }
 
   /** Peers that reported within the last report interval that they reach the state service. */
@@ -292,7 +292,7 @@
    * marked unhealthy would delay users after the outage ends.
    */
   unreadyReason(): string | null {
-    if (!this.mirror.loaded) return "starting";
+    if (!this.replica.loaded) return "starting";
     if (this.leader.types.length === 0) return "machine types are not known yet";
     if (this.stateReachable()) return null;
     if (this.peersReachingState().length > 0) return "the state service refuses this node";
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -32,7 +32,7 @@
 
   /** Sends a request for each shortage that the owned partitions report. */
   start(): void {
-    this.dependencies.scope.listen(this.dependencies.leader.quotaShortage$, ({ partition: partition, team, want: shortage }) =>
+    this.dependencies.scope.listen(this.dependencies.leader.quotaShortage$, ({ partition, team, want: shortage }) =>
       this.requestQuota(partition, team, shortage),
     );
   }
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -129,7 +129,7 @@
       }
     }
   }
-  return { toRent: toRent, needed };
+  return { toRent, needed };
 }
 
 /** Failures per waiting task after which a machine no longer counts as capacity for a job. */
--- a/src/membership/detector.ts
+++ b/src/membership/detector.ts
@@ -49,7 +49,7 @@
 
   /** Starts listening to peers and to suspicions, and evaluates the evidence ten times per report interval. */
   start(): void {
-    const { scope, peers, settings, replica: replica, presence } = this.dependencies;
+    const { scope, peers, settings, replica, presence } = this.dependencies;
     scope.listen(peers.incoming$, ({ from, message }) => {
       if (!("Health" in message)) return;
       const observation = this.observation(from);
@@ -93,7 +93,7 @@
 
   /** Whether this node's own observations are reliable. */
   private health(): OwnHealth {
-    const { presence, replica: replica, settings } = this.dependencies;
+    const { presence, replica, settings } = this.dependencies;
     return { upToDate: presence.ownVisible() && replica.ageMs() < settings.timing.contactMs, lagging: this.dependencies.lagging() };
   }
 
@@ -109,7 +109,7 @@
 
   /** Updates the status of each peer and writes a suspicion where the evidence requires one. */
   private evaluate(): void {
-    const { settings, replica: replica, scope } = this.dependencies;
+    const { settings, replica, scope } = this.dependencies;
     const now = scope.clock.now();
     this.upToDateSince = this.health().upToDate ? (this.upToDateSince ?? now) : null;
     const limits = this.limits();
@@ -166,7 +166,7 @@
   private writeSuspicion(node: string, record: SuspicionRecord): void {
     if (this.writing.has(node)) return;
     this.writing.add(node);
-    const { replica: replica, committer, settings } = this.dependencies;
+    const { replica, committer, settings } = this.dependencies;
     const key = keys.suspicion(node);
     const suspicionStamp = replica.stamp(key);
     const presenceStamp = replica.stamp(keys.presenceOf(node));
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -56,7 +56,7 @@
 
   /** Starts the routine that renews the presence key four times per lease. */
   start(): void {
-    const { scope, replica: replica, settings } = this.dependencies;
+    const { scope, replica, settings } = this.dependencies;
     // The former incarnation's key can only be evaluated once all records are loaded.
     scope.listen(replica.changes$, (key) => {
       if (key === "" && this.earlyExits === null) void this.renew();
@@ -73,7 +73,7 @@
   async renew(): Promise<void> {
     if (this.renewing) return;
     this.renewing = true;
-    const { settings, state, replica: replica, rate, scope } = this.dependencies;
+    const { settings, state, replica, rate, scope } = this.dependencies;
     const key = keys.presenceOf(settings.self);
     try {
       while (!rate.take()) await new Promise<void>((resolve) => scope.clock.after(rate.waitMs(), resolve));
@@ -141,7 +141,7 @@
 
   /** Number up to which this incarnation has to refute suspicions. */
   private refutation(): number {
-    const { replica: replica, settings, incarnation: incarnation } = this.dependencies;
+    const { replica, settings, incarnation } = this.dependencies;
     return requiredRefutation(replica.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, incarnation);
   }
 
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -121,7 +121,7 @@
   private memory(): number {
     const { settings, memory } = this.dependencies;
     if (this.sampleCount++ % SAMPLES_PER_REPORT > 0) return this.measured.memory;
-    const { resident, heap, heapMax: heapMax } = memory();
+    const { resident, heap, heapMax } = memory();
     this.heapSamples.push(heapMax > 0 ? heap / heapMax : 0);
     if (this.heapSamples.length > HEAP_SAMPLES) this.heapSamples.shift();
     return Math.max(resident / (settings.platform.deployment.quota.mem_mb * MB), Math.min(...this.heapSamples));
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -21,7 +21,7 @@
   /** Applies all findings of one report or one lease check. */
   apply(partition: Partition, findings: Findings): void {
     for (const taskSet of findings.finished) this.progress.record(partition, taskSet);
-    for (const { taskSet: taskSet, seconds, host } of findings.runs) {
+    for (const { taskSet, seconds, host } of findings.runs) {
       this.updatePace(partition, taskSet, seconds, host);
       this.context.history.record(taskSet.spec, seconds);
     }
@@ -40,7 +40,7 @@
 
   /** Reports an attempt that was about to count as gone by an invalid proof, which is always a defect. The attempt continues to count. */
   private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
-    const { taskSet: taskSet, task, attempt, host } = placement;
+    const { taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
     this.context.scope.invariants.reportViolation("an attempt is gone only by proof under this owner's term", {
       ...{ part: partition.id, term: partition.term, host, piece: taskId(taskSet, task), attempt },
@@ -90,7 +90,7 @@
       if (placement.stop !== null) continue;
       placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ partition: partition, machine });
+      if (machine !== undefined) this.context.dispatch$.next({ partition, machine });
     }
   }
 }
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -79,7 +79,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly configuration: Configuration,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly needs: JobDependencies,
     private readonly scope: Scope,
   ) {}
@@ -101,7 +101,7 @@
     if (this.granted.size === 0 && this.teams.every((team) => team.cpus <= 0 && team.gpus <= 0)) return;
     // A job that waits for other jobs takes nothing of its team's guarantee.
     const jobs: JobRecord[] = [];
-    for (const { v } of this.mirror.openJobs().values()) if (!this.needs.isBlocked(v.spec.ref)) jobs.push(v);
+    for (const { v } of this.replica.openJobs().values()) if (!this.needs.isBlocked(v.spec.ref)) jobs.push(v);
     this.granted = grantGuarantees(jobs, this.teams, this.granted);
   }
 
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -63,7 +63,7 @@
   constructor(
     readonly settings: Settings,
     incarnation: string,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     rentals: RentalIndex,
     needs: JobDependencies,
     committer: GroupCommitter,
@@ -72,17 +72,17 @@
     overload: OverloadMonitor,
     readonly scope: Scope,
   ) {
-    this.audit = new Audit(scope.clock, scope.log, () => mirror.ageMs(), settings.timing.contactMs);
+    this.audit = new Audit(scope.clock, scope.log, () => replica.ageMs(), settings.timing.contactMs);
     this.startGuard = new StartGuard(scope);
     this.history = new RunTimeHistory(settings.operators.queue.guesses);
-    const progress = new Progress(this, mirror, committer);
+    const progress = new Progress(this, replica, committer);
     const effects = new FindingEffects(this, progress, this.recovery);
     this.leaseWatch = new LeaseWatch(this, progress, effects, this.recovery);
-    this.classShares = new ClassShares(settings, mirror, scope);
+    this.classShares = new ClassShares(settings, replica, scope);
     this.scheduler = new Scheduler(this, quotaShares, guarantees, overload, this.classShares);
-    const machineStartup = new MachineStartup(this, mirror, rentals, committer);
-    this.reportHandler = new ReportHandler(this, mirror, rentals, progress, machineStartup, effects, this.leaseWatch);
-    this.ownedPartitions = new OwnedPartitions(this, incarnation, mirror, rentals, needs, progress, effects, this.leaseWatch);
+    const machineStartup = new MachineStartup(this, replica, rentals, committer);
+    this.reportHandler = new ReportHandler(this, replica, rentals, progress, machineStartup, effects, this.leaseWatch);
+    this.ownedPartitions = new OwnedPartitions(this, incarnation, replica, rentals, needs, progress, effects, this.leaseWatch);
   }
 
   /** Starts the components and the periodic routines. */
@@ -111,11 +111,11 @@
   }
 
   get provenAt(): number {
-    return this.mirror.currentAsOf;
+    return this.replica.currentAsOf;
   }
 
   proveOwnership(): Promise<void> {
-    return this.mirror.refresh();
+    return this.replica.refresh();
   }
 
   /**
@@ -125,7 +125,7 @@
    * and return them.
    */
   isSilent(): boolean {
-    return this.mirror.ageMs() > this.settings.timing.silentAfterMs || this.mirror.currentAsOf < this.stallEndedAt;
+    return this.replica.ageMs() > this.settings.timing.silentAfterMs || this.replica.currentAsOf < this.stallEndedAt;
   }
 
   /** Logs the begin and end of the time in which this node answers no worker and orders nothing. */
@@ -134,7 +134,7 @@
     if (silent === this.wasSilent || this.partitions.size === 0) return;
     this.wasSilent = silent;
     const terms = Object.fromEntries([...this.partitions.values()].map(({ id, term }) => [id, term]));
-    const readAgoMs = Math.round(Math.min(this.mirror.ageMs(), Number.MAX_SAFE_INTEGER));
+    const readAgoMs = Math.round(Math.min(this.replica.ageMs(), Number.MAX_SAFE_INTEGER));
     this.scope.log.info(
       { terms, readAgoMs, silentAfterMs: Math.round(this.settings.timing.silentAfterMs) },
       silent ? "silence begun: no proof of authority" : "silence ended",
@@ -147,7 +147,7 @@
    * them as lost or idle would end everything that runs on them.
    */
   isSoleOwner(): boolean {
-    return !this.isSilent() && this.mirror.ageMs() < this.settings.timing.presenceMs / 2;
+    return !this.isSilent() && this.replica.ageMs() < this.settings.timing.presenceMs / 2;
   }
 
   /**
@@ -158,7 +158,7 @@
   onStall(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
       this.stallEndedAt = this.now;
-      void this.mirror.refresh().catch(() => undefined);
+      void this.replica.refresh().catch(() => undefined);
     }
     for (const partition of this.partitions.values()) {
       partition.takenOverAt += ms;
@@ -188,7 +188,7 @@
 
   /** Age of the last proof of ownership, in ms. */
   get proofAgeMs(): number {
-    return this.mirror.ageMs();
+    return this.replica.ageMs();
   }
 
   /** Returns whether this process ended the term itself because a worker reported a newer token. */
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -44,7 +44,7 @@
           else unproven++;
         }
         if (partition.phase === "serving" && (machine.noticeAt !== null || machine.draining)) this.evacuate(partition, machine);
-        if (!machine.fenced && !machine.lost && partition.phase === "fencing") this.context.dispatch$.next({ partition: partition, machine });
+        if (!machine.fenced && !machine.lost && partition.phase === "fencing") this.context.dispatch$.next({ partition, machine });
       }
       if (partition.phase === "fencing") this.checkFence(partition);
       if (partition.phase === "fencing") this.fenceProgress.logIfDue(partition, now);
@@ -82,7 +82,7 @@
     machine.lost = true;
     const findings = newFindings();
     fence(partition, machine, "lease", findings.fenced);
-    dropAllAttempts({ partition: partition, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
+    dropAllAttempts({ partition, machine, now, findings }, { by: "lease over", answeredAt, expiryMs, provenAt });
     findings.changed = true;
     scope.log.info(
       {
@@ -147,7 +147,7 @@
         const machineOfMember = partition.machines.get(member.host);
         if (member.stop !== null || machineOfMember === undefined) continue;
         member.stop = { graceS: spec.flushS };
-        this.context.dispatch$.next({ partition: partition, machine: machineOfMember });
+        this.context.dispatch$.next({ partition, machine: machineOfMember });
       }
     }
   }
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -14,7 +14,7 @@
 
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly rentals: RentalIndex,
     private readonly committer: GroupCommitter,
   ) {}
@@ -29,8 +29,8 @@
       return current === undefined || current.lastReceivedAt === -Infinity || current.deleting ? null : current.addr;
     };
     const draft = () => {
-      const entry = this.mirror.get<RentalRecord>(key);
-      if (entry?.v.hosts === undefined || this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
+      const entry = this.replica.get<RentalRecord>(key);
+      if (entry?.v.hosts === undefined || this.replica.stamp(keys.owner(partition.id)) !== partition.term) return null;
       const hosts = { ...entry.v.hosts };
       let changed = 0;
       for (const [host, addr] of Object.entries(hosts)) {
@@ -52,7 +52,7 @@
       this.pending.delete(key);
       if (outcome === "shed") return;
       // Records machines that came up during the write.
-      const hosts = this.mirror.get<RentalRecord>(key)?.v.hosts ?? {};
+      const hosts = this.replica.get<RentalRecord>(key)?.v.hosts ?? {};
       const remaining = Object.entries(hosts).find(([host, addr]) => addr === "" && reportedAddress(host) !== null);
       const next = remaining === undefined ? undefined : partition.machines.get(remaining[0]);
       if (next !== undefined && this.context.partitions.get(partition.id) === partition) this.record(partition, next);
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -27,7 +27,7 @@
   constructor(
     private readonly context: LeaderContext,
     private readonly incarnation: string,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly rentals: RentalIndex,
     private readonly needs: JobDependencies,
     private readonly progress: Progress,
@@ -37,7 +37,7 @@
 
   /** Subscribes to changes of records, rentals and job dependencies. */
   start(): void {
-    this.context.scope.listen(this.mirror.changes$, (key) => this.onChange(key));
+    this.context.scope.listen(this.replica.changes$, (key) => this.onChange(key));
     this.context.scope.listen(this.rentals.changes$, (host) => this.reconcileMachine(host));
     this.context.scope.listen(this.needs.ready$, (ref) => {
       this.reconcileWork(keys.job(ref));
@@ -62,13 +62,13 @@
 
   /** Gives up the partition if its record names another owner or term, and starts a takeover if it names this process. */
   private reconcileOwner(id: number): void {
-    const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
+    const entry = this.replica.get<OwnerRecord>(keys.owner(id));
     const current = this.context.partitions.get(id);
     const isOwner = entry !== undefined && entry.v.owner === this.context.settings.self && entry.v.life === this.incarnation;
     if (current !== undefined && (!isOwner || current.term !== entry.stamp)) {
       this.context.partitions.delete(id);
       this.context.scope.log.info(
-        { part: id, term: current.term, now: entry?.v.owner, nowTerm: entry?.stamp, readAgoMs: Math.round(this.mirror.ageMs()) },
+        { part: id, term: current.term, now: entry?.v.owner, nowTerm: entry?.stamp, readAgoMs: Math.round(this.replica.ageMs()) },
         "part lost",
       );
     }
@@ -88,10 +88,10 @@
     this.endedTerms.recordEnd(partition.id, partition.term, seen);
     this.context.stats.superseded++;
     this.context.scope.log.warn(
-      { part: partition.id, term: partition.term, ...seen, readAgoMs: Math.round(this.mirror.ageMs()) },
+      { part: partition.id, term: partition.term, ...seen, readAgoMs: Math.round(this.replica.ageMs()) },
       "part lost: a worker shows a newer owner's token",
     );
-    void this.mirror.refresh().catch(() => undefined);
+    void this.replica.refresh().catch(() => undefined);
     return true;
   }
 
@@ -106,14 +106,14 @@
     this.takingOver.add(claim);
     for (;;) {
       try {
-        await this.mirror.refresh();
+        await this.replica.refresh();
         break;
       } catch {
         await sleep(this.context.scope.clock, this.context.settings.timing.reportMs / 5);
       }
     }
     this.takingOver.delete(claim);
-    const entry = this.mirror.get<OwnerRecord>(keys.owner(id));
+    const entry = this.replica.get<OwnerRecord>(keys.owner(id));
     const stillOwner = entry?.stamp === term && entry.v.life === this.incarnation;
     if (stillOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
   }
@@ -124,9 +124,9 @@
     this.context.partitions.set(id, partition);
     this.context.stats.takeovers++;
     for (const { host, partition: of } of this.rentals.all()) if (of === id) this.reconcileMachine(host);
-    for (const key of this.mirror.openJobs().keys()) this.reconcileWork(key);
-    for (const key of this.mirror.rows(keys.slices).keys()) this.reconcileWork(key);
-    const readAgoMs = Math.round(this.mirror.ageMs());
+    for (const key of this.replica.openJobs().keys()) this.reconcileWork(key);
+    for (const key of this.replica.rows(keys.slices).keys()) this.reconcileWork(key);
+    const readAgoMs = Math.round(this.replica.ageMs());
     this.context.scope.log.info(
       { part: id, term, life: this.incarnation, readAgoMs, machines: partition.machines.size, queue: partition.taskSets.size },
       "leading; fencing machines",
@@ -173,7 +173,7 @@
   /** Removes a machine that the cloud has deleted, with all attempts on it. */
   forgetMachine(partition: Partition, machine: Machine): void {
     const findings = newFindings();
-    dropAllAttempts({ partition: partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
+    dropAllAttempts({ partition, machine, now: this.context.now, findings }, { by: "machine deleted" });
     fence(partition, machine, "deleted", findings.fenced);
     partition.machines.delete(machine.host);
     this.effects.apply(partition, findings);
@@ -182,10 +182,10 @@
   /** Adds, shortens, ends or removes the task set of a job or slice record in the owned partitions. */
   private reconcileWork(key: string): void {
     const isJob = key.startsWith(keys.jobs);
-    const entry = this.mirror.get<JobRecord | SliceRecord>(key);
+    const entry = this.replica.get<JobRecord | SliceRecord>(key);
     if (entry === undefined) return;
     const ref = isJob ? (entry.v as JobRecord).spec.ref : (entry.v as SliceRecord).ref;
-    const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
+    const job = this.replica.get<JobRecord>(keys.job(ref))?.v;
     if (job === undefined) return;
     if (isJob && job.end !== undefined) {
       for (const partition of this.context.partitions.values())
@@ -230,7 +230,7 @@
   }
 
   private reconcileSlices(ref: string): void {
-    for (const [key] of this.mirror.slicesOf(ref)) this.reconcileWork(key);
+    for (const [key] of this.replica.slicesOf(ref)) this.reconcileWork(key);
   }
 
   /** Stops the attempts of a job that ended and removes its task set from the queue. */
@@ -240,7 +240,7 @@
     for (const placement of taskSet.placements.values()) {
       if (!taskSet.done.has(placement.task)) placement.stop = { graceS: 0 };
       const machine = partition.machines.get(placement.host);
-      if (machine !== undefined) this.context.dispatch$.next({ partition: partition, machine });
+      if (machine !== undefined) this.context.dispatch$.next({ partition, machine });
     }
     removeTaskSet(partition, taskSet);
     this.context.requestSchedulingCycle();
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -14,7 +14,7 @@
   incarnation: string;
   presence: Presence;
   detector: FailureDetector;
-  mirror: StateReplica;
+  replica: StateReplica;
   committer: GroupCommitter;
   scope: Scope;
   /**
@@ -65,7 +65,7 @@
 
   /** Returns the owner record of the partition, if there is one. */
   owner(partition: number): OwnerRecord | undefined {
-    return this.dependencies.mirror.get<OwnerRecord>(keys.owner(partition))?.v;
+    return this.dependencies.replica.get<OwnerRecord>(keys.owner(partition))?.v;
   }
 
   /** Returns the home controller of the partition. */
@@ -85,7 +85,7 @@
     for (const node of settings.nodes) presence.trackAbsence(node, (one) => this.partitionsOf(one));
     const unfit = presence.unfit() || presence.reportsUnfit(self);
     settings.nodes.forEach((home, partition) => {
-      const entry = this.dependencies.mirror.get<OwnerRecord>(keys.owner(partition));
+      const entry = this.dependencies.replica.get<OwnerRecord>(keys.owner(partition));
       const record = entry?.v;
       const reason = reasonToClaim({
         self,
@@ -131,8 +131,8 @@
   /** Returns whether this node's view of the state service is recent and its own presence key exists. */
   private hasCurrentView(): boolean {
     return (
-      this.dependencies.mirror.loaded &&
-      this.dependencies.mirror.ageMs() <= this.dependencies.settings.timing.presenceMs / 2 &&
+      this.dependencies.replica.loaded &&
+      this.dependencies.replica.ageMs() <= this.dependencies.settings.timing.presenceMs / 2 &&
       this.dependencies.presence.ownVisible()
     );
   }
@@ -148,16 +148,16 @@
     if (this.claiming.has(partition)) return;
     this.claiming.add(partition);
     const key = keys.owner(partition);
-    const recorded = this.dependencies.mirror.get<OwnerRecord>(key);
+    const recorded = this.dependencies.replica.get<OwnerRecord>(key);
     const draft = () => {
-      const current = this.dependencies.mirror.get<OwnerRecord>(key);
+      const current = this.dependencies.replica.get<OwnerRecord>(key);
       if (current?.stamp !== recorded?.stamp) return null;
       const owner = recorded?.v.owner;
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
-      const alive = owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.mirror.stamp(keys.presenceOf(owner)) };
+      const alive = owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.replica.stamp(keys.presenceOf(owner)) };
       const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, alive, reason);
       // The claim fails unless this node knows the newest configuration.
-      conditions.push({ k: keys.configuration, stamp: this.dependencies.mirror.stamp(keys.configuration) });
+      conditions.push({ k: keys.configuration, stamp: this.dependencies.replica.stamp(keys.configuration) });
       return {
         conditions,
         apply: [{ write: key, v: { owner: this.dependencies.settings.self, life: this.dependencies.incarnation } satisfies OwnerRecord }],
@@ -170,7 +170,7 @@
       .then((outcome) => {
         this.claiming.delete(partition);
         if (outcome !== "done") return;
-        const term = this.dependencies.mirror.stamp(key);
+        const term = this.dependencies.replica.stamp(key);
         const missing = recorded === undefined ? null : this.dependencies.presence.missingMs(recorded.v.owner);
         this.dependencies.onTaken(partition, term, reason, missing === null ? null : Math.round(missing));
         this.dependencies.scope.log.info(
@@ -181,7 +181,7 @@
             life: this.dependencies.incarnation,
             former: recorded?.v.owner,
             formerTerm: recorded?.stamp,
-            readAgoMs: Math.round(this.dependencies.mirror.ageMs()),
+            readAgoMs: Math.round(this.dependencies.replica.ageMs()),
           },
           "part taken",
         );
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -11,7 +11,7 @@
 export class Progress {
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly committer: GroupCommitter,
   ) {}
 
@@ -46,10 +46,10 @@
     const isJob = taskSet.lo === 0;
     let writtenCount = 0;
     const draft = () => {
-      const entry = this.mirror.get<JobRecord | SliceRecord>(taskSet.key);
-      const job = this.mirror.get<JobRecord>(keys.job(ref));
+      const entry = this.replica.get<JobRecord | SliceRecord>(taskSet.key);
+      const job = this.replica.get<JobRecord>(keys.job(ref));
       if (entry === undefined || job === undefined || job.v.end !== undefined || partitionOf(entry.v) !== partition.id) return null;
-      if (this.mirror.stamp(keys.owner(partition.id)) !== partition.term) return null;
+      if (this.replica.stamp(keys.owner(partition.id)) !== partition.term) return null;
       const bits = doneTasks(entry.v, taskSet.hi - taskSet.lo);
       const recordedCount = bits.count;
       bits.merge(taskSet.done);
@@ -84,10 +84,10 @@
 
   /** Returns whether all slices after the first are recorded as done. */
   private allSlicesDone(ref: string): boolean {
-    const spec = this.mirror.get<JobRecord>(keys.job(ref))!.v;
+    const spec = this.replica.get<JobRecord>(keys.job(ref))!.v;
     if (spec.hi >= spec.spec.tasks) return true;
     let covered = spec.hi;
-    for (const [, { v: slice }] of this.mirror.slicesOf(ref)) {
+    for (const [, { v: slice }] of this.replica.slicesOf(ref)) {
       if (!doneTasks(slice, slice.hi - slice.lo).full) return false;
       covered += slice.hi - slice.lo;
     }
@@ -97,7 +97,7 @@
   /** Returns whether the task is durably recorded as done, or its job has ended. */
   isRecordedDone(piece: string): boolean {
     const { ref, task } = parseTaskId(piece);
-    const job = this.mirror.get<JobRecord>(keys.job(ref));
+    const job = this.replica.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
     if (job.v.end !== undefined) return true;
     const found = this.recordOf(ref, task);
@@ -106,10 +106,10 @@
 
   /** Returns the job or slice record that contains the task, and the number of its first task. */
   private recordOf(ref: string, task: number): { lo: number; record: JobRecord | SliceRecord } | null {
-    const job = this.mirror.get<JobRecord>(keys.job(ref));
+    const job = this.replica.get<JobRecord>(keys.job(ref));
     if (job === undefined) return null;
     if (task < job.v.hi) return { lo: 0, record: job.v };
-    for (const [, { v }] of this.mirror.slicesOf(ref)) if (task >= v.lo && task < v.hi) return { lo: v.lo, record: v };
+    for (const [, { v }] of this.replica.slicesOf(ref)) if (task >= v.lo && task < v.hi) return { lo: v.lo, record: v };
     return null;
   }
 }
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -51,7 +51,7 @@
     private readonly configuration: Configuration,
     /** The partitions that this node owns. */
     private readonly partitions: () => ReadonlyMap<number, Partition>,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly committer: GroupCommitter,
     private readonly scope: Scope,
   ) {}
@@ -62,11 +62,11 @@
       "quota shares",
       () => this.settings.timing.presenceMs / 4,
       () => {
-        if (this.mirror.loaded) this.reviewCount++;
+        if (this.replica.loaded) this.reviewCount++;
         this.review();
       },
     );
-    this.scope.listen(this.mirror.changes$, (key) => {
+    this.scope.listen(this.replica.changes$, (key) => {
       if (key.startsWith(keys.owners) || key.startsWith(keys.configurationRoot)) this.reviewSoon();
       else if (this.configuration.version > 0 && key.startsWith(keys.quotaShares)) this.reviewSoon();
     });
@@ -83,7 +83,7 @@
   }
 
   private review(): void {
-    if (!this.mirror.loaded) return;
+    if (!this.replica.loaded) return;
     this.createMissing();
     this.adjustAll();
   }
@@ -97,12 +97,12 @@
     const n = this.settings.nodes.length;
     for (const team of this.configuration.teams) {
       const key = keys.quotaShare(team.name);
-      if (this.mirror.get(key) !== undefined || this.creating.has(key)) continue;
+      if (this.replica.get(key) !== undefined || this.creating.has(key)) continue;
       if (this.reviewCount <= OWNER_ONLY_REVIEWS && !this.partitions().has(responsiblePartition(team.name, n))) continue;
       const value: QuotaShareRecord = { cpus: splitLimit(team.cpus_max, n), gpus: splitLimit(team.gpus_max, n) };
       this.creating.add(key);
       const draft = () =>
-        this.mirror.get(key) !== undefined ? null : { conditions: [{ k: key, stamp: 0 }], apply: [{ write: key, v: value }] };
+        this.replica.get(key) !== undefined ? null : { conditions: [{ k: key, stamp: 0 }], apply: [{ write: key, v: value }] };
       const shedAfterMs = this.settings.timing.presenceMs / 4;
       void this.committer.commit("quota record", draft, { shedAfterMs }).then(() => this.creating.delete(key));
     }
@@ -115,7 +115,7 @@
 
   /** Returns how much of the team's limit the partition may use, without what is being transferred away. */
   grantedShare(partition: number, team: string): Usage {
-    const record = this.mirror.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
+    const record = this.replica.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const share = this.startableShare(quotaShareOf(record, partition), record, team);
     const pending = this.transferring.get(`${partition}|${team}`);
     return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
@@ -144,12 +144,12 @@
     const { term } = partition;
     const key = keys.quotaShare(team);
     const draft = () => {
-      if (this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
+      if (this.replica.stamp(keys.owner(partition.id)) !== term) return null;
       const next = this.nextShares(partition, team);
       if (next === null) return null;
       return {
         conditions: [
-          { k: key, stamp: this.mirror.stamp(key) },
+          { k: key, stamp: this.replica.stamp(key) },
           { k: keys.owner(partition.id), stamp: term },
           { k: keys.configuration, stamp: this.configuration.stamp },
         ],
@@ -164,7 +164,7 @@
 
   /** Returns the team's record as this partition's owner would write it next; null if nothing changes. */
   private nextShares(partition: Partition, team: string): QuotaShareRecord | null {
-    const record = this.mirror.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
+    const record = this.replica.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const limits = this.configuration.team(team);
     if (record === undefined || limits === undefined) return null;
     const used = usageOfTeam(partition, team);
@@ -190,10 +190,10 @@
     const key = keys.quotaShare(team);
     this.transferring.set(label, transferred);
     const term = partition.term;
-    const expectedStamp = this.mirror.stamp(key);
+    const expectedStamp = this.replica.stamp(key);
     const draft = () => {
-      const entry = this.mirror.get<QuotaShareRecord>(key);
-      if (entry === undefined || entry.stamp !== expectedStamp || this.mirror.stamp(keys.owner(partition.id)) !== term) return null;
+      const entry = this.replica.get<QuotaShareRecord>(key);
+      if (entry === undefined || entry.stamp !== expectedStamp || this.replica.stamp(keys.owner(partition.id)) !== term) return null;
       const move = (list: (number | null)[], amount: number): (number | null)[] =>
         list.map((x, i) => (x === null ? null : i === partition.id ? x - amount : i === to ? x + amount : x));
       return {
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly context: LeaderContext,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly rentals: RentalIndex,
     private readonly progress: Progress,
     private readonly machineStartup: MachineStartup,
@@ -41,17 +41,17 @@
 
   /** Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or silence. */
   onReport(report: Report): ReportAnswer {
-    if (!this.mirror.loaded || this.context.isSilent()) return { kind: "silent" };
+    if (!this.replica.loaded || this.context.isSilent()) return { kind: "silent" };
     const record = this.rentals.get(report.host);
     if (record === undefined) {
       this.anomalies.info({ host: report.host, addr: report.addr, tasks: report.tasks.length }, "report from an unregistered machine");
       return { kind: "elsewhere", boss: null };
     }
     const partition = this.context.partitions.get(record.partition);
-    if (partition === undefined) return { kind: "elsewhere", boss: this.mirror.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null };
+    if (partition === undefined) return { kind: "elsewhere", boss: this.replica.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null };
     if (report.token > partition.term) {
       this.handleNewerToken(partition, report, "report");
-      const owner = this.mirror.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null;
+      const owner = this.replica.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null;
       return { kind: "elsewhere", boss: owner === this.context.settings.self ? null : owner };
     }
     const machine = partition.machines.get(report.host);
@@ -128,7 +128,7 @@
 
   /** Returns a task set that stands in for a job that does not run in this partition, so that its resource usage counts. */
   private placeholder(ref: string): TaskSet {
-    const job = this.mirror.get<JobRecord>(keys.job(ref))?.v;
+    const job = this.replica.get<JobRecord>(keys.job(ref))?.v;
     const spec: JobSpec =
       job?.spec ??
       ({
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -147,8 +147,8 @@
         );
         result.changedMachines.add(partition.machines.get(placement.host)!);
       }
-      for (const machine of result.changedMachines) this.context.dispatch$.next({ partition: partition, machine });
-      for (const [team, want] of result.shortages) this.context.quotaShortage$.next({ partition: partition, team, want });
+      for (const machine of result.changedMachines) this.context.dispatch$.next({ partition, machine });
+      for (const [team, want] of result.shortages) this.context.quotaShortage$.next({ partition, team, want });
     }
   }
 }
--- a/src/pipelines/needs.ts
+++ b/src/pipelines/needs.ts
@@ -34,15 +34,15 @@
   readonly urgencyChanged$ = new Subject<string>();
   private readonly nodes = new Map<string, JobNode>();
 
-  constructor(private readonly mirror: StateReplica) {
-    mirror.changes$.subscribe((key) => {
+  constructor(private readonly replica: StateReplica) {
+    replica.changes$.subscribe((key) => {
       if (key.startsWith(keys.jobs)) this.applyRecord(key);
-      else if (key.startsWith(keys.needLists)) this.applyRecord(keys.job(mirror.get<NeedListRecord>(key)?.v.ref ?? ""));
+      else if (key.startsWith(keys.needLists)) this.applyRecord(keys.job(replica.get<NeedListRecord>(key)?.v.ref ?? ""));
     });
   }
 
   private record(ref: string): JobRecord | undefined {
-    return this.mirror.get<JobRecord>(keys.job(ref))?.v;
+    return this.replica.get<JobRecord>(keys.job(ref))?.v;
   }
 
   /** Terminal state of the job, from its own record or that of a job it depends on; it never changes once set. */
@@ -102,7 +102,7 @@
   }
 
   private applyRecord(key: string): void {
-    const record = this.mirror.get<JobRecord>(key)?.v;
+    const record = this.replica.get<JobRecord>(key)?.v;
     if (record === undefined) return;
     const { ref, needs, urgency } = record.spec;
     const known = this.nodes.get(ref);
@@ -128,7 +128,7 @@
   private allDependencies({ spec, needLists }: JobRecord): string[] | null {
     const all = [...(spec.needs ?? [])];
     for (let i = 0; i < (needLists?.count ?? 0); i++) {
-      const list = this.mirror.get<NeedListRecord>(keys.needList(spec.ref, needLists!.name, i))?.v;
+      const list = this.replica.get<NeedListRecord>(keys.needList(spec.ref, needLists!.name, i))?.v;
       if (list === undefined) return null;
       all.push(...list.needs);
     }
--- a/src/queue/attempts.ts
+++ b/src/queue/attempts.ts
@@ -5,7 +5,7 @@
 }
 
 /** Number of the attempt's task within its job. */
-export function taskNumber({ taskSet: taskSet, task }: Attempt): number {
+export function taskNumber({ taskSet, task }: Attempt): number {
   return taskSet.lo + task;
 }
 
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -148,7 +148,7 @@
       simulated.free = { cpus: 0, gpus: 0, ram: 0 };
     }
     machines.push(simulated);
-    for (const { taskSet: taskSet, runningAt } of machine.placements.values()) {
+    for (const { taskSet, runningAt } of machine.placements.values()) {
       const left = runningAt === null ? expectedRunMs(taskSet.spec) : history.remainingRunS(taskSet.spec, (now - runningAt) / 1000) * 1000;
       events.push({ at: due(now + left), machine: simulated, freed: taskSet.spec, times: 1 });
     }
@@ -169,7 +169,7 @@
     return shape;
   };
   const entryOf = (taskSet: TaskSet): QueueEntry => ({
-    taskSet: taskSet,
+    taskSet,
     tasks: taskSet.waiting.length,
     shape: taskSet.spec.kind === "gang" ? shapeOf(taskSet) : null,
   });
--- a/src/queue/pass.ts
+++ b/src/queue/pass.ts
@@ -168,7 +168,7 @@
     const tasks = taskSet.waiting.slice(0, chosen.length);
     chosen.forEach((candidate, i) => {
       const placement: Placement = {
-        taskSet: taskSet,
+        taskSet,
         task: tasks[i]!,
         attempt: gangAttempt ?? nextAttemptNumber(partition),
         host: candidate.machine.host,
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -111,7 +111,7 @@
     const inZone = new Map(already);
     const zoneCapacity = (name: string): number => (limit === null ? Infinity : limit - (inZone.get(name) ?? 0));
     while (chosen.length < count) {
-      const candidate = pickCandidate(spec, candidates, { zone, zoneCapacity: zoneCapacity, avoid });
+      const candidate = pickCandidate(spec, candidates, { zone, zoneCapacity, avoid });
       if (candidate === null) break;
       // The fullest machine stays the fullest as it fills up, so it is filled in one step: looking at every machine
       // for every task would cost tasks times machines.
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -32,7 +32,7 @@
  * Seconds that stopping one of its tasks adds to a job's completion: a whole run if no other task of it waits, next
  * to nothing if most of it still does. A half-done job is of no use to anyone.
  */
-function delayS({ taskSet: taskSet }: Placement, expectS: (taskSet: TaskSet) => number): number {
+function delayS({ taskSet }: Placement, expectS: (taskSet: TaskSet) => number): number {
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
@@ -41,7 +41,7 @@
 
 /** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
 function recentlyStarted(placement: Placement, now: number): number {
-  const { runningAt, taskSet: taskSet } = placement;
+  const { runningAt, taskSet } = placement;
   return taskSet.spec.checkpointS > 0 && (runningAt === null || now - runningAt < MIN_USEFUL_RUN_S * 1000) ? 1 : 0;
 }
 
--- a/src/queue/room.ts
+++ b/src/queue/room.ts
@@ -10,6 +10,6 @@
 /** Capacity that becomes free on the machine when the tasks that were ordered to stop have exited. */
 export function stoppingCapacity(machine: Machine): Capacity {
   const released = { cpus: 0, gpus: 0, ram: 0 };
-  for (const { stop, taskSet: taskSet } of machine.placements.values()) if (stop !== null) addCapacity(released, taskSet.spec, 1);
+  for (const { stop, taskSet } of machine.placements.values()) if (stop !== null) addCapacity(released, taskSet.spec, 1);
   return released;
 }
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -103,7 +103,7 @@
   const inbound = new InboundConnections(server, deployment.quota.sockets);
   new ReportFastPath({
     endpoint: reports,
-    httpServer: httpServer,
+    httpServer,
     isNearSocketLimit: () => inbound.closesAfterAnswer(),
     scope,
     idleMs: timing.expiryMs * IDLE_EXPIRIES,
--- a/src/served/account.ts
+++ b/src/served/account.ts
@@ -62,7 +62,7 @@
   }
 
   /** Counts an attempt that was seen to begin running. */
-  recordStart({ taskSet: taskSet }: Placement): void {
+  recordStart({ taskSet }: Placement): void {
     this.of(taskSet.spec.klass).begun++;
   }
 
--- a/src/served/shares.ts
+++ b/src/served/shares.ts
@@ -52,19 +52,19 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly mirror: StateReplica,
+    private readonly replica: StateReplica,
     private readonly scope: Scope,
   ) {}
 
   start(): void {
     this.bucketStartedAt = this.scope.clock.now();
-    this.scope.listen(this.mirror.changes$, (key) => {
+    this.scope.listen(this.replica.changes$, (key) => {
       if (key.startsWith(keys.jobs)) this.note(key);
     });
   }
 
   private note(key: string): void {
-    const job = this.mirror.get<JobRecord>(key)?.v;
+    const job = this.replica.get<JobRecord>(key)?.v;
     if (job === undefined) return;
     if (job.end === undefined) this.open.add(key);
     else if (this.open.delete(key) || this.endedLately(job)) {
@@ -78,7 +78,7 @@
    * True for a job that ended within the window and is read for the first time by a controller that has just started.
    */
   private endedLately({ endedAt }: JobRecord): boolean {
-    return !this.mirror.loaded && endedAt !== undefined && this.scope.clock.wall() - endedAt < this.windowMs();
+    return !this.replica.loaded && endedAt !== undefined && this.scope.clock.wall() - endedAt < this.windowMs();
   }
 
   private windowMs(): number {
@@ -94,7 +94,7 @@
       this.done.length = Math.min(this.done.length, BUCKETS);
     }
     const counts = new Map<string, ClassCounts>();
-    for (const { v } of this.mirror.openJobs().values()) {
+    for (const { v } of this.replica.openJobs().values()) {
       const { klass, urgency } = v.spec;
       const count = counts.get(klass) ?? { rank: rank(urgency), done: 0, open: 0 };
       counts.set(klass, { ...count, open: count.open + 1 });
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -10,7 +10,7 @@
   const {
     settings,
     configuration,
-    mirror: replica,
+    replica,
     rentals,
     needs,
     presence,
--- a/src/workers/dispatch.ts
+++ b/src/workers/dispatch.ts
@@ -30,7 +30,7 @@
   start(): void {
     this.scope.listen(
       this.leader.dispatch$,
-      ({ partition: partition, machine }) => void this.scope.costs.charge("order", () => this.send(partition, machine)),
+      ({ partition, machine }) => void this.scope.costs.charge("order", () => this.send(partition, machine)),
     );
   }
 
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -104,7 +104,7 @@
     answeredAt: -Infinity,
     lost: false,
     noticeAt: null,
-    rentedAt: rentedAt,
+    rentedAt,
     idleSince: rentedAt,
     deleting: false,
     draining: false,
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -76,7 +76,7 @@
  * invalid, the attempt remains registered and is reported in `findings.unproven`.
  */
 function dropAttempt(
-  { partition: partition, machine, now, findings }: DropContext,
+  { partition, machine, now, findings }: DropContext,
   key: string,
   placement: Placement,
   ending: ProvenEnd,
@@ -117,12 +117,12 @@
 
 /** Updates the job and the machine of an attempt that has exited, according to the cause. */
 function recordExit(
-  { partition: partition, machine, now, findings }: DropContext,
+  { partition, machine, now, findings }: DropContext,
   placement: Placement,
   task: ReportedTask,
   timing: FailureTiming,
 ): void {
-  const { taskSet: taskSet } = placement;
+  const { taskSet } = placement;
   switch (task.cause) {
     case "done":
       if (placement.runningAt !== null && placement.timesReliable)
@@ -247,7 +247,7 @@
 
 /** Applies the state of one task that a report lists. */
 function applyTaskReport(dropContext: DropContext, task: ReportedTask, token: number, context: ReportContext): void {
-  const { partition: partition, machine, findings } = dropContext;
+  const { partition, machine, findings } = dropContext;
   const key = attemptKey(task.piece, task.attempt);
   const registered = machine.placements.get(key);
   if (task.state === "exited") {
@@ -297,7 +297,7 @@
  */
 export function applyReport(partition: Partition, machine: Machine, report: Report, context: ReportContext, findings: Findings): boolean {
   if (!isNewer(machine, report)) return false;
-  const dropContext: DropContext = { partition: partition, machine, now: context.now, findings };
+  const dropContext: DropContext = { partition, machine, now: context.now, findings };
   if (report.session > machine.session) beginSession(dropContext, report);
   updateMachine(partition, machine, report, context, findings);
   const listed = new Set<string>();
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -44,7 +44,7 @@
       const running = new Map<string, number>();
       for (const partition of controller!.leader.partitions.values())
         for (const machine of partition.machines.values())
-          for (const { taskSet: taskSet, runningAt } of machine.placements.values())
+          for (const { taskSet, runningAt } of machine.placements.values())
             if (runningAt !== null) running.set(taskSet.spec.klass, (running.get(taskSet.spec.klass) ?? 0) + 1);
       for (const [klass, account] of Object.entries(controller!.leader.account.view())) {
         assert.equal(endsOf(account) + (running.get(klass) ?? 0), account.begun, `${klass} at ${at}`);
@@ -64,7 +64,7 @@
   const account = new ClassAccounting();
   for (let i = 0; i < 500; i++) {
     const taskSet = newTaskSet("t/j/x", specOf({ klass: `class-${i}` }), 0, 1, new Bits(1), 0, 0);
-    account.recordStart({ taskSet: taskSet } as Placement);
+    account.recordStart({ taskSet } as Placement);
   }
   const view = account.view();
   assert.ok(Object.keys(view).length <= 51);
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -55,7 +55,7 @@
     "a lease that ended after the last proof",
     (partition, machine, findings) =>
       dropAllAttempts(
-        { partition: partition, machine, now: NOW, findings },
+        { partition, machine, now: NOW, findings },
         { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS },
       ),
   ],
@@ -105,10 +105,10 @@
   const drops: ((partition: Partition, machine: Machine, findings: Findings) => void)[] = [
     (partition, machine, findings) =>
       dropAllAttempts(
-        { partition: partition, machine, now: NOW, findings },
+        { partition, machine, now: NOW, findings },
         { by: "lease over", answeredAt: NOW, expiryMs: EXPIRY_MS, provenAt: NOW + EXPIRY_MS + 1 },
       ),
-    (partition, machine, findings) => dropAllAttempts({ partition: partition, machine, now: NOW, findings }, { by: "machine deleted" }),
+    (partition, machine, findings) => dropAllAttempts({ partition, machine, now: NOW, findings }, { by: "machine deleted" }),
     (partition, machine, findings) => void applyReport(partition, machine, report(machine, {}), context, findings),
     (partition, machine, findings) =>
       void applyReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -80,15 +80,15 @@
 }
 
 /** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
-function assertConsistentRecords({ mirror, settings }: RehearsedController): void {
+function assertConsistentRecords({ replica, settings }: RehearsedController): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
-    const { cpus } = mirror.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
+    const { cpus } = replica.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
     const sum = cpus.reduce<number>((all, one) => all + (one ?? 0), 0);
     assert.equal(sum, cpus_max, `the quota shares of ${name} add up to its limit`);
     assert.ok(cpus.every((one) => one === null || one >= 0));
   }
-  for (const [key, { v: job }] of mirror.rows<JobRecord>(keys.jobs)) {
-    const slices = mirror.slicesOf(job.spec.ref).map(([, { v }]: [string, { v: SliceRecord }]) => v);
+  for (const [key, { v: job }] of replica.rows<JobRecord>(keys.jobs)) {
+    const slices = replica.slicesOf(job.spec.ref).map(([, { v }]: [string, { v: SliceRecord }]) => v);
     let covered = job.hi;
     for (const { lo, hi } of slices.sort((a, b) => a.lo - b.lo)) {
       assert.equal(lo, covered, `${key}: slices neither overlap nor leave gaps`);
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -244,7 +244,7 @@
         if (answer.kind !== "orders") return answer;
         const stopped = new Set(answer.orders.filter(({ verb }) => verb === "stop").map(({ piece }) => piece));
         for (const { piece, state } of report.tasks) {
-          const end = controller.mirror.get<JobRecord>(keys.job(piece.slice(0, piece.lastIndexOf("/"))))?.v.end;
+          const end = controller.replica.get<JobRecord>(keys.job(piece.slice(0, piece.lastIndexOf("/"))))?.v.end;
           if (state === "exited" || end !== "withdrawn") continue;
           renewed++;
           assert.ok(stopped.has(piece), `${piece} on ${report.host} at ${asked.clock.now()}`);
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -128,10 +128,10 @@
   await world.clock.run(8000);
   assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   let reads = 0;
-  const { mirror } = controllerOf(world, "nest-0");
-  const fresh = mirror.refresh.bind(mirror);
+  const { replica } = controllerOf(world, "nest-0");
+  const fresh = replica.refresh.bind(replica);
   const runs = new Set<Promise<void>>();
-  mirror.refresh = (deadline) => {
+  replica.refresh = (deadline) => {
     const run = fresh(deadline);
     if (!runs.has(run)) reads++;
     runs.add(run);
@@ -172,7 +172,7 @@
   const node = controllerOf(world, "nest-0");
   assert.equal(node.unreadyReason(), null);
   assert.equal((await ask(world, "poll", "run-509999")).body["status"], "done");
-  assert.equal(node.mirror.openJobs().size, 0);
+  assert.equal(node.replica.openJobs().size, 0);
   assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
   for (const name of world.nodes.keys()) world.killNode(name);
 });
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -92,7 +92,7 @@
       const answer = onReport(report);
       if (answer.kind !== "orders") return answer;
       answers++;
-      const claims = controller.settings.nodes.map((_, part) => controller.mirror.get<OwnerRecord>(keys.owner(part)));
+      const claims = controller.settings.nodes.map((_, part) => controller.replica.get<OwnerRecord>(keys.owner(part)));
       const claim = claims.find((entry) => entry?.stamp === answer.token);
       assert.deepEqual([claim?.v.life, claim?.v.owner], [request.life, request.platform["host_name"]]);
       return answer;
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -146,7 +146,7 @@
   queueUp(partition, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
   const context = { ...pass, order: orderAt(200), patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
   const stopped = choosePreemptions(partition, context);
-  assert.deepEqual([...new Set(stopped.map(({ taskSet: taskSet }) => taskSet.spec.ref))], ["run-000002"]);
+  assert.deepEqual([...new Set(stopped.map(({ taskSet }) => taskSet.spec.ref))], ["run-000002"]);
   assert.equal(stopped.length, 3);
 });
 
--- a/test/told.test.ts
+++ b/test/told.test.ts
@@ -98,7 +98,7 @@
   "polls are answered without a read that began after the poll": {
     spawn: (options) => {
       const controller = spawnController(options);
-      controller.mirror.refresh = () => Promise.resolve();
+      controller.replica.refresh = () => Promise.resolve();
       return controller;
     },
     what: /went_back|forgotten/,
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -373,7 +373,7 @@
   if (what === "sliced") {
     // SUBJECT sliced: some of its tasks belong to another part by a record of their own.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
-    const slices = [...node!.controller!.mirror.rows<SliceRecord>(keys.slices).values()].filter((e) => e.v.ref === subject);
+    const slices = [...node!.controller!.replica.rows<SliceRecord>(keys.slices).values()].filter((e) => e.v.ref === subject);
     return check(slices.length > 0, slices.length);
   }
   if (what === "runs") {
@@ -394,7 +394,7 @@
   if (subject === "suspicions") {
     // suspicions at-most N: so many were written down of one node, at most.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
-    const most = Math.max(0, ...[...node!.controller!.mirror.rows<SuspicionRecord>(keys.suspicions).values()].map(({ v }) => v.n));
+    const most = Math.max(0, ...[...node!.controller!.replica.rows<SuspicionRecord>(keys.suspicions).values()].map(({ v }) => v.n));
     return check(most >= 1 && most <= Number(c), most);
   }
   if (subject === "met") {
