--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -4,7 +4,7 @@
 import { OverRate } from "../packages/protocol/src/state.js";
 import { Calls } from "../src/calls/calls.js";
 import { callPolicies, type Operation } from "../src/calls/policy.js";
-import { seededRandom } from "../src/platform/luck.js";
+import { seededRandom } from "../src/platform/seeded-random.js";
 import { TIMING } from "../test/world/calls.js";
 import { median, options, progress, report, Times } from "./harness.js";
 
--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -3,7 +3,7 @@
 import { BOUNDS } from "../packages/graphs/src/admission.js";
 import { GraphMachine } from "../packages/graphs/src/machine.js";
 import type { Out, TaskAsked } from "../packages/graphs/src/model.js";
-import { seededRandom } from "../src/platform/luck.js";
+import { seededRandom } from "../src/platform/seeded-random.js";
 import { median, options, progress, report, Times } from "./harness.js";
 
 /**
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -4,19 +4,19 @@
 import { VirtualState } from "../packages/emulator/src/virtual/service-links.js";
 import { Rate } from "../packages/protocol/src/rate.js";
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
-import { StateReplica } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/state-replica.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import { JobDependencies } from "../src/pipelines/needs.js";
+import { JobDependencies } from "../src/pipelines/job-dependencies.js";
 import { RentalIndex } from "../src/ledger/rentals.js";
-import { addTaskSet, newPartition } from "../src/parts/part.js";
+import { addTaskSet, newPartition } from "../src/parts/partition.js";
 import { systemClock } from "../src/platform/clock.js";
-import { CpuAccounting } from "../src/platform/costs.js";
+import { CpuAccounting } from "../src/platform/cpu-accounting.js";
 import { Scope } from "../src/platform/scope.js";
 import { openLog } from "../src/platform/log.js";
 import { Bits } from "../src/platform/bits.js";
-import { newTaskSet } from "../src/queue/unit.js";
+import { newTaskSet } from "../src/queue/task-set.js";
 import { newMachine } from "../src/workers/machine.js";
-import { ReportFastPath } from "../src/workers/report-lane.js";
+import { ReportFastPath } from "../src/workers/report-fast-path.js";
 import { callsFor } from "../test/world/calls.js";
 
 /** Bytes that one more of a thing takes of a controller: heap and buffers after a collection. */
@@ -76,8 +76,15 @@
 async function connections(count: number): Promise<number> {
   const scope = new Scope(systemClock, openLog("measure"), new CpuAccounting());
   const server = createNetServer({ noDelay: true, allowHalfOpen: true });
-  const door = { onReport: () => ({ kind: "silent" }) as const, countResponse: () => undefined, onInvalidReport: () => undefined, costs: scope.costs };
-  new ReportFastPath({ endpoint: door, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(server);
+  const door = {
+    onReport: () => ({ kind: "silent" }) as const,
+    countResponse: () => undefined,
+    onInvalidReport: () => undefined,
+    costs: scope.costs,
+  };
+  new ReportFastPath({ endpoint: door, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(
+    server,
+  );
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as { port: number };
   const body = JSON.stringify({
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -1,6 +1,6 @@
 import { loadPlan, playVirtual, Spread, type RehearsalPlan } from "../packages/emulator/src/entry.js";
-import { injectionPointOf } from "../src/rehearsal/moments.js";
-import { spawnController } from "../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../src/rehearsal/injection-points.js";
+import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { options, progress, report } from "./harness.js";
 
 /**
@@ -37,7 +37,12 @@
 for (const [loss, fault] of Object.entries(LOSSES)) {
   const spreads = { claimed: new Spread(), fenced: new Spread(), back: new Spread(), done: new Spread() };
   for (let i = 0; i < given.repeats; i++) {
-    const played = await playVirtual({ plan: { ...base, name: loss, fault }, seed: given.seed + i, spawn: spawnController, momentOf: injectionPointOf });
+    const played = await playVirtual({
+      plan: { ...base, name: loss, fault },
+      seed: given.seed + i,
+      spawn: spawnController,
+      momentOf: injectionPointOf,
+    });
     rehearsals++;
     broken += played.broken.length;
     unfinished += played.jobs.unfinished.length;
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -1,9 +1,9 @@
 import { performance } from "node:perf_hooks";
 import { Bits } from "../../src/platform/bits.js";
 import { keys } from "../../src/ledger/records.js";
-import { runSchedulingCycle } from "../../src/queue/pass.js";
-import { newTaskSet } from "../../src/queue/unit.js";
-import { addTaskSet } from "../../src/parts/part.js";
+import { runSchedulingCycle } from "../../src/queue/scheduling-cycle.js";
+import { newTaskSet } from "../../src/queue/task-set.js";
+import { addTaskSet } from "../../src/parts/partition.js";
 import { partOf, pass, specOf } from "../../test/world/parts.js";
 import { median } from "../harness.js";
 import { jobRecordOf, mirrorHere } from "../memory.js";
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -1,6 +1,6 @@
 import { playVirtual, Spread, loadPlan } from "../../packages/emulator/src/entry.js";
-import { injectionPointOf } from "../../src/rehearsal/moments.js";
-import { spawnController } from "../../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../../src/rehearsal/injection-points.js";
+import { spawnController } from "../../src/rehearsal/spawn-controller.js";
 import type { Point } from "./line.js";
 import { slopeOf, type Slope } from "./slope.js";
 
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -1,7 +1,7 @@
 import { encodeJob } from "../packages/protocol/src/jobs.js";
 import { plainPlan, World, type Spawned } from "../packages/emulator/src/entry.js";
 import { Spread } from "../packages/emulator/src/report.js";
-import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "../test/world/parts.js";
 import { options, progress, report } from "./harness.js";
 
--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -2,7 +2,7 @@
 import { OverRate, TooLarge } from "@thorntrail/protocol/state";
 import { Subject, take } from "rxjs";
 import type { Clock } from "../platform/clock.js";
-import { backoffMs, RetryBudget } from "./pauses.js";
+import { backoffMs, RetryBudget } from "./backoff.js";
 import type { Operation, CallPolicy, Target } from "./policy.js";
 
 /**
--- a/src/commands.ts
+++ b/src/commands.ts
@@ -137,7 +137,7 @@
 
   /** Command line with which child processes are started. */
   const ownCommand = (): string[] => [process.execPath, join(dir, "main.js")];
-  const loadInjectionPoints = async () => (await import("./rehearsal/moments.js")).injectionPointOf;
+  const loadInjectionPoints = async () => (await import("./rehearsal/injection-points.js")).injectionPointOf;
   const wholeNumber = (text: string): number => {
     if (!/^\d{1,9}$/.test(text)) throw new InvalidArgumentError("expected a whole number");
     return Number(text);
--- a/src/configuration/current.ts
+++ b/src/configuration/configuration.ts
@@ -1,4 +1,4 @@
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import {
   keys,
   type ConfigurationRecord,
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -4,13 +4,13 @@
 import { Guarantees } from "./parts/guarantees.js";
 import { Leader } from "./parts/leader.js";
 import { Ownership } from "./parts/ownership.js";
-import { Configuration } from "./configuration/current.js";
-import { GroupCommitter } from "./ledger/committer.js";
-import { StateReplica } from "./ledger/mirror.js";
+import { Configuration } from "./configuration/configuration.js";
+import { GroupCommitter } from "./ledger/group-committer.js";
+import { StateReplica } from "./ledger/state-replica.js";
 import type { PresenceRecord } from "./ledger/records.js";
 import { RentalIndex } from "./ledger/rentals.js";
 import type { Calls } from "./calls/calls.js";
-import { cloudWithPolicies, stateWithPolicies, workersWithPolicy } from "./calls/through.js";
+import { cloudWithPolicies, stateWithPolicies, workersWithPolicy } from "./calls/policy-clients.js";
 import type { CloudApi } from "@thorntrail/protocol/cloud";
 import { Rate } from "@thorntrail/protocol/rate";
 import type { StateApi } from "@thorntrail/protocol/state";
@@ -21,14 +21,14 @@
 import { Jobs } from "./intake/jobs.js";
 import { Submissions } from "./intake/submissions.js";
 import { Relay } from "./intake/relay.js";
-import { FailureDetector } from "./membership/detector.js";
+import { FailureDetector } from "./membership/failure-detector.js";
 import { Presence } from "./membership/presence.js";
-import { JobDependencies } from "./pipelines/needs.js";
+import { JobDependencies } from "./pipelines/job-dependencies.js";
 import { OverloadMonitor, type MemoryUsage } from "./overload/overload.js";
 import type { PeerApi } from "./peers/links.js";
 import type { Scope } from "./platform/scope.js";
 import type { Settings } from "./settings/derived.js";
-import { CommandDispatcher } from "./workers/dispatch.js";
+import { CommandDispatcher } from "./workers/command-dispatcher.js";
 
 /** Share of a presence's lifetime; a controller whose timers are later than this suspects itself rather than its peers. */
 const LATE_TIMER_SHARE = 1 / 8;
@@ -246,7 +246,9 @@
       "health",
       () => this.settings.timing.reportMs / 4,
       () => {
-        const message = { Health: { stateOk: this.stateReachable(), hears: this.fitness.ownReachability(), use: this.leader.usageByTeam() } };
+        const message = {
+          Health: { stateOk: this.stateReachable(), hears: this.fitness.ownReachability(), use: this.leader.usageByTeam() },
+        };
         for (const node of this.settings.nodes) if (node !== this.settings.self) this.deps.peers.send(node, message);
       },
     );
@@ -272,7 +274,10 @@
     this.presence.onStall(ms);
     this.detector.onStall(ms);
     this.fleet.onStall(ms);
-    this.scope.log.warn({ ms: Math.round(ms), parts: [...this.leader.partitions.keys()] }, "this process stood still while its clocks ran on");
+    this.scope.log.warn(
+      { ms: Math.round(ms), parts: [...this.leader.partitions.keys()] },
+      "this process stood still while its clocks ran on",
+    );
   }
 
   /** Whether the replica cache proves recent contact with the state service. */
--- a/src/exchange/answers.ts
+++ b/src/exchange/bid-responder.ts
@@ -1,11 +1,11 @@
 /** Bids for jobs of other partitions. */
 import { keys, type JobRecord } from "../ledger/records.js";
-import { tasksThatFit } from "../parts/part.js";
+import { tasksThatFit } from "../parts/partition.js";
 import type { BidRequest } from "../peers/messages.js";
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
-import { newTaskSet } from "../queue/unit.js";
-import { estimateContext, unusedQuota, type ExchangeDependencies } from "./around.js";
+import { newTaskSet } from "../queue/task-set.js";
+import { estimateContext, unusedQuota, type ExchangeDependencies } from "./dependencies.js";
 
 /** Answers bid requests of other partitions: estimates when and how fast a partition would run their job. */
 export class BidResponder {
--- a/src/exchange/around.ts
+++ b/src/exchange/dependencies.ts
@@ -1,13 +1,13 @@
 /** Dependencies of the exchange, and helpers that its modules share. */
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
-import { usageOfTeam, type Partition, type Usage } from "../parts/part.js";
+import { usageOfTeam, type Partition, type Usage } from "../parts/partition.js";
 import type { OverloadMonitor } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
-import type { JobDependencies } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/job-dependencies.js";
 import type { Scope } from "../platform/scope.js";
 import type { EstimateContext } from "../queue/estimate.js";
 import { PREEMPT_AFTER_PHI } from "../queue/preempt.js";
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -1,16 +1,16 @@
 /** Search for better partitions for waiting jobs. */
-import { exchangeSettings, estimateContext, liveOwnerOf, type ExchangeDependencies } from "./around.js";
-import { BidResponder } from "./answers.js";
+import { exchangeSettings, estimateContext, liveOwnerOf, type ExchangeDependencies } from "./dependencies.js";
+import { BidResponder } from "./bid-responder.js";
 import { QuotaTransfers } from "./quota-transfers.js";
-import { selectBid, bidWithMostFreeCapacity, type Bid } from "./choice.js";
-import { Migration } from "./moving.js";
+import { selectBid, bidWithMostFreeCapacity, type Bid } from "./bid-selection.js";
+import { Migration } from "./migration.js";
 import { Volunteers } from "./volunteers.js";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { firstRequestId } from "../peers/ids.js";
 import type { BidResponse } from "../peers/messages.js";
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
-import { sortTaskSets } from "../queue/order.js";
-import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/unit.js";
+import { sortTaskSets } from "../queue/queue-order.js";
+import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/task-set.js";
 import { objectiveS } from "../settings/derived.js";
 
 /** Bid request that has been sent and not decided. */
@@ -97,7 +97,10 @@
     // Other partitions would repeat the failures before they consider the job faulty.
     if (failsRepeatedly(taskSet)) return false;
     // A job that is late already would take capacity from jobs that can still start in time.
-    if (this.dependencies.scope.clock.wall() - taskSet.submittedWall > objectiveS(this.dependencies.settings.platform, "wait", klass) * 1000)
+    if (
+      this.dependencies.scope.clock.wall() - taskSet.submittedWall >
+      objectiveS(this.dependencies.settings.platform, "wait", klass) * 1000
+    )
       return false;
     return (
       kind === "array" &&
@@ -160,7 +163,13 @@
   }
 
   /** Sends a bid request to `targets`; `remainingPartitions` are asked next if no target is better. Returns whether it was sent to any. */
-  private sendBidRequest(partition: Partition, taskSet: TaskSet, waitMs: number, targets: number[], remainingPartitions: number[]): boolean {
+  private sendBidRequest(
+    partition: Partition,
+    taskSet: TaskSet,
+    waitMs: number,
+    targets: number[],
+    remainingPartitions: number[],
+  ): boolean {
     const id = ++this.lastRequestId;
     const runMs = this.dependencies.leader.history.expectedRunS(taskSet.spec) * 1000;
     this.pendingRequest = {
--- a/src/exchange/moving.ts
+++ b/src/exchange/migration.ts
@@ -1,8 +1,8 @@
 /** Transactions that move jobs and slices to other partitions. */
 import { fitToLimit, keys, partitionOf, withPartitionAssigned, type JobRecord, type SliceRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/part.js";
-import { waitingTailLength, type TaskSet } from "../queue/unit.js";
-import type { ExchangeDependencies } from "./around.js";
+import type { Partition } from "../parts/partition.js";
+import { waitingTailLength, type TaskSet } from "../queue/task-set.js";
+import type { ExchangeDependencies } from "./dependencies.js";
 
 /** Migrates jobs, and slices of arrays, to other partitions. */
 export class Migration {
@@ -57,7 +57,8 @@
     const key = keys.slice(ref, lo);
     const draft = () => {
       const entry = this.dependencies.replica.get<JobRecord>(taskSet.key);
-      if (entry === undefined || partitionOf(entry.v) !== partition.id || entry.v.end !== undefined || entry.v.hi !== endBefore) return null;
+      if (entry === undefined || partitionOf(entry.v) !== partition.id || entry.v.end !== undefined || entry.v.hi !== endBefore)
+        return null;
       if (this.dependencies.replica.stamp(keys.owner(partition.id)) !== partition.term || this.dependencies.replica.get(key) !== undefined)
         return null;
       const rest = fitToLimit<JobRecord>({ ...withPartitionAssigned(entry.v), hi: lo }, lo, this.dependencies.settings.state.valueKb);
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -1,9 +1,9 @@
 /** Transfers of team quota between partitions. */
 import { keys, type QuotaShareRecord } from "../ledger/records.js";
-import { quotaShareOf, type Partition, type Usage } from "../parts/part.js";
+import { quotaShareOf, type Partition, type Usage } from "../parts/partition.js";
 import type { QuotaRequest } from "../peers/messages.js";
-import type { QuotaShortage } from "../queue/pass.js";
-import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./around.js";
+import type { QuotaShortage } from "../queue/scheduling-cycle.js";
+import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./dependencies.js";
 
 /** Interval between the turns of two giving partitions, as a fraction of the report interval: longer than a transaction usually takes. */
 const TURN_INTERVAL_SHARE = 1 / 50;
--- a/src/exchange/volunteers.ts
+++ b/src/exchange/volunteers.ts
@@ -1,7 +1,7 @@
 /** Announcements of partitions with free capacity. */
 import type { Volunteer } from "../peers/messages.js";
 import { utilization } from "../queue/estimate.js";
-import { exchangeSettings, type ExchangeDependencies } from "./around.js";
+import { exchangeSettings, type ExchangeDependencies } from "./dependencies.js";
 
 /** Announces partitions with free capacity every `sigma` seconds, and records the announcements of others. */
 export class Volunteers {
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -1,12 +1,12 @@
 import type { CloudApi } from "@thorntrail/protocol/cloud";
 import type { Rate } from "@thorntrail/protocol/rate";
 import type { Calls } from "../calls/calls.js";
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import type { RentalIndex } from "../ledger/rentals.js";
 import type { QuotaShares } from "../parts/quota-shares.js";
 import type { Leader } from "../parts/leader.js";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import type { OverloadMonitor } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import { sleep } from "../platform/clock.js";
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,12 +1,12 @@
 import type { MachineType, Offer } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
-import { isReady, usableCandidates, zonesInUse } from "../queue/pass.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
+import { isReady, usableCandidates, zonesInUse } from "../queue/scheduling-cycle.js";
 import { UnschedulableShapes } from "../queue/unschedulable.js";
-import { sortTaskSets, type QueueOrder } from "../queue/order.js";
+import { sortTaskSets, type QueueOrder } from "../queue/queue-order.js";
 import { isAllowed, copiesThatFit, placeTasks, type CandidateMachine } from "../queue/placement.js";
-import { addCapacity } from "../queue/room.js";
-import { failsRepeatedly, type Placement, type TaskSet } from "../queue/unit.js";
+import { addCapacity } from "../queue/capacity.js";
+import { failsRepeatedly, type Placement, type TaskSet } from "../queue/task-set.js";
 import { freeCapacity, newMachine } from "../workers/machine.js";
 
 /** Inputs of a rental plan. */
@@ -85,7 +85,8 @@
     // No machines are rented for a job that fails on every machine.
     if (failsRepeatedly(taskSet)) continue;
     // A machine rented while the job still bids for other partitions might come up after the job has migrated.
-    if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs) continue;
+    if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs)
+      continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
     // A smaller shape already found neither free capacity nor an offering.
     if (unschedulable.has(spec)) continue;
@@ -151,7 +152,13 @@
 const MAX_ROUNDS = 64;
 
 /** Returns the allowed zone in which the fewest tasks lack capacity; ties go to the cheapest offering. Null: no zone is possible. */
-function bestZone(partition: Partition, taskSet: TaskSet, left: number, candidates: CandidateMachine[], context: PlanContext): string | null {
+function bestZone(
+  partition: Partition,
+  taskSet: TaskSet,
+  left: number,
+  candidates: CandidateMachine[],
+  context: PlanContext,
+): string | null {
   const zonesUsed = [...zonesInUse(partition, taskSet).keys()];
   if (zonesUsed.length > 0) return zonesUsed[0]!;
   const capacity = new Map<string, number>();
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -1,5 +1,5 @@
 import { NoReply } from "@thorntrail/protocol/errors";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import type { Machine } from "../workers/machine.js";
 import { MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
 import { missingFromListing, type Listing } from "./listing.js";
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -1,7 +1,7 @@
 import type { Offer } from "@thorntrail/protocol/cloud";
 import { NoReply } from "@thorntrail/protocol/errors";
 import { keys, rentalRecords, type RentalRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { ownsPartition, waitForRate, type FleetDependencies } from "./dependencies.js";
 import type { OfferingAvailability } from "./offering-availability.js";
 import { MAX_RENTAL_COUNT, planRentals, type RentalPlan } from "./plan.js";
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -1,6 +1,6 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import { type RentalRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { sleep } from "../platform/clock.js";
 import type { Machine } from "../workers/machine.js";
 import { ownsPartition, MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
@@ -78,7 +78,8 @@
     if (partition.phase === "serving" && this.seemsPreempted(partition, machine, tally))
       return machine.noticeAt === null ? "unheard and cheap" : "taken";
     if (!machine.up)
-      return now - machine.rentedAt > Math.max(bootMs * late_per_boot, this.deps.settings.timing.leaseMs) && machine.lastReceivedAt === -Infinity
+      return now - machine.rentedAt > Math.max(bootMs * late_per_boot, this.deps.settings.timing.leaseMs) &&
+        machine.lastReceivedAt === -Infinity
         ? "never came up"
         : null;
     if (machine.placements.size > 0) return null;
@@ -102,7 +103,8 @@
    */
   private blocksFencing(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { scope, settings } = this.deps;
-    if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.takenOverAt < settings.timing.leaseMs / 4) return false;
+    if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.takenOverAt < settings.timing.leaseMs / 4)
+      return false;
     if (isDeletableCount(partition, tally.unfenced)) return true;
     // Returned by the former owner, which could no longer record it, or preempted.
     if (this.isMissing(partition, machine)) return true;
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Leader } from "../parts/leader.js";
 import { limitExceeded } from "../configuration/teams.js";
-import type { Configuration } from "../configuration/current.js";
+import type { Configuration } from "../configuration/configuration.js";
 import type { TeamSettings } from "../settings/platform-file.js";
 
 /** Returns why a job can never run with these teams and machine types, or null. A limit of 0 means that there is no limit. */
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -1,11 +1,11 @@
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { doneTasks, fitToLimit, keys, type JobRecord } from "../ledger/records.js";
 import type { OverloadMonitor } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
 import type { Leader } from "../parts/leader.js";
-import type { JobDependencies } from "../pipelines/needs.js";
-import { rank } from "../queue/order.js";
+import type { JobDependencies } from "../pipelines/job-dependencies.js";
+import { rank } from "../queue/queue-order.js";
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
 import { type JobSpec, decodeJob, isRef } from "@thorntrail/protocol/jobs";
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -1,8 +1,8 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { createHash } from "node:crypto";
-import type { Configuration } from "../configuration/current.js";
-import type { GroupCommitter, CommitOutcome } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { Configuration } from "../configuration/configuration.js";
+import type { GroupCommitter, CommitOutcome } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import {
   keys,
   recordBytes,
@@ -16,7 +16,7 @@
 import type { RentalIndex } from "../ledger/rentals.js";
 import type { Leader } from "../parts/leader.js";
 import type { Ownership } from "../parts/ownership.js";
-import type { JobDependencies } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/job-dependencies.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -1,5 +1,5 @@
 import { loadPlan, playReal, BRISK } from "@thorntrail/emulator/entry";
-import { injectionPointOf } from "../rehearsal/moments.js";
+import { injectionPointOf } from "../rehearsal/injection-points.js";
 
 /** Time in seconds at which the leader is restarted and a machine is lost. */
 const FAULTS_AT_S = 4;
--- a/src/ledger/committer.ts
+++ b/src/ledger/group-committer.ts
@@ -4,9 +4,9 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Rate } from "@thorntrail/protocol/rate";
 import { OverRate, TooLarge, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
-import { CpuAccounting } from "../platform/costs.js";
+import { CpuAccounting } from "../platform/cpu-accounting.js";
 import type { Log } from "../platform/log.js";
-import type { StateReplica } from "./mirror.js";
+import type { StateReplica } from "./state-replica.js";
 
 /** Conditions and changes that a pending write adds to a transaction. */
 export interface Draft {
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -1,5 +1,5 @@
 import { Subject } from "rxjs";
-import type { StateReplica } from "./mirror.js";
+import type { StateReplica } from "./state-replica.js";
 import { keys, type RentalRecord } from "./records.js";
 
 /** A machine according to the rental records. */
--- a/src/ledger/mirror.ts
+++ b/src/ledger/state-replica.ts
@@ -1,7 +1,7 @@
 import { Subject } from "rxjs";
 import type { Clock } from "../platform/clock.js";
 import { sleep } from "../platform/clock.js";
-import { CpuAccounting } from "../platform/costs.js";
+import { CpuAccounting } from "../platform/cpu-accounting.js";
 import type { Rate } from "@thorntrail/protocol/rate";
 import type { StateApi, StateEvent } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
--- a/src/membership/detector.ts
+++ b/src/membership/failure-detector.ts
@@ -1,11 +1,19 @@
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type PresenceRecord, type SuspicionRecord } from "../ledger/records.js";
 import type { PeerApi } from "../peers/links.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
 import type { Presence } from "./presence.js";
-import { isUnrefuted, nextSuspicion, peerStatus, type Evidence, type SuspicionLimits, type OwnHealth, type PeerStatus } from "./suspicion.js";
+import {
+  isUnrefuted,
+  nextSuspicion,
+  peerStatus,
+  type Evidence,
+  type SuspicionLimits,
+  type OwnHealth,
+  type PeerStatus,
+} from "./suspicion.js";
 
 /** Dependencies of the failure detector. */
 export interface DetectorDependencies {
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -3,11 +3,11 @@
 import type { Rate } from "@thorntrail/protocol/rate";
 import { LostPermit, type StateApi } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type PresenceRecord, type SuspicionRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { precedingEarlyExits, restartBackoffMs, presenceRecord } from "./returns.js";
+import { precedingEarlyExits, restartBackoffMs, presenceRecord } from "./restart-backoff.js";
 import { requiredRefutation } from "./suspicion.js";
 
 /** Dependencies of the presence of a node. */
@@ -136,7 +136,14 @@
   /** The presence record that this node should show now. */
   private desiredRecord(): PresenceRecord {
     const young = this.ageMs() < this.dependencies.settings.timing.leaseMs;
-    return presenceRecord(this.dependencies.incarnation, this.unfit(), this.earlyExits ?? 0, young, this.refutation(), this.dependencies.acts());
+    return presenceRecord(
+      this.dependencies.incarnation,
+      this.unfit(),
+      this.earlyExits ?? 0,
+      young,
+      this.refutation(),
+      this.dependencies.acts(),
+    );
   }
 
   /** Number up to which this incarnation has to refute suspicions. */
--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -4,10 +4,10 @@
  */
 import { Rate, type SteadyClock } from "@thorntrail/protocol/rate";
 import type { Log } from "../platform/log.js";
-import { taskId, type Placement } from "../queue/unit.js";
-import type { EndedAttempt } from "../served/account.js";
+import { taskId, type Placement } from "../queue/task-set.js";
+import type { EndedAttempt } from "../served/class-accounting.js";
 import type { FenceProof, Machine } from "../workers/machine.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 
 /** Rate and burst of the log lines for starts under stale proof of ownership; `staleRestarts` counts all of them. */
 const STALE_START_LINES_PER_SECOND = 5;
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -1,8 +1,8 @@
 /** Acts on the findings from reports and lease expiry: durable progress, accounting, audit and follow-up orders. */
-import { taskId, type Placement, type TaskSet } from "../queue/unit.js";
+import { taskId, type Placement, type TaskSet } from "../queue/task-set.js";
 import type { Findings } from "../workers/report-intake.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
@@ -76,7 +76,12 @@
     if (machine === undefined || taskSet.spec.kind !== "array") return;
     machine.runTimeRatios.sum += Math.log(seconds / this.context.history.expectedRunS(taskSet.spec));
     machine.runTimeRatios.count++;
-    if (machine.draining || machine.runTimeRatios.count < MIN_PACE_SAMPLES || machine.runTimeRatios.sum / machine.runTimeRatios.count < Math.log(SLOW_FACTOR)) return;
+    if (
+      machine.draining ||
+      machine.runTimeRatios.count < MIN_PACE_SAMPLES ||
+      machine.runTimeRatios.sum / machine.runTimeRatios.count < Math.log(SLOW_FACTOR)
+    )
+      return;
     machine.draining = true;
     this.context.scope.log.info(
       { part: partition.id, host, factor: Math.exp(machine.runTimeRatios.sum / machine.runTimeRatios.count) },
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -1,13 +1,13 @@
 /** Team guarantees: which jobs they cover, and which teams use less or more than theirs over all partitions. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Configuration } from "../configuration/current.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { Configuration } from "../configuration/configuration.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import type { JobRecord } from "../ledger/records.js";
-import type { JobDependencies } from "../pipelines/needs.js";
+import type { JobDependencies } from "../pipelines/job-dependencies.js";
 import type { Scope } from "../platform/scope.js";
 import { objectiveS, type Settings } from "../settings/derived.js";
 import type { TeamSettings } from "../settings/platform-file.js";
-import type { Usage } from "./part.js";
+import type { Usage } from "./partition.js";
 
 /** Resource usage of one team. */
 export interface TeamUsage extends Usage {
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -3,13 +3,13 @@
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { Scope } from "../platform/scope.js";
 import type { RunTimeHistory } from "../queue/history.js";
-import type { QuotaShortage } from "../queue/pass.js";
+import type { QuotaShortage } from "../queue/scheduling-cycle.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
-import type { ClassAccounting } from "../served/account.js";
+import type { ClassAccounting } from "../served/class-accounting.js";
 import type { Audit } from "./audit.js";
 import type { NewerToken } from "./ended-terms.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 import type { StartGuard } from "./start-guard.js";
 
 /** Counters since the start of this process; `fencedMs` is the duration of the last fence. */
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -1,14 +1,14 @@
 /** Time-driven checks of the owned partitions: expired leases, termination notices and the end of fencing. */
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Machine } from "../workers/machine.js";
-import { isBrokenGang } from "../queue/unit.js";
+import { isBrokenGang } from "../queue/task-set.js";
 import { fence } from "../workers/fence.js";
 import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
 import { isLeaseExpired } from "../workers/lease.js";
 import type { FindingEffects } from "./finding-effects.js";
 import { FenceProgress } from "./fence-progress.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 import type { Progress } from "./progress.js";
 import type { Recovery } from "./recovery.js";
 
--- a/src/parts/machine-startup.ts
+++ b/src/parts/machine-startup.ts
@@ -1,11 +1,11 @@
 /** Records machines that have come up. */
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type RentalRecord } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
 import type { Machine } from "../workers/machine.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 
 /** Records machines as up in their rental records; a machine receives work only after that. */
 export class MachineStartup {
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -1,18 +1,18 @@
 /** Keeps the set of owned partitions, their machines and their task sets in line with the state service's records. */
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { doneTasks, keys, partitionOf, type JobRecord, type OwnerRecord, type SliceRecord } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
 import { sleep } from "../platform/clock.js";
-import type { JobDependencies } from "../pipelines/needs.js";
-import { newTaskSet, truncate, type TaskSet } from "../queue/unit.js";
+import type { JobDependencies } from "../pipelines/job-dependencies.js";
+import { newTaskSet, truncate, type TaskSet } from "../queue/task-set.js";
 import { newMachine, type Machine } from "../workers/machine.js";
 import { fence } from "../workers/fence.js";
-import { clearFailures } from "../workers/blame.js";
+import { clearFailures } from "../workers/failure-attribution.js";
 import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
 import type { FindingEffects } from "./finding-effects.js";
 import { EndedTerms, type NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
-import { addMachine, addTaskSet, newPartition, removeTaskSet, type Partition } from "./part.js";
+import { addMachine, addTaskSet, newPartition, removeTaskSet, type Partition } from "./partition.js";
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
@@ -72,7 +72,8 @@
         "part lost",
       );
     }
-    if (isOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, entry.stamp)) void this.takeOverAfterRead(id, entry.stamp);
+    if (isOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, entry.stamp))
+      void this.takeOverAfterRead(id, entry.stamp);
   }
 
   /**
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -1,8 +1,8 @@
 /** Decides which partitions this controller claims, and writes the claims to the state service. */
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type OwnerRecord } from "../ledger/records.js";
-import type { FailureDetector } from "../membership/detector.js";
+import type { FailureDetector } from "../membership/failure-detector.js";
 import type { Presence } from "../membership/presence.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
@@ -154,7 +154,8 @@
       if (current?.stamp !== recorded?.stamp) return null;
       const owner = recorded?.v.owner;
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
-      const alive = owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.replica.stamp(keys.presenceOf(owner)) };
+      const alive =
+        owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.replica.stamp(keys.presenceOf(owner)) };
       const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, alive, reason);
       // The claim fails unless this node knows the newest configuration.
       conditions.push({ k: keys.configuration, stamp: this.dependencies.replica.stamp(keys.configuration) });
--- a/src/parts/part.ts
+++ b/src/parts/partition.ts
@@ -3,7 +3,7 @@
 import type { QuotaShareRecord } from "../ledger/records.js";
 import type { FenceProof, Machine, Usage } from "../workers/machine.js";
 import { AttemptRegistry } from "../queue/attempts.js";
-import { removeWaiting, type Placement, type TaskSet } from "../queue/unit.js";
+import { removeWaiting, type Placement, type TaskSet } from "../queue/task-set.js";
 
 /**
  * State that the owner of a partition keeps about it: machines, queue and resource usage. It is rebuilt from the
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -1,11 +1,20 @@
 /** Records finished tasks durably in the state service. */
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
-import { doneTasks, fitToLimit, isDone, keys, partitionOf, withPartitionAssigned, type JobRecord, type SliceRecord } from "../ledger/records.js";
-import type { TaskSet } from "../queue/unit.js";
-import { parseTaskId } from "../queue/unit.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
+import {
+  doneTasks,
+  fitToLimit,
+  isDone,
+  keys,
+  partitionOf,
+  withPartitionAssigned,
+  type JobRecord,
+  type SliceRecord,
+} from "../ledger/records.js";
+import type { TaskSet } from "../queue/task-set.js";
+import { parseTaskId } from "../queue/task-set.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 
 /** Makes finished tasks durable before users see them as done and before workers discard the results. */
 export class Progress {
@@ -35,7 +44,8 @@
     taskSet.progressWriteScheduled = true;
     this.context.scope.clock.after(this.context.settings.timing.leaseMs, () => {
       taskSet.progressWriteScheduled = false;
-      if (!taskSet.endWritePending && !taskSet.ended && this.context.partitions.get(partition.id) === partition) this.recordNow(partition, taskSet);
+      if (!taskSet.endWritePending && !taskSet.ended && this.context.partitions.get(partition.id) === partition)
+        this.recordNow(partition, taskSet);
     });
   }
 
--- a/src/parts/quota-shares.ts
+++ b/src/parts/quota-shares.ts
@@ -1,12 +1,12 @@
 /** The partitions' shares of the team limits: their records, adjustments and transfers. */
-import type { Configuration } from "../configuration/current.js";
+import type { Configuration } from "../configuration/configuration.js";
 import { adjustedShares, startsAllowed, type Limit } from "../configuration/quota-shares.js";
-import type { GroupCommitter } from "../ledger/committer.js";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { GroupCommitter } from "../ledger/group-committer.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type QuotaShareRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "./part.js";
+import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "./partition.js";
 
 /** Splits `max` over `n` partitions in whole units, with the remainder in the first; null for each if there is no limit. */
 function splitLimit(max: number, n: number): (number | null)[] {
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -1,12 +1,12 @@
 /** Handles workers' reports, replies to direct commands and replies to probes. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Order, ReportAnswer, Report, ReportedTask } from "@thorntrail/protocol/worker";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type JobRecord, type OwnerRecord } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
-import { RateLimitedLog } from "../platform/bounded-log.js";
+import { RateLimitedLog } from "../platform/rate-limited-log.js";
 import { Bits } from "../platform/bits.js";
-import { newTaskSet, type TaskSet } from "../queue/unit.js";
+import { newTaskSet, type TaskSet } from "../queue/task-set.js";
 import type { Machine } from "../workers/machine.js";
 import { newFindings, applyReport, type ReportContext } from "../workers/report-intake.js";
 import { recordLeaseRenewal } from "../workers/lease.js";
@@ -15,7 +15,7 @@
 import type { FindingEffects } from "./finding-effects.js";
 import type { NewerToken } from "./ended-terms.js";
 import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./part.js";
+import type { Partition } from "./partition.js";
 import type { Progress } from "./progress.js";
 import type { LeaseWatch } from "./lease-watch.js";
 
@@ -48,7 +48,8 @@
       return { kind: "elsewhere", boss: null };
     }
     const partition = this.context.partitions.get(record.partition);
-    if (partition === undefined) return { kind: "elsewhere", boss: this.replica.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null };
+    if (partition === undefined)
+      return { kind: "elsewhere", boss: this.replica.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null };
     if (report.token > partition.term) {
       this.handleNewerToken(partition, report, "report");
       const owner = this.replica.get<OwnerRecord>(keys.owner(record.partition))?.v.owner ?? null;
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -1,11 +1,11 @@
 /** Runs the scheduling cycles of the owned partitions: placement, then preemption. */
 import type { OverloadMonitor } from "../overload/overload.js";
-import { queueOrder, type QueueOrder } from "../queue/order.js";
-import { runSchedulingCycle } from "../queue/pass.js";
+import { queueOrder, type QueueOrder } from "../queue/queue-order.js";
+import { runSchedulingCycle } from "../queue/scheduling-cycle.js";
 import { choosePreemptions, PREEMPT_AFTER_PHI } from "../queue/preempt.js";
-import type { TaskSet } from "../queue/unit.js";
+import type { TaskSet } from "../queue/task-set.js";
 import { objectiveS } from "../settings/derived.js";
-import type { ClassShares } from "../served/shares.js";
+import type { ClassShares } from "../served/class-shares.js";
 import type { Machine } from "../workers/machine.js";
 import type { QuotaShares } from "./quota-shares.js";
 import type { Guarantees, TeamUsage } from "./guarantees.js";
--- a/src/pipelines/needs.ts
+++ b/src/pipelines/job-dependencies.ts
@@ -1,8 +1,8 @@
 import type { Urgency } from "@thorntrail/protocol/jobs";
 import { Subject } from "rxjs";
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type JobRecord, type NeedListRecord } from "../ledger/records.js";
-import { rank } from "../queue/order.js";
+import { rank } from "../queue/queue-order.js";
 
 /** Terminal state of a job. */
 export type JobOutcome = "done" | "withdrawn";
--- a/src/platform/scope.ts
+++ b/src/platform/scope.ts
@@ -1,6 +1,6 @@
 import { Observable, Subject, takeUntil, type Subscription } from "rxjs";
 import { sleep, type Clock } from "./clock.js";
-import { CpuAccounting } from "./costs.js";
+import { CpuAccounting } from "./cpu-accounting.js";
 import { Invariants } from "./invariants.js";
 import type { Log } from "./log.js";
 
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -1,13 +1,13 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { freeCapacity, isUsable, type Capacity, type Machine } from "../workers/machine.js";
-import { sortTaskSets, type QueueOrder } from "./order.js";
+import { sortTaskSets, type QueueOrder } from "./queue-order.js";
 import type { RunTimeHistory } from "./history.js";
 import { isAllowed, copiesThatFit } from "./placement.js";
-import { isReady } from "./pass.js";
-import { addCapacity } from "./room.js";
+import { isReady } from "./scheduling-cycle.js";
+import { addCapacity } from "./capacity.js";
 import { PreemptibleCapacity, type SimulatedMachine, type PreemptionRights } from "./preemptible-capacity.js";
-import { failsRepeatedly, type TaskSet } from "./unit.js";
+import { failsRepeatedly, type TaskSet } from "./task-set.js";
 
 /** Inputs of the wait estimate. */
 export interface EstimateContext extends PreemptionRights {
@@ -199,7 +199,9 @@
       }
     } else {
       for (const simulated of only) {
-        const n = isAllowed(entry.taskSet.spec, simulated.machine) ? Math.min(entry.tasks, copiesThatFit(entry.taskSet.spec, simulated.free)) : 0;
+        const n = isAllowed(entry.taskSet.spec, simulated.machine)
+          ? Math.min(entry.tasks, copiesThatFit(entry.taskSet.spec, simulated.free))
+          : 0;
         if (n > 0) occupyMachine(simulated, entry, n, at);
         if (entry.tasks === 0) break;
       }
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -1,10 +1,10 @@
-import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
 import type { Machine } from "../workers/machine.js";
-import { sortTaskSets, rank, type QueueOrder } from "./order.js";
-import { addCapacity, stoppingCapacity } from "./room.js";
-import { isReady, usableCandidates, zonesInUse, type SchedulingContext } from "./pass.js";
+import { sortTaskSets, rank, type QueueOrder } from "./queue-order.js";
+import { addCapacity, stoppingCapacity } from "./capacity.js";
+import { isReady, usableCandidates, zonesInUse, type SchedulingContext } from "./scheduling-cycle.js";
 import { isAllowed, fits, occupy, placeTasks, type CandidateMachine } from "./placement.js";
-import { failsRepeatedly, type Placement, type TaskSet } from "./unit.js";
+import { failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -1,11 +1,11 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Partition, Usage } from "../parts/part.js";
+import type { Partition, Usage } from "../parts/partition.js";
 import type { Capacity } from "../workers/machine.js";
-import { rank } from "./order.js";
+import { rank } from "./queue-order.js";
 import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
 import { isBeyondGuarantee } from "./preempt.js";
-import { addCapacity } from "./room.js";
-import type { TaskSet } from "./unit.js";
+import { addCapacity } from "./capacity.js";
+import type { TaskSet } from "./task-set.js";
 
 /** A machine during the simulation of the queue. */
 export interface SimulatedMachine extends CandidateMachine {
--- a/src/queue/order.ts
+++ b/src/queue/queue-order.ts
@@ -1,5 +1,5 @@
 import type { Urgency } from "@thorntrail/protocol/jobs";
-import type { TaskSet } from "./unit.js";
+import type { TaskSet } from "./task-set.js";
 
 const RANK: Record<Urgency, number> = { critical: 0, urgent: 1, normal: 2, low: 3 };
 
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -1,7 +1,7 @@
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
-import type { TaskSet } from "./unit.js";
+import type { TaskSet } from "./task-set.js";
 
 /** Inputs for reservations. */
 export interface ReservationContext {
@@ -72,7 +72,12 @@
  * for the first gang that has waited long, where it should be complete the soonest; a job that ends before then may
  * still use it. Returns null if the gang has not waited long enough or cannot be completed.
  */
-export function reserve(partition: Partition, taskSet: TaskSet, candidates: CandidateMachine[], context: ReservationContext): Reservation | null {
+export function reserve(
+  partition: Partition,
+  taskSet: TaskSet,
+  candidates: CandidateMachine[],
+  context: ReservationContext,
+): Reservation | null {
   const { spec } = taskSet;
   const { now } = context;
   if (spec.spread || now - taskSet.arrivedAt < context.reserveAfterMs(spec.klass) * widthFactor(partition, taskSet)) return null;
@@ -112,7 +117,12 @@
 }
 
 /** The candidates that a job may use, without machines reserved for others beyond the job's expected end. */
-export function unreservedCandidates(taskSet: TaskSet, candidates: CandidateMachine[], reservations: Reservation[], context: ReservationContext): CandidateMachine[] {
+export function unreservedCandidates(
+  taskSet: TaskSet,
+  candidates: CandidateMachine[],
+  reservations: Reservation[],
+  context: ReservationContext,
+): CandidateMachine[] {
   const end = context.now + context.leftS(taskSet, 0) * 1000;
   const binding = reservations.filter((reservation) => end > reservation.until);
   return binding.length === 0
--- a/src/queue/pass.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -1,11 +1,11 @@
-import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/part.js";
+import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
 import { attemptKey, freeCapacity, addAttempt, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { UnschedulableShapes } from "./unschedulable.js";
-import { sortTaskSets, type QueueOrder } from "./order.js";
+import { sortTaskSets, type QueueOrder } from "./queue-order.js";
 import { occupy, placeTasks, type CandidateMachine } from "./placement.js";
 import { unreservedCandidates, reserve, type Reservation, type ReservationContext } from "./reserve.js";
-import { addCapacity, stoppingCapacity } from "./room.js";
-import { startableTasks, taskId, addPlacement, failsRepeatedly, type Placement, type TaskSet } from "./unit.js";
+import { addCapacity, stoppingCapacity } from "./capacity.js";
+import { startableTasks, taskId, addPlacement, failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
 /** Inputs of a scheduling cycle. */
 export interface SchedulingContext extends ReservationContext {
@@ -62,7 +62,8 @@
  * failure or limited to a task that is already placed, and no former attempt of a gang may still be on a machine.
  */
 export function isReady(taskSet: TaskSet, now: number): boolean {
-  if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0) return false;
+  if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0)
+    return false;
   // A gang restarts only when all of its former attempts are gone, including superseded ones.
   return taskSet.spec.kind !== "gang" || !taskSet.attempts.hasJob(taskSet.spec.ref);
 }
--- a/src/queue/unit.ts
+++ b/src/queue/task-set.ts
@@ -1,7 +1,7 @@
 import { Bits } from "../platform/bits.js";
 import type { JobSpec, Urgency } from "@thorntrail/protocol/jobs";
 import type { TaskState } from "@thorntrail/protocol/worker";
-import type { TerminatedAttempt } from "../workers/gone.js";
+import type { TerminatedAttempt } from "../workers/termination-proof.js";
 import { AttemptRegistry } from "./attempts.js";
 
 /** One attempt at one task on one machine, from its start order until it is proven gone. */
@@ -167,7 +167,9 @@
 
 /** True for a gang with some tasks placed and others neither placed nor done: it can never be complete. */
 export function isBrokenGang(taskSet: TaskSet): boolean {
-  return taskSet.spec.kind === "gang" && taskSet.placements.size > 0 && taskSet.placements.size + taskSet.done.count < taskSet.hi - taskSet.lo;
+  return (
+    taskSet.spec.kind === "gang" && taskSet.placements.size > 0 && taskSet.placements.size + taskSet.done.count < taskSet.hi - taskSet.lo
+  );
 }
 
 /**
--- a/src/rehearsal/spawn.ts
+++ b/src/rehearsal/spawn-controller.ts
@@ -8,7 +8,7 @@
 import { Invariants } from "../platform/invariants.js";
 import type { Log } from "../platform/log.js";
 import { Scope } from "../platform/scope.js";
-import { seededRandom } from "../platform/luck.js";
+import { seededRandom } from "../platform/seeded-random.js";
 import { StallDetectingClock } from "../platform/stall.js";
 import { derive, type Settings } from "../settings/derived.js";
 import { checkOperators } from "../settings/operators.js";
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -1,6 +1,6 @@
 import type { playVirtual, RehearsalPlan, RehearseVirtual } from "@thorntrail/emulator/entry";
-import { injectionPointOf } from "./moments.js";
-import { spawnController, type RehearsedController } from "./spawn.js";
+import { injectionPointOf } from "./injection-points.js";
+import { spawnController, type RehearsedController } from "./spawn-controller.js";
 
 /** Plays one plan in virtual time with this build's controller. */
 export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof playVirtual> {
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -10,8 +10,8 @@
 import { HttpStateClient } from "./ledger/state-client.js";
 import { PeerLinks } from "./peers/links.js";
 import { systemClock } from "./platform/clock.js";
-import { maxConcurrentCommands, InboundConnections } from "./platform/doors.js";
-import { seededRandom } from "./platform/luck.js";
+import { maxConcurrentCommands, InboundConnections } from "./platform/inbound-connections.js";
+import { seededRandom } from "./platform/seeded-random.js";
 import { openLog } from "./platform/log.js";
 import { Scope } from "./platform/scope.js";
 import { StallDetectingClock } from "./platform/stall.js";
@@ -19,7 +19,7 @@
 import { clusterView } from "./status/view.js";
 import type { Settings } from "./settings/derived.js";
 import { REPORT_PATH, handleReportRequest, type ReportEndpointDependencies } from "./workers/report-endpoint.js";
-import { ReportFastPath } from "./workers/report-lane.js";
+import { ReportFastPath } from "./workers/report-fast-path.js";
 import { HttpWorkerClient } from "./workers/worker-client.js";
 
 /** Time in lease expiries after which a silent connection is closed; the lease of a worker that reports on it has expired by then. */
@@ -46,7 +46,11 @@
     {
       state: new HttpStateClient(endpoints.state, calls.of("state.read").policy.limitMs),
       cloud: new HttpCloud(endpoints.cloud, calls.of("cloud.read").policy.limitMs),
-      workers: new HttpWorkerClient(calls.of("worker.order").policy.limitMs, maxConcurrentCommands(deployment.quota.sockets), settings.self),
+      workers: new HttpWorkerClient(
+        calls.of("worker.order").policy.limitMs,
+        maxConcurrentCommands(deployment.quota.sockets),
+        settings.self,
+      ),
       peers,
       calls,
       memory: () => {
--- a/src/served/account.ts
+++ b/src/served/class-accounting.ts
@@ -1,5 +1,5 @@
-import type { Placement } from "../queue/unit.js";
-import type { TerminationProof } from "../workers/gone.js";
+import type { Placement } from "../queue/task-set.js";
+import type { TerminationProof } from "../workers/termination-proof.js";
 
 /**
  * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work, a guarantee, a notice
--- a/src/served/shares.ts
+++ b/src/served/class-shares.ts
@@ -1,7 +1,7 @@
-import type { StateReplica } from "../ledger/mirror.js";
+import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type JobRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
-import { rank } from "../queue/order.js";
+import { rank } from "../queue/queue-order.js";
 import type { Settings } from "../settings/derived.js";
 
 /**
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -7,21 +7,8 @@
 
 /** Returns the state of the cluster as this node sees it, which operators read at /cluster. */
 export function clusterView(controller: Controller): Record<string, unknown> {
-  const {
-    settings,
-    configuration,
-    replica,
-    rentals,
-    needs,
-    presence,
-    detector,
-    ownership,
-    leader,
-    exchange,
-    fitness,
-    stalls,
-    overload,
-  } = controller;
+  const { settings, configuration, replica, rentals, needs, presence, detector, ownership, leader, exchange, fitness, stalls, overload } =
+    controller;
   const machines = [...rentals.all()];
   const partitions = settings.nodes.map((_, id) => {
     const partition = leader.partitions.get(id);
--- a/src/workers/dispatch.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,12 +1,12 @@
 /** Direct commands from a partition's owner to its workers. */
 import type { Leader } from "../parts/leader.js";
-import type { Partition } from "../parts/part.js";
+import type { Partition } from "../parts/partition.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
-import { workersWithPolicy } from "../calls/through.js";
+import { workersWithPolicy } from "../calls/policy-clients.js";
 import type { Scope } from "../platform/scope.js";
-import { taskId } from "../queue/unit.js";
+import { taskId } from "../queue/task-set.js";
 import { attemptKey, type Machine } from "./machine.js";
 import { ordersFor } from "./orders.js";
 
--- a/src/workers/blame.ts
+++ b/src/workers/failure-attribution.ts
@@ -1,6 +1,6 @@
 /** Failure attribution: decides whether a failed task counts against its machine or against its job. */
-import type { Partition } from "../parts/part.js";
-import { failsRepeatedly, type TaskSet } from "../queue/unit.js";
+import type { Partition } from "../parts/partition.js";
+import { failsRepeatedly, type TaskSet } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
 
 /** Times that failure attribution depends on: `now` on the controller's steady clock, the lease duration and the base back-off, all in ms. */
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,7 +1,7 @@
 /** The owner's record of a machine: capacity, session, lease, attempts and usage. */
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { AttemptRegistry } from "../queue/attempts.js";
-import type { Placement } from "../queue/unit.js";
+import type { Placement } from "../queue/task-set.js";
 
 /** Resources of a machine or of a share of it; `ram` in GB. */
 export interface Capacity {
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,6 +1,6 @@
 /** Builds the start, stop and clear orders for a machine, for answers to reports and for direct commands. */
 import type { Order, ReportedTask } from "@thorntrail/protocol/worker";
-import { taskId, type Placement } from "../queue/unit.js";
+import { taskId, type Placement } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
 
 /** Inputs that determine the orders for a machine besides its own record. */
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -1,6 +1,6 @@
 /** Decodes workers' reports and encodes the answers, independently of the HTTP server that received them. */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { CpuAccounting } from "../platform/costs.js";
+import type { CpuAccounting } from "../platform/cpu-accounting.js";
 import { type ReportAnswer, decodeReport, encodeOrders, type Report } from "@thorntrail/protocol/worker";
 
 /** HTTP path to which workers post their reports. */
--- a/src/workers/report-lane.ts
+++ b/src/workers/report-fast-path.ts
@@ -3,7 +3,14 @@
 import type { Server, Socket } from "node:net";
 import type { Clock } from "../platform/clock.js";
 import type { Scope } from "../platform/scope.js";
-import { answerReport, MAX_REPORT_BYTES, REPORT_PATH, REPORT_TOO_LARGE, type ReportResponse, type ReportEndpointDependencies } from "./report-endpoint.js";
+import {
+  answerReport,
+  MAX_REPORT_BYTES,
+  REPORT_PATH,
+  REPORT_TOO_LARGE,
+  type ReportResponse,
+  type ReportEndpointDependencies,
+} from "./report-endpoint.js";
 
 const REQUEST_LINE = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = "\r\n\r\n";
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,6 +1,6 @@
 /** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
-import { findTaskSet, type Partition } from "../parts/part.js";
+import { findTaskSet, type Partition } from "../parts/partition.js";
 import { taskNumber } from "../queue/attempts.js";
 import {
   isBrokenGang,
@@ -13,11 +13,11 @@
   removeWaiting,
   type Placement,
   type TaskSet,
-} from "../queue/unit.js";
-import type { AttemptEnd, EndedAttempt } from "../served/account.js";
-import { attributeFailure, type FailureTiming } from "./blame.js";
+} from "../queue/task-set.js";
+import type { AttemptEnd, EndedAttempt } from "../served/class-accounting.js";
+import { attributeFailure, type FailureTiming } from "./failure-attribution.js";
 import { fence } from "./fence.js";
-import { proofFlaw, type TerminationProof } from "./gone.js";
+import { proofFlaw, type TerminationProof } from "./termination-proof.js";
 import { addAttempt, attemptKey, removeAttempt, type FenceProof, type Machine } from "./machine.js";
 
 /** Effects of a report, or of the loss of a machine, for the caller to act on. */
@@ -52,7 +52,17 @@
 
 /** Returns findings without any entry. */
 export function newFindings(): Findings {
-  return { changed: false, finished: new Set(), runs: [], started: [], adopted: [], ended: [], unproven: [], fenced: [], brokenGangs: new Set() };
+  return {
+    changed: false,
+    finished: new Set(),
+    runs: [],
+    started: [],
+    adopted: [],
+    ended: [],
+    unproven: [],
+    fenced: [],
+    brokenGangs: new Set(),
+  };
 }
 
 /** Arguments for removing attempts that all attempts of a machine share. */
@@ -75,12 +85,7 @@
  * Removes an attempt that provably no longer exists on its machine; no other code removes attempts. If the proof is
  * invalid, the attempt remains registered and is reported in `findings.unproven`.
  */
-function dropAttempt(
-  { partition, machine, now, findings }: DropContext,
-  key: string,
-  placement: Placement,
-  ending: ProvenEnd,
-): void {
+function dropAttempt({ partition, machine, now, findings }: DropContext, key: string, placement: Placement, ending: ProvenEnd): void {
   const { taskSet, runningAt, timesReliable: timed, attempt, host } = placement;
   const { proof, end, kept = false } = ending;
   const flaw = proofFlaw(proof, partition.term);
@@ -158,7 +163,8 @@
 
 /** Returns whether an attempt that this owner did not order may continue. */
 function isWanted(taskSet: TaskSet, task: number, attempt: number): boolean {
-  if (taskSet.ended || taskSet.migrating || task >= taskSet.migratingFrom || taskSet.done.has(task) || taskSet.placements.has(task)) return false;
+  if (taskSet.ended || taskSet.migrating || task >= taskSet.migratingFrom || taskSet.done.has(task) || taskSet.placements.has(task))
+    return false;
   return taskSet.spec.kind !== "gang" || [...taskSet.placements.values()].every((member) => member.attempt === attempt);
 }
 
@@ -227,7 +233,13 @@
 }
 
 /** Updates the machine's own state from a report: sequence number, token, address, fencing and preemption notice. */
-function updateMachine(partition: Partition, machine: Machine, report: Report, { now, viaReport }: ReportContext, findings: Findings): void {
+function updateMachine(
+  partition: Partition,
+  machine: Machine,
+  report: Report,
+  { now, viaReport }: ReportContext,
+  findings: Findings,
+): void {
   machine.seq = report.seq;
   machine.token = report.token;
   machine.addr = report.addr;
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
-import { spawnController } from "../src/rehearsal/spawn.js";
-import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/account.js";
-import { newTaskSet, type Placement } from "../src/queue/unit.js";
+import { spawnController } from "../src/rehearsal/spawn-controller.js";
+import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/class-accounting.js";
+import { newTaskSet, type Placement } from "../src/queue/task-set.js";
 import { Bits } from "../src/platform/bits.js";
 import { specOf } from "./world/parts.js";
 
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { decodeReport, type Report, type ReportedTask } from "@thorntrail/protocol/worker";
-import { nextAttemptNumber, type Partition } from "../src/parts/part.js";
-import { isReady, runSchedulingCycle } from "../src/queue/pass.js";
+import { nextAttemptNumber, type Partition } from "../src/parts/partition.js";
+import { isReady, runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { StartGuard } from "../src/parts/start-guard.js";
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
 import { Scope } from "../src/platform/scope.js";
-import { waitingTailLength, type TaskSet } from "../src/queue/unit.js";
+import { waitingTailLength, type TaskSet } from "../src/queue/task-set.js";
 import { addAttempt, type Machine } from "../src/workers/machine.js";
 import { ordersFor } from "../src/workers/orders.js";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
@@ -53,7 +53,9 @@
       leaseMs: 18_000,
       coolMs: 0,
       placeholderFor: (ref) =>
-        Object.assign(queueUp({ ...this.partition, taskSets: new Map(), taskSetsByJob: new Map() }, specOf({ ref, cpus: 0 })), { ended: true }),
+        Object.assign(queueUp({ ...this.partition, taskSets: new Map(), taskSetsByJob: new Map() }, specOf({ ref, cpus: 0 })), {
+          ended: true,
+        }),
     };
   }
 
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -6,10 +6,10 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { backoffMs, RetryBudget } from "../src/calls/pauses.js";
+import { backoffMs, RetryBudget } from "../src/calls/backoff.js";
 import { callPolicies } from "../src/calls/policy.js";
-import { stateWithPolicies } from "../src/calls/through.js";
-import { StateReplica } from "../src/ledger/mirror.js";
+import { stateWithPolicies } from "../src/calls/policy-clients.js";
+import { StateReplica } from "../src/ledger/state-replica.js";
 import { callsFor, TIMING } from "./world/calls.js";
 
 const policies = callPolicies({ timing: TIMING, writeRps: 25 });
--- a/test/doors.test.ts
+++ b/test/connection-limits.test.ts
@@ -2,7 +2,7 @@
 import { Agent, createServer, get, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { InboundConnections } from "../src/platform/doors.js";
+import { InboundConnections } from "../src/platform/inbound-connections.js";
 import { NoReply } from "@thorntrail/protocol/errors";
 import { HttpWorkerClient } from "../src/workers/worker-client.js";
 
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Bits } from "../src/platform/bits.js";
-import { isReady, runSchedulingCycle } from "../src/queue/pass.js";
-import { failsRepeatedly, type TaskSet } from "../src/queue/unit.js";
+import { isReady, runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
+import { failsRepeatedly, type TaskSet } from "../src/queue/task-set.js";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
-import type { Partition } from "../src/parts/part.js";
+import type { Partition } from "../src/parts/partition.js";
 import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const room = { cpus: 4, gpus: 0, ram: 64 };
--- a/test/committer.test.ts
+++ b/test/group-committer.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { GroupCommitter } from "../src/ledger/committer.js";
+import { GroupCommitter } from "../src/ledger/group-committer.js";
 import { Links } from "@thorntrail/emulator/links";
-import { StateReplica } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/state-replica.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { Scope } from "../src/platform/scope.js";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
-import { stateWithPolicies } from "../src/calls/through.js";
+import { stateWithPolicies } from "../src/calls/policy-clients.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
 const quiet = { error: () => undefined, warn: () => undefined, info: () => undefined, debug: () => undefined, isLevelEnabled: () => false };
@@ -27,7 +27,16 @@
   replica.start(scope);
   await clock.run(100);
   const writes = new Rate(clock, 5, 16);
-  const committer = new GroupCommitter(callClient, replica, clock, rate, writes, calls.of("state.txn"), { txnOps: 16, slowAfterMs: 100 }, quiet);
+  const committer = new GroupCommitter(
+    callClient,
+    replica,
+    clock,
+    rate,
+    writes,
+    calls.of("state.txn"),
+    { txnOps: 16, slowAfterMs: 100 },
+    quiet,
+  );
   const write =
     (key: string, v: unknown = {}) =>
     () =>
@@ -58,7 +67,9 @@
   const from = clock.now();
   const finished = new Map<string, number>();
   const commit = (key: string): void =>
-    void committer.commit("submit", write(key), { priority: "now" }).then((outcome) => finished.set(`${key} ${outcome}`, clock.now() - from));
+    void committer
+      .commit("submit", write(key), { priority: "now" })
+      .then((outcome) => finished.set(`${key} ${outcome}`, clock.now() - from));
   commit("t/x/slow");
   await clock.run(from + 5);
   latency.ms = 2;
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -3,12 +3,12 @@
 import fc from "fast-check";
 import { planRentals } from "../src/fleet/plan.js";
 import type { MachineType } from "@thorntrail/protocol/cloud";
-import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/parts/part.js";
+import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/parts/partition.js";
 import { AttemptRegistry, type Attempt } from "../src/queue/attempts.js";
 import { estimateWaits, type EstimateContext } from "../src/queue/estimate.js";
 import { UnschedulableShapes } from "../src/queue/unschedulable.js";
 import { RunTimeHistory } from "../src/queue/history.js";
-import { runSchedulingCycle } from "../src/queue/pass.js";
+import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, order, partOf, pass, queueUp, specOf, unlimited } from "./world/parts.js";
 
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -3,10 +3,10 @@
 import { test } from "node:test";
 import type { JobRecord } from "../src/ledger/records.js";
 import { teamsBelowGuarantee, grantGuarantees } from "../src/parts/guarantees.js";
-import { sortTaskSets, queueOrder } from "../src/queue/order.js";
-import { runSchedulingCycle } from "../src/queue/pass.js";
+import { sortTaskSets, queueOrder } from "../src/queue/queue-order.js";
+import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import type { TaskSet } from "../src/queue/unit.js";
+import type { TaskSet } from "../src/queue/task-set.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const teams = [
--- a/test/holding.test.ts
+++ b/test/holding.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { runSchedulingCycle } from "../src/queue/pass.js";
+import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import { releasePlacement, type Placement } from "../src/queue/unit.js";
+import { releasePlacement, type Placement } from "../src/queue/task-set.js";
 import { attemptKey, removeAttempt } from "../src/workers/machine.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -6,8 +6,8 @@
 import { NoReply } from "@thorntrail/protocol/errors";
 import type { Condition, Op, StateApi } from "@thorntrail/protocol/state";
 import { keys, type QuotaShareRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
-import { injectionPointOf } from "../src/rehearsal/moments.js";
-import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../src/rehearsal/injection-points.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 
 const base = await loadPlan("deploy/meetings.hcl");
 const changedKey = (op: Op): string => ("write" in op ? op.write : op.remove);
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -2,8 +2,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import { JobDependencies } from "../src/pipelines/needs.js";
-import { sortTaskSets } from "../src/queue/order.js";
+import { JobDependencies } from "../src/pipelines/job-dependencies.js";
+import { sortTaskSets } from "../src/queue/queue-order.js";
 import { mirrorByHand } from "./world/mirror.js";
 import { order, partOf, queueUp, specOf } from "./world/parts.js";
 
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { plainPlan, World } from "@thorntrail/emulator/entry";
 import { encodeJob } from "@thorntrail/protocol/jobs";
-import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "./world/parts.js";
 
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
-import type { GroupCommitter, Draft, CommitOutcome } from "../src/ledger/committer.js";
-import type { StateReplica } from "../src/ledger/mirror.js";
+import type { GroupCommitter, Draft, CommitOutcome } from "../src/ledger/group-committer.js";
+import type { StateReplica } from "../src/ledger/state-replica.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import type { LeaderContext } from "../src/parts/leader-context.js";
 import { Progress } from "../src/parts/progress.js";
-import { markFinished } from "../src/queue/unit.js";
+import { markFinished } from "../src/queue/task-set.js";
 import { partOf, queueUp, specOf } from "./world/parts.js";
 
 /** A partition with one job of one task that is done, and a group committer that returns the given outcomes. */
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -6,8 +6,8 @@
 import { decodeFault } from "@thorntrail/emulator/faults";
 import { Links } from "@thorntrail/emulator/links";
 import fc from "fast-check";
-import { injectionPointOf } from "../src/rehearsal/moments.js";
-import { spawnController } from "../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../src/rehearsal/injection-points.js";
+import { spawnController } from "../src/rehearsal/spawn-controller.js";
 
 const base = await loadPlan("deploy/rehearsal.hcl");
 const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof playVirtual> =>
--- a/test/report-endpoint.test.ts
+++ b/test/report-endpoint.test.ts
@@ -2,7 +2,7 @@
 import { createServer, request } from "node:http";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
-import { CpuAccounting } from "../src/platform/costs.js";
+import { CpuAccounting } from "../src/platform/cpu-accounting.js";
 import { handleReportRequest } from "../src/workers/report-endpoint.js";
 
 const report = { host: "i-1", addr: "10.0.0.1:1", shift: 1, tick: 1, baton: 0, pieces: [] };
--- a/test/report-lane.test.ts
+++ b/test/report-fast-path.test.ts
@@ -3,12 +3,12 @@
 import { connect, createServer, type AddressInfo } from "node:net";
 import { test } from "node:test";
 import fc from "fast-check";
-import { CpuAccounting } from "../src/platform/costs.js";
-import { InboundConnections } from "../src/platform/doors.js";
+import { CpuAccounting } from "../src/platform/cpu-accounting.js";
+import { InboundConnections } from "../src/platform/inbound-connections.js";
 import type { Log } from "../src/platform/log.js";
 import { Scope } from "../src/platform/scope.js";
 import { systemClock } from "../src/platform/clock.js";
-import { parseRequest, ReportFastPath } from "../src/workers/report-lane.js";
+import { parseRequest, ReportFastPath } from "../src/workers/report-fast-path.js";
 import { handleReportRequest, type ReportEndpointDependencies } from "../src/workers/report-endpoint.js";
 
 // Reports bypass Node's HTTP server. Every request that is not a plain report must reach that
@@ -56,7 +56,13 @@
   });
   const server = createServer({ noDelay: true, allowHalfOpen: true });
   const doors = new InboundConnections(server, options.sockets ?? 1000);
-  new ReportFastPath({ endpoint: door, httpServer: others, isNearSocketLimit: () => doors.closesAfterAnswer(), scope, idleMs: options.idleMs ?? 60_000 }).start(server);
+  new ReportFastPath({
+    endpoint: door,
+    httpServer: others,
+    isNearSocketLimit: () => doors.closesAfterAnswer(),
+    scope,
+    idleMs: options.idleMs ?? 60_000,
+  }).start(server);
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     port: (server.address() as AddressInfo).port,
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import type { Partition } from "../src/parts/part.js";
-import { sortTaskSets, queueOrder, type OrderContext, type OrderMode } from "../src/queue/order.js";
-import { runSchedulingCycle } from "../src/queue/pass.js";
+import type { Partition } from "../src/parts/partition.js";
+import { sortTaskSets, queueOrder, type OrderContext, type OrderMode } from "../src/queue/queue-order.js";
+import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
-import { markFinished, releasePlacement, type TaskSet } from "../src/queue/unit.js";
+import { markFinished, releasePlacement, type TaskSet } from "../src/queue/task-set.js";
 import { removeAttempt } from "../src/workers/machine.js";
-import { underservedClasses, type ClassCounts } from "../src/served/shares.js";
+import { underservedClasses, type ClassCounts } from "../src/served/class-shares.js";
 import { partOf, pass, queueUp, specOf } from "./world/parts.js";
 
 const RUN_S = 60;
@@ -129,7 +129,8 @@
   assert.ok(orderAt(100).effectiveArrival(small) < orderAt(100).effectiveArrival(large));
   const granted = orderAt(100, "aims", { withinGuarantee: (taskSet) => taskSet === large });
   assert.ok(granted.effectiveArrival(large) < granted.effectiveArrival(small));
-  for (const mode of ["arrival", "urgency"] as const) assert.ok(orderAt(100, mode).effectiveArrival(large) < orderAt(100, mode).effectiveArrival(small));
+  for (const mode of ["arrival", "urgency"] as const)
+    assert.ok(orderAt(100, mode).effectiveArrival(large) < orderAt(100, mode).effectiveArrival(small));
 });
 
 // Stopped tasks that cannot save their progress restart from the beginning: taken from a job that is nearly done,
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { BRISK, loadPlan, soakSeed, timeless, type RehearsalPlan, type SoakRun } from "@thorntrail/emulator/entry";
-import { injectionPointOf } from "../src/rehearsal/moments.js";
+import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 
 /** Short, and judged by rules that a slow machine cannot break for the controllers. The long form: docs/operations/rehearsals.md. */
 const SECONDS = 24;
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -4,8 +4,8 @@
 import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
 import { soakPlan } from "@thorntrail/emulator/drawn";
 import { metSplitWhileRefused } from "@thorntrail/emulator/report";
-import { injectionPointOf } from "../src/rehearsal/moments.js";
-import { spawnController } from "../src/rehearsal/spawn.js";
+import { injectionPointOf } from "../src/rehearsal/injection-points.js";
+import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { playScenario } from "./world/scenario.js";
 
 /**
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -4,13 +4,13 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { reachabilityOf } from "../src/parts/fitness.js";
-import { newPartition } from "../src/parts/part.js";
+import { newPartition } from "../src/parts/partition.js";
 import { HttpClient } from "../src/platform/http.js";
 import { StallDetectingClock } from "../src/platform/stall.js";
 import { newMachine } from "../src/workers/machine.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { plainPlan, World } from "@thorntrail/emulator/entry";
-import { spawnController } from "../src/rehearsal/spawn.js";
+import { spawnController } from "../src/rehearsal/spawn-controller.js";
 
 test("the first call of the clock after a stall notifies subscribers before it returns", async () => {
   const world = new VirtualClock();
--- a/test/mirror.test.ts
+++ b/test/state-replica.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { StateReplica } from "../src/ledger/mirror.js";
+import { StateReplica } from "../src/ledger/state-replica.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
@@ -35,7 +35,13 @@
   });
   fc.assert(
     fc.property(fc.array(change, { maxLength: 40 }), (changes) => {
-      const replica = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+      const replica = new StateReplica(
+        client,
+        clock,
+        new Rate(clock, 1000),
+        { readGapMs: 0, blockMs: 1000 },
+        callsFor(clock).of("state.read"),
+      );
       for (const { key, stamp, what } of changes) {
         if (what === "remove") replica.drop(key, stamp);
         else replica.put(key, what === "open" ? { ref: "a" } : { ref: "a", end: what }, stamp);
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -2,7 +2,15 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { PresenceRecord, SuspicionRecord } from "../src/ledger/records.js";
-import { requiredRefutation, isUnrefuted, nextSuspicion, peerStatus, type Evidence, type SuspicionLimits, type OwnHealth } from "../src/membership/suspicion.js";
+import {
+  requiredRefutation,
+  isUnrefuted,
+  nextSuspicion,
+  peerStatus,
+  type Evidence,
+  type SuspicionLimits,
+  type OwnHealth,
+} from "../src/membership/suspicion.js";
 
 const limits: SuspicionLimits = { suspectMs: 300, verdictMs: 2250, repeatMs: 9000 };
 const healthy: OwnHealth = { upToDate: true, lagging: false };
@@ -35,7 +43,10 @@
   assert.equal(nextSuspicion(undefined, undefined, unlinked, healthy, Infinity, limits), null);
   assert.equal(isUnrefuted({ life: "a", n: 3, by: "x" }, { life: "b", refutes: 0 }), false);
   assert.equal(isUnrefuted({ life: "a", n: 3, by: "x" }, { life: "a" }), false);
-  assert.deepEqual(nextSuspicion({ life: "a", n: 3, by: "x" }, { life: "b", refutes: 0 }, unlinked, healthy, 0, limits), { life: "b", n: 1 });
+  assert.deepEqual(nextSuspicion({ life: "a", n: 3, by: "x" }, { life: "b", refutes: 0 }, unlinked, healthy, 0, limits), {
+    life: "b",
+    n: 1,
+  });
   assert.equal(nextSuspicion(undefined, { life: "a", refutes: 0 }, noEvidence, healthy, Infinity, limits), null);
 });
 
--- a/test/told.test.ts
+++ b/test/user-answers.test.ts
@@ -5,7 +5,7 @@
 import { seeded } from "@thorntrail/emulator/luck";
 import type { StateApi } from "@thorntrail/protocol/state";
 import { keys } from "../src/ledger/records.js";
-import { spawnController, type RehearsedController } from "../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { playScenario } from "./world/scenario.js";
 
 /**
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { doneTasks, keys, partitionOf, withPartitionAssigned, type JobRecord } from "../src/ledger/records.js";
 import { encodeFrame, FrameReader, PROTOCOL_VERSION, type Message } from "../src/peers/messages.js";
-import { JobDependencies } from "../src/pipelines/needs.js";
+import { JobDependencies } from "../src/pipelines/job-dependencies.js";
 import { mirrorByHand } from "./world/mirror.js";
 import { specOf } from "./world/parts.js";
 
--- a/test/world/calls.ts
+++ b/test/world/calls.ts
@@ -1,7 +1,7 @@
 import { Calls } from "../../src/calls/calls.js";
 import { callPolicies } from "../../src/calls/policy.js";
 import type { Clock } from "../../src/platform/clock.js";
-import { seededRandom } from "../../src/platform/luck.js";
+import { seededRandom } from "../../src/platform/seeded-random.js";
 import type { Timing } from "../../src/settings/derived.js";
 
 /** The figures of a usual place: reports every 2.5 s, leases of 18 s. Times in ms. */
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -4,7 +4,7 @@
 import { ConfigurationStore } from "../../src/configuration/store.js";
 import type { TeamChange } from "../../src/configuration/teams.js";
 import { keys } from "../../src/ledger/records.js";
-import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn-controller.js";
 import { specOf } from "./parts.js";
 
 const OPERATOR = "operator";
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,7 +1,7 @@
 import type { Report } from "@thorntrail/protocol/worker";
-import { addMachine, addTaskSet, newPartition } from "../../src/parts/part.js";
+import { addMachine, addTaskSet, newPartition } from "../../src/parts/partition.js";
 import { Bits } from "../../src/platform/bits.js";
-import { newTaskSet } from "../../src/queue/unit.js";
+import { newTaskSet } from "../../src/queue/task-set.js";
 import { fence } from "../../src/workers/fence.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { dropAllAttempts, newFindings, applyReport } from "../../src/workers/report-intake.js";
@@ -49,7 +49,15 @@
   restarted: boolean;
   /** Of the heir, once it leads: what it keeps of the machine. */
   claimedAt: number | null;
-  heard: { session: number; seq: number; lastReceivedAt: number; answeredAt: number; fenced: boolean; lost: boolean; holds: boolean } | null;
+  heard: {
+    session: number;
+    seq: number;
+    lastReceivedAt: number;
+    answeredAt: number;
+    fenced: boolean;
+    lost: boolean;
+    holds: boolean;
+  } | null;
   /** A report that may arrive again, and when it was sent. */
   copy: { session: number; seq: number; token: number; task: boolean } | null;
 }
@@ -174,7 +182,13 @@
         if (wrong.answerCutsShort === true && before > now) machine.answeredAt = now;
         // The job is over by the records that the heir has read up to its claim.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
-        const orders = ordersFor(machine, "report", { now, leaseMs: LEASE, isClearable: () => false, onStartRefused: () => undefined, max: 9 });
+        const orders = ordersFor(machine, "report", {
+          now,
+          leaseMs: LEASE,
+          isClearable: () => false,
+          onStartRefused: () => undefined,
+          max: 9,
+        });
         const stops = orders.some(({ verb }) => verb === "stop") && (machine.fenced || wrong.answerStopsNothing !== true);
         const there = answer === "arrives" ? { token: NEW, leaseFrom: now, task: s.task && !stops } : {};
         for (const copy of copies)
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -1,5 +1,13 @@
 import type { OwnerRecord, PresenceRecord, SuspicionRecord } from "../../src/ledger/records.js";
-import { requiredRefutation, isUnrefuted, nextSuspicion, peerStatus, type Evidence, type SuspicionLimits, type OwnHealth } from "../../src/membership/suspicion.js";
+import {
+  requiredRefutation,
+  isUnrefuted,
+  nextSuspicion,
+  peerStatus,
+  type Evidence,
+  type SuspicionLimits,
+  type OwnHealth,
+} from "../../src/membership/suspicion.js";
 import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/parts/claims.js";
 
 /**
--- a/test/world/mirror.ts
+++ b/test/world/mirror.ts
@@ -1,5 +1,5 @@
 import { callsFor } from "./calls.js";
-import { StateReplica } from "../../src/ledger/mirror.js";
+import { StateReplica } from "../../src/ledger/state-replica.js";
 import { Rate } from "@thorntrail/protocol/rate";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -1,9 +1,9 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/part.js";
+import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/partition.js";
 import { Bits } from "../../src/platform/bits.js";
-import { queueOrder } from "../../src/queue/order.js";
-import type { SchedulingContext } from "../../src/queue/pass.js";
-import { newTaskSet, type TaskSet } from "../../src/queue/unit.js";
+import { queueOrder } from "../../src/queue/queue-order.js";
+import type { SchedulingContext } from "../../src/queue/scheduling-cycle.js";
+import { newTaskSet, type TaskSet } from "../../src/queue/task-set.js";
 import { newMachine, type Capacity, type Machine } from "../../src/workers/machine.js";
 
 /** Parts made by hand, for tests of decisions. */
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -3,7 +3,7 @@
 import { carryOut, decodeFault } from "@thorntrail/emulator/faults";
 import { virtualStage } from "@thorntrail/emulator/virtual/play";
 import { plainPlan, World as AnyWorld, type Plan, type Spawned } from "@thorntrail/emulator/entry";
-import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn.js";
+import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn-controller.js";
 
 type World = AnyWorld<RehearsedController>;
 
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -1,4 +1,4 @@
-import { proofFlaw } from "../../src/workers/gone.js";
+import { proofFlaw } from "../../src/workers/termination-proof.js";
 import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
 import type { Machine } from "../../src/workers/machine.js";
 
