--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -68,12 +68,12 @@
 }
 /** One frame: an object with the message under its name. */
 export type Message =
-  | { Hello }
-  | { Volunteer }
+  | { Hello: Hello }
+  | { Volunteer: Volunteer }
   | { Query: BidRequest }
   | { Answer: BidResponse }
   | { Want: QuotaRequest }
-  | { Health }
+  | { Health: Health }
   | { Sought: OfferingSought }
   | { Relay: RelayRequest }
   | { Relayed: RelayResponse };
