--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -3,8 +3,8 @@
 import { MOMENTS, type Moment, type RehearsalPlan } from "./plan.js";
 
 /**
- * Which faults meet which moments: every pair of fault, moment, length and second fault is
- * met by some rehearsal, without trying all combinations (pairwise covering).
+ * Pairwise coverage: every pair of fault, injection point, duration and second fault occurs in some rehearsal, without
+ * running all combinations.
  */
 const lengths = { short: 3, long: 30 } as const;
 type Length = keyof typeof lengths;
@@ -42,20 +42,21 @@
   "late reports": (s) => ({ kind: "late-reports", share: 0.5, ms: 25_000, for: s }),
 };
 
+/** One combination of a fault, an injection point, a duration and a second fault. */
 export interface Case {
   fault: string;
   moment: Moment;
   length: Length;
-  /** A second fault some seconds into the first; none: the first alone. */
+  /** A second fault injected during the run, or `none`. */
   beside: string;
 }
 
-/** Moments count from here on: before, there are no machines to be met. */
+/** Warm-up time in seconds: before, there are no machines to affect. */
 const WARM_S = 12;
 
 const BESIDE = ["none", "machine lost", "restart", "answers lost", "store restarts"];
 
-/** Cases such that every pair of values of two factors is in one of them; the seed chooses among such lists. */
+/** Returns cases that cover every pair of values of two factors; the seed selects among such lists. */
 export function cases(seed: number): Case[] {
   const factors = { fault: Object.keys(FAULTS), moment: [...MOMENTS], length: Object.keys(lengths), beside: BESIDE };
   const rows = make(factors, { length: 2, sorter: sorters.hash, seed });
@@ -68,28 +69,29 @@
   return decoded.fault;
 }
 
-/** The plan with the faults of one case instead of its own. A takeover's moments need one to begin with. */
+/** Replaces the plan's faults by those of one case. The injection points of a takeover need a restart that causes one. */
 export function planOf(base: RehearsalPlan, one: Case): RehearsalPlan {
   const fault: RehearsalPlan["fault"] = [
     { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARM_S, fault: faultOf(one.fault, one.length) },
   ];
   if (one.moment === "fencing") fault.push({ at: 20, fault: faultOf("restart", "short") });
-  // Long enough away for another to take the part, which then comes home.
+  // Down long enough for another controller to take over the partition, which then returns to its home controller.
   if (one.moment === "handing-over") fault.push({ at: 20, fault: faultOf("restart", "long") });
   if (one.beside !== "none") fault.push({ at: 26, fault: faultOf(one.beside, "short") });
   return { ...base, name: `${one.fault}, ${one.length}, at ${one.moment}${one.beside === "none" ? "" : `, beside ${one.beside}`}`, fault };
 }
 
+/** The result of the rehearsal of one case. */
 export interface Covered {
   fault: string;
   moment: Moment;
-  /** The moment came and the fault met somebody. */
+  /** The injection point occurred and the fault affected something. */
   seen: boolean;
   broken: number;
   unfinished: number;
 }
 
-/** Fault by moment: `+` met, `.` not met, `!` a rule broke, blank: not tried. */
+/** Formats a table of faults by injection points: `+` covered, `.` not reached, `!` a rule was broken, blank: not run. */
 export function coverageTable(covered: readonly Covered[]): string {
   const width = Math.max(...Object.keys(FAULTS).map((name) => name.length));
   const lines = MOMENTS.map((moment, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${moment}`);
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -1,65 +1,70 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 
+/** Job status as a user learns it from a response; `unknown` stands for 404, `refused` for 400 and 422. */
 export type Told = "accepted" | "queued" | "running" | "done" | "withdrawn" | "unknown" | "refused";
 
-/** What an answer to a submission, poll or cancellation tells of the job; null: nothing, its user asks again. */
+/**
+ * Returns the job status that the response to a submission, poll or cancellation reports, or null if it reports none
+ * and the user retries.
+ */
 export function toldBy(status: number, body: Record<string, unknown>): Told | null {
   if (status === 200 || status === 201) return (body["status"] as Told | undefined) ?? "queued";
   if (status === 404) return "unknown";
   return status === 400 || status === 422 ? "refused" : null;
 }
 
-/** What happened, as seen from outside the controllers. */
+/** An event of a run as observed outside the controllers. Times (`at`, `asked`) are in ms. */
 export type Happening =
-  /** `never`: why it must not be accepted. */
+  /** `never`: the reason why the job must not be accepted. */
   | { at: number; kind: "submitted"; spec: JobSpec; never?: string }
-  /** An answer that came at `at`; `asked`: when its question was sent, of a poll, a submission or a cancellation alike. */
+  /** A response received at `at`; `asked` is when the poll, submission or cancellation it answers was sent. */
   | { at: number; kind: "told"; ref: string; what: Told; asked?: number }
   | { at: number; kind: "asked-cancel"; ref: string }
-  /** A poll that was answered neither 200 nor 404. */
+  /** A poll that got a response other than 200 or 404, or none. */
   | { at: number; kind: "unanswered"; ref: string }
   | { at: number; kind: "on"; piece: string; host: string; type: string; zone: string; spot: boolean }
   | { at: number; kind: "off"; piece: string; host: string; cause: string }
-  /** A machine takes work from now on, or no more. */
+  /** The machine becomes available for tasks (`up`) or stops being available (`gone`). */
   | { at: number; kind: "up"; host: string; type: string; zone: string; spot: boolean; cpus: number; gpus: number; ram: number }
   | { at: number; kind: "gone"; host: string };
 
+/** What a history is checked against. All times are in ms. */
 export interface Limits {
   cancelMs: number;
   teams: Map<string, { cpus: number; gpus: number }>;
-  /** All troubles are over by then; without it, nothing is said of jobs whose polls stay unanswered. */
+  /** When the last injected fault has ended. Without it, unanswered polls and idle capacity are not checked. */
   calmAt?: number;
-  /** When the history was closed: what is on a machine then is still there. */
+  /** When the history ends; tasks that have not ended by then are still on their machines. */
   until?: number;
 }
 
-/** After the troubles, a job about which no question is answered for so long is forgotten. */
+/** After the faults have ended, an accepted job whose polls stay unanswered for longer than this counts as forgotten. */
 const FORGOTTEN_MS = 75_000;
-/** After the troubles, a job must not wait for so long beside room that it could have. */
+/** After the faults have ended, a job must not wait this long while there is free capacity for it. */
 const IDLE_ROOM_MS = 90_000;
 const ROOM_LOOK_MS = 1000;
 
 const refOf = (piece: string): string => piece.slice(0, piece.lastIndexOf("/"));
 
-/** Goes over a whole history and names every rule of the protocol it breaks. */
+/** Checks a complete history against the rules of the protocol and returns one line for each violation. */
 export function brokenRules(history: Happening[], limits: Limits): string[] {
   const broken: string[] = [];
   const specs = new Map<string, JobSpec>();
-  /** When a user first knew of it. */
+  /** When a response first confirmed to a user that the job is accepted. */
   const accepted = new Map<string, number>();
   const refusable = new Map<string, string>();
   const final = new Map<string, { what: "done" | "withdrawn"; at: number }>();
   const withdrawnAt = new Map<string, number>();
   const askedCancel = new Set<string>();
   const on = new Map<string, Map<string, { zone: string }>>();
-  /** All jobs that the job needs, directly or through others. */
+  /** Returns all jobs that the job depends on, directly or transitively. */
   const allNeeds = (ref: string): Set<string> => {
     const found = new Set(specs.get(ref)?.needs);
     for (const need of found) for (const further of specs.get(need)?.needs ?? []) found.add(further);
     return found;
   };
   const doneTasks = new Map<string, Set<string>>();
-  /** Of accepted jobs: the first of the polls that stayed unanswered, none answered since. */
+  /** For each job, the time of the first unanswered poll since the last answered request. */
   const unansweredSince = new Map<string, number>();
   let started = 0;
   const say = (rule: string, at: number, detail: string): void => {
@@ -108,7 +113,8 @@
         break;
       }
       case "told": {
-        // In real time: what had been answered when this was asked must not be unsaid; of two that overlap, either may be older.
+        // A status is checked only against responses received before this request was sent. Of two overlapping requests, either response
+        // may be the older one.
         const { ref, what, asked = event.at } = event;
         unansweredSince.delete(ref);
         const ended = final.get(ref);
@@ -202,7 +208,10 @@
   return broken;
 }
 
-/** How many starts came after a user had been told that the job is cancelled; a rule is broken only past `cancelMs`. */
+/**
+ * Counts task starts after a user received confirmation that the job is withdrawn. The rule `ran_cancelled` is broken
+ * only after `cancelMs`.
+ */
 export function startsAfterCancellation(history: readonly Happening[]): number {
   const told = new Set<string>();
   let count = 0;
@@ -215,7 +224,7 @@
 
 type Machine = Extract<Happening, { kind: "up" }>;
 
-/** Looks, once the troubles are over, for jobs that wait though a machine has had room for a task of theirs all the while. */
+/** Detects, once the faults have ended, jobs that wait although a machine has continuously had free capacity for one of their tasks. */
 class RoomWatch {
   readonly machines = new Map<string, Machine>();
   private readonly since = new Map<string, number>();
@@ -228,7 +237,7 @@
     this.nextLook = limits.calmAt ?? Infinity;
   }
 
-  /** A task of it has begun: its wait counts anew. */
+  /** Restarts the wait of a job one of whose tasks has started. */
   served(ref: string): void {
     this.since.delete(ref);
   }
@@ -266,7 +275,7 @@
     return [...free.values()];
   }
 
-  /** One more task, or of a gang all of them, would fit into what is free and under the team's limit. */
+  /** Whether one more task, or for a gang all missing tasks, fits into the free capacity and the team's limit. */
   private could(spec: JobSpec, free: Machine[], on: Map<string, Map<string, { zone: string }>>, specs: Map<string, JobSpec>): boolean {
     const present = [...on].filter(([piece]) => refOf(piece) === spec.ref).flatMap(([, hosts]) => [...hosts.values()]);
     const wanted = spec.kind === "gang" ? spec.tasks - present.length : 1;
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -2,20 +2,21 @@
 import type { CapacityChange } from "./faults.js";
 import type { WrongForm } from "./links.js";
 
-/** Steady time for models, in ms; virtual or real. */
+/** Monotonic clock for the models, in ms; virtual or real. `after` returns a function that cancels the timer. */
 export interface ModelClock {
   now(): number;
   after(ms: number, fn: () => void): () => void;
 }
 
+/** Configuration of the cloud model. */
 export interface CloudPlan {
   types: MachineType[];
-  /** Machines there are, by `type/zone/ordinary` and `type/zone/spot`. */
+  /** Number of machines that exist, by `type/zone/ordinary` and `type/zone/spot`. */
   capacity: Map<string, number>;
   lagMs: number;
-  /** Without it every machine boots in its nominal time and every list is as late as the last. */
+  /** Random source. Without it, every machine boots in its nominal time, and prices and the lag of lists are constant. */
   luck?: () => number;
-  /** Shares of machines that never come up, take several times as long, or are there at once. */
+  /** Shares of machines that never boot, take two to five times as long, or are up within two seconds. */
   boots?: { never: number; slow: number; early: number };
 }
 
@@ -26,23 +27,26 @@
   upAt: number | null;
   goneAt: number | null;
   failed: boolean;
-  /** Money for its use up to a time, at the prices of then. */
+  /** The cost up to `chargedTo`, at the prices in force during that time. */
   charged: number;
   chargedTo: number;
 }
 
 const PRICE_SWING = 1 / 3;
 const PRICE_MS = 60_000;
-/** Charged at least, in seconds. */
+/** Minimum charge per machine, in seconds of use. */
 const LEAST_CHARGE_S = 60;
 
-/** Of lists that are wrong: how much older than usual, and how many machines that are gone. */
+/** For wrong lists: their additional lag in ms, and the number of deleted machines they contain. */
 const OLDER_MS = 20_000;
 const GHOSTS = 3;
 
 const keyOf = ({ type, zone, spot }: Offer): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
-/** The cloud of PROTOCOL: capacity, boots, prices, a list that lags and goes back, names that are answered again. */
+/**
+ * The cloud as PROTOCOL describes it: limited capacity, boot times, varying prices, a list that lags and may be older
+ * than the previous one, and idempotent rentals by request name.
+ */
 export class CloudModel {
   private count = 0;
   private readonly answers = new Map<string, string[]>();
@@ -52,7 +56,7 @@
   private factor = 1;
   onBoot: (host: string, offer: Offer) => void = () => undefined;
   onGone: (host: string) => void = () => undefined;
-  /** Where a machine's worker listens, once it is up. */
+  /** Returns the address on which a machine's worker listens once it is up. */
   addrOf: (host: string) => string = (host) => host;
 
   constructor(
@@ -68,8 +72,8 @@
   }
 
   /**
-   * What there is to be had from now on; undefined: as before. Type or zone `*`: all. What is
-   * rented stays, even if it is more.
+   * Sets the available capacity of a type in a zone (`*`: all); undefined leaves it unchanged. Rented machines stay,
+   * even above the new capacity.
    */
   limit(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange {
     const former = new Map<string, number>();
@@ -89,7 +93,7 @@
     };
   }
 
-  /** Spot prices from now on, times what they would be; what was used until now is charged as it was. */
+  /** Sets the factor on spot prices. Usage up to now is charged at the previous prices. */
   set spotFactor(factor: number) {
     for (const machine of this.machines.values()) {
       if (machine.goneAt !== null || !machine.offer.spot) continue;
@@ -108,9 +112,9 @@
     return Math.max(0, (machine.goneAt ?? this.clock.now()) - from) / 3_600_000;
   }
 
-  /** Null: none to be had. */
+  /** Rents up to `count` machines (at most 50); null if none are available. A repeated request name returns the first response. */
   hire(name: string, { type: of, zone, spot }: Offer, count: number): string[] | null {
-    // Only what an offer is: in virtual time callers hand over records that say more.
+    // Copies only the fields of an offering: in virtual time, callers pass records with further fields.
     const offer: Offer = { type: of, zone, spot };
     const before = this.answers.get(name);
     if (before !== undefined) return before;
@@ -138,7 +142,7 @@
     return hosts;
   }
 
-  /** Null: never. */
+  /** Boot time in ms; null if the machine never boots. */
   private bootMs(nominal: number): number | null {
     const { luck, boots } = this.plan;
     if (luck === undefined) return nominal;
@@ -150,7 +154,7 @@
     return nominal * (0.6 + luck() * 0.9);
   }
 
-  /** It is gone, with everything on it: deleted, or taken back. */
+  /** Removes the machine and everything on it, because it was deleted or reclaimed by the cloud. */
   remove(host: string): void {
     const machine = this.machines.get(host);
     if (machine === undefined || machine.goneAt !== null) return;
@@ -160,7 +164,7 @@
     this.onGone(host);
   }
 
-  /** It stopped by itself: listed as failed until it is deleted. */
+  /** The machine fails by itself and is listed as failed until it is deleted. */
   fail(host: string): void {
     const machine = this.machines.get(host);
     if (machine === undefined || machine.goneAt !== null || machine.failed) return;
@@ -174,7 +178,7 @@
     return machine.charged + (hours + short) * this.rateOf(machine);
   }
 
-  /** Money spent so far, in the unit of the prices. */
+  /** Total cost so far, in the currency of the prices. */
   get cost(): number {
     let sum = this.spent;
     for (const machine of this.machines.values()) if (machine.goneAt === null) sum += this.costOf(machine);
@@ -187,12 +191,15 @@
     return n;
   }
 
-  /** The list as it was some time ago; `olderMs` more than usual: so a list can be older than the one before. */
+  /**
+   * Returns the list of machines as of some time ago. The lag varies, so a list can be older than the previous one;
+   * `olderMs` adds to it.
+   */
   list(from: string | undefined, limit: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
     const { lagMs, luck } = this.plan;
     const asOf = this.clock.now() - lagMs * (luck === undefined || luck() < 0.8 ? 1 : 1 + luck()) - olderMs;
     const machines: ListedMachine[] = [];
-    // Names are given in order, so the map holds them in the order of the list.
+    // Host names are assigned in ascending order, so the map is in the order of the list.
     for (const m of this.machines.values()) {
       if (m.bornAt > asOf || (m.goneAt !== null && m.goneAt <= asOf) || (from !== undefined && m.host <= from)) continue;
       if (machines.length >= limit) return { machines, more: true };
@@ -202,7 +209,7 @@
     return { machines, more: false };
   }
 
-  /** A list as no cloud should give it: much older than the last, with machines that are gone, or an answer to another request. */
+  /** Returns an invalid list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
   wrongList(form: WrongForm, from: string | undefined, limit: number): { machines: ListedMachine[]; more: boolean } | undefined {
     if (form === "older") return this.list(from, limit, OLDER_MS);
     if (form === "other") return { machines: [], more: false };
--- a/packages/emulator/src/conductor.ts
+++ b/packages/emulator/src/conductor.ts
@@ -5,7 +5,7 @@
 import { Recoveries, tookOver } from "./recovery.js";
 import { classFigures, type Report } from "./report.js";
 
-/** One log line, call or happening, for whoever waits for a moment to come. `at` in ms. */
+/** A log line, service request or event that can mark an injection point. `at` in ms. */
 export interface Seen {
   at: number;
   node: string;
@@ -13,51 +13,52 @@
   detail: Record<string, unknown>;
 }
 
-/** Says which moment something seen is, in the words of plans; null: none of them. */
+/** Returns the injection point that the observation marks, or null if it marks none. */
 export type MomentOf = (seen: Seen) => Moment | null;
 
-/** A fault at its moment: seen, and whom it met. */
+/** A fault injected at an injection point, and the names of what it affected. */
 export interface MetMoment {
   moment: Moment;
   kind: Fault["kind"];
   met: string[];
 }
 
-/** Users as a rehearsal has them; what they are told goes into the history. */
+/** The users of a run. The implementation records the responses in the history. */
 export interface UserPort {
-  /** Repeated until there is an answer; false: it was refused, or given up. */
+  /** Retries until there is a response; false if the job was refused or the user gave up. */
   submit(one: Planned): Promise<boolean>;
-  /** The state as told, or anything else if there was no such answer. */
+  /** Returns the status of the job, or any other text if the response held none. */
   poll(ref: string): Promise<string>;
   cancel(ref: string): Promise<void>;
 }
 
+/** What the driver of a run needs. */
 export interface ConductorOptions {
   plan: RehearsalPlan;
   seed: number;
   stage: Stage;
   users: UserPort;
-  /** Users with habits, where a fault is of their making. */
+  /** Simulated users, for the faults that users cause. */
   crowd: Crowd;
-  /** In ms. */
+  /** Time in ms. */
   clock: { now(): number; after(ms: number, fn: () => void): unknown };
   momentOf: MomentOf;
   pollMs: () => number;
-  /** What happened so far. */
+  /** Returns the events recorded so far. */
   history: () => readonly Happening[];
   say?: (text: string) => void;
 }
 
 const NEED_MS = 250;
-/** How often somebody asks for a job that nobody submitted. */
+/** Interval between polls for a job that was never submitted. */
 const STRANGER_MS = 15_000;
-/** No plan has so many jobs: refs from here on are nobody's. */
+/** Larger than the number of jobs in any plan: job ids from here on are never submitted. */
 const FIRST_STRANGER = 900_000;
 
 /**
- * Plays a plan on whatever stage it is given: submits its work in turn, waits for jobs
- * that others need, carries faults out at their time or moment, and keeps count. The same
- * for virtual time and for real processes.
+ * Executes a plan in the given environment, which is virtual or made of real processes: submits the work on schedule,
+ * delays jobs until those they depend on are accepted, injects faults at their time or injection point, and collects
+ * the figures of the report.
  */
 export class Conductor {
   readonly planned: Planned[];
@@ -93,7 +94,7 @@
     clock.after(STRANGER_MS, () => void this.stranger());
   }
 
-  /** Users name only jobs that were accepted. */
+  /** Submits the job once the jobs that it depends on are accepted. */
   private begins(one: Planned): void {
     if (this.stopped) return;
     if ((one.spec.needs ?? []).every((need) => this.told.has(need))) void this.follow(one);
@@ -114,14 +115,14 @@
     }
   }
 
-  /** Users also ask about jobs that nobody has submitted: whatever they are told is judged with the rest. */
+  /** Polls regularly for jobs that were never submitted; the responses are checked with the rest of the history. */
   private async stranger(): Promise<void> {
     if (this.stopped) return;
     await this.options.users.poll(`run-${FIRST_STRANGER + ++this.strangers}`);
     this.options.clock.after(STRANGER_MS, () => void this.stranger());
   }
 
-  /** What was seen: logs, calls to the services. */
+  /** Receives log lines and service requests. */
   hear(seen: Seen): void {
     this.recoveries.hear(seen);
     if (tookOver(seen.what, seen.detail)) this.takeovers++;
@@ -129,7 +130,7 @@
     if (moment !== null) this.came(moment);
   }
 
-  /** What happened to a task on its machine. */
+  /** Receives the events of tasks on their machines. */
   happened(event: Happening): void {
     if (event.kind === "on" && !this.placed) {
       this.placed = true;
@@ -143,7 +144,7 @@
     const i = this.pending.findIndex((one) => one.moment === moment && this.sinceMs >= one.after * 1000);
     if (i < 0) return;
     const [{ fault }] = this.pending.splice(i, 1) as [(typeof this.pending)[number]];
-    // Right after what was seen, not in the midst of it.
+    // Deferred, so that the fault does not interrupt the processing of the observation.
     this.options.clock.after(0, () => this.strike(fault, (met) => this.moments.push({ moment, kind: fault.kind, met })));
   }
 
@@ -164,7 +165,7 @@
     else void prepared.then(act);
   }
 
-  /** All that struck so far is over by then, in ms. */
+  /** When all faults injected so far have ended, in ms. */
   calmAt(): number {
     return this.lastTroubleMs;
   }
@@ -182,7 +183,7 @@
     return this.planned.filter(({ spec }) => this.over(spec.ref)).length;
   }
 
-  /** Nobody asks and nothing strikes from here on. */
+  /** Stops polling and fault injection. */
   stop(): void {
     this.stopped = true;
   }
--- a/packages/emulator/src/crowd.ts
+++ b/packages/emulator/src/crowd.ts
@@ -2,43 +2,43 @@
 import type { Happening } from "./checker.js";
 import type { Crowd, Habit } from "./faults.js";
 
-/** How users ask, at a controller of their choice. None of it rejects. */
+/** How simulated users send requests to a controller of their choice. The returned promises never reject. */
 export interface Asking {
   controllers(): string[];
-  /** A submission of what is said; `never`: why it must not be accepted. */
+  /** Submits the job in its wire form; `never`: the reason why it must not be accepted. */
   submit(wire: Record<string, unknown>, spec: JobSpec, node: string, never?: string): Promise<unknown>;
   poll(ref: string, node: string): Promise<unknown>;
   cancel(ref: string, node: string): Promise<unknown>;
-  /** How long the job's tasks truly run, in ms. */
+  /** Returns the actual run time of the job's tasks, in ms. */
   runMs(ref: string): number;
 }
 
 interface Known {
   spec: JobSpec;
-  /** Told as accepted, and then as over. */
+  /** Whether a user has received confirmation that the job is accepted, and that it is finished. */
   accepted: boolean;
   over: boolean;
   done: Set<string>;
   on: Map<string, { host: string; at: number }>;
 }
 
-/** Of the jobs that are looked at closely, those that are cancelled as soon as they are accepted. */
+/** Share of the newly accepted jobs under `close-looks` that are cancelled at once. */
 const CANCELLED_AT_ONCE = 0.15;
-/** When each controller is asked after the event, in ms. */
+/** Delays of the polls to each controller after the event, in ms. */
 const LOOKS_MS = [0, 1, 4, 15, 60];
 const ODD_GAP_MS = 1000;
 const CANCEL_NOW_MS = 200;
-/** No plan has so many jobs. */
+/** Larger than the number of jobs in any plan, so that the ids of faulty submissions are unused. */
 const FIRST_ODD = 800_000;
-/** Of a service, whose replicas never end. */
+/** Remaining run time of a service, whose replicas never end. */
 const ENDLESS_MS = 1e9;
 
-/** Users who meet the end of a job, ask everywhere at once, or ask for what cannot be had. */
+/** Simulated users that cancel jobs as they end, poll all controllers at once, or submit jobs that cannot run. */
 export class HabitualUsers implements Crowd {
   private readonly jobs = new Map<string, Known>();
   private readonly habits = new Map<Habit, { until: number; share: number }>();
   private odd = 0;
-  /** What came of the habits: how often each met its moment. */
+  /** How often each behaviour took effect. */
   readonly met = { looks: 0, cancelledAtOnce: 0, cancelledAtEnd: 0, odd: 0, cancelledNow: 0 };
 
   constructor(
@@ -84,7 +84,7 @@
     return { refs: chosen.map(({ spec }) => spec.ref), hosts: [...hosts].sort((a, b) => b[1] - a[1]).map(([host]) => host) };
   }
 
-  /** All that happens goes through here, in its order. */
+  /** Receives submissions, responses and the events of tasks, in order. */
   hear(event: Happening): void {
     if (event.kind === "submitted") {
       if (event.never === undefined && !this.jobs.has(event.spec.ref))
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Asks everywhere within milliseconds, repeats the submission, and may cancel at once what was just accepted. */
+  /** Polls all controllers within milliseconds, repeats the submission, and cancels a share of the jobs that were just accepted. */
   private look({ spec }: Known, fresh: boolean): void {
     if (!this.has("close-looks")) return;
     this.met.looks++;
@@ -128,7 +128,10 @@
     this.clock.after(this.luck() * LOOKS_MS[2]!, () => void this.asking.cancel(ref, this.somewhere()));
   }
 
-  /** Now and then: a submission again, a cancellation of what is over, a job that nobody can run, one that says too little. */
+  /**
+   * Sends at regular intervals a repeated submission, a cancellation of a finished job, and a job that fits no machine
+   * or lacks a field.
+   */
   private ask(until: number): void {
     if (this.clock.now() >= until) return;
     const jobs = [...this.jobs.values()].filter(({ accepted }) => accepted);
@@ -152,5 +155,5 @@
   }
 }
 
-/** Without these a submission says too little. */
+/** Required fields of a submission. */
 const REQUIRED = new Set(["lane", "desk", "shape", "urgency", "pieces", "cpus", "accelerators", "ramGb", "bundle"]);
--- a/packages/emulator/src/drawn.ts
+++ b/packages/emulator/src/drawn.ts
@@ -3,8 +3,9 @@
 import { MOMENTS, type PlannedFault, type RehearsalPlan } from "./plan.js";
 
 /**
- * Meetings that nobody listed: two or three troubles of the whole vocabulary, the second placed where it
- * matters, by seed; of every ten seeds three draw a divided lead. What a rehearsal of the seed was is told by its plan, which can be played again alone.
+ * Randomly generated plans: two or three faults of all kinds, the later ones placed relative to the first. Three of ten
+ * seeds generate a partition with two controllers that both act as its owner. The plan of a seed describes its run
+ * completely and can be replayed on its own.
  */
 type Draw = (luck: Luck) => Record<string, unknown>;
 
@@ -24,7 +25,10 @@
   }
 }
 
-/** Lengths in seconds: an instant, some reports, all but a lease, longer than a cancellation's time. */
+/**
+ * Ranges of durations in seconds: an instant, several report intervals, nearly a lease, more than a lease, and longer
+ * than the time limit for a cancellation.
+ */
 const LENGTHS: readonly (readonly [number, number])[] = [
   [0.1, 1],
   [2, 8],
@@ -94,13 +98,14 @@
 ];
 
 const NODES = ["nest-0", "nest-1", "nest-2"] as const;
-/** Of the seeds, those that draw a leader and its heir who both think that they lead. */
+/** Share of the seeds that generate a scenario in which an owner and its successor both act as owner of a partition. */
 const DIVIDED_SHARE = 0.3;
 
 /**
- * One controller loses the state service and goes on answering until it has to be silent; the word of whoever takes its
- * part comes late, or not at all; machines look round in between, jobs are cancelled, and some then hear nobody.
- * Three independent draws hardly ever meet so: what broke there before was found by reading alone.
+ * One controller loses the state service and keeps answering workers until it has to stop; the commands of its
+ * successors arrive late. Meanwhile machines contact other controllers, jobs are cancelled, and some machines then
+ * receive nothing from any controller. Independently generated faults almost never combine in this way: the defects
+ * found here before had been found only by reading the code.
  */
 function divided(luck: Luck, at: number): PlannedFault[] {
   const old = luck.of(NODES);
@@ -113,7 +118,8 @@
       ]),
     ],
   ];
-  // Half of the time the whole chain: unheard throughout, looked round for, and neither heard nor deleted after it.
+  // Half of the time all steps occur: the successors' commands are delayed throughout, the former owner's too, and afterwards machines
+  // can be neither reached nor deleted.
   const whole = luck.of([true, false]);
   const may = (share: number): boolean => whole || luck.between(0, 1) < share;
   const others = NODES.filter((name) => name !== old);
@@ -136,7 +142,10 @@
   return found.map(([after, raw]) => ({ at: at + after, fault: read(raw) }));
 }
 
-/** Further troubles that only a soak draws, so that what rehearsals draw by seed stays what it was; the commoner ones stand twice. */
+/**
+ * Further faults that only soak runs generate, so that the plans of `rehearse --drawn` stay the same for each seed. The
+ * more frequent ones are listed twice.
+ */
 const SOAK_TROUBLES: readonly Draw[] = [
   ...TROUBLES,
   (luck) => ({ kind: "late-commands", share: luck.of([0.2, 0.5]), for: luck.between(5, 30) }),
@@ -162,14 +171,18 @@
   (luck) => ({ kind: "freeze", target: nodes(luck), for: luck.between(1, 25) }),
 ];
 
-/** Of the seeds of a soak, those that draw a leader that is refused alone while the network splits its machines. */
+/** Share of the soak seeds that add a scenario in which the state service refuses one controller while the network splits its machines. */
 const SPLIT_SHARE = 0.4;
-/** Drawn from numbers of their own: what else a seed draws stays what it was. Odd and large, since seeds come one after another. */
+/**
+ * Derives the seed of an independent random sequence, so that the other faults of a seed stay the same. Odd and large,
+ * because seeds are consecutive.
+ */
 const SPLIT_SEED = 0x9e3779b1;
 
 /**
- * The state service refuses one controller alone, for longer than a lease; some of its machines go on with it alone, others
- * with everybody but it. Its heir answers the ones while it may still hold them for lost, and cannot reach the others.
+ * The state service refuses one controller for longer than a lease; some of its machines reach only that controller,
+ * others every controller but it. Its successor answers the latter while the refused controller may still consider them
+ * its own, and cannot reach the former.
  */
 function refusedWhileSplit(luck: Luck, at: number): PlannedFault[] {
   const target = luck.of(NODES);
@@ -182,12 +195,12 @@
     [after, { kind: "split", target, reaches: "only-target", share: onlyShare, way: way(), for: lastsS }],
     [after, { kind: "split", target, reaches: "all-but-target", share: 1 - onlyShare, way: way(), for: lastsS }],
   ];
-  // Without the cloud an heir cannot end the wait for a machine by having it deleted.
+  // Without the cloud, a successor cannot end its wait for a machine by deleting it.
   if (luck.between(0, 1) < 0.8) found.push([luck.between(0, 4), { kind: "outage", of: "cloud", for: luck.between(30, 50) }]);
   return found.map(([later, raw]) => ({ at: at + later, fault: read(raw) }));
 }
 
-/** Machines are up by then, and the first work runs. */
+/** Warm-up time in seconds: by then machines are up and the first work runs. */
 const WARM_S = 12;
 
 function read(raw: Record<string, unknown>): PlannedFault["fault"] {
@@ -198,10 +211,10 @@
 
 const trouble = (luck: Luck): PlannedFault["fault"] => read(luck.of(TROUBLES)(luck));
 
-/** Seconds of a soak to a fault. */
+/** Mean time between the faults of a soak plan, in seconds. */
 const SOAK_FAULT_S = 6;
 
-/** The plan with faults at random moments all the while instead of its own; the same seed draws the same. */
+/** Adds faults at random times to the plan's own; the same seed generates the same plan. */
 export function soakPlan(base: RehearsalPlan, seed: number): RehearsalPlan {
   const luck = new Luck(seeded(seed));
   const count = Math.max(1, Math.round((base.seconds - WARM_S) / SOAK_FAULT_S));
@@ -215,7 +228,7 @@
   return { ...base, name: `${base.name}, seed ${seed}`, fault: [...base.fault, ...fault] };
 }
 
-/** The plan with drawn troubles instead of its own; the same seed draws the same. */
+/** Replaces the plan's faults by randomly generated ones; the same seed generates the same plan. */
 export function drawnPlan(base: RehearsalPlan, seed: number): RehearsalPlan {
   const luck = new Luck(seeded(seed));
   const name = `${base.name}, drawn ${seed}`;
@@ -227,7 +240,7 @@
   const lastsS = "for" in first ? (first.for ?? 0) : 0;
   for (let more = luck.whole(1, 2); more > 0; more--) {
     const second = trouble(luck);
-    // Beside it, about when it ends, or at the next moment of a kind after it began.
+    // During the first fault, around its end, or at the next occurrence of an injection point after its start.
     const place = luck.whole(0, 2);
     if (place === 0) fault.push({ at: at + luck.between(0, Math.max(2, lastsS)), fault: second });
     else if (place === 1) fault.push({ at: at + Math.max(0, lastsS + luck.between(-1, 1)), fault: second });
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -3,9 +3,9 @@
 import { inSample, type MachineSample } from "./party.js";
 
 /**
- * The vocabulary of faults, the same by command, by plan and drawn by seed, for real
- * processes and in virtual time. Targets: controllers by name, `leader` (of the most
- * machines) or `all`; machines by name, `busiest`, or `any`.
+ * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
+ * processes and in virtual time. A target is a controller name, `leader` (the owner of the most machines) or `all` for
+ * controllers, and a machine name, `busiest` or `any` for machines.
  */
 const seconds = z.number().finite().min(0).max(3600);
 const lasting = { for: seconds.default(10) };
@@ -15,18 +15,19 @@
 const service = z.enum(["state", "cloud"]);
 const share = z.number().min(0).max(1);
 
+/** Schema of a fault as it is written in plans and commands. Durations (`for`, `notice`, `hang`) are in seconds, `ms` in milliseconds. */
 export const faultSchema = z.discriminatedUnion("kind", [
-  /** The controller's process ends without warning and starts again. */
+  /** Kills the controller's process without warning and starts it again. */
   z.strictObject({ kind: z.literal("restart"), target: node, for: seconds.default(6) }),
-  /** The controller's process stands still while its clocks run on. */
+  /** Stalls the controller's process while its clocks continue to run. */
   z.strictObject({ kind: z.literal("freeze"), target: node, ...lasting }),
-  /** The state service ends, between whatever it was doing, and starts again on its data. */
+  /** Kills the state service at an arbitrary point and restarts it on its data. */
   z.strictObject({ kind: z.literal("restart-store"), for: seconds.default(2) }),
-  /** A service answers 503 to everybody. */
+  /** The service answers every request with 503. */
   z.strictObject({ kind: z.literal("outage"), of: service, ...lasting }),
-  /** A service answers 503 to one controller. */
+  /** The service answers requests of one controller with 503. */
   z.strictObject({ kind: z.literal("refuse"), target: node, by: service, ...lasting }),
-  /** Packets between the controller and others are held, and delivered when it is over. */
+  /** Holds packets between the controller and the given peers, and delivers them when the fault ends. */
   z.strictObject({ kind: z.literal("cut"), target: node, from: z.enum(["state", "cloud", "workers", "controllers", "all"]), ...lasting }),
   z.strictObject({
     kind: z.literal("delay"),
@@ -35,9 +36,9 @@
     ms: z.number().min(1).max(60_000),
     ...lasting,
   }),
-  /** So many requests are executed, and their answers lost. */
+  /** Executes the given number of requests and drops their responses. */
   z.strictObject({ kind: z.literal("drop"), target: node, by: service, what: z.string().default("*"), count: count.default(1) }),
-  /** So many requests are executed later, when whoever asked has given up. */
+  /** Executes the given number of requests late, after the client has given up. */
   z.strictObject({
     kind: z.literal("late"),
     target: node,
@@ -47,7 +48,10 @@
     ms: z.number().min(1).max(120_000),
   }),
   z.strictObject({ kind: z.literal("twice"), target: node, by: service, what: z.string().default("*"), count: count.default(1) }),
-  /** Executed and answered wrongly: cut short, a list older than the last, a machine listed that is gone, an answer to another request, 5xx. */
+  /**
+   * Executes requests and returns wrong responses: truncated, a list older than the previous one, a list with deleted
+   * machines, a response to another request, or 5xx.
+   */
   z.strictObject({
     kind: z.literal("wrong"),
     target: node,
@@ -56,27 +60,28 @@
     form: z.enum(["cut-short", "older", "ghost", "other", "error-after"]),
     count: count.default(1),
   }),
-  /** The state service's limits are lower from now on, without notice. */
+  /** Lowers the limits of the state service from now on, without notice. */
   z.strictObject({
     kind: z.literal("limits"),
     writes: z.number().positive().optional(),
     value_kb: z.number().positive().optional(),
     changes: z.number().int().min(4).optional(),
   }),
-  /** The machine is gone, without notice. */
+  /** Removes the machine without notice. */
   z.strictObject({ kind: z.literal("lose"), target: machine, count: count.default(1) }),
-  /** The cloud says that it takes the machine, and does. */
+  /** Announces the removal of the machine by the cloud, then removes it. */
   z.strictObject({ kind: z.literal("take"), target: machine, notice: seconds.default(20) }),
-  /** It stops by itself, and stays listed as failed. */
+  /** The machine fails by itself and stays listed as failed. */
   z.strictObject({ kind: z.literal("fail"), target: machine }),
   z.strictObject({ kind: z.literal("hang"), target: machine, ...lasting }),
   z.strictObject({ kind: z.literal("slow"), target: machine, factor: z.number().min(1).max(100).default(4) }),
-  /** Fails every task that it starts. */
+  /** Every task that the machine starts fails. */
   z.strictObject({ kind: z.literal("sick"), target: machine }),
   z.strictObject({ kind: z.literal("cut-machine"), target: machine, ...lasting }),
   /**
-   * A share of the machines reaches only the target, or every controller but the target, both ways or one way. The two sides
-   * take machines from opposite ends, so that two splits of one target whose shares make no more than 1 meet none twice.
+   * A share of the machines reaches only the target, or every controller except the target, in both directions or in
+   * one. The two variants select machines from opposite ends of the range, so two splits of one target whose shares add
+   * up to at most 1 affect disjoint machines.
    */
   z.strictObject({
     kind: z.literal("split"),
@@ -86,11 +91,14 @@
     way: z.enum(["both", "to-controllers", "to-machines"]).default("both"),
     ...lasting,
   }),
-  /** Its reports arrive; answers and direct commands to it are lost. */
+  /** The machine's reports arrive; responses and direct commands to it are lost. */
   z.strictObject({ kind: z.literal("deaf"), target: machine, count: count.default(1), ...lasting }),
-  /** It reaches no controller; direct commands reach it, and are answered. */
+  /** The machine's reports reach no controller; direct commands reach it and are answered. */
   z.strictObject({ kind: z.literal("mute"), target: machine, count: count.default(1), ...lasting }),
-  /** Of that share of all workers' reports a copy arrives again, 2 s to `ms` later; or, `for_next`, at all controllers once one takes a part. */
+  /**
+   * Duplicates this share of all worker reports, 2 s to `ms` later or, with `for_next`, at all controllers once one of
+   * them takes over a partition.
+   */
   z.strictObject({
     kind: z.literal("late-reports"),
     share: share.default(0.2),
@@ -98,28 +106,37 @@
     for_next: z.boolean().default(false),
     ...lasting,
   }),
-  /** That share of all transactions gets no answer, and is carried out 2 to 12 s later; or, `at_once`, right away. */
+  /** This share of all transactions gets no response and is executed 2 to 12 s later or, with `at_once`, immediately. */
   z.strictObject({ kind: z.literal("late-writes"), share: share.default(0.2), at_once: z.boolean().default(false), ...lasting }),
-  /** That share of the direct commands to machines gets no answer, and is carried out once, 2 to 16 s later, if token and session still match. */
+  /**
+   * This share of the direct commands to machines gets no response and is executed once, 2 to 16 s later, if token and
+   * session still match.
+   */
   z.strictObject({ kind: z.literal("late-commands"), share: share.default(0.2), ...lasting }),
-  /** One way: what the controller sends there is lost; what it is sent arrives. */
+  /** One-way loss: what the controller sends to the given peers is lost, what they send to it arrives. */
   z.strictObject({
     kind: z.literal("lose-sent"),
     target: node,
     to: z.enum(["state", "cloud", "workers", "controllers", "all"]),
     ...lasting,
   }),
-  /** Against the rules, to see that it is noticed: a task that runs is started on a second machine by nobody's right. */
+  /** Deliberate violation to verify that it is detected: a running task is started a second time on another machine. */
   z.strictObject({ kind: z.literal("start-twice") }),
-  /** Users call off so many jobs that run and have long to go, within a fifth of a second; up to eight of their machines hang so long. */
+  /**
+   * Users cancel the given number of running jobs with the longest remaining run time within 0.2 s; up to eight of
+   * their machines hang for `hang`.
+   */
   z.strictObject({ kind: z.literal("cancel-now"), count: count.default(5), hang: seconds.default(0) }),
-  /** That share of the jobs that end is called off at the moment of the end. */
+  /** This share of the jobs is cancelled at the moment their last task ends. */
   z.strictObject({ kind: z.literal("cancel-at-end"), share: share.default(0.5), ...lasting }),
-  /** Users repeat submissions, cancel what is done, and send jobs that fit no machine or lack a field. */
+  /** Users repeat submissions, cancel finished jobs, and submit jobs that fit no machine or lack a field. */
   z.strictObject({ kind: z.literal("odd-requests"), ...lasting }),
-  /** Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled. */
+  /** Users poll all controllers within milliseconds after a job was accepted, ended or was withdrawn. */
   z.strictObject({ kind: z.literal("close-looks"), ...lasting }),
-  /** For so long, or from now on, so many machines of a type (`*`: of any) are to be had, in one zone or in all; those rented stay. */
+  /**
+   * Sets the number of machines available of a type (`*`: all types), in one zone or in all, for a time or permanently.
+   * Rented machines stay.
+   */
   z.strictObject({
     kind: z.literal("capacity"),
     target: z.string().min(1),
@@ -128,15 +145,18 @@
     spot: z.number().int().min(0).max(10_000).optional(),
     for: seconds.optional(),
   }),
-  /** Spot machines cost so many times as much. */
+  /** Multiplies the price of spot machines. */
   z.strictObject({ kind: z.literal("prices"), factor: z.number().min(0.1).max(100), ...lasting }),
 ]);
+/** A validated fault. */
 export type Fault = z.infer<typeof faultSchema>;
+/** The name of a kind of fault. */
 export type FaultKind = Fault["kind"];
 
+/** The names of all kinds of faults. */
 export const FAULT_KINDS = faultSchema.options.map((option) => option.shape.kind.value);
 
-/** A fault from whoever asks, or what is wrong with it and what was expected. */
+/** Validates a fault given by a plan or a command. Returns the fault, or a message that names what is wrong and what was expected. */
 export function decodeFault(raw: unknown): { fault: Fault } | { wrong: string } {
   const kind = (raw as { kind?: unknown } | null)?.kind;
   if (!FAULT_KINDS.includes(kind as FaultKind)) return { wrong: `kind: expected one of ${FAULT_KINDS.join(", ")}` };
@@ -145,33 +165,33 @@
   return { wrong: parsed.error.issues.map((issue) => `${issue.path.join(".") || String(kind)}: ${issue.message}`).join("; ") };
 }
 
-/** What users do beside their own work while it lasts. */
+/** What simulated users do in addition to their planned requests. */
 export type Habit = "cancel-at-end" | "odd-requests" | "close-looks";
 
-/** Offers whose capacity is another now, and what makes it what it was. */
+/** The offerings whose capacity was changed, and a function that restores it. */
 export interface CapacityChange {
   met: string[];
   restore: () => void;
 }
 
-/** What faults are carried out on: the world in virtual time, or real processes. Times in ms. */
+/** The environment that faults are injected into: the virtual world or real processes. Times in ms. */
 export interface Stage {
-  /** To be waited for before a fault is carried out: how things stand has to be found out first. */
+  /** Collects the current state of the environment; has to complete before a fault is injected. */
   prepare?(): Promise<void>;
   after(ms: number, fn: () => void): void;
   controllers(): string[];
-  /** The controller that leads the most machines, as far as can be seen from outside. */
+  /** The controller that owns the most machines, as far as this is visible from outside. */
   leader(): string;
   /** Machines that are up, the busiest first. */
   machines(): string[];
-  /** Those that report to the controller just now. */
+  /** The machines that currently report to the controller. */
   reportingTo(controller: string): string[];
   restart(controller: string, awayMs: number): void;
   freeze(controller: string, ms: number): void;
   restartStore(awayMs: number): void;
-  /** `on` false: it is over, and leases have their full time again. */
+  /** `on` false ends the outage; leases then get their full duration again. */
   outage(of: "state" | "cloud", on: boolean): void;
-  /** Returns what ends the rule. */
+  /** Adds a network rule and returns the function that removes it. */
   rule(asked: RuleAsked): () => void;
   limits(limits: { writeRps?: number; valueKb?: number; txnOps?: number }): void;
   lose(machine: string): void;
@@ -180,19 +200,22 @@
   hang(machine: string, on: boolean): void;
   slow(machine: string, factor: number): void;
   sicken(machine: string): void;
-  /** Starts some running task on a second machine; its name, or null if there is none. */
+  /** Starts some running task on a second machine. Returns the task's id, or null if there is none to start. */
   startTwice(): string | null;
-  /** Machines of a type (`*`: any) that there are from now on; undefined: as before. Zone `*`: all. */
+  /** Sets the number of available machines of a type (`*`: all) in a zone (`*`: all); undefined leaves it unchanged. */
   capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange;
-  /** Spot prices, times the usual ones. */
+  /** Sets the factor on the usual spot prices. */
   prices(factor: number): void;
 }
 
-/** Users, as far as faults are of their making. */
+/** The simulated users, as far as faults control them. */
 export interface Crowd {
-  /** Takes the habit up for so long, in ms. */
+  /** Enables the behaviour for this time in ms; returns the controllers that receive its requests. */
   begin(habit: Habit, share: number, ms: number): string[];
-  /** Calls off so many jobs that run and have long to go; the machines that they run on, the busiest first. */
+  /**
+   * Cancels the given number of running jobs with the longest remaining run time. Returns them and the machines they
+   * run on, the busiest first.
+   */
   cancelNow(count: number): { refs: string[]; hosts: string[] };
 }
 
@@ -200,7 +223,7 @@
 const LATE_WRITES_MS = { leastMs: 2000, ms: 12_000 };
 const LATE_COMMANDS_MS = { leastMs: 2000, ms: 16_000 };
 
-/** How long it lasts, or until the last of what it sets off has come, in ms. */
+/** How long the fault lasts, in ms, including the last delayed effect that it causes. */
 export function lastsMs(fault: Fault): number {
   const forMs = "for" in fault ? (fault.for ?? 0) * 1000 : 0;
   if (fault.kind === "late-writes" && !fault.at_once) return forMs + LATE_WRITES_MS.ms;
@@ -222,7 +245,10 @@
 
 type Split = Extract<Fault, { kind: "split" }>;
 
-/** Keeps a share of the machines from the target, or from everybody else. Whom it met: those of them that report to the target. */
+/**
+ * Splits a share of the machines from the target, or from every other controller. `met`: those of them that currently
+ * report to the target.
+ */
 function split(stage: Stage, { share, reaches, way }: Split, target: string): { met: string[]; end: () => void } {
   const onlyTarget = reaches === "only-target";
   const machines: MachineSample = onlyTarget ? { least: 0, most: share } : { least: 1 - share, most: 1 };
@@ -236,7 +262,7 @@
   return { met, end: stage.rule(ways[way]) };
 }
 
-/** Carries the fault out; says whom it met. An empty list: there was nobody to meet. */
+/** Injects the fault and returns the names of what it affected; empty if there was nothing to affect. */
 export function carryOut(stage: Stage, fault: Fault, crowd: Crowd): string[] {
   const until = (seconds: number, end: () => void): void => stage.after(seconds * 1000, end);
   const each = (names: string[], act: (name: string) => void): string[] => {
--- a/packages/emulator/src/links.ts
+++ b/packages/emulator/src/links.ts
@@ -1,51 +1,55 @@
 /**
- * What goes wrong between two parties, decided in one place for virtual time and for
- * real sockets: a rule says whose calls it meets, for how long or how often, and what
- * becomes of them. Parties are names of controllers and machines, `state` and `cloud`.
+ * Network faults between two endpoints, for virtual time and real sockets alike. A rule states which calls it applies
+ * to, for how long or how many times, and its effect on them. Endpoints are names of controllers and machines, `state`
+ * and `cloud`.
  */
 import { isParty, type Party } from "./party.js";
 
+/** The ways in which a response can be wrong. */
 export type WrongForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
+/** The effect of a rule on a call. */
 export type Effect =
-  /** Packets are held, and delivered in order when the rule ends; who sent them hears nothing. */
+  /** Messages are held and delivered in order when the rule ends; the sender gets no response. */
   | { kind: "cut" }
-  /** Answered 503, not executed. */
+  /** Answered with 503 and not executed. */
   | { kind: "refuse" }
   | { kind: "delay"; ms: number }
-  /** Executed, the answer is lost. */
+  /** Executed, but the response is lost. */
   | { kind: "drop" }
-  /** Executed so much later, or between `leastMs` and `ms`; no answer comes. */
+  /** Executed `ms` later, or at random between `leastMs` and `ms`; no response is sent. */
   | { kind: "late"; ms: number; leastMs?: number }
-  /** Executed a second time, right after. */
+  /** Executed a second time immediately afterwards. */
   | { kind: "twice" }
-  /** Never arrives, and nobody says so. */
+  /** Lost without an error. */
   | { kind: "lose" }
-  /** Of that share, a copy arrives again, 2 s to `mostMs` later. */
+  /** For this share of the messages, a copy arrives again 2 s to `mostMs` later. */
   | { kind: "again"; share: number; mostMs: number }
-  /** Of that share, a copy is kept, and comes again when a controller takes a part. */
+  /** For this share of the messages, a copy is stored and delivered when a controller takes over a partition. */
   | { kind: "keep"; share: number }
-  /** Executed, and answered wrongly. */
+  /** Executed, but the response is wrong. */
   | { kind: "wrong"; form: WrongForm };
 
-/** What becomes of a call that has arrived. */
+/** Effects on a call that has arrived. */
 type Executed = Exclude<Effect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
 
+/** A message between two endpoints, as rules match it. */
 export interface Call {
   from: string;
   to: string;
-  /** What is asked: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
+  /** Kind of request: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
   what: string;
 }
 
+/** A rule to add, as plain data. */
 export interface RuleAsked {
   from: Party;
   to: Party;
   what?: string;
   effect: Effect;
-  /** How many calls it meets; without it, all until it ends. */
+  /** Number of calls that the rule applies to; without it, all until the rule is removed. */
   count?: number;
-  /** Of the calls it would meet, that share; without it, each. */
+  /** Share of the matching calls that the rule applies to; without it, all. */
   share?: number;
 }
 
@@ -54,18 +58,19 @@
   held: (() => void)[];
 }
 
-/** What is done to a message on its way, whatever it asks for. */
+/** Effects on a message in transit, independent of its kind of request. */
 const ON_THE_WAY = new Set<Effect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
-/** A copy of a message comes no sooner. */
+/** Minimum delay of the copy of a message, in ms. */
 const LEAST_AGAIN_MS = 2000;
 
+/** The active network rules and the decisions that follow from them. */
 export class Links {
   private rules: Rule[] = [];
   private count = 0;
 
   constructor(private readonly luck: () => number = Math.random) {}
 
-  /** The rule holds until the function returned is called; what it held goes on its way then. */
+  /** Adds a rule and returns the function that removes it; removal delivers the messages that the rule holds. */
   add(asked: RuleAsked): () => void {
     const rule: Rule = { what: "*", count: Infinity, share: 1, ...asked, id: ++this.count, held: [] };
     this.rules.push(rule);
@@ -81,25 +86,25 @@
         fits(rule.effect) &&
         rule.count > 0 &&
         (rule.what === "*" || rule.what === call.what) &&
-        // A cut has no direction; everything else is said of calls one way.
+        // A cut applies in both directions, all other effects only to calls from `from` to `to`.
         ((isParty(rule.from, call.from) && isParty(rule.to, call.to)) ||
           (rule.effect.kind === "cut" && isParty(rule.from, call.to) && isParty(rule.to, call.from))),
     );
   }
 
-  /** Holds the call if a cut lies in its way. */
+  /** Holds the call if a cut applies to it, and returns whether it does. */
   hold(call: Call, run: () => void): boolean {
     const rule = this.find(call, ({ kind }) => kind === "cut");
     rule?.held.push(run);
     return rule !== undefined;
   }
 
-  /** A cut lies in the way: what cannot be held, such as an answer to one who has given up, is lost. */
+  /** Whether a cut applies to the call. Messages that cannot be held, such as the response to a caller that has given up, are lost. */
   blocked(call: Call): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
 
-  /** Connections are refused, however often they are tried. */
+  /** Whether connections for the call are refused. */
   refuses(call: Call): boolean {
     return this.find(call, ({ kind }) => kind === "refuse") !== undefined;
   }
@@ -109,25 +114,25 @@
     return rule?.effect.kind === "delay" ? rule.effect.ms : 0;
   }
 
-  /** It never arrives. */
+  /** Whether the message is lost. */
   loses(call: Call): boolean {
     return this.find(call, ({ kind }) => kind === "lose") !== undefined;
   }
 
-  /** In how many ms a copy of it arrives again; null: none does. */
+  /** Delay in ms after which a copy of the message arrives again, or null for none. */
   againMs(call: Call, luck: () => number): number | null {
     const effect = this.find(call, ({ kind }) => kind === "again")?.effect;
     if (effect?.kind !== "again" || luck() >= effect.share) return null;
     return LEAST_AGAIN_MS + luck() * Math.max(0, effect.mostMs - LEAST_AGAIN_MS);
   }
 
-  /** A copy of it is kept for the next controller that takes a part. */
+  /** Whether a copy of the message is stored for the next takeover of a partition. */
   keeps(call: Call): boolean {
     const effect = this.find(call, ({ kind }) => kind === "keep")?.effect;
     return effect?.kind === "keep" && this.luck() < effect.share;
   }
 
-  /** What becomes of the call once it has arrived; counts against rules that meet so many. */
+  /** Returns the effect on a call that has arrived, and counts it against rules with a limited number of calls. */
   judge(call: Call): Executed | null {
     const rule = this.find(call, ({ kind }) => !ON_THE_WAY.has(kind));
     if (rule === undefined || (rule.share < 1 && this.luck() >= rule.share)) return null;
--- a/packages/emulator/src/party.ts
+++ b/packages/emulator/src/party.ts
@@ -1,23 +1,26 @@
 /**
- * Whom a rule of the network speaks of: a party by name, all of a kind, one of several, or a sample of the machines. Plain
- * data, so that a rule can be handed to another process.
+ * Selectors for the endpoints of network rules: one name, all endpoints of a kind, a list of names, or a sample of the
+ * machines. They are plain data, so that rules can be sent to other processes.
  */
 
-/** Machines whose names fall into a part of the whole from `least` to `most`, 0 to 1; machines rented later fall into it too. */
+/** The machines whose names hash into the range from `least` to `most`, within 0 to 1. Machines rented later are included. */
 export interface MachineSample {
   least: number;
   most: number;
 }
 
-/** A name, `*`, `workers`, `controllers`, one of several names, or a sample of the machines. */
+/** A name, `*`, `workers`, `controllers`, a list of names, or a sample of the machines. */
 export type Party = string | readonly string[] | MachineSample;
 
 const SERVICES = new Set(["state", "cloud"]);
 
-/** Machines are named by the cloud, all in one form. */
+/** The cloud names all machines in one form. */
 export const isMachine = (name: string): boolean => name.startsWith("i-");
 
-/** FNV-1a, mixed once more so that names that differ in their last digit are far apart. */
+/**
+ * Hashes a name to [0, 1): FNV-1a with a final mix, because names that differ only in the last digit would otherwise
+ * hash close together.
+ */
 function placeOf(name: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < name.length; i++) hash = Math.imul(hash ^ name.charCodeAt(i), 0x01000193);
@@ -25,11 +28,13 @@
   return ((hash ^ (hash >>> 13)) >>> 0) / 2 ** 32;
 }
 
+/** Whether the name is that of a machine in the sample. */
 export function inSample({ least, most }: MachineSample, name: string): boolean {
   const place = placeOf(name);
   return isMachine(name) && place >= least && place < most;
 }
 
+/** Whether the selector matches the endpoint of this name. */
 export function isParty(party: Party, name: string): boolean {
   if (typeof party === "string") {
     if (party === "*" || party === name) return true;
--- a/packages/emulator/src/place.ts
+++ b/packages/emulator/src/place.ts
@@ -1,7 +1,7 @@
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { RehearsalPlan } from "./plan.js";
 
-/** The times of a place, in ms; what a plan does not say. */
+/** Times of an environment that plans do not define, in ms; `cloudRps` is in requests per second. */
 export interface Timing {
   reportMs: number;
   leaseMs: number;
@@ -12,7 +12,7 @@
   cloudRps: number;
 }
 
-/** As the users' own sites have them. */
+/** Times as at users' sites. */
 export const USUAL: Timing = {
   reportMs: 2500,
   leaseMs: 18_000,
@@ -23,7 +23,7 @@
   cloudRps: 5,
 };
 
-/** Everything faster, for a rehearsal that a newcomer waits for. */
+/** Shorter times, for a demonstration that a user waits for. */
 export const BRISK: Timing = {
   ...USUAL,
   reportMs: 1000,
@@ -35,7 +35,7 @@
   cloudRps: 10,
 };
 
-/** The plan as the platform's settings say it, and as the cloud has it. */
+/** Converts a plan to the settings of the platform and to the machine types and capacity of the cloud model. */
 export function platformOf(
   plan: RehearsalPlan,
   timing: Timing,
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -3,11 +3,12 @@
 import { z } from "zod";
 import { faultSchema } from "./faults.js";
 
-/** Plan files: a place, what comes to it, and what goes wrong there. */
+/** Plan files: an environment, the work submitted to it, and the faults injected into it. */
 const amount = z.number().finite().min(0);
 const positive = z.number().finite().positive();
 const name = z.string().min(1).max(100);
 
+/** Points in a run at which a plan can inject a fault. */
 export const MOMENTS = [
   "submission",
   "first-placement",
@@ -20,6 +21,7 @@
   "rental-in-flight",
   "pipeline-release",
 ] as const;
+/** The name of an injection point. */
 export type Moment = (typeof MOMENTS)[number];
 
 const machine = z.strictObject({
@@ -50,25 +52,25 @@
   spot: z.boolean().default(false),
   one_zone: z.boolean().default(false),
   image_gb: amount.default(1),
-  /** From its submission, in seconds. */
+  /** Relative to the submission, in seconds. */
   deadline: positive.optional(),
-  /** Seconds from one to the next; the first comes at `from`. */
+  /** Interval between submissions in seconds; the first is at `from`. */
   every: positive,
   from: amount.default(0),
   jobs: z.number().int().min(1).max(10_000),
-  /** Each waits for the job of this name that came with the same turn. */
+  /** Each job depends on the job of that other work with the same index. */
   after: name.optional(),
-  /** Each so many seconds after its submission is cancelled. */
+  /** Each job is cancelled this many seconds after it was accepted. */
   cancelled_after: positive.optional(),
 });
 
-/** `from`: the first such moment after so many seconds. */
+/** `from`: the fault is injected at the first occurrence of the injection point after this many seconds. */
 const timed = z
   .object({ at: amount.optional(), moment: z.enum(MOMENTS).optional(), from: z.union([amount, z.string()]).optional() })
   .loose();
 const fault = timed.transform((raw, context) => {
   const { at, moment, from, ...rest } = raw;
-  // A cut says by the same name what it is from.
+  // The fault kind `cut` has a member `from` of its own, which is a string.
   const after = typeof from === "number" ? from : 0;
   if (typeof from === "string") Object.assign(rest, { from });
   if ((at === undefined) === (moment === undefined)) {
@@ -84,13 +86,14 @@
   return { ...(at === undefined ? { moment: moment!, after } : { at }), fault: parsed.data };
 });
 
+/** Schema of a plan file. Times are in seconds. */
 export const planSchema = z
   .strictObject({
     name: name.default("rehearsal"),
     seconds: positive.max(3600),
     controllers: z.number().int().min(1).max(9).default(3),
     seed: z.number().int().min(0).default(1),
-    /** Recovered: everything that was submitted before is done, or runs, by then. */
+    /** Time to recover: by its end, every job submitted before is finished or running. */
     settle: amount.default(60),
     state: z
       .strictObject({
@@ -139,20 +142,24 @@
         });
     });
   });
+/** A validated plan. */
 export type RehearsalPlan = z.infer<typeof planSchema>;
+/** A fault of a plan with its time or injection point. */
 export type PlannedFault = RehearsalPlan["fault"][number];
 
 const LISTS = ["team", "machine", "work", "fault"];
 
+/** Loads a plan file; rejects if it does not match the schema. */
 export function loadPlan(file: string): Promise<RehearsalPlan> {
   return loadHcl(file, planSchema as z.ZodType<RehearsalPlan>, LISTS);
 }
 
+/** Parses the text of a plan file; `file` is its name in error messages. Rejects if it does not match the schema. */
 export function parsePlan(file: string, text: string): Promise<RehearsalPlan> {
   return parseHcl(file, text, planSchema as z.ZodType<RehearsalPlan>, LISTS);
 }
 
-/** One submission of a plan: when, what, how long it truly runs. */
+/** One submission of a plan: its time, its job and the actual run time of the job's tasks. */
 export interface Planned {
   atMs: number;
   spec: JobSpec;
@@ -160,7 +167,7 @@
   cancelMs: number | null;
 }
 
-/** All that a plan submits, in the order of time; run times vary by seed around what is given. */
+/** Returns all submissions of a plan in order of time. Actual run times vary at random by up to 20 % around the planned ones. */
 export function submissions(plan: RehearsalPlan, luck: () => number): Planned[] {
   const planned: Planned[] = [];
   const refs = new Map<string, string>();
--- a/packages/emulator/src/shrink.ts
+++ b/packages/emulator/src/shrink.ts
@@ -1,8 +1,8 @@
 import type { RehearsalPlan } from "./plan.js";
 
 /**
- * The shortest plan that still breaks: faults are left out in halves, quarters and one
- * by one, then work, as long as what is left breaks too. `tries` bounds the runs.
+ * Minimises a plan that breaks a rule: removes faults in halves, quarters and one by one, then work, as long as the
+ * remaining plan still breaks. `tries` limits the number of runs.
  */
 export async function shrink(
   plan: RehearsalPlan,
--- a/packages/emulator/src/virtual/clock.ts
+++ b/packages/emulator/src/virtual/clock.ts
@@ -8,7 +8,7 @@
   cancelled: boolean;
 }
 
-/** Time that passes only when told to; events at one instant keep their order. */
+/** Virtual time that advances only during `run`; events at the same instant keep their order of scheduling. */
 export class VirtualClock implements ModelClock {
   readonly stood$ = NEVER;
   private time = 0;
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Plays everything due up to `until`, letting promises settle in between. */
+  /** Runs all events due up to `until`, letting promises settle before each. */
   async run(until: number): Promise<void> {
     for (;;) {
       await new Promise<void>((resolve) => setImmediate(resolve));
--- a/packages/emulator/src/virtual/node-clock.ts
+++ b/packages/emulator/src/virtual/node-clock.ts
@@ -3,9 +3,9 @@
 import type { VirtualClock } from "./clock.js";
 
 /**
- * Time as one controller's process sees it. While it is frozen its clocks run on,
- * but nothing of it does: what arrives waits in buffers, timers come late. On waking,
- * the buffers are emptied before any timer fires, as an event loop may well do.
+ * The clock of one controller's process. While the process is frozen, its clock continues but nothing in it runs:
+ * incoming messages are buffered and timers are delayed. On waking, the buffered messages are delivered before any
+ * timer fires, as a real event loop may do.
  */
 export class NodeClock implements ModelClock {
   readonly stood$ = NEVER;
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly world: VirtualClock,
-    /** Steady seconds that it counts in one of the world's. */
+    /** Rate of this monotonic clock relative to the world's. */
     private readonly rate = 1,
   ) {}
 
@@ -41,7 +41,7 @@
     else fn();
   }
 
-  /** Something comes in from outside. */
+  /** Delivers an event from outside the process. */
   deliver(fn: () => void): void {
     if (this.frozen) this.arrived.push(fn);
     else fn();
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -8,7 +8,7 @@
 import { startTwice } from "../worker-model.js";
 import { World, type ControllerPort, type Spawned } from "./world.js";
 
-/** The world in virtual time as faults see it. */
+/** Returns the virtual world as an environment for fault injection. */
 export function virtualStage<C extends ControllerPort>(world: World<C>): Stage {
   const live = (host: string): number => [...world.workers.get(host)!.tasks.values()].filter((task) => task.state !== "exited").length;
   return {
@@ -51,6 +51,7 @@
   };
 }
 
+/** What a run in virtual time needs. */
 export interface VirtualOptions<C extends ControllerPort> {
   plan: RehearsalPlan;
   seed: number;
@@ -60,7 +61,7 @@
 
 const POLL_MS = 5000;
 
-/** Plays a plan in virtual time: the same models, rules and controllers, and the same seed gives the same run. */
+/** Runs a plan in virtual time, with the same models, rules and controllers as in real time. The same seed gives the same run. */
 export async function playVirtual<C extends ControllerPort>(options: VirtualOptions<C>): Promise<Report & { moments: MetMoment[] }> {
   const { plan, seed } = options;
   const { types, capacity } = platformOf(plan, USUAL);
@@ -111,7 +112,7 @@
   const last = (plan.seconds + plan.settle) * 1000;
   while (world.clock.now() < last && !(world.clock.now() > plan.seconds * 1000 && conductor.allOver))
     await world.clock.run(world.clock.now() + 1000);
-  // Whatever was cancelled must be gone by then, and late messages have come.
+  // Allows for the time limit of cancellations, and for delayed messages to arrive.
   await world.clock.run(world.clock.now() + USUAL.cancelMs);
   const broken = brokenRules(world.history, { ...world.limits(), calmAt: conductor.calmAt() });
   conductor.stop();
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -8,19 +8,19 @@
 import type { CloudModel, ModelClock } from "../cloud-model.js";
 import { Links, type WrongForm } from "../links.js";
 
-/** Something that happens to a controller's process, unless it has ended. */
+/** Runs the function within a controller's process, unless the process has ended. */
 export type Via = (fn: () => void) => void;
 
-/** How one controller reaches a service in virtual time. */
+/** The connection of one controller to a service in virtual time. */
 export interface Reach {
   clock: ModelClock;
   links: Links;
   node: string;
   via: Via;
   latencyMs: () => number;
-  /** The service as a whole is down. */
+  /** Whether the service as a whole is down. */
   down: () => boolean;
-  /** Something was asked for: plans may wait for it. */
+  /** Called for each request that can mark an injection point. */
   seen?: (what: string, detail: unknown) => void;
 }
 
@@ -29,15 +29,15 @@
   what: string;
   timeoutMs: number;
   run: () => T | Promise<T>;
-  /** What a wrong answer of this form would be; undefined: there is none, and no answer comes that can be read. */
+  /** Returns the wrong response of the given form; undefined if there is none, in which case no readable response arrives. */
   spoil?: (answer: T, form: WrongForm) => T | undefined;
 }
 
-/** One call through whatever lies in its way: the same rules that real sockets are put through. */
+/** Makes one call, subject to the network rules; real sockets are subject to the same rules. */
 export function reach<T>({ clock, links, node, via, latencyMs, down }: Reach, asked: Asked<T>): Promise<T> {
   const call = { from: node, to: asked.to, what: asked.what };
   const execute = async (): Promise<T> => asked.run();
-  // Nobody hears what came of it, a refusal neither.
+  // The result is discarded, errors included.
   const executeUnheard = (): void => void execute().catch(() => undefined);
   return new Promise<T>((resolve, reject) => {
     const fail = (error: Error): void => via(() => reject(error));
@@ -75,7 +75,7 @@
 }
 
 const parsed = new WeakMap<StoredEvent, StateEvent>();
-/** Events are shared by all that are told of them, and so is what they say. */
+/** Events are shared by all watchers, so each is parsed only once. */
 function eventOf(event: StoredEvent): StateEvent {
   let said = parsed.get(event);
   if (said === undefined) {
@@ -88,7 +88,7 @@
 
 const changeOf = (op: Op): Change => ("write" in op ? { write: op.write, text: JSON.stringify(op.v), permit: op.permit ?? null } : op);
 
-/** The state service as a controller's ledger uses it. */
+/** Returns the API of the state service as used by a controller. `tooLarge` is called for each transaction that exceeds the limits. */
 export function stateLink(store: () => Store, around: Reach, tooLarge: (what: string) => void, timeoutMs = 2000): StateApi {
   const call = <T>(what: string, run: () => T | Promise<T>, limitMs = timeoutMs, extraMs = 0): Promise<T> =>
     reach(around, { to: "state", what, timeoutMs: limitMs + extraMs, run });
@@ -139,7 +139,10 @@
   };
 }
 
-/** The most names the cloud takes in one request, and calls a second: bursts are worth two seconds. */
+/**
+ * Returns the API of the cloud as used by a controller. The cloud limits the machines per request and the calls per
+ * second, with bursts worth two seconds; calls that `admit` does not allow are rejected with OverRate.
+ */
 export function cloudLink(model: CloudModel, around: Reach, admit: () => boolean, timeoutMs = 5000): CloudApi {
   const call = <T>(what: string, run: () => T, spoil?: Asked<T>["spoil"]): Promise<T> =>
     reach(around, {
@@ -161,7 +164,7 @@
           around.seen?.("hire", name);
           return model.hire(name, offer, count);
         },
-        // An answer to some other request: names that nobody rented under this one.
+        // As if it were the response to another request: this name rented no machines.
         (answer, form) => (form === "other" && answer !== null ? [] : undefined),
       ),
     remove: (hosts) => call("remove", () => hosts.forEach((host) => model.remove(host))),
@@ -174,14 +177,14 @@
   };
 }
 
-/** The store itself, in memory and in virtual time, with what can go wrong on the way to it. */
+/** The store, in memory and in virtual time, with the faults on the way to it. */
 export class VirtualState {
   private readonly engine = new MemoryEngine();
   private store: Store;
   private isDown = false;
-  /** While it is away: when it comes back, in ms of the clock. */
+  /** During a restart: when the store is back, in ms of the clock. */
   private backAt = -Infinity;
-  /** Transactions that no service would take: too many changes, or too large a value. */
+  /** Descriptions of transactions that were rejected for too many changes or too large a value. */
   readonly oversized: string[] = [];
   seen: (node: string, what: string, detail: unknown) => void = () => undefined;
 
@@ -194,7 +197,7 @@
     this.store = Store.fresh(this.engine, clock, limits);
   }
 
-  /** Without notice. */
+  /** Changes the limits without notice. */
   limit(limits: Partial<StoreLimits>): void {
     this.limits = this.store.limit(limits);
   }
@@ -208,8 +211,8 @@
   }
 
   /**
-   * The process ends and starts again: what was under way is not answered, open watches break. One that ends once more
-   * while it is away stays away for the longer: two stores on the same data would end each other's leases.
+   * Kills and restarts the process: calls in progress are not answered, open watches break. If it is killed again
+   * during a restart, the later end counts: two stores on the same data would end each other's leases.
    */
   restart(awayMs: number): void {
     this.store.abandon();
--- a/packages/emulator/src/virtual/users.ts
+++ b/packages/emulator/src/virtual/users.ts
@@ -1,35 +1,38 @@
-/** Users in virtual time: they repeat what is not answered, as the protocol says, and what they are told is written down. */
+/** Users in virtual time, who retry unanswered requests as the protocol requires and record the responses. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { toldBy, type Happening } from "../checker.js";
 import type { VirtualClock } from "./clock.js";
 
+/** Kinds of requests that users send. */
 export type RequestKind = "submit" | "poll" | "cancel";
+/** A controller's response to a user. */
 export interface Answer {
   status: number;
   body: Record<string, unknown>;
   retryAfterS?: number;
 }
 
-/** Asks one controller; whoever waits is told its answer, if one comes. */
+/** Sends a request to one controller; `then` is called with the response, if one arrives. */
 export type Ask = (kind: RequestKind, body: unknown, then: (answer: Answer) => void) => void;
 
-/** Where users live. */
+/** What users depend on. */
 export interface UsersWorld {
   readonly clock: VirtualClock;
   readonly history: Happening[];
   readonly specs: Map<string, JobSpec>;
-  /** The controller of that name, or any that is up; null: there is none. */
+  /** The controller of that name, or any that is up; null if there is none. */
   reach(name: string | undefined): Ask | null;
   happened(event: Happening): void;
 }
 
-/** How long users wait for an answer (PROTOCOL). */
+/** Timeouts of users' requests, in ms (PROTOCOL). */
 const PATIENCE_MS = { submit: 5000, poll: 2000, cancel: 5000 };
 
+/** Sends users' requests and records their responses in the history. */
 export class Users {
   constructor(private readonly world: UsersWorld) {}
 
-  /** A user's request; undefined: no answer came while the user waited. */
+  /** Sends one request; undefined if no response arrived within the timeout. */
   private ask(kind: RequestKind, body: unknown, name?: string): Promise<Answer | undefined> {
     const answer = this.world.reach(name);
     if (answer === null) return Promise.resolve(undefined);
@@ -39,13 +42,13 @@
     });
   }
 
-  /** `asked`: when the question was sent. */
+  /** `asked`: when the request was sent. */
   private noteAnswer(ref: string, asked: number, status: number, body: Record<string, unknown>): void {
     const what = toldBy(status, body);
     if (what !== null) this.world.happened({ at: this.world.clock.now(), kind: "told", ref, asked, what });
   }
 
-  /** False: it was refused, or given up. `never`: why it must not be accepted. */
+  /** Returns false if the job was refused or the user gave up. `never`: the reason why the job must not be accepted. */
   async submit(wire: Record<string, unknown>, spec: JobSpec, node?: string, never?: string): Promise<boolean> {
     if (!this.world.specs.has(spec.ref))
       this.world.happened({ at: this.world.clock.now(), kind: "submitted", spec, ...(never === undefined ? {} : { never }) });
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -21,6 +21,7 @@
 
 export type { Answer, RequestKind };
 
+/** Configuration of the virtual world. */
 export interface Plan {
   seed: number;
   teams: TeamSettings[];
@@ -28,16 +29,17 @@
   capacity: Map<string, number>;
   controllers: number;
   state: StoreLimits;
-  /** What the settings say of the limits that come later. */
+  /** The announced future limits of the state service, as in the settings. */
   next: { rps?: number; write_rps?: number; value_kb?: number; txn_ops?: number };
   sockets?: number;
-  /** By how much the steady clocks of controllers and workers are slow, as a share: both the same way is the worst for leases. */
+  /** Share by which the monotonic clocks of controllers and workers run slow. Drift in the same direction is the worst case for leases. */
   drift?: number;
   objectives?: { kind: string; class?: string; within_s?: number; share?: number }[];
-  /** Shares of machines that never come up, come late or early; without it all boot in their nominal time. */
+  /** Shares of machines that never boot, boot late or early; without it, all boot in their nominal time. */
   boots?: NonNullable<CloudPlan["boots"]>;
 }
 
+/** Quotas of a team, as in the settings. */
 export interface TeamSettings {
   name: string;
   cpus: number;
@@ -48,9 +50,9 @@
 
 type LogLine = (entry: unknown, text?: string) => void;
 
-/** What a controller is given to live in virtual time. */
+/** The dependencies of a controller in virtual time. */
 export interface Spawned {
-  /** The platform's settings, as its file would hold them. */
+  /** The platform's settings, as parsed from its file. */
   platform: Record<string, unknown>;
   clock: NodeClock;
   state: StateApi;
@@ -65,14 +67,14 @@
   life: string;
 }
 
-/** A controller as the world around it sees it. */
+/** A controller as the virtual world calls it. */
 export interface ControllerPort {
   onReport(report: Report): ReportAnswer;
   answer(kind: RequestKind, body: unknown): Promise<Answer>;
   close(): void;
 }
 
-/** Three controllers with usual state limits, and nothing yet for them to do. */
+/** Returns a configuration with three controllers, the usual limits of the state service, and no teams or machines. */
 export function plainPlan(): Plan {
   return {
     seed: 1,
@@ -92,19 +94,19 @@
   incoming$: Subject<{ from: string; message: unknown }>;
 }
 
-/** Of tasks of which nobody said how long they run. */
+/** Run time of tasks for which no run time is given, in ms. */
 const USUAL_RUN_MS = 10_000;
-/** The crowd and further faults draw from numbers of their own: rehearsals without them are what they were. */
+/** Seed offsets of independent random sequences for simulated users and faults, so that runs without them stay the same for each seed. */
 const CROWD_SEED = 0x5eed;
 const FAULT_SEED = 0xfa17;
-/** A kept report comes within so long of the new leader's beginning. */
+/** Stored reports are delivered within this time after a takeover begins, in ms. */
 const KEPT_MS = 500;
 
-/** Everything around the controllers, in virtual time, with seeded luck. */
+/** The environment of the controllers in virtual time: state service, cloud, workers, users and network, with a seeded random source. */
 export class World<C extends ControllerPort> {
   readonly clock = new VirtualClock();
   readonly history: Happening[] = [];
-  /** Told of what happens to tasks as it does. */
+  /** Called for each event of the history as it occurs, except unanswered polls and requests to cancel. */
   onHappening: (event: Happening) => void = () => undefined;
   readonly links = new Links(() => this.luckOfFaults());
   readonly state: VirtualState;
@@ -114,28 +116,28 @@
   readonly specs = new Map<string, JobSpec>();
   readonly runs = new Map<string, number>();
   readonly sickHosts = new Set<string>();
-  /** Jobs submitted with a mistake: they fail on every machine. */
+  /** Jobs with a defect of their own, which fail on every machine. */
   readonly mistaken = new Set<string>();
   readonly errors: string[] = [];
-  /** What the controllers logged, without its figures. */
+  /** The messages that controllers logged, without their fields. */
   readonly lines: string[] = [];
-  /** Things seen that a plan may wait for. */
+  /** Observations that can mark an injection point. */
   readonly seen$ = new Subject<Seen>();
   private readonly saved = new Map<string, number>();
   private readonly slow = new Map<string, number>();
   private cloudDown = false;
-  /** Seeded luck. */
+  /** Seeded random source. */
   readonly random: () => number;
-  /** Of its own, so that rehearsals without such faults are what they were. */
+  /** Separate random source, so that runs without such faults stay the same for each seed. */
   private readonly luckOfFaults: () => number;
   private lives = 0;
   fetchMs = 1000;
   private readonly users: Users;
-  /** Users with habits of their own, beside those of whoever plays. */
+  /** Simulated users, in addition to those of the scenario or plan. */
   readonly crowd: HabitualUsers;
-  /** Reports of which a copy is kept until a controller takes a part, and then reaches all controllers at once. */
+  /** Copies of reports to deliver to all controllers when a controller takes over a partition. */
   private kept: Report[] = [];
-  /** Copies that reached a controller so. */
+  /** Number of deliveries of such copies to controllers. */
   keptDelivered = 0;
 
   constructor(
@@ -231,16 +233,16 @@
     };
     const clock = new NodeClock(this.clock, 1 - (this.plan.drift ?? 0));
     node.clock = clock;
-    // What comes for a life that is over reaches nobody.
+    // Events for a process that has ended are dropped.
     const via: Via = (fn) => {
       if (node.clock === clock) clock.deliver(() => (node.clock === clock ? fn() : undefined));
     };
     const send = (to: string, message: unknown): boolean => {
-      // Between controllers nothing is held: a connection that stands still is given up.
+      // Messages between controllers are not held, because a stalled connection is given up.
       this.carry(name, to, "peer", () => this.via(to)(() => this.nodes.get(to)?.incoming$.next({ from: name, message })), false);
       return true;
     };
-    // A process that has ended refuses connections; one that stands still, or is cut off, keeps them.
+    // A process that has ended refuses connections; one that is stalled or cut off keeps them open.
     const known = new Set<string>();
     const lost = new Map<string, number>();
     const lostAt = (to: string): number | null => {
@@ -287,7 +289,7 @@
     return (fn) => this.nodes.get(name)?.clock?.deliver(fn);
   }
 
-  /** The process stands still while its clocks run on. */
+  /** Stalls the process while its clock continues to run. */
   freeze(name: string, ms: number): void {
     const clock = this.nodes.get(name)!.clock;
     clock?.freeze();
@@ -306,13 +308,13 @@
     this.cloudDown = on;
   }
 
-  /** Times the usual run time that the machine's tasks take from now on. */
+  /** Sets the factor on the run time of tasks on the machine, from now on. */
   slowDown(host: string, factor: number): void {
     this.slow.set(host, factor);
     this.workers.get(host)?.look();
   }
 
-  /** Packets arrive in order after a cut ends, even if the sender has given up. */
+  /** Delivers a message after its latency. Messages held by a cut arrive in order after it ends, even if the sender has given up. */
   private carry(from: string, to: string, what: string, run: () => void, hold = true): void {
     const call = { from, to, what };
     this.clock.after(0.5 + this.random() * 2 + this.links.delayMs(call), () => {
@@ -346,13 +348,13 @@
     });
   }
 
-  /** A command that was held up on its way; nobody waits for its answer any more. */
+  /** Executes a command that was delayed in transit; its caller no longer waits for the response. */
   private carryOutLate(host: string, act: (worker: Worker) => CommandReply): void {
     const worker = this.workers.get(host);
     if (worker !== undefined && !worker.hanging) act(worker);
   }
 
-  /** A controller has just taken a part: old reports come to all of them. */
+  /** Delivers the stored reports to all controllers after a takeover. */
   private deliverKept(): void {
     for (const report of this.kept.splice(0))
       for (const { name } of this.nodes.values())
@@ -361,7 +363,7 @@
         });
   }
 
-  /** How a user reaches that controller, or any that is up. */
+  /** Returns the way to send users' requests to the given controller, or to any that is up. */
   private reach(name: string | undefined): Ask | null {
     const up = [...this.nodes.values()].filter((node) => node.controller !== null);
     const node = name !== undefined ? this.nodes.get(name)! : up.length === 0 ? null : up[Math.floor(this.random() * up.length)]!;
@@ -391,7 +393,7 @@
           const call = { from, to: node, what: "report" };
           if (this.links.keeps(call)) this.kept.push(report);
           const againMs = this.links.againMs(call, this.random);
-          // A copy finds whatever life the node has by then, and nobody waits for its answer.
+          // A copy goes to whichever incarnation of the controller then runs, and its response is discarded.
           if (againMs !== null)
             this.clock.after(againMs, () => this.via(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
           this.carry(from, node, "report", () => {
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -3,7 +3,7 @@
 import type { CommandReply, Order, Report, ReportAnswer, ReportedTask } from "@thorntrail/protocol/worker";
 import type { ModelClock } from "./cloud-model.js";
 
-/** Everything a worker touches; the same for virtual time and real sockets. */
+/** What a worker model depends on, for virtual time and real sockets alike. */
 export interface WorkerWorld {
   clock: ModelClock;
   reportMs: number;
@@ -12,44 +12,48 @@
   gangWaitMs: number;
   luck: () => number;
   nodes: readonly string[];
-  /** A report to a node; null: no answer came. */
+  /** Sends a report to a controller; null if no response arrived. */
   report: (node: string, host: string, report: Report) => Promise<ReportAnswer | null>;
   spec: (ref: string) => JobSpec | undefined;
-  /** True run time of a job's tasks on a machine of usual speed. */
+  /** Actual run time of a job's tasks in ms, on a machine of normal speed. */
   runMs: (ref: string) => number;
   fetchMs: (ref: string) => number;
-  /** Times the usual run time that tasks take on it. */
+  /** Factor on the run time of tasks on the machine. */
   slowness: (host: string) => number;
   sick: (host: string, ref: string) => boolean;
-  /** Progress that outlives machines, in ms of run time, by task, or by job for gangs. */
+  /** Checkpointed progress in ms of run time, which survives the loss of machines; by task, or by job for gangs. */
   saved: Map<string, number>;
   on: (worker: Worker, piece: string) => void;
   off: (worker: Worker, piece: string, cause: string) => void;
-  /** All present members of a gang's attempt, over all machines. */
+  /** All present members of an attempt of a gang, across all machines. */
   mates: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
 
+/** A task on a worker, with what the worker keeps beyond what it reports. Times in ms of the clock. */
 export interface WorkerTask extends ReportedTask {
   ref: string;
-  /** When its state began. */
+  /** When the current state began. */
   since: number;
   hadImage: boolean;
-  /** Run time it had when it began to run. */
+  /** Run time completed when the task began to run, in ms. */
   before: number;
-  /** When its first `stop` came; null: none did. */
+  /** When the first `stop` for it arrived; null if none has. */
   stoppedAt: number | null;
-  /** A mate is missing since. */
+  /** Since when a member of its gang is missing; null if none is. */
   missedAt: number | null;
 }
 
 const ANSWER_LIMIT = 4000;
 const RETRY_MS = 1000;
 const LEAST_GAP_MS = 500;
-/** How often a gang's members look for one another; of more than so many each looks less often, as any of them sees for all. */
+/**
+ * Interval at which a member of a gang checks the others, in ms. In gangs with more than GANG_LOOKERS members each
+ * checks less often, because any member's check covers all.
+ */
 const GANG_LOOK_MS = 100;
 const GANG_LOOKERS = 16;
 
-/** A worker that keeps the protocol to the letter: tokens, sessions, leases, gangs, checkpoints. */
+/** A worker that implements the protocol exactly: tokens, sessions, leases, gangs, checkpoints. */
 export class Worker {
   session = 1;
   seq = 0;
@@ -57,7 +61,7 @@
   dead = false;
   private hung = false;
   readonly tasks = new Map<string, WorkerTask>();
-  /** Where it listens. */
+  /** Address on which it listens. */
   addr: string;
   private readonly images = new Set<string>();
   private leaseFrom: number;
@@ -81,7 +85,7 @@
     this.arm();
   }
 
-  /** The node it reports to just now. */
+  /** The controller that it currently reports to. */
   get reportsTo(): string {
     return this.world.nodes[this.node]!;
   }
@@ -95,7 +99,7 @@
     if (!on) this.look();
   }
 
-  /** The machine is gone, and everything on it. */
+  /** The machine disappears with everything on it. */
   die(): void {
     this.dead = true;
     this.cancelTick();
@@ -120,7 +124,7 @@
     };
   }
 
-  /** The cloud takes the machine away in so many seconds. */
+  /** Announces that the cloud removes the machine in this many seconds. */
   warn(seconds: number): void {
     this.notice = seconds;
     this.mark();
@@ -131,7 +135,7 @@
     this.nudge();
   }
 
-  /** Until the next report is due: at its time, or soon after something changed. */
+  /** Waits until the next report is due: at the interval, or at the minimum gap after a change. */
   private turn(began: number, pause: number): Promise<void> {
     const { clock } = this.world;
     return new Promise((resolve) => {
@@ -184,7 +188,7 @@
         this.node = next === this.node ? (this.node + 1) % this.world.nodes.length : next;
         this.changed = true;
       } else {
-        // Dropped: it neither commands nor renews.
+        // Stale responses are dropped: they neither issue commands nor renew the lease.
         if (answer.token < this.token || session !== this.session || clock.now() - sentAt > ANSWER_LIMIT) continue;
         this.token = answer.token;
         this.leaseFrom = sentAt;
@@ -193,7 +197,7 @@
     }
   }
 
-  /** Direct commands; they do not renew the lease. */
+  /** Executes direct commands, which do not renew the lease. */
   command(token: number, session: number, orders: Order[]): CommandReply {
     const executed = token >= this.token && session === this.session;
     if (executed) {
@@ -234,7 +238,7 @@
     }
     const saves = task.state === "running" && (spec?.checkpointS ?? 0) > 0 && graceS >= (spec?.flushS ?? 0);
     if (!saves) return this.exit(task, "stopped");
-    // Progress stops with the stop.
+    // Progress ends with the stop command.
     task.before = this.progress(task);
     task.state = "saving";
     task.since = task.stoppedAt = this.world.clock.now();
@@ -281,7 +285,7 @@
     this.tasks.clear();
   }
 
-  // ---- what time brings
+  // Updates over time
 
   private savedKey(task: WorkerTask): string {
     return this.isGang(task) ? task.ref : task.piece;
@@ -292,19 +296,19 @@
     return spec?.kind === "gang" && spec.tasks > 1;
   }
 
-  /** Run time it has behind it, in ms of a machine of usual speed. */
+  /** Run time completed, in ms on a machine of normal speed. */
   private progress(task: WorkerTask): number {
     if (task.state !== "running") return task.before;
     return task.before + (this.world.clock.now() - task.since) / this.paceOf(task);
   }
 
-  /** A gang runs only as fast as its slowest machine. */
+  /** A gang runs at the speed of its slowest machine. */
   private paceOf(task: WorkerTask): number {
     if (!this.isGang(task)) return this.world.slowness(this.host);
     return Math.max(1, ...this.world.mates(task.ref, task.attempt).map(({ worker }) => this.world.slowness(worker.host)));
   }
 
-  /** What it had saved by itself when it goes without saving. */
+  /** Records the last periodic checkpoint of a task that ends without saving. */
   private keepCheckpoint(task: WorkerTask): void {
     const stepMs = (this.world.spec(task.ref)?.checkpointS ?? 0) * 1000;
     if (stepMs > 0 && task.hadImage) this.keep(task, Math.floor(this.progress(task) / stepMs) * stepMs);
@@ -315,7 +319,7 @@
     this.world.saved.set(key, Math.max(ms, this.world.saved.get(key) ?? 0));
   }
 
-  /** Sets the next moment at which something can change by itself. */
+  /** Schedules the next update: the earliest time at which a state can change without a command. */
   private arm(): void {
     this.cancelTick();
     if (this.dead) return;
@@ -336,7 +340,7 @@
 
   private gangLookMs(task: WorkerTask): number {
     const members = this.world.spec(task.ref)!.tasks;
-    // Sooner than a missing member has to be noticed.
+    // More often than the time within which a missing member has to be detected.
     return Math.min(GANG_LOOK_MS * Math.max(1, members / GANG_LOOKERS), this.world.gangPeerMs / 2);
   }
 
@@ -411,14 +415,14 @@
     const mates = this.world.mates(task.ref, task.attempt);
     const there = mates.filter((m) => !m.worker.hung && (m.task.state === "running" || m.task.state === "saving"));
     if (there.length < spec.tasks) {
-      // Checkpoints are of the gang: what it had when the first was missed.
+      // A gang is checkpointed as a whole: the progress saved is that when the first member was found missing.
       if (task.missedAt === null) this.keepCheckpoint(task);
       task.missedAt ??= clock.now();
       if (clock.now() - task.missedAt > gangPeerMs) this.exit(task, "mates_gone");
       return;
     }
     const first = Math.min(...there.map((m) => m.task.stoppedAt ?? Infinity));
-    // Some were told to stop and this one was not, in time.
+    // Other members were stopped, and the stop for this one has not arrived in time.
     if (clock.now() - first > gangPeerMs) return this.exit(task, "mates_gone");
     if (first === Infinity && this.leftMs(task) <= 0.5) for (const mate of there) mate.worker.exit(mate.task, "done");
   }
@@ -442,7 +446,10 @@
   }
 }
 
-/** Starts some running task on a second machine, as nobody has a right to: for tests of those who watch. Null: none can be. */
+/**
+ * Starts some running task on a second machine in violation of the protocol, to test that this is detected. Returns the
+ * task's id, or null if there is none to start.
+ */
 export function startTwice(workers: Iterable<Worker>): string | null {
   const up = [...workers].filter((worker) => !worker.dead && !worker.hanging);
   for (const first of up) {
