--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -1,15 +1,15 @@
 import { make, sorters } from "covertable";
 import { decodeFault, type Fault } from "./faults.js";
-import { MOMENTS, type Moment, type RehearsalPlan } from "./plan.js";
+import { INJECTION_POINTS, type Moment, type RehearsalPlan } from "./plan.js";
 
 /**
  * Pairwise coverage: every pair of fault, injection point, duration and second fault occurs in some rehearsal, without
  * running all combinations.
  */
-const lengths = { short: 3, long: 30 } as const;
-type Length = keyof typeof lengths;
+const durationsS = { short: 3, long: 30 } as const;
+type DurationName = keyof typeof durationsS;
 
-const FAULTS: Record<string, (seconds: number) => Record<string, unknown>> = {
+const FAULTS_BY_NAME: Record<string, (seconds: number) => Record<string, unknown>> = {
   restart: (s) => ({ kind: "restart", for: Math.max(2, s * 0.8) }),
   "restart all": (s) => ({ kind: "restart", target: "all", for: Math.max(2, s / 3) }),
   freeze: (s) => ({ kind: "freeze", for: s }),
@@ -46,25 +46,30 @@
 export interface Case {
   fault: string;
   moment: Moment;
-  length: Length;
+  length: DurationName;
   /** A second fault injected during the run, or `none`. */
   beside: string;
 }
 
 /** Warm-up time in seconds: before, there are no machines to affect. */
-const WARM_S = 12;
+const WARMUP_S = 12;
 
-const BESIDE = ["none", "machine lost", "restart", "answers lost", "store restarts"];
+const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
 
 /** Returns cases that cover every pair of values of two factors; the seed selects among such lists. */
 export function cases(seed: number): Case[] {
-  const factors = { fault: Object.keys(FAULTS), moment: [...MOMENTS], length: Object.keys(lengths), beside: BESIDE };
+  const factors = {
+    fault: Object.keys(FAULTS_BY_NAME),
+    moment: [...INJECTION_POINTS],
+    length: Object.keys(durationsS),
+    beside: SECOND_FAULTS,
+  };
   const rows = make(factors, { length: 2, sorter: sorters.hash, seed });
   return rows as unknown as Case[];
 }
 
-function faultOf(name: string, length: Length): Fault {
-  const decoded = decodeFault(FAULTS[name]!(lengths[length]));
+function buildFault(name: string, length: DurationName): Fault {
+  const decoded = decodeFault(FAULTS_BY_NAME[name]!(durationsS[length]));
   if ("wrong" in decoded) throw new Error(`${name}: ${decoded.wrong}`);
   return decoded.fault;
 }
@@ -72,12 +77,12 @@
 /** Replaces the plan's faults by those of one case. The injection points of a takeover need a restart that causes one. */
 export function planOf(base: RehearsalPlan, one: Case): RehearsalPlan {
   const fault: RehearsalPlan["fault"] = [
-    { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARM_S, fault: faultOf(one.fault, one.length) },
+    { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARMUP_S, fault: buildFault(one.fault, one.length) },
   ];
-  if (one.moment === "fencing") fault.push({ at: 20, fault: faultOf("restart", "short") });
+  if (one.moment === "fencing") fault.push({ at: 20, fault: buildFault("restart", "short") });
   // Down long enough for another controller to take over the partition, which then returns to its home controller.
-  if (one.moment === "handing-over") fault.push({ at: 20, fault: faultOf("restart", "long") });
-  if (one.beside !== "none") fault.push({ at: 26, fault: faultOf(one.beside, "short") });
+  if (one.moment === "handing-over") fault.push({ at: 20, fault: buildFault("restart", "long") });
+  if (one.beside !== "none") fault.push({ at: 26, fault: buildFault(one.beside, "short") });
   return { ...base, name: `${one.fault}, ${one.length}, at ${one.moment}${one.beside === "none" ? "" : `, beside ${one.beside}`}`, fault };
 }
 
@@ -92,14 +97,14 @@
 }
 
 /** Formats a table of faults by injection points: `+` covered, `.` not reached, `!` a rule was broken, blank: not run. */
-export function coverageTable(covered: readonly Covered[]): string {
-  const width = Math.max(...Object.keys(FAULTS).map((name) => name.length));
-  const lines = MOMENTS.map((moment, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${moment}`);
-  for (const fault of Object.keys(FAULTS)) {
-    const cells = MOMENTS.map((moment) => {
-      const tried = covered.filter((one) => one.fault === fault && one.moment === moment);
-      if (tried.length === 0) return " ";
-      return tried.some((one) => one.broken > 0) ? "!" : tried.some((one) => one.seen) ? "+" : ".";
+export function coverageTable(results: readonly Covered[]): string {
+  const width = Math.max(...Object.keys(FAULTS_BY_NAME).map((name) => name.length));
+  const lines = INJECTION_POINTS.map((moment, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${moment}`);
+  for (const fault of Object.keys(FAULTS_BY_NAME)) {
+    const cells = INJECTION_POINTS.map((moment) => {
+      const matching = results.filter((one) => one.fault === fault && one.moment === moment);
+      if (matching.length === 0) return " ";
+      return matching.some((one) => one.broken > 0) ? "!" : matching.some((one) => one.seen) ? "+" : ".";
     });
     lines.push(`${fault.padEnd(width)} ${cells.join(" ")}`);
   }
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -3,13 +3,13 @@
 import type { WrongForm } from "./links.js";
 
 /** Monotonic clock for the models, in ms; virtual or real. `after` returns a function that cancels the timer. */
-export interface ModelClock {
+export interface MonotonicClock {
   now(): number;
   after(ms: number, fn: () => void): () => void;
 }
 
 /** Configuration of the cloud model. */
-export interface CloudPlan {
+export interface CloudModelOptions {
   types: MachineType[];
   /** Number of machines that exist, by `type/zone/ordinary` and `type/zone/spot`. */
   capacity: Map<string, number>;
@@ -20,28 +20,28 @@
   boots?: { never: number; slow: number; early: number };
 }
 
-interface Rented {
+interface RentedMachine {
   host: string;
   offer: Offer;
-  bornAt: number;
+  createdAt: number;
   upAt: number | null;
   goneAt: number | null;
   failed: boolean;
-  /** The cost up to `chargedTo`, at the prices in force during that time. */
-  charged: number;
-  chargedTo: number;
+  /** The cost up to `chargedUntil`, at the prices in force during that time. */
+  chargedCost: number;
+  chargedUntil: number;
 }
 
-const PRICE_SWING = 1 / 3;
-const PRICE_MS = 60_000;
+const SPOT_PRICE_SWING = 1 / 3;
+const SPOT_PRICE_TIMESCALE_MS = 60_000;
 /** Minimum charge per machine, in seconds of use. */
-const LEAST_CHARGE_S = 60;
+const MIN_CHARGE_S = 60;
 
 /** For wrong lists: their additional lag in ms, and the number of deleted machines they contain. */
-const OLDER_MS = 20_000;
-const GHOSTS = 3;
+const STALE_LIST_EXTRA_LAG_MS = 20_000;
+const DELETED_MACHINES_LISTED = 3;
 
-const keyOf = ({ type, zone, spot }: Offer): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
+const offeringKey = ({ type, zone, spot }: Offer): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
 /**
  * The cloud as PROTOCOL describes it: limited capacity, boot times, varying prices, a list that lags and may be older
@@ -49,26 +49,29 @@
  */
 export class CloudModel {
   private count = 0;
-  private readonly answers = new Map<string, string[]>();
-  private readonly used = new Map<string, number>();
-  readonly machines = new Map<string, Rented>();
-  private spent = 0;
-  private factor = 1;
+  private readonly hostsByRequest = new Map<string, string[]>();
+  private readonly rentedByOffering = new Map<string, number>();
+  readonly machines = new Map<string, RentedMachine>();
+  private costOfRemoved = 0;
+  private currentSpotFactor = 1;
   onBoot: (host: string, offer: Offer) => void = () => undefined;
   onGone: (host: string) => void = () => undefined;
   /** Returns the address on which a machine's worker listens once it is up. */
   addrOf: (host: string) => string = (host) => host;
 
   constructor(
-    private readonly clock: ModelClock,
-    private readonly plan: CloudPlan,
+    private readonly clock: MonotonicClock,
+    private readonly options: CloudModelOptions,
   ) {}
 
   types(): MachineType[] {
-    const { luck } = this.plan;
-    if (luck === undefined && this.factor === 1) return this.plan.types;
-    const turn = luck === undefined ? 0 : Math.sin(this.clock.now() / PRICE_MS);
-    return this.plan.types.map((type) => ({ ...type, spotPrice: type.spotPrice * this.factor * (1 + PRICE_SWING * turn) }));
+    const { luck } = this.options;
+    if (luck === undefined && this.currentSpotFactor === 1) return this.options.types;
+    const swing = luck === undefined ? 0 : Math.sin(this.clock.now() / SPOT_PRICE_TIMESCALE_MS);
+    return this.options.types.map((type) => ({
+      ...type,
+      spotPrice: type.spotPrice * this.currentSpotFactor * (1 + SPOT_PRICE_SWING * swing),
+    }));
   }
 
   /**
@@ -76,19 +79,19 @@
    * even above the new capacity.
    */
   limit(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange {
-    const former = new Map<string, number>();
-    for (const { name, zones } of this.plan.types.filter((one) => type === "*" || type === one.name))
+    const previous = new Map<string, number>();
+    for (const { name, zones } of this.options.types.filter((one) => type === "*" || type === one.name))
       for (const one of zones.filter((of) => zone === "*" || zone === of))
         for (const [isSpot, count] of [[false, ordinary] as const, [true, spot] as const]) {
           if (count === undefined) continue;
-          const key = keyOf({ type: name, zone: one, spot: isSpot });
-          former.set(key, this.plan.capacity.get(key) ?? 0);
-          this.plan.capacity.set(key, count);
+          const key = offeringKey({ type: name, zone: one, spot: isSpot });
+          previous.set(key, this.options.capacity.get(key) ?? 0);
+          this.options.capacity.set(key, count);
         }
     return {
-      met: [...former.keys()],
+      affected: [...previous.keys()],
       restore: () => {
-        for (const [key, count] of former) this.plan.capacity.set(key, count);
+        for (const [key, count] of previous) this.options.capacity.set(key, count);
       },
     };
   }
@@ -97,60 +100,69 @@
   set spotFactor(factor: number) {
     for (const machine of this.machines.values()) {
       if (machine.goneAt !== null || !machine.offer.spot) continue;
-      machine.charged += this.rateOf(machine) * this.hoursOf(machine, machine.chargedTo);
-      machine.chargedTo = this.clock.now();
+      machine.chargedCost += this.hourlyPrice(machine) * this.hoursSince(machine, machine.chargedUntil);
+      machine.chargedUntil = this.clock.now();
     }
-    this.factor = factor;
+    this.currentSpotFactor = factor;
   }
 
-  private rateOf({ offer }: Rented): number {
-    const type = this.plan.types.find((one) => one.name === offer.type)!;
-    return offer.spot ? type.spotPrice * this.factor : type.price;
+  private hourlyPrice({ offer }: RentedMachine): number {
+    const type = this.options.types.find((one) => one.name === offer.type)!;
+    return offer.spot ? type.spotPrice * this.currentSpotFactor : type.price;
   }
 
-  private hoursOf(machine: Rented, from: number): number {
+  private hoursSince(machine: RentedMachine, from: number): number {
     return Math.max(0, (machine.goneAt ?? this.clock.now()) - from) / 3_600_000;
   }
 
   /** Rents up to `count` machines (at most 50); null if none are available. A repeated request name returns the first response. */
   hire(name: string, { type: of, zone, spot }: Offer, count: number): string[] | null {
     // Copies only the fields of an offering: in virtual time, callers pass records with further fields.
-    const offer: Offer = { type: of, zone, spot };
-    const before = this.answers.get(name);
-    if (before !== undefined) return before;
-    const key = keyOf(offer);
-    const type = this.plan.types.find((t) => t.name === offer.type);
-    const free = Math.min(count, 50, (this.plan.capacity.get(key) ?? 0) - (this.used.get(key) ?? 0));
-    if (free <= 0 || type === undefined) return null;
+    const offering: Offer = { type: of, zone, spot };
+    const earlier = this.hostsByRequest.get(name);
+    if (earlier !== undefined) return earlier;
+    const key = offeringKey(offering);
+    const type = this.options.types.find((t) => t.name === offering.type);
+    const granted = Math.min(count, 50, (this.options.capacity.get(key) ?? 0) - (this.rentedByOffering.get(key) ?? 0));
+    if (granted <= 0 || type === undefined) return null;
     const hosts: string[] = [];
-    for (let i = 0; i < free; i++) {
+    for (let i = 0; i < granted; i++) {
       const host = `i-${String(++this.count).padStart(6, "0")}`;
       const now = this.clock.now();
-      const machine: Rented = { host, offer, bornAt: now, upAt: null, goneAt: null, failed: false, charged: 0, chargedTo: now };
+      const machine: RentedMachine = {
+        host,
+        offer: offering,
+        createdAt: now,
+        upAt: null,
+        goneAt: null,
+        failed: false,
+        chargedCost: 0,
+        chargedUntil: now,
+      };
       this.machines.set(host, machine);
       const bootMs = this.bootMs(type.bootS * 1000);
       if (bootMs !== null)
         this.clock.after(bootMs, () => {
           if (machine.goneAt !== null || machine.failed) return;
           machine.upAt = this.clock.now();
-          this.onBoot(host, offer);
+          this.onBoot(host, offering);
         });
       hosts.push(host);
     }
-    this.used.set(key, (this.used.get(key) ?? 0) + free);
-    this.answers.set(name, hosts);
+    this.rentedByOffering.set(key, (this.rentedByOffering.get(key) ?? 0) + granted);
+    this.hostsByRequest.set(name, hosts);
     return hosts;
   }
 
   /** Boot time in ms; null if the machine never boots. */
   private bootMs(nominal: number): number | null {
-    const { luck, boots } = this.plan;
+    const { luck, boots } = this.options;
     if (luck === undefined) return nominal;
-    const share = luck();
+    const roll = luck();
     const { never = 0, slow = 0, early = 0 } = boots ?? {};
-    if (share < never) return null;
-    if (share < never + slow) return nominal * (2 + luck() * 3);
-    if (share < never + slow + early) return 1000 + luck() * 1000;
+    if (roll < never) return null;
+    if (roll < never + slow) return nominal * (2 + luck() * 3);
+    if (roll < never + slow + early) return 1000 + luck() * 1000;
     return nominal * (0.6 + luck() * 0.9);
   }
 
@@ -159,8 +171,8 @@
     const machine = this.machines.get(host);
     if (machine === undefined || machine.goneAt !== null) return;
     machine.goneAt = this.clock.now();
-    this.used.set(keyOf(machine.offer), (this.used.get(keyOf(machine.offer)) ?? 1) - 1);
-    this.spent += this.costOf(machine);
+    this.rentedByOffering.set(offeringKey(machine.offer), (this.rentedByOffering.get(offeringKey(machine.offer)) ?? 1) - 1);
+    this.costOfRemoved += this.costOf(machine);
     this.onGone(host);
   }
 
@@ -172,15 +184,15 @@
     this.onGone(host);
   }
 
-  private costOf(machine: Rented): number {
-    const hours = this.hoursOf(machine, machine.chargedTo);
-    const short = Math.max(0, LEAST_CHARGE_S / 3600 - this.hoursOf(machine, machine.bornAt));
-    return machine.charged + (hours + short) * this.rateOf(machine);
+  private costOf(machine: RentedMachine): number {
+    const hours = this.hoursSince(machine, machine.chargedUntil);
+    const missingHours = Math.max(0, MIN_CHARGE_S / 3600 - this.hoursSince(machine, machine.createdAt));
+    return machine.chargedCost + (hours + missingHours) * this.hourlyPrice(machine);
   }
 
   /** Total cost so far, in the currency of the prices. */
   get cost(): number {
-    let sum = this.spent;
+    let sum = this.costOfRemoved;
     for (const machine of this.machines.values()) if (machine.goneAt === null) sum += this.costOf(machine);
     return sum;
   }
@@ -195,27 +207,29 @@
    * Returns the list of machines as of some time ago. The lag varies, so a list can be older than the previous one;
    * `olderMs` adds to it.
    */
-  list(from: string | undefined, limit: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
-    const { lagMs, luck } = this.plan;
+  list(from: string | undefined, maxMachines: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
+    const { lagMs, luck } = this.options;
     const asOf = this.clock.now() - lagMs * (luck === undefined || luck() < 0.8 ? 1 : 1 + luck()) - olderMs;
     const machines: ListedMachine[] = [];
     // Host names are assigned in ascending order, so the map is in the order of the list.
     for (const m of this.machines.values()) {
-      if (m.bornAt > asOf || (m.goneAt !== null && m.goneAt <= asOf) || (from !== undefined && m.host <= from)) continue;
-      if (machines.length >= limit) return { machines, more: true };
+      if (m.createdAt > asOf || (m.goneAt !== null && m.goneAt <= asOf) || (from !== undefined && m.host <= from)) continue;
+      if (machines.length >= maxMachines) return { machines, more: true };
       const state = m.failed ? "failed" : m.upAt !== null && m.upAt <= asOf ? "running" : "booting";
-      machines.push({ host: m.host, addr: this.addrOf(m.host), ...m.offer, state, ageS: (asOf - m.bornAt) / 1000 });
+      machines.push({ host: m.host, addr: this.addrOf(m.host), ...m.offer, state, ageS: (asOf - m.createdAt) / 1000 });
     }
     return { machines, more: false };
   }
 
   /** Returns an invalid list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
-  wrongList(form: WrongForm, from: string | undefined, limit: number): { machines: ListedMachine[]; more: boolean } | undefined {
-    if (form === "older") return this.list(from, limit, OLDER_MS);
+  wrongList(form: WrongForm, from: string | undefined, maxMachines: number): { machines: ListedMachine[]; more: boolean } | undefined {
+    if (form === "older") return this.list(from, maxMachines, STALE_LIST_EXTRA_LAG_MS);
     if (form === "other") return { machines: [], more: false };
     if (form !== "ghost") return undefined;
-    const { machines, more } = this.list(from, limit);
-    const gone = [...this.machines.values()].filter((m) => m.goneAt !== null && (from === undefined || m.host > from)).slice(0, GHOSTS);
+    const { machines, more } = this.list(from, maxMachines);
+    const gone = [...this.machines.values()]
+      .filter((m) => m.goneAt !== null && (from === undefined || m.host > from))
+      .slice(0, DELETED_MACHINES_LISTED);
     const ghosts = gone.map((m) => ({ host: m.host, addr: this.addrOf(m.host), ...m.offer, state: "running", ageS: 60 }));
     return { machines: [...machines, ...ghosts].sort((a, b) => (a.host < b.host ? -1 : 1)), more };
   }
--- a/packages/emulator/src/conductor.ts
+++ b/packages/emulator/src/conductor.ts
@@ -1,12 +1,12 @@
-import { startsAfterCancellation, type Happening } from "./checker.js";
-import { carryOut, lastsMs, type Crowd, type Fault, type Stage } from "./faults.js";
+import { countStartsAfterWithdrawal, type Happening } from "./checker.js";
+import { carryOut, durationMs, type SimulatedUserControl, type Fault, type Stage } from "./faults.js";
 import { seeded } from "./luck.js";
-import { submissions, type Moment, type Planned, type PlannedFault, type RehearsalPlan } from "./plan.js";
+import { plannedSubmissions, type Moment, type Planned, type TimedFault, type RehearsalPlan } from "./plan.js";
 import { Recoveries, tookOver } from "./recovery.js";
 import { classFigures, type Report } from "./report.js";
 
 /** A log line, service request or event that can mark an injection point. `at` in ms. */
-export interface Seen {
+export interface Observation {
   at: number;
   node: string;
   what: string;
@@ -14,7 +14,7 @@
 }
 
 /** Returns the injection point that the observation marks, or null if it marks none. */
-export type MomentOf = (seen: Seen) => Moment | null;
+export type MomentOf = (seen: Observation) => Moment | null;
 
 /** A fault injected at an injection point, and the names of what it affected. */
 export interface MetMoment {
@@ -33,13 +33,13 @@
 }
 
 /** What the driver of a run needs. */
-export interface ConductorOptions {
+export interface ScenarioDriverOptions {
   plan: RehearsalPlan;
   seed: number;
   stage: Stage;
   users: UserPort;
   /** Simulated users, for the faults that users cause. */
-  crowd: Crowd;
+  crowd: SimulatedUserControl;
   /** Time in ms. */
   clock: { now(): number; after(ms: number, fn: () => void): unknown };
   momentOf: MomentOf;
@@ -49,11 +49,11 @@
   say?: (text: string) => void;
 }
 
-const NEED_MS = 250;
+const DEPENDENCY_CHECK_MS = 250;
 /** Interval between polls for a job that was never submitted. */
-const STRANGER_MS = 15_000;
+const UNKNOWN_JOB_POLL_MS = 15_000;
 /** Larger than the number of jobs in any plan: job ids from here on are never submitted. */
-const FIRST_STRANGER = 900_000;
+const FIRST_UNKNOWN_JOB = 900_000;
 
 /**
  * Executes a plan in the given environment, which is virtual or made of real processes: submits the work on schedule,
@@ -64,123 +64,125 @@
   readonly planned: Planned[];
   readonly recoveries = new Recoveries();
   readonly faults: Report["faults"] = [];
-  readonly moments: MetMoment[] = [];
+  readonly faultsAtPoints: MetMoment[] = [];
   takeovers = 0;
-  private lastTroubleMs = 0;
-  private readonly told = new Map<string, "accepted" | "done" | "withdrawn">();
-  private readonly pending: Extract<PlannedFault, { moment: Moment }>[];
-  private began = 0;
-  private begun = false;
-  private placed = false;
-  private strangers = 0;
+  private lastFaultEndMs = 0;
+  private readonly jobStatuses = new Map<string, "accepted" | "done" | "withdrawn">();
+  private readonly pendingFaults: Extract<TimedFault, { moment: Moment }>[];
+  private startedAt = 0;
+  private started = false;
+  private anyTaskStarted = false;
+  private unknownJobPolls = 0;
   private stopped = false;
 
-  constructor(private readonly options: ConductorOptions) {
+  constructor(private readonly options: ScenarioDriverOptions) {
     const { plan, seed } = options;
-    this.planned = submissions(plan, seeded(seed));
-    this.pending = plan.fault.filter((one): one is Extract<PlannedFault, { moment: Moment }> => "moment" in one);
+    this.planned = plannedSubmissions(plan, seeded(seed));
+    this.pendingFaults = plan.fault.filter((one): one is Extract<TimedFault, { moment: Moment }> => "moment" in one);
   }
 
-  private get sinceMs(): number {
-    return this.options.clock.now() - this.began;
+  private get elapsedMs(): number {
+    return this.options.clock.now() - this.startedAt;
   }
 
   begin(): void {
     const { clock, plan } = this.options;
-    this.begun = true;
-    this.began = clock.now();
-    for (const one of plan.fault) if ("at" in one) clock.after(one.at * 1000, () => this.strike(one.fault, () => undefined));
-    for (const one of this.planned) clock.after(one.atMs, () => this.begins(one));
-    clock.after(STRANGER_MS, () => void this.stranger());
+    this.started = true;
+    this.startedAt = clock.now();
+    for (const one of plan.fault) if ("at" in one) clock.after(one.at * 1000, () => this.inject(one.fault, () => undefined));
+    for (const one of this.planned) clock.after(one.atMs, () => this.submitWhenReady(one));
+    clock.after(UNKNOWN_JOB_POLL_MS, () => void this.pollUnknownJob());
   }
 
   /** Submits the job once the jobs that it depends on are accepted. */
-  private begins(one: Planned): void {
+  private submitWhenReady(one: Planned): void {
     if (this.stopped) return;
-    if ((one.spec.needs ?? []).every((need) => this.told.has(need))) void this.follow(one);
-    else this.options.clock.after(NEED_MS, () => this.begins(one));
+    if ((one.spec.needs ?? []).every((need) => this.jobStatuses.has(need))) void this.submitAndPoll(one);
+    else this.options.clock.after(DEPENDENCY_CHECK_MS, () => this.submitWhenReady(one));
   }
 
-  private async follow(one: Planned): Promise<void> {
+  private async submitAndPoll(one: Planned): Promise<void> {
     const { clock, users, pollMs } = this.options;
     const { ref } = one.spec;
-    this.came("submission");
+    this.reachInjectionPoint("submission");
     if (!(await users.submit(one))) return;
-    this.told.set(ref, "accepted");
+    this.jobStatuses.set(ref, "accepted");
     if (one.cancelMs !== null) clock.after(one.cancelMs, () => void users.cancel(ref));
-    while (!this.over(ref) && !this.stopped) {
+    while (!this.isFinished(ref) && !this.stopped) {
       await new Promise<void>((resolve) => void clock.after(pollMs(), resolve));
       const state = await users.poll(ref);
-      if (state === "done" || state === "withdrawn") this.told.set(ref, state);
+      if (state === "done" || state === "withdrawn") this.jobStatuses.set(ref, state);
     }
   }
 
   /** Polls regularly for jobs that were never submitted; the responses are checked with the rest of the history. */
-  private async stranger(): Promise<void> {
+  private async pollUnknownJob(): Promise<void> {
     if (this.stopped) return;
-    await this.options.users.poll(`run-${FIRST_STRANGER + ++this.strangers}`);
-    this.options.clock.after(STRANGER_MS, () => void this.stranger());
+    await this.options.users.poll(`run-${FIRST_UNKNOWN_JOB + ++this.unknownJobPolls}`);
+    this.options.clock.after(UNKNOWN_JOB_POLL_MS, () => void this.pollUnknownJob());
   }
 
   /** Receives log lines and service requests. */
-  hear(seen: Seen): void {
+  hear(seen: Observation): void {
     this.recoveries.hear(seen);
     if (tookOver(seen.what, seen.detail)) this.takeovers++;
-    const moment = this.options.momentOf(seen);
-    if (moment !== null) this.came(moment);
+    const injectionPoint = this.options.momentOf(seen);
+    if (injectionPoint !== null) this.reachInjectionPoint(injectionPoint);
   }
 
   /** Receives the events of tasks on their machines. */
   happened(event: Happening): void {
-    if (event.kind === "on" && !this.placed) {
-      this.placed = true;
-      this.came("first-placement");
+    if (event.kind === "on" && !this.anyTaskStarted) {
+      this.anyTaskStarted = true;
+      this.reachInjectionPoint("first-placement");
     }
-    if (event.kind === "off" && event.cause === "done") this.came("done-before-clear");
+    if (event.kind === "off" && event.cause === "done") this.reachInjectionPoint("done-before-clear");
   }
 
-  private came(moment: Moment): void {
-    if (!this.begun || this.stopped) return;
-    const i = this.pending.findIndex((one) => one.moment === moment && this.sinceMs >= one.after * 1000);
+  private reachInjectionPoint(injectionPoint: Moment): void {
+    if (!this.started || this.stopped) return;
+    const i = this.pendingFaults.findIndex((one) => one.moment === injectionPoint && this.elapsedMs >= one.after * 1000);
     if (i < 0) return;
-    const [{ fault }] = this.pending.splice(i, 1) as [(typeof this.pending)[number]];
+    const [{ fault }] = this.pendingFaults.splice(i, 1) as [(typeof this.pendingFaults)[number]];
     // Deferred, so that the fault does not interrupt the processing of the observation.
-    this.options.clock.after(0, () => this.strike(fault, (met) => this.moments.push({ moment, kind: fault.kind, met })));
+    this.options.clock.after(0, () =>
+      this.inject(fault, (met) => this.faultsAtPoints.push({ moment: injectionPoint, kind: fault.kind, met })),
+    );
   }
 
-  private strike(fault: Fault, then: (met: string[]) => void): void {
+  private inject(fault: Fault, then: (met: string[]) => void): void {
     const { stage, clock, say } = this.options;
-    const act = (): void => {
+    const apply = (): void => {
       if (this.stopped) return;
       const met = carryOut(stage, fault, this.options.crowd);
-      this.lastTroubleMs = Math.max(this.lastTroubleMs, clock.now() + lastsMs(fault));
-      this.faults.push({ at: Math.round(this.sinceMs) / 1000, kind: fault.kind, met, fault });
+      this.lastFaultEndMs = Math.max(this.lastFaultEndMs, clock.now() + durationMs(fault));
+      this.faults.push({ at: Math.round(this.elapsedMs) / 1000, kind: fault.kind, met, fault });
       if (fault.kind === "restart" || fault.kind === "freeze" || fault.kind === "cut")
         for (const node of met) this.recoveries.lost(node, clock.now());
-      say?.(`fault: ${fault.kind} met ${met.join(", ") || "nobody"}`);
+      say?.(`fault: ${fault.kind} affected ${met.join(", ") || "nothing"}`);
       then(met);
     };
     const prepared = stage.prepare?.();
-    if (prepared === undefined) act();
-    else void prepared.then(act);
+    if (prepared === undefined) apply();
+    else void prepared.then(apply);
   }
 
   /** When all faults injected so far have ended, in ms. */
-  calmAt(): number {
-    return this.lastTroubleMs;
+  faultsEndAt(): number {
+    return this.lastFaultEndMs;
   }
 
-  over(ref: string): boolean {
-    const state = this.told.get(ref);
+  isFinished(ref: string): boolean {
+    const state = this.jobStatuses.get(ref);
     return state === "done" || state === "withdrawn";
   }
 
   get allOver(): boolean {
-    return this.planned.every(({ spec }) => this.over(spec.ref));
+    return this.planned.every(({ spec }) => this.isFinished(spec.ref));
   }
 
   get countOver(): number {
-    return this.planned.filter(({ spec }) => this.over(spec.ref)).length;
+    return this.planned.filter(({ spec }) => this.isFinished(spec.ref)).length;
   }
 
   /** Stops polling and fault injection. */
@@ -190,23 +192,23 @@
 
   report(rest: Pick<Report, "mode" | "broken" | "trouble" | "cost" | "reports">): Report & { moments: MetMoment[] } {
     const { plan, seed } = this.options;
-    const states = [...this.told.values()];
+    const states = [...this.jobStatuses.values()];
     return {
       plan: plan.name,
       seed,
-      seconds: Math.round(this.sinceMs) / 1000,
+      seconds: Math.round(this.elapsedMs) / 1000,
       jobs: {
         submitted: this.planned.length,
         accepted: states.length,
         done: states.filter((state) => state === "done").length,
         withdrawn: states.filter((state) => state === "withdrawn").length,
-        unfinished: this.planned.map(({ spec }) => spec.ref).filter((ref) => !this.over(ref)),
+        unfinished: this.planned.map(({ spec }) => spec.ref).filter((ref) => !this.isFinished(ref)),
       },
       faults: this.faults,
-      moments: this.moments,
+      moments: this.faultsAtPoints,
       takeovers: this.takeovers,
       recoveries: this.recoveries.all,
-      started_cancelled: startsAfterCancellation(this.options.history()),
+      started_cancelled: countStartsAfterWithdrawal(this.options.history()),
       classes: classFigures(this.options.history(), new Map(this.planned.map((one) => [one.spec.ref, one]))),
       ...rest,
     };
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 import type { RuleAsked } from "./links.js";
-import { inSample, type MachineSample } from "./party.js";
+import { isInSample, type MachineSample } from "./party.js";
 
 /**
  * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
@@ -8,9 +8,9 @@
  * controllers, and a machine name, `busiest` or `any` for machines.
  */
 const seconds = z.number().finite().min(0).max(3600);
-const lasting = { for: seconds.default(10) };
-const node = z.string().min(1).default("leader");
-const machine = z.string().min(1).default("busiest");
+const withDuration = { for: seconds.default(10) };
+const controllerTarget = z.string().min(1).default("leader");
+const machineTarget = z.string().min(1).default("busiest");
 const count = z.number().int().min(1).max(1000);
 const service = z.enum(["state", "cloud"]);
 const share = z.number().min(0).max(1);
@@ -18,43 +18,60 @@
 /** Schema of a fault as it is written in plans and commands. Durations (`for`, `notice`, `hang`) are in seconds, `ms` in milliseconds. */
 export const faultSchema = z.discriminatedUnion("kind", [
   /** Kills the controller's process without warning and starts it again. */
-  z.strictObject({ kind: z.literal("restart"), target: node, for: seconds.default(6) }),
+  z.strictObject({ kind: z.literal("restart"), target: controllerTarget, for: seconds.default(6) }),
   /** Stalls the controller's process while its clocks continue to run. */
-  z.strictObject({ kind: z.literal("freeze"), target: node, ...lasting }),
+  z.strictObject({ kind: z.literal("freeze"), target: controllerTarget, ...withDuration }),
   /** Kills the state service at an arbitrary point and restarts it on its data. */
   z.strictObject({ kind: z.literal("restart-store"), for: seconds.default(2) }),
   /** The service answers every request with 503. */
-  z.strictObject({ kind: z.literal("outage"), of: service, ...lasting }),
+  z.strictObject({ kind: z.literal("outage"), of: service, ...withDuration }),
   /** The service answers requests of one controller with 503. */
-  z.strictObject({ kind: z.literal("refuse"), target: node, by: service, ...lasting }),
+  z.strictObject({ kind: z.literal("refuse"), target: controllerTarget, by: service, ...withDuration }),
   /** Holds packets between the controller and the given peers, and delivers them when the fault ends. */
-  z.strictObject({ kind: z.literal("cut"), target: node, from: z.enum(["state", "cloud", "workers", "controllers", "all"]), ...lasting }),
+  z.strictObject({
+    kind: z.literal("cut"),
+    target: controllerTarget,
+    from: z.enum(["state", "cloud", "workers", "controllers", "all"]),
+    ...withDuration,
+  }),
   z.strictObject({
     kind: z.literal("delay"),
-    target: node,
+    target: controllerTarget,
     to: z.enum(["state", "cloud", "workers"]),
     ms: z.number().min(1).max(60_000),
-    ...lasting,
+    ...withDuration,
   }),
   /** Executes the given number of requests and drops their responses. */
-  z.strictObject({ kind: z.literal("drop"), target: node, by: service, what: z.string().default("*"), count: count.default(1) }),
+  z.strictObject({
+    kind: z.literal("drop"),
+    target: controllerTarget,
+    by: service,
+    what: z.string().default("*"),
+    count: count.default(1),
+  }),
   /** Executes the given number of requests late, after the client has given up. */
   z.strictObject({
     kind: z.literal("late"),
-    target: node,
+    target: controllerTarget,
     by: service,
     what: z.string().default("*"),
     count: count.default(1),
     ms: z.number().min(1).max(120_000),
   }),
-  z.strictObject({ kind: z.literal("twice"), target: node, by: service, what: z.string().default("*"), count: count.default(1) }),
+  z.strictObject({
+    kind: z.literal("twice"),
+    target: controllerTarget,
+    by: service,
+    what: z.string().default("*"),
+    count: count.default(1),
+  }),
   /**
    * Executes requests and returns wrong responses: truncated, a list older than the previous one, a list with deleted
    * machines, a response to another request, or 5xx.
    */
   z.strictObject({
     kind: z.literal("wrong"),
-    target: node,
+    target: controllerTarget,
     by: service,
     what: z.string().default("*"),
     form: z.enum(["cut-short", "older", "ghost", "other", "error-after"]),
@@ -68,16 +85,16 @@
     changes: z.number().int().min(4).optional(),
   }),
   /** Removes the machine without notice. */
-  z.strictObject({ kind: z.literal("lose"), target: machine, count: count.default(1) }),
+  z.strictObject({ kind: z.literal("lose"), target: machineTarget, count: count.default(1) }),
   /** Announces the removal of the machine by the cloud, then removes it. */
-  z.strictObject({ kind: z.literal("take"), target: machine, notice: seconds.default(20) }),
+  z.strictObject({ kind: z.literal("take"), target: machineTarget, notice: seconds.default(20) }),
   /** The machine fails by itself and stays listed as failed. */
-  z.strictObject({ kind: z.literal("fail"), target: machine }),
-  z.strictObject({ kind: z.literal("hang"), target: machine, ...lasting }),
-  z.strictObject({ kind: z.literal("slow"), target: machine, factor: z.number().min(1).max(100).default(4) }),
+  z.strictObject({ kind: z.literal("fail"), target: machineTarget }),
+  z.strictObject({ kind: z.literal("hang"), target: machineTarget, ...withDuration }),
+  z.strictObject({ kind: z.literal("slow"), target: machineTarget, factor: z.number().min(1).max(100).default(4) }),
   /** Every task that the machine starts fails. */
-  z.strictObject({ kind: z.literal("sick"), target: machine }),
-  z.strictObject({ kind: z.literal("cut-machine"), target: machine, ...lasting }),
+  z.strictObject({ kind: z.literal("sick"), target: machineTarget }),
+  z.strictObject({ kind: z.literal("cut-machine"), target: machineTarget, ...withDuration }),
   /**
    * A share of the machines reaches only the target, or every controller except the target, in both directions or in
    * one. The two variants select machines from opposite ends of the range, so two splits of one target whose shares add
@@ -85,16 +102,16 @@
    */
   z.strictObject({
     kind: z.literal("split"),
-    target: node.refine((name) => name !== "all", "all: expected one controller, or leader"),
+    target: controllerTarget.refine((name) => name !== "all", "all: expected one controller, or leader"),
     share: z.number().gt(0).max(1).default(0.5),
     reaches: z.enum(["only-target", "all-but-target"]),
     way: z.enum(["both", "to-controllers", "to-machines"]).default("both"),
-    ...lasting,
+    ...withDuration,
   }),
   /** The machine's reports arrive; responses and direct commands to it are lost. */
-  z.strictObject({ kind: z.literal("deaf"), target: machine, count: count.default(1), ...lasting }),
+  z.strictObject({ kind: z.literal("deaf"), target: machineTarget, count: count.default(1), ...withDuration }),
   /** The machine's reports reach no controller; direct commands reach it and are answered. */
-  z.strictObject({ kind: z.literal("mute"), target: machine, count: count.default(1), ...lasting }),
+  z.strictObject({ kind: z.literal("mute"), target: machineTarget, count: count.default(1), ...withDuration }),
   /**
    * Duplicates this share of all worker reports, 2 s to `ms` later or, with `for_next`, at all controllers once one of
    * them takes over a partition.
@@ -104,21 +121,21 @@
     share: share.default(0.2),
     ms: z.number().min(2000).max(120_000).default(40_000),
     for_next: z.boolean().default(false),
-    ...lasting,
+    ...withDuration,
   }),
   /** This share of all transactions gets no response and is executed 2 to 12 s later or, with `at_once`, immediately. */
-  z.strictObject({ kind: z.literal("late-writes"), share: share.default(0.2), at_once: z.boolean().default(false), ...lasting }),
+  z.strictObject({ kind: z.literal("late-writes"), share: share.default(0.2), at_once: z.boolean().default(false), ...withDuration }),
   /**
    * This share of the direct commands to machines gets no response and is executed once, 2 to 16 s later, if token and
    * session still match.
    */
-  z.strictObject({ kind: z.literal("late-commands"), share: share.default(0.2), ...lasting }),
+  z.strictObject({ kind: z.literal("late-commands"), share: share.default(0.2), ...withDuration }),
   /** One-way loss: what the controller sends to the given peers is lost, what they send to it arrives. */
   z.strictObject({
     kind: z.literal("lose-sent"),
-    target: node,
+    target: controllerTarget,
     to: z.enum(["state", "cloud", "workers", "controllers", "all"]),
-    ...lasting,
+    ...withDuration,
   }),
   /** Deliberate violation to verify that it is detected: a running task is started a second time on another machine. */
   z.strictObject({ kind: z.literal("start-twice") }),
@@ -128,11 +145,11 @@
    */
   z.strictObject({ kind: z.literal("cancel-now"), count: count.default(5), hang: seconds.default(0) }),
   /** This share of the jobs is cancelled at the moment their last task ends. */
-  z.strictObject({ kind: z.literal("cancel-at-end"), share: share.default(0.5), ...lasting }),
+  z.strictObject({ kind: z.literal("cancel-at-end"), share: share.default(0.5), ...withDuration }),
   /** Users repeat submissions, cancel finished jobs, and submit jobs that fit no machine or lack a field. */
-  z.strictObject({ kind: z.literal("odd-requests"), ...lasting }),
+  z.strictObject({ kind: z.literal("odd-requests"), ...withDuration }),
   /** Users poll all controllers within milliseconds after a job was accepted, ended or was withdrawn. */
-  z.strictObject({ kind: z.literal("close-looks"), ...lasting }),
+  z.strictObject({ kind: z.literal("close-looks"), ...withDuration }),
   /**
    * Sets the number of machines available of a type (`*`: all types), in one zone or in all, for a time or permanently.
    * Rented machines stay.
@@ -146,7 +163,7 @@
     for: seconds.optional(),
   }),
   /** Multiplies the price of spot machines. */
-  z.strictObject({ kind: z.literal("prices"), factor: z.number().min(0.1).max(100), ...lasting }),
+  z.strictObject({ kind: z.literal("prices"), factor: z.number().min(0.1).max(100), ...withDuration }),
 ]);
 /** A validated fault. */
 export type Fault = z.infer<typeof faultSchema>;
@@ -166,11 +183,11 @@
 }
 
 /** What simulated users do in addition to their planned requests. */
-export type Habit = "cancel-at-end" | "odd-requests" | "close-looks";
+export type UserBehaviour = "cancel-at-end" | "odd-requests" | "close-looks";
 
 /** The offerings whose capacity was changed, and a function that restores it. */
 export interface CapacityChange {
-  met: string[];
+  affected: string[];
   restore: () => void;
 }
 
@@ -186,9 +203,9 @@
   machines(): string[];
   /** The machines that currently report to the controller. */
   reportingTo(controller: string): string[];
-  restart(controller: string, awayMs: number): void;
+  restart(controller: string, downMs: number): void;
   freeze(controller: string, ms: number): void;
-  restartStore(awayMs: number): void;
+  restartStore(downMs: number): void;
   /** `on` false ends the outage; leases then get their full duration again. */
   outage(of: "state" | "cloud", on: boolean): void;
   /** Adds a network rule and returns the function that removes it. */
@@ -209,62 +226,62 @@
 }
 
 /** The simulated users, as far as faults control them. */
-export interface Crowd {
+export interface SimulatedUserControl {
   /** Enables the behaviour for this time in ms; returns the controllers that receive its requests. */
-  begin(habit: Habit, share: number, ms: number): string[];
+  enableBehaviour(behaviour: UserBehaviour, share: number, ms: number): string[];
   /**
    * Cancels the given number of running jobs with the longest remaining run time. Returns them and the machines they
    * run on, the busiest first.
    */
-  cancelNow(count: number): { refs: string[]; hosts: string[] };
+  cancelLongestRunning(count: number): { refs: string[]; hosts: string[] };
 }
 
-const MOST_HANGING = 8;
-const LATE_WRITES_MS = { leastMs: 2000, ms: 12_000 };
-const LATE_COMMANDS_MS = { leastMs: 2000, ms: 16_000 };
+const MAX_HANGING_MACHINES = 8;
+const LATE_WRITE_DELAY = { leastMs: 2000, ms: 12_000 };
+const LATE_COMMAND_DELAY = { leastMs: 2000, ms: 16_000 };
 
 /** How long the fault lasts, in ms, including the last delayed effect that it causes. */
-export function lastsMs(fault: Fault): number {
-  const forMs = "for" in fault ? (fault.for ?? 0) * 1000 : 0;
-  if (fault.kind === "late-writes" && !fault.at_once) return forMs + LATE_WRITES_MS.ms;
-  if (fault.kind === "late-commands") return forMs + LATE_COMMANDS_MS.ms;
+export function durationMs(fault: Fault): number {
+  const heldMs = "for" in fault ? (fault.for ?? 0) * 1000 : 0;
+  if (fault.kind === "late-writes" && !fault.at_once) return heldMs + LATE_WRITE_DELAY.ms;
+  if (fault.kind === "late-commands") return heldMs + LATE_COMMAND_DELAY.ms;
   if (fault.kind === "cancel-now") return fault.hang * 1000;
-  return forMs + ("ms" in fault ? fault.ms : 0) + ("notice" in fault ? fault.notice * 1000 : 0);
+  return heldMs + ("ms" in fault ? fault.ms : 0) + ("notice" in fault ? fault.notice * 1000 : 0);
 }
 
-function controllersOf(stage: Stage, target: string): string[] {
+function resolveControllers(stage: Stage, target: string): string[] {
   if (target === "all") return stage.controllers();
   return [target === "leader" ? stage.leader() : target];
 }
 
-function machinesOf(stage: Stage, target: string, most = 1): string[] {
+function resolveMachines(stage: Stage, target: string, max = 1): string[] {
   const up = stage.machines();
-  if (target === "busiest" || target === "any") return up.slice(0, most);
+  if (target === "busiest" || target === "any") return up.slice(0, max);
   return up.filter((name) => name === target);
 }
 
-type Split = Extract<Fault, { kind: "split" }>;
+type SplitFault = Extract<Fault, { kind: "split" }>;
 
 /**
- * Splits a share of the machines from the target, or from every other controller. `met`: those of them that currently
+ * Splits a share of the machines from the target, or from every other controller. `affected`: those of them that currently
  * report to the target.
  */
-function split(stage: Stage, { share, reaches, way }: Split, target: string): { met: string[]; end: () => void } {
+function injectSplit(stage: Stage, { share, reaches, way }: SplitFault, target: string): { affected: string[]; end: () => void } {
   const onlyTarget = reaches === "only-target";
   const machines: MachineSample = onlyTarget ? { least: 0, most: share } : { least: 1 - share, most: 1 };
-  const apart = onlyTarget ? stage.controllers().filter((name) => name !== target) : [target];
-  const ways = {
-    both: { from: machines, to: apart, effect: { kind: "cut" } },
-    "to-controllers": { from: machines, to: apart, effect: { kind: "lose" } },
-    "to-machines": { from: apart, to: machines, effect: { kind: "lose" } },
+  const separatedFrom = onlyTarget ? stage.controllers().filter((name) => name !== target) : [target];
+  const ruleByDirection = {
+    both: { from: machines, to: separatedFrom, effect: { kind: "cut" } },
+    "to-controllers": { from: machines, to: separatedFrom, effect: { kind: "lose" } },
+    "to-machines": { from: separatedFrom, to: machines, effect: { kind: "lose" } },
   } as const;
-  const met = stage.reportingTo(target).filter((name) => inSample(machines, name));
-  return { met, end: stage.rule(ways[way]) };
+  const affected = stage.reportingTo(target).filter((name) => isInSample(machines, name));
+  return { affected, end: stage.rule(ruleByDirection[way]) };
 }
 
 /** Injects the fault and returns the names of what it affected; empty if there was nothing to affect. */
-export function carryOut(stage: Stage, fault: Fault, crowd: Crowd): string[] {
-  const until = (seconds: number, end: () => void): void => stage.after(seconds * 1000, end);
+export function carryOut(stage: Stage, fault: Fault, users: SimulatedUserControl): string[] {
+  const endAfter = (seconds: number, end: () => void): void => stage.after(seconds * 1000, end);
   const each = (names: string[], act: (name: string) => void): string[] => {
     for (const name of names) act(name);
     return names;
@@ -272,31 +289,31 @@
   const hang = (names: string[], seconds: number): string[] =>
     each(names, (name) => {
       stage.hang(name, true);
-      until(seconds, () => stage.hang(name, false));
+      endAfter(seconds, () => stage.hang(name, false));
     });
   switch (fault.kind) {
     case "restart":
-      return each(controllersOf(stage, fault.target), (name) => stage.restart(name, fault.for * 1000));
+      return each(resolveControllers(stage, fault.target), (name) => stage.restart(name, fault.for * 1000));
     case "freeze":
-      return each(controllersOf(stage, fault.target), (name) => stage.freeze(name, fault.for * 1000));
+      return each(resolveControllers(stage, fault.target), (name) => stage.freeze(name, fault.for * 1000));
     case "restart-store":
       stage.restartStore(fault.for * 1000);
       return ["state"];
     case "outage":
       stage.outage(fault.of, true);
-      until(fault.for, () => stage.outage(fault.of, false));
+      endAfter(fault.for, () => stage.outage(fault.of, false));
       return [fault.of];
     case "refuse":
-      return each(controllersOf(stage, fault.target), (from) =>
-        until(fault.for, stage.rule({ from, to: fault.by, effect: { kind: "refuse" } })),
+      return each(resolveControllers(stage, fault.target), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: fault.by, effect: { kind: "refuse" } })),
       );
     case "cut":
-      return each(controllersOf(stage, fault.target), (from) =>
-        until(fault.for, stage.rule({ from, to: fault.from === "all" ? "*" : fault.from, effect: { kind: "cut" } })),
+      return each(resolveControllers(stage, fault.target), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: fault.from === "all" ? "*" : fault.from, effect: { kind: "cut" } })),
       );
     case "delay":
-      return each(controllersOf(stage, fault.target), (from) =>
-        until(fault.for, stage.rule({ from, to: fault.to, effect: { kind: "delay", ms: fault.ms } })),
+      return each(resolveControllers(stage, fault.target), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: fault.to, effect: { kind: "delay", ms: fault.ms } })),
       );
     case "drop":
     case "twice":
@@ -308,7 +325,7 @@
           : fault.kind === "wrong"
             ? { kind: fault.kind, form: fault.form }
             : { kind: fault.kind };
-      return each(controllersOf(stage, fault.target), (from) =>
+      return each(resolveControllers(stage, fault.target), (from) =>
         stage.rule({ from, to: fault.by, what: fault.what, effect, count: fault.count }),
       );
     }
@@ -320,78 +337,80 @@
       });
       return ["state"];
     case "lose":
-      return each(machinesOf(stage, fault.target, fault.count), (name) => stage.lose(name));
+      return each(resolveMachines(stage, fault.target, fault.count), (name) => stage.lose(name));
     case "take":
-      return each(machinesOf(stage, fault.target), (name) => {
+      return each(resolveMachines(stage, fault.target), (name) => {
         stage.warn(name, fault.notice);
-        until(fault.notice, () => stage.lose(name));
+        endAfter(fault.notice, () => stage.lose(name));
       });
     case "fail":
-      return each(machinesOf(stage, fault.target), (name) => stage.fail(name));
+      return each(resolveMachines(stage, fault.target), (name) => stage.fail(name));
     case "hang":
-      return hang(machinesOf(stage, fault.target), fault.for);
+      return hang(resolveMachines(stage, fault.target), fault.for);
     case "slow":
-      return each(machinesOf(stage, fault.target), (name) => stage.slow(name, fault.factor));
+      return each(resolveMachines(stage, fault.target), (name) => stage.slow(name, fault.factor));
     case "sick":
-      return each(machinesOf(stage, fault.target), (name) => stage.sicken(name));
+      return each(resolveMachines(stage, fault.target), (name) => stage.sicken(name));
     case "start-twice": {
       const piece = stage.startTwice();
       return piece === null ? [] : [piece];
     }
     case "capacity": {
-      const { met, restore } = stage.capacity(fault.target, fault.zone, fault.count, fault.spot);
-      if (fault.for !== undefined) until(fault.for, restore);
-      return met;
+      const { affected, restore } = stage.capacity(fault.target, fault.zone, fault.count, fault.spot);
+      if (fault.for !== undefined) endAfter(fault.for, restore);
+      return affected;
     }
     case "prices":
       stage.prices(fault.factor);
-      until(fault.for, () => stage.prices(1));
+      endAfter(fault.for, () => stage.prices(1));
       return ["cloud"];
     case "split":
-      return controllersOf(stage, fault.target).flatMap((target) => {
-        const { met, end } = split(stage, fault, target);
-        until(fault.for, end);
-        return met;
+      return resolveControllers(stage, fault.target).flatMap((target) => {
+        const { affected, end } = injectSplit(stage, fault, target);
+        endAfter(fault.for, end);
+        return affected;
       });
     case "deaf":
-      return each(machinesOf(stage, fault.target, fault.count), (to) =>
-        until(fault.for, stage.rule({ from: "*", to, effect: { kind: "lose" } })),
+      return each(resolveMachines(stage, fault.target, fault.count), (to) =>
+        endAfter(fault.for, stage.rule({ from: "*", to, effect: { kind: "lose" } })),
       );
     case "mute":
-      return each(machinesOf(stage, fault.target, fault.count), (from) =>
-        until(fault.for, stage.rule({ from, to: "*", what: "report", effect: { kind: "lose" } })),
+      return each(resolveMachines(stage, fault.target, fault.count), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: "*", what: "report", effect: { kind: "lose" } })),
       );
     case "late-reports": {
       const { share } = fault;
       const effect = fault.for_next ? ({ kind: "keep", share } as const) : ({ kind: "again", share, mostMs: fault.ms } as const);
-      until(fault.for, stage.rule({ from: "workers", to: "controllers", what: "report", effect }));
+      endAfter(fault.for, stage.rule({ from: "workers", to: "controllers", what: "report", effect }));
       return stage.machines();
     }
     case "late-writes": {
-      const effect = fault.at_once ? ({ kind: "drop" } as const) : ({ kind: "late", ...LATE_WRITES_MS } as const);
-      until(fault.for, stage.rule({ from: "*", to: "state", what: "txn", effect, share: fault.share }));
+      const effect = fault.at_once ? ({ kind: "drop" } as const) : ({ kind: "late", ...LATE_WRITE_DELAY } as const);
+      endAfter(fault.for, stage.rule({ from: "*", to: "state", what: "txn", effect, share: fault.share }));
       return stage.controllers();
     }
     case "late-commands": {
-      const effect = { kind: "late", ...LATE_COMMANDS_MS } as const;
-      until(fault.for, stage.rule({ from: "controllers", to: "workers", what: "command", effect, share: fault.share }));
+      const effect = { kind: "late", ...LATE_COMMAND_DELAY } as const;
+      endAfter(fault.for, stage.rule({ from: "controllers", to: "workers", what: "command", effect, share: fault.share }));
       return stage.machines();
     }
     case "lose-sent":
-      return each(controllersOf(stage, fault.target), (from) =>
-        until(fault.for, stage.rule({ from, to: fault.to === "all" ? "*" : fault.to, effect: { kind: "lose" } })),
+      return each(resolveControllers(stage, fault.target), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: fault.to === "all" ? "*" : fault.to, effect: { kind: "lose" } })),
       );
     case "cancel-now": {
-      const { refs, hosts } = crowd.cancelNow(fault.count);
-      if (fault.hang > 0) hang(hosts.slice(0, MOST_HANGING), fault.hang);
+      const { refs, hosts } = users.cancelLongestRunning(fault.count);
+      if (fault.hang > 0) hang(hosts.slice(0, MAX_HANGING_MACHINES), fault.hang);
       return refs;
     }
     case "cancel-at-end":
-      return crowd.begin(fault.kind, fault.share, fault.for * 1000);
+      return users.enableBehaviour(fault.kind, fault.share, fault.for * 1000);
     case "odd-requests":
     case "close-looks":
-      return crowd.begin(fault.kind, 1, fault.for * 1000);
+      return users.enableBehaviour(fault.kind, 1, fault.for * 1000);
     case "cut-machine":
-      return each(machinesOf(stage, fault.target), (from) => until(fault.for, stage.rule({ from, to: "*", effect: { kind: "cut" } })));
+      return each(resolveMachines(stage, fault.target), (from) =>
+        endAfter(fault.for, stage.rule({ from, to: "*", effect: { kind: "cut" } })),
+      );
   }
 }
--- a/packages/emulator/src/links.ts
+++ b/packages/emulator/src/links.ts
@@ -3,13 +3,13 @@
  * to, for how long or how many times, and its effect on them. Endpoints are names of controllers and machines, `state`
  * and `cloud`.
  */
-import { isParty, type Party } from "./party.js";
+import { matchesEndpoint, type EndpointSelector } from "./party.js";
 
 /** The ways in which a response can be wrong. */
 export type WrongForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
 /** The effect of a rule on a call. */
-export type Effect =
+export type RuleEffect =
   /** Messages are held and delivered in order when the rule ends; the sender gets no response. */
   | { kind: "cut" }
   /** Answered with 503 and not executed. */
@@ -31,10 +31,10 @@
   | { kind: "wrong"; form: WrongForm };
 
 /** Effects on a call that has arrived. */
-type Executed = Exclude<Effect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
+type ArrivalEffect = Exclude<RuleEffect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
 
 /** A message between two endpoints, as rules match it. */
-export interface Call {
+export interface NetworkCall {
   from: string;
   to: string;
   /** Kind of request: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
@@ -43,103 +43,103 @@
 
 /** A rule to add, as plain data. */
 export interface RuleAsked {
-  from: Party;
-  to: Party;
+  from: EndpointSelector;
+  to: EndpointSelector;
   what?: string;
-  effect: Effect;
+  effect: RuleEffect;
   /** Number of calls that the rule applies to; without it, all until the rule is removed. */
   count?: number;
   /** Share of the matching calls that the rule applies to; without it, all. */
   share?: number;
 }
 
-interface Rule extends Required<RuleAsked> {
+interface ActiveRule extends Required<RuleAsked> {
   id: number;
   held: (() => void)[];
 }
 
 /** Effects on a message in transit, independent of its kind of request. */
-const ON_THE_WAY = new Set<Effect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
+const IN_TRANSIT_EFFECTS = new Set<RuleEffect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
 /** Minimum delay of the copy of a message, in ms. */
-const LEAST_AGAIN_MS = 2000;
+const MIN_COPY_DELAY_MS = 2000;
 
 /** The active network rules and the decisions that follow from them. */
 export class Links {
-  private rules: Rule[] = [];
-  private count = 0;
+  private rules: ActiveRule[] = [];
+  private lastRuleId = 0;
 
-  constructor(private readonly luck: () => number = Math.random) {}
+  constructor(private readonly random: () => number = Math.random) {}
 
   /** Adds a rule and returns the function that removes it; removal delivers the messages that the rule holds. */
-  add(asked: RuleAsked): () => void {
-    const rule: Rule = { what: "*", count: Infinity, share: 1, ...asked, id: ++this.count, held: [] };
+  add(requested: RuleAsked): () => void {
+    const rule: ActiveRule = { what: "*", count: Infinity, share: 1, ...requested, id: ++this.lastRuleId, held: [] };
     this.rules.push(rule);
     return () => {
       this.rules = this.rules.filter((other) => other !== rule);
-      for (const run of rule.held.splice(0)) run();
+      for (const deliver of rule.held.splice(0)) deliver();
     };
   }
 
-  private find(call: Call, fits: (effect: Effect) => boolean): Rule | undefined {
+  private find(call: NetworkCall, fits: (effect: RuleEffect) => boolean): ActiveRule | undefined {
     return this.rules.find(
       (rule) =>
         fits(rule.effect) &&
         rule.count > 0 &&
         (rule.what === "*" || rule.what === call.what) &&
         // A cut applies in both directions, all other effects only to calls from `from` to `to`.
-        ((isParty(rule.from, call.from) && isParty(rule.to, call.to)) ||
-          (rule.effect.kind === "cut" && isParty(rule.from, call.to) && isParty(rule.to, call.from))),
+        ((matchesEndpoint(rule.from, call.from) && matchesEndpoint(rule.to, call.to)) ||
+          (rule.effect.kind === "cut" && matchesEndpoint(rule.from, call.to) && matchesEndpoint(rule.to, call.from))),
     );
   }
 
   /** Holds the call if a cut applies to it, and returns whether it does. */
-  hold(call: Call, run: () => void): boolean {
+  hold(call: NetworkCall, deliver: () => void): boolean {
     const rule = this.find(call, ({ kind }) => kind === "cut");
-    rule?.held.push(run);
+    rule?.held.push(deliver);
     return rule !== undefined;
   }
 
   /** Whether a cut applies to the call. Messages that cannot be held, such as the response to a caller that has given up, are lost. */
-  blocked(call: Call): boolean {
+  blocked(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
 
   /** Whether connections for the call are refused. */
-  refuses(call: Call): boolean {
+  isRefused(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "refuse") !== undefined;
   }
 
-  delayMs(call: Call): number {
+  delayMs(call: NetworkCall): number {
     const rule = this.find(call, ({ kind }) => kind === "delay");
     return rule?.effect.kind === "delay" ? rule.effect.ms : 0;
   }
 
   /** Whether the message is lost. */
-  loses(call: Call): boolean {
+  loses(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "lose") !== undefined;
   }
 
   /** Delay in ms after which a copy of the message arrives again, or null for none. */
-  againMs(call: Call, luck: () => number): number | null {
+  againMs(call: NetworkCall, random: () => number): number | null {
     const effect = this.find(call, ({ kind }) => kind === "again")?.effect;
-    if (effect?.kind !== "again" || luck() >= effect.share) return null;
-    return LEAST_AGAIN_MS + luck() * Math.max(0, effect.mostMs - LEAST_AGAIN_MS);
+    if (effect?.kind !== "again" || random() >= effect.share) return null;
+    return MIN_COPY_DELAY_MS + random() * Math.max(0, effect.mostMs - MIN_COPY_DELAY_MS);
   }
 
   /** Whether a copy of the message is stored for the next takeover of a partition. */
-  keeps(call: Call): boolean {
+  keeps(call: NetworkCall): boolean {
     const effect = this.find(call, ({ kind }) => kind === "keep")?.effect;
-    return effect?.kind === "keep" && this.luck() < effect.share;
+    return effect?.kind === "keep" && this.random() < effect.share;
   }
 
   /** Returns the effect on a call that has arrived, and counts it against rules with a limited number of calls. */
-  judge(call: Call): Executed | null {
-    const rule = this.find(call, ({ kind }) => !ON_THE_WAY.has(kind));
-    if (rule === undefined || (rule.share < 1 && this.luck() >= rule.share)) return null;
+  judge(call: NetworkCall): ArrivalEffect | null {
+    const rule = this.find(call, ({ kind }) => !IN_TRANSIT_EFFECTS.has(kind));
+    if (rule === undefined || (rule.share < 1 && this.random() >= rule.share)) return null;
     rule.count--;
     if (rule.count <= 0) this.rules = this.rules.filter((other) => other !== rule);
-    const effect = rule.effect as Executed;
+    const effect = rule.effect as ArrivalEffect;
     if (effect.kind !== "late" || effect.leastMs === undefined) return effect;
-    return { kind: "late", ms: effect.leastMs + this.luck() * (effect.ms - effect.leastMs) };
+    return { kind: "late", ms: effect.leastMs + this.random() * (effect.ms - effect.leastMs) };
   }
 }
--- a/packages/emulator/src/party.ts
+++ b/packages/emulator/src/party.ts
@@ -10,9 +10,9 @@
 }
 
 /** A name, `*`, `workers`, `controllers`, a list of names, or a sample of the machines. */
-export type Party = string | readonly string[] | MachineSample;
+export type EndpointSelector = string | readonly string[] | MachineSample;
 
-const SERVICES = new Set(["state", "cloud"]);
+const SERVICE_NAMES = new Set(["state", "cloud"]);
 
 /** The cloud names all machines in one form. */
 export const isMachine = (name: string): boolean => name.startsWith("i-");
@@ -21,7 +21,7 @@
  * Hashes a name to [0, 1): FNV-1a with a final mix, because names that differ only in the last digit would otherwise
  * hash close together.
  */
-function placeOf(name: string): number {
+function hashToUnitInterval(name: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < name.length; i++) hash = Math.imul(hash ^ name.charCodeAt(i), 0x01000193);
   hash = Math.imul(hash ^ (hash >>> 15), 0x2c1b3c6d);
@@ -29,17 +29,17 @@
 }
 
 /** Whether the name is that of a machine in the sample. */
-export function inSample({ least, most }: MachineSample, name: string): boolean {
-  const place = placeOf(name);
-  return isMachine(name) && place >= least && place < most;
+export function isInSample({ least, most }: MachineSample, name: string): boolean {
+  const position = hashToUnitInterval(name);
+  return isMachine(name) && position >= least && position < most;
 }
 
 /** Whether the selector matches the endpoint of this name. */
-export function isParty(party: Party, name: string): boolean {
-  if (typeof party === "string") {
-    if (party === "*" || party === name) return true;
-    if (party === "workers") return isMachine(name);
-    return party === "controllers" && !isMachine(name) && !SERVICES.has(name);
+export function matchesEndpoint(selector: EndpointSelector, name: string): boolean {
+  if (typeof selector === "string") {
+    if (selector === "*" || selector === name) return true;
+    if (selector === "workers") return isMachine(name);
+    return selector === "controllers" && !isMachine(name) && !SERVICE_NAMES.has(name);
   }
-  return "least" in party ? inSample(party, name) : party.includes(name);
+  return "least" in selector ? isInSample(selector, name) : selector.includes(name);
 }
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -4,12 +4,12 @@
 import { faultSchema } from "./faults.js";
 
 /** Plan files: an environment, the work submitted to it, and the faults injected into it. */
-const amount = z.number().finite().min(0);
+const nonNegative = z.number().finite().min(0);
 const positive = z.number().finite().positive();
 const name = z.string().min(1).max(100);
 
 /** Points in a run at which a plan can inject a fault. */
-export const MOMENTS = [
+export const INJECTION_POINTS = [
   "submission",
   "first-placement",
   "fencing",
@@ -22,12 +22,12 @@
   "pipeline-release",
 ] as const;
 /** The name of an injection point. */
-export type Moment = (typeof MOMENTS)[number];
+export type Moment = (typeof INJECTION_POINTS)[number];
 
-const machine = z.strictObject({
+const machineSchema = z.strictObject({
   name,
   cpus: positive,
-  gpus: amount.default(0),
+  gpus: nonNegative.default(0),
   ram: positive,
   price: positive.default(1),
   spot_price: positive.default(0.3),
@@ -37,26 +37,26 @@
   zones: z.array(name).min(1).default(["a"]),
 });
 
-const work = z.strictObject({
+const workSchema = z.strictObject({
   name,
   team: name,
   shape: z.enum(["array", "gang", "service"]).default("array"),
   urgency: z.enum(["critical", "urgent", "normal", "low"]).default("normal"),
   tasks: z.number().int().min(1).max(100_000).default(1),
   cpus: positive,
-  gpus: amount.default(0),
+  gpus: nonNegative.default(0),
   ram: positive.default(1),
   run: positive,
-  saves: amount.default(0),
-  flush: amount.default(1),
+  saves: nonNegative.default(0),
+  flush: nonNegative.default(1),
   spot: z.boolean().default(false),
   one_zone: z.boolean().default(false),
-  image_gb: amount.default(1),
+  image_gb: nonNegative.default(1),
   /** Relative to the submission, in seconds. */
   deadline: positive.optional(),
   /** Interval between submissions in seconds; the first is at `from`. */
   every: positive,
-  from: amount.default(0),
+  from: nonNegative.default(0),
   jobs: z.number().int().min(1).max(10_000),
   /** Each job depends on the job of that other work with the same index. */
   after: name.optional(),
@@ -65,10 +65,10 @@
 });
 
 /** `from`: the fault is injected at the first occurrence of the injection point after this many seconds. */
-const timed = z
-  .object({ at: amount.optional(), moment: z.enum(MOMENTS).optional(), from: z.union([amount, z.string()]).optional() })
+const timing = z
+  .object({ at: nonNegative.optional(), moment: z.enum(INJECTION_POINTS).optional(), from: z.union([nonNegative, z.string()]).optional() })
   .loose();
-const fault = timed.transform((raw, context) => {
+const faultSchemaWithTime = timing.transform((raw, context) => {
   const { at, moment, from, ...rest } = raw;
   // The fault kind `cut` has a member `from` of its own, which is a string.
   const after = typeof from === "number" ? from : 0;
@@ -94,7 +94,7 @@
     controllers: z.number().int().min(1).max(9).default(3),
     seed: z.number().int().min(0).default(1),
     /** Time to recover: by its end, every job submitted before is finished or running. */
-    settle: amount.default(60),
+    settle: nonNegative.default(60),
     state: z
       .strictObject({
         rps: positive.default(150),
@@ -103,21 +103,23 @@
         changes: z.number().int().min(4).default(16),
       })
       .prefault({}),
-    boots: z.strictObject({ never: amount.max(1).default(0), slow: amount.max(1).default(0), early: amount.max(1).default(0) }).optional(),
+    boots: z
+      .strictObject({ never: nonNegative.max(1).default(0), slow: nonNegative.max(1).default(0), early: nonNegative.max(1).default(0) })
+      .optional(),
     team: z
       .array(
         z.strictObject({
           name,
-          cpus: amount.default(0),
-          most_cpus: amount.default(0),
-          gpus: amount.default(0),
-          most_gpus: amount.default(0),
+          cpus: nonNegative.default(0),
+          most_cpus: nonNegative.default(0),
+          gpus: nonNegative.default(0),
+          most_gpus: nonNegative.default(0),
         }),
       )
       .min(1),
-    machine: z.array(machine).min(1),
-    work: z.array(work).min(1),
-    fault: z.array(fault).default([]),
+    machine: z.array(machineSchema).min(1),
+    work: z.array(workSchema).min(1),
+    fault: z.array(faultSchemaWithTime).default([]),
   })
   .superRefine((plan, context) => {
     const teams = new Set(plan.team.map((team) => team.name));
@@ -145,18 +147,18 @@
 /** A validated plan. */
 export type RehearsalPlan = z.infer<typeof planSchema>;
 /** A fault of a plan with its time or injection point. */
-export type PlannedFault = RehearsalPlan["fault"][number];
+export type TimedFault = RehearsalPlan["fault"][number];
 
-const LISTS = ["team", "machine", "work", "fault"];
+const LIST_BLOCKS = ["team", "machine", "work", "fault"];
 
 /** Loads a plan file; rejects if it does not match the schema. */
 export function loadPlan(file: string): Promise<RehearsalPlan> {
-  return loadHcl(file, planSchema as z.ZodType<RehearsalPlan>, LISTS);
+  return loadHcl(file, planSchema as z.ZodType<RehearsalPlan>, LIST_BLOCKS);
 }
 
 /** Parses the text of a plan file; `file` is its name in error messages. Rejects if it does not match the schema. */
 export function parsePlan(file: string, text: string): Promise<RehearsalPlan> {
-  return parseHcl(file, text, planSchema as z.ZodType<RehearsalPlan>, LISTS);
+  return parseHcl(file, text, planSchema as z.ZodType<RehearsalPlan>, LIST_BLOCKS);
 }
 
 /** One submission of a plan: its time, its job and the actual run time of the job's tasks. */
@@ -168,20 +170,20 @@
 }
 
 /** Returns all submissions of a plan in order of time. Actual run times vary at random by up to 20 % around the planned ones. */
-export function submissions(plan: RehearsalPlan, luck: () => number): Planned[] {
-  const planned: Planned[] = [];
+export function plannedSubmissions(plan: RehearsalPlan, random: () => number): Planned[] {
+  const result: Planned[] = [];
   const refs = new Map<string, string>();
   let count = 0;
-  const turns = plan.work.flatMap((one) =>
-    Array.from({ length: one.jobs }, (_, turn) => ({ one, turn, atMs: (one.from + turn * one.every) * 1000 })),
+  const arrivals = plan.work.flatMap((one) =>
+    Array.from({ length: one.jobs }, (_, index) => ({ one, index, atMs: (one.from + index * one.every) * 1000 })),
   );
-  turns.sort((a, b) => a.atMs - b.atMs || plan.work.indexOf(a.one) - plan.work.indexOf(b.one));
-  for (const { one, turn, atMs } of turns) {
+  arrivals.sort((a, b) => a.atMs - b.atMs || plan.work.indexOf(a.one) - plan.work.indexOf(b.one));
+  for (const { one, index, atMs } of arrivals) {
     const ref = `run-${String(++count).padStart(6, "0")}`;
-    refs.set(`${one.name}/${turn}`, ref);
-    const need = one.after === undefined ? undefined : refs.get(`${one.after}/${turn}`);
-    const runMs = one.run * 1000 * (0.8 + 0.4 * luck());
-    planned.push({
+    refs.set(`${one.name}/${index}`, ref);
+    const need = one.after === undefined ? undefined : refs.get(`${one.after}/${index}`);
+    const runMs = one.run * 1000 * (0.8 + 0.4 * random());
+    result.push({
       atMs,
       runMs,
       cancelMs: one.cancelled_after === undefined ? null : one.cancelled_after * 1000,
@@ -210,5 +212,5 @@
       },
     });
   }
-  return planned;
+  return result;
 }
--- a/packages/emulator/src/shrink.ts
+++ b/packages/emulator/src/shrink.ts
@@ -11,13 +11,13 @@
 ): Promise<{ plan: RehearsalPlan; runs: number }> {
   let best = plan;
   let runs = 0;
-  const reduce = async <T>(list: readonly T[], least: number, make: (kept: T[]) => RehearsalPlan): Promise<void> => {
+  const removeItems = async <T>(list: readonly T[], min: number, planWith: (kept: T[]) => RehearsalPlan): Promise<void> => {
     let kept = [...list];
     for (let size = Math.ceil(kept.length / 2); size >= 1; size = size === 1 ? 0 : Math.ceil(size / 2)) {
       for (let from = 0; from < kept.length && runs < tries;) {
         const without = [...kept.slice(0, from), ...kept.slice(from + size)];
-        if (without.length < least) break;
-        const candidate = make(without);
+        if (without.length < min) break;
+        const candidate = planWith(without);
         runs++;
         if (await breaks(candidate)) {
           kept = without;
@@ -26,9 +26,9 @@
       }
     }
   };
-  await reduce(best.fault, 0, (fault) => ({ ...best, fault }));
-  const needed = (works: RehearsalPlan["work"]): boolean =>
+  await removeItems(best.fault, 0, (fault) => ({ ...best, fault }));
+  const dependenciesPresent = (works: RehearsalPlan["work"]): boolean =>
     works.every((one) => one.after === undefined || works.some((other) => other.name === one.after));
-  await reduce(best.work, 1, (work) => (needed(work) ? { ...best, work } : best));
+  await removeItems(best.work, 1, (work) => (dependenciesPresent(work) ? { ...best, work } : best));
   return { plan: best, runs };
 }
--- a/packages/emulator/src/virtual/clock.ts
+++ b/packages/emulator/src/virtual/clock.ts
@@ -1,7 +1,7 @@
 import { NEVER } from "rxjs";
-import type { ModelClock } from "../cloud-model.js";
+import type { MonotonicClock } from "../cloud-model.js";
 
-interface Due {
+interface ScheduledEvent {
   at: number;
   order: number;
   fn: () => void;
@@ -9,55 +9,56 @@
 }
 
 /** Virtual time that advances only during `run`; events at the same instant keep their order of scheduling. */
-export class VirtualClock implements ModelClock {
+export class VirtualClock implements MonotonicClock {
   readonly stood$ = NEVER;
-  private time = 0;
-  private count = 0;
-  private heap: Due[] = [];
+  private currentMs = 0;
+  private scheduledCount = 0;
+  private heap: ScheduledEvent[] = [];
 
   now(): number {
-    return this.time;
+    return this.currentMs;
   }
 
   wall(): number {
-    return 1_700_000_000_000 + this.time;
+    return 1_700_000_000_000 + this.currentMs;
   }
 
   after(ms: number, fn: () => void): () => void {
-    const due: Due = { at: this.time + Math.max(0, ms), order: this.count++, fn, cancelled: false };
-    this.push(due);
+    const event: ScheduledEvent = { at: this.currentMs + Math.max(0, ms), order: this.scheduledCount++, fn, cancelled: false };
+    this.push(event);
     return () => {
-      due.cancelled = true;
+      event.cancelled = true;
     };
   }
 
-  private less(a: Due, b: Due): boolean {
+  private isEarlier(a: ScheduledEvent, b: ScheduledEvent): boolean {
     return a.at < b.at || (a.at === b.at && a.order < b.order);
   }
 
-  private push(due: Due): void {
+  private push(event: ScheduledEvent): void {
     const heap = this.heap;
-    let i = heap.push(due) - 1;
+    let i = heap.push(event) - 1;
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!this.less(heap[i]!, heap[up]!)) break;
-      [heap[i], heap[up]] = [heap[up]!, heap[i]!];
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!this.isEarlier(heap[i]!, heap[parent]!)) break;
+      [heap[i], heap[parent]] = [heap[parent]!, heap[i]!];
+      i = parent;
     }
   }
 
-  private pop(): Due | undefined {
+  private pop(): ScheduledEvent | undefined {
     const heap = this.heap;
     const top = heap[0];
     const last = heap.pop();
     if (top === undefined || last === undefined || heap.length === 0) return top;
     heap[0] = last;
     for (let i = 0; ;) {
-      let least = i;
-      for (const child of [2 * i + 1, 2 * i + 2]) if (child < heap.length && this.less(heap[child]!, heap[least]!)) least = child;
-      if (least === i) return top;
-      [heap[i], heap[least]] = [heap[least]!, heap[i]!];
-      i = least;
+      let earliest = i;
+      for (const child of [2 * i + 1, 2 * i + 2])
+        if (child < heap.length && this.isEarlier(heap[child]!, heap[earliest]!)) earliest = child;
+      if (earliest === i) return top;
+      [heap[i], heap[earliest]] = [heap[earliest]!, heap[i]!];
+      i = earliest;
     }
   }
 
@@ -67,10 +68,10 @@
       await new Promise<void>((resolve) => setImmediate(resolve));
       const next = this.heap[0];
       if (next === undefined || next.at > until) break;
-      this.time = next.at;
-      const due = this.pop()!;
-      if (!due.cancelled) due.fn();
+      this.currentMs = next.at;
+      const event = this.pop()!;
+      if (!event.cancelled) event.fn();
     }
-    this.time = until;
+    this.currentMs = until;
   }
 }
--- a/packages/emulator/src/virtual/node-clock.ts
+++ b/packages/emulator/src/virtual/node-clock.ts
@@ -1,5 +1,5 @@
 import { NEVER } from "rxjs";
-import type { ModelClock } from "../cloud-model.js";
+import type { MonotonicClock } from "../cloud-model.js";
 import type { VirtualClock } from "./clock.js";
 
 /**
@@ -7,11 +7,11 @@
  * incoming messages are buffered and timers are delayed. On waking, the buffered messages are delivered before any
  * timer fires, as a real event loop may do.
  */
-export class NodeClock implements ModelClock {
+export class NodeClock implements MonotonicClock {
   readonly stood$ = NEVER;
   private frozen = false;
-  private arrived: (() => void)[] = [];
-  private late: (() => void)[] = [];
+  private pendingDeliveries: (() => void)[] = [];
+  private pendingTimers: (() => void)[] = [];
 
   constructor(
     private readonly world: VirtualClock,
@@ -37,13 +37,13 @@
   }
 
   private fire(fn: () => void): void {
-    if (this.frozen) this.late.push(fn);
+    if (this.frozen) this.pendingTimers.push(fn);
     else fn();
   }
 
   /** Delivers an event from outside the process. */
   deliver(fn: () => void): void {
-    if (this.frozen) this.arrived.push(fn);
+    if (this.frozen) this.pendingDeliveries.push(fn);
     else fn();
   }
 
@@ -53,6 +53,6 @@
 
   thaw(): void {
     this.frozen = false;
-    for (const fn of [...this.arrived.splice(0), ...this.late.splice(0)]) this.world.after(0, fn);
+    for (const fn of [...this.pendingDeliveries.splice(0), ...this.pendingTimers.splice(0)]) this.world.after(0, fn);
   }
 }
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -10,7 +10,8 @@
 
 /** Returns the virtual world as an environment for fault injection. */
 export function virtualStage<C extends ControllerPort>(world: World<C>): Stage {
-  const live = (host: string): number => [...world.workers.get(host)!.tasks.values()].filter((task) => task.state !== "exited").length;
+  const activeTaskCount = (host: string): number =>
+    [...world.workers.get(host)!.tasks.values()].filter((task) => task.state !== "exited").length;
   return {
     after: (ms, fn) => void world.clock.after(ms, fn),
     controllers: () => [...world.nodes.keys()],
@@ -20,14 +21,14 @@
       const up = [...world.nodes.values()].filter((node) => node.controller !== null).map(({ name }) => name);
       return up.sort((a, b) => (counts.get(b) ?? 0) - (counts.get(a) ?? 0) || (a < b ? -1 : 1))[0] ?? "nest-0";
     },
-    machines: () => [...world.workers.keys()].sort((a, b) => live(b) - live(a) || (a < b ? -1 : 1)),
+    machines: () => [...world.workers.keys()].sort((a, b) => activeTaskCount(b) - activeTaskCount(a) || (a < b ? -1 : 1)),
     reportingTo: (controller) => [...world.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host),
-    restart: (name, awayMs) => {
+    restart: (name, downMs) => {
       world.killNode(name);
-      world.clock.after(awayMs, () => world.startNode(name));
+      world.clock.after(downMs, () => world.startNode(name));
     },
     freeze: (name, ms) => world.freeze(name, ms),
-    restartStore: (awayMs) => world.state.restart(awayMs),
+    restartStore: (downMs) => world.state.restart(downMs),
     outage: (of, on) => {
       if (of === "cloud") world.cloudOutage = on;
       else world.state.outage = on;
@@ -87,7 +88,7 @@
     },
     options.spawn,
   );
-  const conductor = new Conductor({
+  const driver = new Conductor({
     plan,
     seed,
     stage: virtualStage(world),
@@ -105,17 +106,17 @@
       cancel: (ref) => world.cancel(ref),
     },
   });
-  world.seen$.subscribe((seen) => conductor.hear(seen));
-  world.onHappening = (event) => conductor.happened(event);
-  conductor.begin();
+  world.seen$.subscribe((seen) => driver.hear(seen));
+  world.onEvent = (event) => driver.happened(event);
+  driver.begin();
   for (const name of world.nodes.keys()) world.startNode(name);
-  const last = (plan.seconds + plan.settle) * 1000;
-  while (world.clock.now() < last && !(world.clock.now() > plan.seconds * 1000 && conductor.allOver))
+  const endMs = (plan.seconds + plan.settle) * 1000;
+  while (world.clock.now() < endMs && !(world.clock.now() > plan.seconds * 1000 && driver.allOver))
     await world.clock.run(world.clock.now() + 1000);
   // Allows for the time limit of cancellations, and for delayed messages to arrive.
   await world.clock.run(world.clock.now() + USUAL.cancelMs);
-  const broken = brokenRules(world.history, { ...world.limits(), calmAt: conductor.calmAt() });
-  conductor.stop();
+  const broken = brokenRules(world.history, { ...world.limits(), faultsEndAt: driver.faultsEndAt() });
+  driver.stop();
   for (const name of world.nodes.keys()) world.killNode(name);
-  return conductor.report({ mode: "virtual", broken, trouble: [...world.errors, ...world.state.oversized], cost: world.cloud.cost });
+  return driver.report({ mode: "virtual", broken, trouble: [...world.errors, ...world.state.oversized], cost: world.cloud.cost });
 }
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -5,67 +5,70 @@
 import { MemoryEngine } from "@thorntrail/store/memory-engine";
 import { Store, Unfit, type StoreLimits } from "@thorntrail/store/store";
 import type { StoredEvent } from "@thorntrail/store/engine";
-import type { CloudModel, ModelClock } from "../cloud-model.js";
+import type { CloudModel, MonotonicClock } from "../cloud-model.js";
 import { Links, type WrongForm } from "../links.js";
 
 /** Runs the function within a controller's process, unless the process has ended. */
-export type Via = (fn: () => void) => void;
+export type RunInProcess = (fn: () => void) => void;
 
 /** The connection of one controller to a service in virtual time. */
-export interface Reach {
-  clock: ModelClock;
+export interface ServiceConnection {
+  clock: MonotonicClock;
   links: Links;
   node: string;
-  via: Via;
+  runInProcess: RunInProcess;
   latencyMs: () => number;
   /** Whether the service as a whole is down. */
-  down: () => boolean;
+  isDown: () => boolean;
   /** Called for each request that can mark an injection point. */
-  seen?: (what: string, detail: unknown) => void;
+  onRequest?: (what: string, detail: unknown) => void;
 }
 
-interface Asked<T> {
+interface ServiceCall<T> {
   to: string;
   what: string;
   timeoutMs: number;
   run: () => T | Promise<T>;
   /** Returns the wrong response of the given form; undefined if there is none, in which case no readable response arrives. */
-  spoil?: (answer: T, form: WrongForm) => T | undefined;
+  wrongResponse?: (answer: T, form: WrongForm) => T | undefined;
 }
 
 /** Makes one call, subject to the network rules; real sockets are subject to the same rules. */
-export function reach<T>({ clock, links, node, via, latencyMs, down }: Reach, asked: Asked<T>): Promise<T> {
-  const call = { from: node, to: asked.to, what: asked.what };
-  const execute = async (): Promise<T> => asked.run();
+export function callService<T>(
+  { clock, links, node, runInProcess, latencyMs, isDown }: ServiceConnection,
+  request: ServiceCall<T>,
+): Promise<T> {
+  const call = { from: node, to: request.to, what: request.what };
+  const execute = async (): Promise<T> => request.run();
   // The result is discarded, errors included.
-  const executeUnheard = (): void => void execute().catch(() => undefined);
+  const executeAndDiscard = (): void => void execute().catch(() => undefined);
   return new Promise<T>((resolve, reject) => {
-    const fail = (error: Error): void => via(() => reject(error));
-    const silent = (why: string): void => void clock.after(asked.timeoutMs, () => fail(new NoReply("unanswered", why)));
+    const fail = (error: Error): void => runInProcess(() => reject(error));
+    const failAfterTimeout = (why: string): void => void clock.after(request.timeoutMs, () => fail(new NoReply("unanswered", why)));
     clock.after(latencyMs() + links.delayMs(call), () => {
-      if (links.hold(call, executeUnheard)) return silent("cut");
-      if (links.loses(call)) return silent("lost");
+      if (links.hold(call, executeAndDiscard)) return failAfterTimeout("cut");
+      if (links.loses(call)) return failAfterTimeout("lost");
       const effect = links.judge(call);
-      if (down() || effect?.kind === "refuse") return void clock.after(latencyMs(), () => fail(new NoReply("refused", "503")));
+      if (isDown() || effect?.kind === "refuse") return void clock.after(latencyMs(), () => fail(new NoReply("refused", "503")));
       if (effect?.kind === "late") {
-        clock.after(effect.ms, executeUnheard);
-        return silent("held");
+        clock.after(effect.ms, executeAndDiscard);
+        return failAfterTimeout("held");
       }
       void execute().then(
         async (answer) => {
           if (effect?.kind === "twice") await execute().catch(() => undefined);
-          if (effect?.kind === "drop") return silent("the answer was lost");
-          let said: T | undefined = answer;
+          if (effect?.kind === "drop") return failAfterTimeout("the answer was lost");
+          let response: T | undefined = answer;
           if (effect?.kind === "wrong") {
-            said = asked.spoil?.(answer, effect.form);
-            if (said === undefined)
+            response = request.wrongResponse?.(answer, effect.form);
+            if (response === undefined)
               return void clock.after(latencyMs(), () =>
                 fail(new NoReply("unanswered", effect.form === "error-after" ? "answered 500" : "reply cut short")),
               );
           }
           clock.after(latencyMs(), () => {
-            if (links.blocked(call)) silent("cut");
-            else via(() => resolve(said));
+            if (links.blocked(call)) failAfterTimeout("cut");
+            else runInProcess(() => resolve(response));
           });
         },
         (error: unknown) => void clock.after(latencyMs(), () => fail(error as Error)),
@@ -74,32 +77,37 @@
   });
 }
 
-const parsed = new WeakMap<StoredEvent, StateEvent>();
+const parsedEvents = new WeakMap<StoredEvent, StateEvent>();
 /** Events are shared by all watchers, so each is parsed only once. */
-function eventOf(event: StoredEvent): StateEvent {
-  let said = parsed.get(event);
-  if (said === undefined) {
+function parseEvent(event: StoredEvent): StateEvent {
+  let parsed = parsedEvents.get(event);
+  if (parsed === undefined) {
     const { key, text, stamp } = event;
-    said = text === null ? { remove: key, stamp } : { write: key, v: JSON.parse(text), stamp };
-    parsed.set(event, said);
+    parsed = text === null ? { remove: key, stamp } : { write: key, v: JSON.parse(text), stamp };
+    parsedEvents.set(event, parsed);
   }
-  return said;
+  return parsed;
 }
 
-const changeOf = (op: Op): Change => ("write" in op ? { write: op.write, text: JSON.stringify(op.v), permit: op.permit ?? null } : op);
+const toChange = (op: Op): Change => ("write" in op ? { write: op.write, text: JSON.stringify(op.v), permit: op.permit ?? null } : op);
 
 /** Returns the API of the state service as used by a controller. `tooLarge` is called for each transaction that exceeds the limits. */
-export function stateLink(store: () => Store, around: Reach, tooLarge: (what: string) => void, timeoutMs = 2000): StateApi {
+export function connectState(
+  store: () => Store,
+  connection: ServiceConnection,
+  tooLarge: (what: string) => void,
+  timeoutMs = 2000,
+): StateApi {
   const call = <T>(what: string, run: () => T | Promise<T>, limitMs = timeoutMs, extraMs = 0): Promise<T> =>
-    reach(around, { to: "state", what, timeoutMs: limitMs + extraMs, run });
+    callService(connection, { to: "state", what, timeoutMs: limitMs + extraMs, run });
   return {
     txn: (conditions, apply, limitMs) =>
       call(
         "txn",
         async () => {
-          around.seen?.("txn", apply);
+          connection.onRequest?.("txn", apply);
           try {
-            const answer = await store().txn(conditions, apply.map(changeOf));
+            const answer = await store().txn(conditions, apply.map(toChange));
             if (answer.kind === "applied") return { ok: true, ledger: answer.ledger };
             if (answer.kind === "conflict") return { ok: false, failed: answer.failed, ledger: answer.ledger };
           } catch (error) {
@@ -115,8 +123,8 @@
       call(
         "follow",
         async (): Promise<FollowResult> => {
-          const told = await store().follow(prefix, from, blockMs);
-          return told === "too-old" ? told : { ledger: told.ledger, events: told.events.map(eventOf) };
+          const result = await store().follow(prefix, from, blockMs);
+          return result === "too-old" ? result : { ledger: result.ledger, events: result.events.map(parseEvent) };
         },
         limitMs,
         blockMs,
@@ -143,9 +151,9 @@
  * Returns the API of the cloud as used by a controller. The cloud limits the machines per request and the calls per
  * second, with bursts worth two seconds; calls that `admit` does not allow are rejected with OverRate.
  */
-export function cloudLink(model: CloudModel, around: Reach, admit: () => boolean, timeoutMs = 5000): CloudApi {
-  const call = <T>(what: string, run: () => T, spoil?: Asked<T>["spoil"]): Promise<T> =>
-    reach(around, {
+export function connectCloud(model: CloudModel, connection: ServiceConnection, admit: () => boolean, timeoutMs = 5000): CloudApi {
+  const call = <T>(what: string, run: () => T, wrongResponse?: ServiceCall<T>["wrongResponse"]): Promise<T> =>
+    callService(connection, {
       to: "cloud",
       what,
       timeoutMs,
@@ -153,7 +161,7 @@
         if (!admit()) throw new OverRate();
         return run();
       },
-      ...(spoil === undefined ? {} : { spoil }),
+      ...(wrongResponse === undefined ? {} : { wrongResponse }),
     });
   return {
     types: () => call("types", () => model.types()),
@@ -161,7 +169,7 @@
       call(
         "hire",
         () => {
-          around.seen?.("hire", name);
+          connection.onRequest?.("hire", name);
           return model.hire(name, offer, count);
         },
         // As if it were the response to another request: this name rented no machines.
@@ -183,13 +191,13 @@
   private store: Store;
   private isDown = false;
   /** During a restart: when the store is back, in ms of the clock. */
-  private backAt = -Infinity;
+  private restartEndsAt = -Infinity;
   /** Descriptions of transactions that were rejected for too many changes or too large a value. */
   readonly oversized: string[] = [];
-  seen: (node: string, what: string, detail: unknown) => void = () => undefined;
+  onRequest: (node: string, what: string, detail: unknown) => void = () => undefined;
 
   constructor(
-    private readonly clock: ModelClock,
+    private readonly clock: MonotonicClock,
     private readonly latencyMs: () => number,
     private limits: StoreLimits,
     readonly links = new Links(),
@@ -214,34 +222,34 @@
    * Kills and restarts the process: calls in progress are not answered, open watches break. If it is killed again
    * during a restart, the later end counts: two stores on the same data would end each other's leases.
    */
-  restart(awayMs: number): void {
+  restart(downMs: number): void {
     this.store.abandon();
     this.isDown = true;
-    this.backAt = Math.max(this.backAt, this.clock.now() + awayMs);
-    this.clock.after(awayMs, () => {
-      if (this.clock.now() < this.backAt) return;
-      this.backAt = Infinity;
+    this.restartEndsAt = Math.max(this.restartEndsAt, this.clock.now() + downMs);
+    this.clock.after(downMs, () => {
+      if (this.clock.now() < this.restartEndsAt) return;
+      this.restartEndsAt = Infinity;
       void Store.open(this.engine, this.clock, this.limits).then((store) => {
         this.store = store;
         this.isDown = false;
-        this.backAt = -Infinity;
+        this.restartEndsAt = -Infinity;
       });
     });
   }
 
-  client(node: string, via: Via): StateApi {
-    const around: Reach = {
+  client(node: string, runInProcess: RunInProcess): StateApi {
+    const connection: ServiceConnection = {
       clock: this.clock,
       links: this.links,
       node,
-      via,
+      runInProcess,
       latencyMs: this.latencyMs,
-      down: () => this.isDown,
-      seen: (what, detail) => this.seen(node, what, detail),
+      isDown: () => this.isDown,
+      onRequest: (what, detail) => this.onRequest(node, what, detail),
     };
-    return stateLink(
+    return connectState(
       () => this.store,
-      around,
+      connection,
       (what) => this.oversized.push(what),
     );
   }
--- a/packages/emulator/src/virtual/users.ts
+++ b/packages/emulator/src/virtual/users.ts
@@ -13,73 +13,79 @@
 }
 
 /** Sends a request to one controller; `then` is called with the response, if one arrives. */
-export type Ask = (kind: RequestKind, body: unknown, then: (answer: Answer) => void) => void;
+export type SendRequest = (kind: RequestKind, body: unknown, then: (answer: Answer) => void) => void;
 
 /** What users depend on. */
-export interface UsersWorld {
+export interface UsersDependencies {
   readonly clock: VirtualClock;
   readonly history: Happening[];
   readonly specs: Map<string, JobSpec>;
   /** The controller of that name, or any that is up; null if there is none. */
-  reach(name: string | undefined): Ask | null;
-  happened(event: Happening): void;
+  connect(name: string | undefined): SendRequest | null;
+  recordEvent(event: Happening): void;
 }
 
 /** Timeouts of users' requests, in ms (PROTOCOL). */
-const PATIENCE_MS = { submit: 5000, poll: 2000, cancel: 5000 };
+const REQUEST_TIMEOUT_MS = { submit: 5000, poll: 2000, cancel: 5000 };
 
 /** Sends users' requests and records their responses in the history. */
-export class Users {
-  constructor(private readonly world: UsersWorld) {}
+export class VirtualUsers {
+  constructor(private readonly dependencies: UsersDependencies) {}
 
   /** Sends one request; undefined if no response arrived within the timeout. */
-  private ask(kind: RequestKind, body: unknown, name?: string): Promise<Answer | undefined> {
-    const answer = this.world.reach(name);
-    if (answer === null) return Promise.resolve(undefined);
+  private sendRequest(kind: RequestKind, body: unknown, name?: string): Promise<Answer | undefined> {
+    const send = this.dependencies.connect(name);
+    if (send === null) return Promise.resolve(undefined);
     return new Promise((resolve) => {
-      this.world.clock.after(PATIENCE_MS[kind], () => resolve(undefined));
-      answer(kind, body, resolve);
+      this.dependencies.clock.after(REQUEST_TIMEOUT_MS[kind], () => resolve(undefined));
+      send(kind, body, resolve);
     });
   }
 
   /** `asked`: when the request was sent. */
-  private noteAnswer(ref: string, asked: number, status: number, body: Record<string, unknown>): void {
+  private recordResponse(ref: string, asked: number, status: number, body: Record<string, unknown>): void {
     const what = toldBy(status, body);
-    if (what !== null) this.world.happened({ at: this.world.clock.now(), kind: "told", ref, asked, what });
+    if (what !== null) this.dependencies.recordEvent({ at: this.dependencies.clock.now(), kind: "told", ref, asked, what });
   }
 
   /** Returns false if the job was refused or the user gave up. `never`: the reason why the job must not be accepted. */
   async submit(wire: Record<string, unknown>, spec: JobSpec, node?: string, never?: string): Promise<boolean> {
-    if (!this.world.specs.has(spec.ref))
-      this.world.happened({ at: this.world.clock.now(), kind: "submitted", spec, ...(never === undefined ? {} : { never }) });
-    this.world.specs.set(spec.ref, spec);
+    if (!this.dependencies.specs.has(spec.ref))
+      this.dependencies.recordEvent({
+        at: this.dependencies.clock.now(),
+        kind: "submitted",
+        spec,
+        ...(never === undefined ? {} : { never }),
+      });
+    this.dependencies.specs.set(spec.ref, spec);
     for (let i = 0; i < 60; i++) {
-      const asked = this.world.clock.now();
-      const answer = await this.ask("submit", wire, node);
-      if (answer !== undefined) this.noteAnswer(spec.ref, asked, answer.status, answer.body);
+      const asked = this.dependencies.clock.now();
+      const answer = await this.sendRequest("submit", wire, node);
+      if (answer !== undefined) this.recordResponse(spec.ref, asked, answer.status, answer.body);
       if (answer !== undefined && answer.status < 500 && answer.status !== 429) return answer.status < 300;
-      await new Promise<void>((resolve) => this.world.clock.after(1000, resolve));
+      await new Promise<void>((resolve) => this.dependencies.clock.after(1000, resolve));
     }
     return false;
   }
 
   async poll(ref: string, node?: string): Promise<string> {
-    const asked = this.world.clock.now();
-    const answer = await this.ask("poll", ref, node);
-    if (answer?.status !== 200 && answer?.status !== 404) this.world.history.push({ at: this.world.clock.now(), kind: "unanswered", ref });
+    const asked = this.dependencies.clock.now();
+    const answer = await this.sendRequest("poll", ref, node);
+    if (answer?.status !== 200 && answer?.status !== 404)
+      this.dependencies.history.push({ at: this.dependencies.clock.now(), kind: "unanswered", ref });
     if (answer === undefined) return "down";
-    this.noteAnswer(ref, asked, answer.status, answer.body);
+    this.recordResponse(ref, asked, answer.status, answer.body);
     return answer.status === 200 ? String(answer.body["status"]) : String(answer.status);
   }
 
   async cancel(ref: string, node?: string): Promise<void> {
-    this.world.history.push({ at: this.world.clock.now(), kind: "asked-cancel", ref });
+    this.dependencies.history.push({ at: this.dependencies.clock.now(), kind: "asked-cancel", ref });
     for (let i = 0; i < 60; i++) {
-      const asked = this.world.clock.now();
-      const answer = await this.ask("cancel", ref, node);
-      if (answer !== undefined) this.noteAnswer(ref, asked, answer.status, answer.body);
+      const asked = this.dependencies.clock.now();
+      const answer = await this.sendRequest("cancel", ref, node);
+      if (answer !== undefined) this.recordResponse(ref, asked, answer.status, answer.body);
       if (answer?.status === 200) return;
-      await new Promise<void>((resolve) => this.world.clock.after(1000, resolve));
+      await new Promise<void>((resolve) => this.dependencies.clock.after(1000, resolve));
     }
   }
 }
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -8,16 +8,16 @@
 import { Subject } from "rxjs";
 import { type Happening, type Limits } from "../checker.js";
 import { HabitualUsers } from "../crowd.js";
-import { CloudModel, type CloudPlan } from "../cloud-model.js";
-import type { Seen } from "../conductor.js";
+import { CloudModel, type CloudModelOptions } from "../cloud-model.js";
+import type { Observation } from "../conductor.js";
 import { Links } from "../links.js";
 import { seeded } from "../luck.js";
 import { isTakeover } from "../recovery.js";
 import { Worker, type WorkerWorld } from "../worker-model.js";
 import { VirtualClock } from "./clock.js";
 import { NodeClock } from "./node-clock.js";
-import { cloudLink, VirtualState, type Via } from "./service-links.js";
-import { Users, type Answer, type Ask, type RequestKind } from "./users.js";
+import { connectCloud, VirtualState, type RunInProcess } from "./service-links.js";
+import { VirtualUsers, type Answer, type SendRequest, type RequestKind } from "./users.js";
 
 export type { Answer, RequestKind };
 
@@ -36,7 +36,7 @@
   drift?: number;
   objectives?: { kind: string; class?: string; within_s?: number; share?: number }[];
   /** Shares of machines that never boot, boot late or early; without it, all boot in their nominal time. */
-  boots?: NonNullable<CloudPlan["boots"]>;
+  boots?: NonNullable<CloudModelOptions["boots"]>;
 }
 
 /** Quotas of a team, as in the settings. */
@@ -87,7 +87,7 @@
   };
 }
 
-interface Node<C> {
+interface ControllerNode<C> {
   name: string;
   controller: C | null;
   clock: NodeClock | null;
@@ -95,23 +95,23 @@
 }
 
 /** Run time of tasks for which no run time is given, in ms. */
-const USUAL_RUN_MS = 10_000;
+const DEFAULT_RUN_MS = 10_000;
 /** Seed offsets of independent random sequences for simulated users and faults, so that runs without them stay the same for each seed. */
 const CROWD_SEED = 0x5eed;
 const FAULT_SEED = 0xfa17;
 /** Stored reports are delivered within this time after a takeover begins, in ms. */
-const KEPT_MS = 500;
+const STORED_REPORT_DELAY_MS = 500;
 
 /** The environment of the controllers in virtual time: state service, cloud, workers, users and network, with a seeded random source. */
 export class World<C extends ControllerPort> {
   readonly clock = new VirtualClock();
   readonly history: Happening[] = [];
   /** Called for each event of the history as it occurs, except unanswered polls and requests to cancel. */
-  onHappening: (event: Happening) => void = () => undefined;
-  readonly links = new Links(() => this.luckOfFaults());
+  onEvent: (event: Happening) => void = () => undefined;
+  readonly links = new Links(() => this.faultRandom());
   readonly state: VirtualState;
   readonly cloud: CloudModel;
-  readonly nodes = new Map<string, Node<C>>();
+  readonly nodes = new Map<string, ControllerNode<C>>();
   readonly workers = new Map<string, Worker>();
   readonly specs = new Map<string, JobSpec>();
   readonly runs = new Map<string, number>();
@@ -122,21 +122,21 @@
   /** The messages that controllers logged, without their fields. */
   readonly lines: string[] = [];
   /** Observations that can mark an injection point. */
-  readonly seen$ = new Subject<Seen>();
-  private readonly saved = new Map<string, number>();
-  private readonly slow = new Map<string, number>();
+  readonly seen$ = new Subject<Observation>();
+  private readonly savedProgress = new Map<string, number>();
+  private readonly slowdowns = new Map<string, number>();
   private cloudDown = false;
   /** Seeded random source. */
   readonly random: () => number;
   /** Separate random source, so that runs without such faults stay the same for each seed. */
-  private readonly luckOfFaults: () => number;
-  private lives = 0;
+  private readonly faultRandom: () => number;
+  private incarnations = 0;
   fetchMs = 1000;
-  private readonly users: Users;
+  private readonly virtualUsers: VirtualUsers;
   /** Simulated users, in addition to those of the scenario or plan. */
   readonly crowd: HabitualUsers;
   /** Copies of reports to deliver to all controllers when a controller takes over a partition. */
-  private kept: Report[] = [];
+  private storedReports: Report[] = [];
   /** Number of deliveries of such copies to controllers. */
   keptDelivered = 0;
 
@@ -145,9 +145,9 @@
     private readonly spawn: (asked: Spawned) => C,
   ) {
     this.random = seeded(plan.seed);
-    this.luckOfFaults = seeded(plan.seed ^ FAULT_SEED);
+    this.faultRandom = seeded(plan.seed ^ FAULT_SEED);
     this.state = new VirtualState(this.clock, () => 2 + this.random() * 6, plan.state, this.links);
-    this.state.seen = (node, what, detail) => this.seen$.next({ at: this.clock.now(), node, what, detail: { apply: detail } });
+    this.state.onRequest = (node, what, detail) => this.seen$.next({ at: this.clock.now(), node, what, detail: { apply: detail } });
     const { types, capacity, boots } = plan;
     this.cloud = new CloudModel(this.clock, {
       types,
@@ -155,12 +155,12 @@
       lagMs: 3000,
       ...(boots === undefined ? {} : { boots, luck: () => this.random() }),
     });
-    this.users = new Users({
+    this.virtualUsers = new VirtualUsers({
       clock: this.clock,
       history: this.history,
       specs: this.specs,
-      reach: (name) => this.reach(name),
-      happened: (event) => this.happened(event),
+      connect: (name) => this.connect(name),
+      recordEvent: (event) => this.recordEvent(event),
     });
     this.crowd = new HabitualUsers(
       {
@@ -168,17 +168,17 @@
         submit: (wire, spec, node, never) => this.submit(wire, spec, node, never),
         poll: (ref, node) => this.poll(ref, node),
         cancel: (ref, node) => this.cancel(ref, node),
-        runMs: (ref) => this.runs.get(ref) ?? USUAL_RUN_MS,
+        runMs: (ref) => this.runs.get(ref) ?? DEFAULT_RUN_MS,
       },
       this.clock,
       seeded(plan.seed ^ CROWD_SEED),
     );
     this.seen$.subscribe(({ what }) => {
-      if (isTakeover(what)) this.clock.after(KEPT_MS * this.luckOfFaults(), () => this.deliverKept());
+      if (isTakeover(what)) this.clock.after(STORED_REPORT_DELAY_MS * this.faultRandom(), () => this.deliverStoredReports());
     });
-    this.cloud.onBoot = (host, offer) => this.boot(host, offer);
+    this.cloud.onBoot = (host, offer) => this.bootMachine(host, offer);
     this.cloud.onGone = (host) => {
-      if (this.workers.has(host)) this.happened({ at: this.clock.now(), kind: "gone", host });
+      if (this.workers.has(host)) this.recordEvent({ at: this.clock.now(), kind: "gone", host });
       this.workers.get(host)?.die();
       this.workers.delete(host);
     };
@@ -189,7 +189,7 @@
   limits(): Limits {
     return {
       cancelMs: 43_000,
-      until: this.clock.now(),
+      historyEndAt: this.clock.now(),
       teams: new Map(this.plan.teams.map((t) => [t.name, { cpus: t.cpus_max, gpus: t.gpus_max }])),
     };
   }
@@ -225,7 +225,7 @@
   startNode(name: string): void {
     const node = this.nodes.get(name)!;
     if (node.controller !== null) return;
-    const print = (entry: unknown, text?: string): void => {
+    const log = (entry: unknown, text?: string): void => {
       if (text === undefined) return;
       this.lines.push(text);
       this.seen$.next({ at: this.clock.now(), node: name, what: text, detail: entry as Record<string, unknown> });
@@ -234,58 +234,59 @@
     const clock = new NodeClock(this.clock, 1 - (this.plan.drift ?? 0));
     node.clock = clock;
     // Events for a process that has ended are dropped.
-    const via: Via = (fn) => {
+    const runInProcess: RunInProcess = (fn) => {
       if (node.clock === clock) clock.deliver(() => (node.clock === clock ? fn() : undefined));
     };
     const send = (to: string, message: unknown): boolean => {
       // Messages between controllers are not held, because a stalled connection is given up.
-      this.carry(name, to, "peer", () => this.via(to)(() => this.nodes.get(to)?.incoming$.next({ from: name, message })), false);
+      this.deliver(name, to, "peer", () => this.runnerFor(to)(() => this.nodes.get(to)?.incoming$.next({ from: name, message })), false);
       return true;
     };
     // A process that has ended refuses connections; one that is stalled or cut off keeps them open.
-    const known = new Set<string>();
-    const lost = new Map<string, number>();
+    const connected = new Set<string>();
+    const lostSince = new Map<string, number>();
     const lostAt = (to: string): number | null => {
-      const down = this.nodes.get(to)?.controller === null || this.links.refuses({ from: name, to, what: "peer" });
-      if (!down) known.add(to);
-      if (!down || !known.has(to)) lost.delete(to);
-      else if (!lost.has(to)) lost.set(to, this.clock.now());
-      return lost.get(to) ?? null;
+      const down = this.nodes.get(to)?.controller === null || this.links.isRefused({ from: name, to, what: "peer" });
+      if (!down) connected.add(to);
+      if (!down || !connected.has(to)) lostSince.delete(to);
+      else if (!lostSince.has(to)) lostSince.set(to, this.clock.now());
+      return lostSince.get(to) ?? null;
     };
     const cloudRate = new Rate(this.clock, 5, 10);
     node.controller = this.spawn({
       platform: this.settingsOf(name),
       clock,
-      state: this.state.client(name, via),
-      cloud: cloudLink(
+      state: this.state.client(name, runInProcess),
+      cloud: connectCloud(
         this.cloud,
         {
           clock: this.clock,
           links: this.links,
           node: name,
-          via,
+          runInProcess,
           latencyMs: () => 50,
-          down: () => this.cloudDown,
-          seen: (what, detail) => this.seen$.next({ at: this.clock.now(), node: name, what, detail: { hire: detail } }),
+          isDown: () => this.cloudDown,
+          onRequest: (what, detail) => this.seen$.next({ at: this.clock.now(), node: name, what, detail: { hire: detail } }),
         },
         () => cloudRate.take(),
         2000,
       ),
       workers: {
-        command: (addr, token, session, orders) => this.command(name, addr, (worker) => worker.command(token, session, orders), via),
+        command: (addr, token, session, orders) =>
+          this.command(name, addr, (worker) => worker.command(token, session, orders), runInProcess),
       },
       peers: { incoming$: node.incoming$, send, lostAt },
       log: {
-        info: print,
-        warn: print,
-        debug: print,
+        info: log,
+        warn: log,
+        debug: log,
         error: (entry) => void this.errors.push(JSON.stringify(entry)),
       },
-      life: `life-${++this.lives}`,
+      life: `life-${++this.incarnations}`,
     });
   }
 
-  private via(name: string): Via {
+  private runnerFor(name: string): RunInProcess {
     return (fn) => this.nodes.get(name)?.clock?.deliver(fn);
   }
 
@@ -310,77 +311,77 @@
 
   /** Sets the factor on the run time of tasks on the machine, from now on. */
   slowDown(host: string, factor: number): void {
-    this.slow.set(host, factor);
+    this.slowdowns.set(host, factor);
     this.workers.get(host)?.look();
   }
 
   /** Delivers a message after its latency. Messages held by a cut arrive in order after it ends, even if the sender has given up. */
-  private carry(from: string, to: string, what: string, run: () => void, hold = true): void {
+  private deliver(from: string, to: string, what: string, run: () => void, hold = true): void {
     const call = { from, to, what };
     this.clock.after(0.5 + this.random() * 2 + this.links.delayMs(call), () => {
-      if (!hold && (this.links.blocked(call) || this.links.refuses(call))) return;
+      if (!hold && (this.links.blocked(call) || this.links.isRefused(call))) return;
       if (hold && this.links.hold(call, () => this.clock.after(1, run))) return;
       if (this.links.loses(call)) return;
       run();
     });
   }
 
-  private command(node: string, host: string, act: (worker: Worker) => CommandReply, via: Via): Promise<CommandReply> {
+  private command(node: string, host: string, act: (worker: Worker) => CommandReply, runInProcess: RunInProcess): Promise<CommandReply> {
     return new Promise((resolve, reject) => {
-      const silent = this.clock.after(2000, () => via(() => reject(new NoReply("unanswered", "timeout"))));
+      const cancelTimeout = this.clock.after(2000, () => runInProcess(() => reject(new NoReply("unanswered", "timeout"))));
       const execute = (): void => {
         const worker = this.workers.get(host);
         if (worker === undefined || worker.hanging) return;
         const effect = this.links.judge({ from: node, to: host, what: "command" });
         if (effect?.kind === "refuse") return;
-        if (effect?.kind === "late") return void this.clock.after(effect.ms, () => this.carryOutLate(host, act));
+        if (effect?.kind === "late") return void this.clock.after(effect.ms, () => this.executeLate(host, act));
         const reply = act(worker);
         if (effect?.kind === "twice") act(worker);
         if (effect?.kind === "drop") return;
-        this.carry(host, node, "answer", () =>
-          via(() => {
-            silent();
+        this.deliver(host, node, "answer", () =>
+          runInProcess(() => {
+            cancelTimeout();
             resolve(reply);
           }),
         );
       };
-      this.carry(node, host, "command", execute);
+      this.deliver(node, host, "command", execute);
     });
   }
 
   /** Executes a command that was delayed in transit; its caller no longer waits for the response. */
-  private carryOutLate(host: string, act: (worker: Worker) => CommandReply): void {
+  private executeLate(host: string, act: (worker: Worker) => CommandReply): void {
     const worker = this.workers.get(host);
     if (worker !== undefined && !worker.hanging) act(worker);
   }
 
   /** Delivers the stored reports to all controllers after a takeover. */
-  private deliverKept(): void {
-    for (const report of this.kept.splice(0))
+  private deliverStoredReports(): void {
+    for (const report of this.storedReports.splice(0))
       for (const { name } of this.nodes.values())
-        this.via(name)(() => {
+        this.runnerFor(name)(() => {
           if (this.nodes.get(name)?.controller?.onReport(report) !== undefined) this.keptDelivered++;
         });
   }
 
   /** Returns the way to send users' requests to the given controller, or to any that is up. */
-  private reach(name: string | undefined): Ask | null {
+  private connect(name: string | undefined): SendRequest | null {
     const up = [...this.nodes.values()].filter((node) => node.controller !== null);
     const node = name !== undefined ? this.nodes.get(name)! : up.length === 0 ? null : up[Math.floor(this.random() * up.length)]!;
     const controller = node?.controller;
     if (node === null || controller === null || controller === undefined) return null;
-    return (kind, body, then) => this.via(node.name)(() => void controller.answer(kind, body).then(then));
+    return (kind, body, then) => this.runnerFor(node.name)(() => void controller.answer(kind, body).then(then));
   }
 
-  private happened(event: Happening): void {
+  private recordEvent(event: Happening): void {
     this.history.push(event);
     this.crowd.hear(event);
-    this.onHappening(event);
+    this.onEvent(event);
   }
 
-  private boot(host: string, offer: Offer): void {
+  private bootMachine(host: string, offer: Offer): void {
     const type = this.plan.types.find((t) => t.name === offer.type)!;
-    const around: WorkerWorld = {
+    const dependencies: WorkerWorld = {
       clock: this.clock,
       reportMs: 2500,
       leaseMs: 18_000 * (1 + (this.plan.drift ?? 0)),
@@ -391,47 +392,47 @@
       report: (node, from, report) =>
         new Promise<ReportAnswer | null>((resolve) => {
           const call = { from, to: node, what: "report" };
-          if (this.links.keeps(call)) this.kept.push(report);
+          if (this.links.keeps(call)) this.storedReports.push(report);
           const againMs = this.links.againMs(call, this.random);
           // A copy goes to whichever incarnation of the controller then runs, and its response is discarded.
           if (againMs !== null)
-            this.clock.after(againMs, () => this.via(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
-          this.carry(from, node, "report", () => {
+            this.clock.after(againMs, () => this.runnerFor(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
+          this.deliver(from, node, "report", () => {
             const target = this.nodes.get(node)?.controller;
             if (target === null || target === undefined) return resolve(null);
-            this.via(node)(() => {
+            this.runnerFor(node)(() => {
               const answer = target.onReport(report);
-              this.carry(node, from, "answer", () => resolve(answer));
+              this.deliver(node, from, "answer", () => resolve(answer));
             });
           });
         }),
       spec: (ref) => this.specs.get(ref),
-      runMs: (ref) => this.runs.get(ref) ?? USUAL_RUN_MS,
+      runMs: (ref) => this.runs.get(ref) ?? DEFAULT_RUN_MS,
       fetchMs: () => this.fetchMs,
-      slowness: (name) => this.slow.get(name) ?? 1,
+      slowness: (name) => this.slowdowns.get(name) ?? 1,
       sick: (name, ref) => this.sickHosts.has(name) || this.mistaken.has(ref),
-      saved: this.saved,
-      on: (worker, piece) => this.happened({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      off: (worker, piece, cause) => this.happened({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      saved: this.savedProgress,
+      on: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
+      off: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
       mates: (ref, attempt) =>
         [...this.workers.values()].flatMap((worker) =>
           [...worker.tasks.values()].filter((t) => t.ref === ref && t.attempt === attempt).map((task) => ({ worker, task })),
         ),
     };
     const { cpus, gpus, ram } = type;
-    this.workers.set(host, new Worker(host, offer, { cpus, gpus, ram }, around));
-    this.happened({ at: this.clock.now(), kind: "up", host, ...offer, cpus, gpus, ram });
+    this.workers.set(host, new Worker(host, offer, { cpus, gpus, ram }, dependencies));
+    this.recordEvent({ at: this.clock.now(), kind: "up", host, ...offer, cpus, gpus, ram });
   }
 
   submit(wire: Record<string, unknown>, spec: JobSpec, node?: string, never?: string): Promise<boolean> {
-    return this.users.submit(wire, spec, node, never);
+    return this.virtualUsers.submit(wire, spec, node, never);
   }
 
   poll(ref: string, node?: string): Promise<string> {
-    return this.users.poll(ref, node);
+    return this.virtualUsers.poll(ref, node);
   }
 
   cancel(ref: string, node?: string): Promise<void> {
-    return this.users.cancel(ref, node);
+    return this.virtualUsers.cancel(ref, node);
   }
 }
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -1,11 +1,11 @@
 import type { Offer } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Order, Report, ReportAnswer, ReportedTask } from "@thorntrail/protocol/worker";
-import type { ModelClock } from "./cloud-model.js";
+import type { MonotonicClock } from "./cloud-model.js";
 
 /** What a worker model depends on, for virtual time and real sockets alike. */
 export interface WorkerWorld {
-  clock: ModelClock;
+  clock: MonotonicClock;
   reportMs: number;
   leaseMs: number;
   gangPeerMs: number;
@@ -33,25 +33,25 @@
 export interface WorkerTask extends ReportedTask {
   ref: string;
   /** When the current state began. */
-  since: number;
+  stateSince: number;
   hadImage: boolean;
-  /** Run time completed when the task began to run, in ms. */
-  before: number;
+  /** Run time completed when the current state began, in ms. */
+  progressAtStateStart: number;
   /** When the first `stop` for it arrived; null if none has. */
-  stoppedAt: number | null;
+  stopReceivedAt: number | null;
   /** Since when a member of its gang is missing; null if none is. */
-  missedAt: number | null;
+  memberMissingSince: number | null;
 }
 
-const ANSWER_LIMIT = 4000;
+const RESPONSE_TIMEOUT_MS = 4000;
 const RETRY_MS = 1000;
-const LEAST_GAP_MS = 500;
+const MIN_REPORT_GAP_MS = 500;
 /**
- * Interval at which a member of a gang checks the others, in ms. In gangs with more than GANG_LOOKERS members each
+ * Interval at which a member of a gang checks the others, in ms. In gangs with more than GANG_CHECKING_MEMBERS members each
  * checks less often, because any member's check covers all.
  */
-const GANG_LOOK_MS = 100;
-const GANG_LOOKERS = 16;
+const GANG_CHECK_MS = 100;
+const GANG_CHECKING_MEMBERS = 16;
 
 /** A worker that implements the protocol exactly: tokens, sessions, leases, gangs, checkpoints. */
 export class Worker {
@@ -59,53 +59,53 @@
   seq = 0;
   token = 0;
   dead = false;
-  private hung = false;
+  private isHung = false;
   readonly tasks = new Map<string, WorkerTask>();
   /** Address on which it listens. */
   addr: string;
   private readonly images = new Set<string>();
-  private leaseFrom: number;
-  private node: number;
+  private leaseRenewedAt: number;
+  private nodeIndex: number;
   private changed = false;
-  private cancelTick: () => void = () => undefined;
+  private cancelUpdate: () => void = () => undefined;
   private cancelReport: () => void = () => undefined;
-  private nudge: () => void = () => undefined;
-  notice: number | null = null;
+  private rescheduleReport: () => void = () => undefined;
+  removalNoticeS: number | null = null;
 
   constructor(
     readonly host: string,
     readonly offer: Offer,
-    private readonly room: { cpus: number; gpus: number; ram: number },
-    private readonly world: WorkerWorld,
+    private readonly capacity: { cpus: number; gpus: number; ram: number },
+    private readonly dependencies: WorkerWorld,
   ) {
     this.addr = host;
-    this.leaseFrom = world.clock.now();
-    this.node = Math.floor(world.luck() * world.nodes.length);
-    void this.loop();
-    this.arm();
+    this.leaseRenewedAt = dependencies.clock.now();
+    this.nodeIndex = Math.floor(dependencies.luck() * dependencies.nodes.length);
+    void this.reportLoop();
+    this.scheduleUpdate();
   }
 
   /** The controller that it currently reports to. */
   get reportsTo(): string {
-    return this.world.nodes[this.node]!;
+    return this.dependencies.nodes[this.nodeIndex]!;
   }
 
   get hanging(): boolean {
-    return this.hung;
+    return this.isHung;
   }
 
   set hanging(on: boolean) {
-    this.hung = on;
+    this.isHung = on;
     if (!on) this.look();
   }
 
   /** The machine disappears with everything on it. */
   die(): void {
     this.dead = true;
-    this.cancelTick();
+    this.cancelUpdate();
     this.cancelReport();
-    for (const task of this.tasks.values()) this.keepCheckpoint(task);
-    this.killAll("gone");
+    for (const task of this.tasks.values()) this.saveLastCheckpoint(task);
+    this.endAllTasks("gone");
   }
 
   snapshot(): Report {
@@ -119,79 +119,79 @@
       session: this.session,
       seq: this.seq,
       token: this.token,
-      noticeS: this.notice,
+      noticeS: this.removalNoticeS,
       tasks: [...this.tasks.values()].map(({ piece, attempt, state, cause, saved }) => ({ piece, attempt, state, cause, saved })),
     };
   }
 
   /** Announces that the cloud removes the machine in this many seconds. */
   warn(seconds: number): void {
-    this.notice = seconds;
-    this.mark();
+    this.removalNoticeS = seconds;
+    this.markChanged();
   }
 
-  private mark(): void {
+  private markChanged(): void {
     this.changed = true;
-    this.nudge();
+    this.rescheduleReport();
   }
 
   /** Waits until the next report is due: at the interval, or at the minimum gap after a change. */
-  private turn(began: number, pause: number): Promise<void> {
-    const { clock } = this.world;
+  private waitForNextReport(startedAt: number, intervalMs: number): Promise<void> {
+    const { clock } = this.dependencies;
     return new Promise((resolve) => {
       const done = (): void => {
         this.cancelReport();
-        this.nudge = () => undefined;
+        this.rescheduleReport = () => undefined;
         resolve();
       };
-      const wait = (): void => {
-        const passed = clock.now() - began;
-        const left = (this.changed ? Math.min(pause, LEAST_GAP_MS) : pause) - passed;
+      const schedule = (): void => {
+        const passed = clock.now() - startedAt;
+        const left = (this.changed ? Math.min(intervalMs, MIN_REPORT_GAP_MS) : intervalMs) - passed;
         this.cancelReport();
         if (left <= 0) done();
         else this.cancelReport = clock.after(left, done);
       };
-      this.nudge = wait;
-      wait();
+      this.rescheduleReport = schedule;
+      schedule();
     });
   }
 
-  private async loop(): Promise<void> {
-    const { clock, reportMs, luck } = this.world;
+  private async reportLoop(): Promise<void> {
+    const { clock, reportMs, luck } = this.dependencies;
     while (!this.dead) {
-      await this.turn(clock.now(), reportMs * (0.75 + luck() / 2));
+      await this.waitForNextReport(clock.now(), reportMs * (0.75 + luck() / 2));
       if (this.dead) return;
-      if (this.hung) continue;
+      if (this.isHung) continue;
       this.changed = false;
       const report = this.snapshot();
       const sentAt = clock.now();
       const { session } = this;
       const answer = await new Promise<ReportAnswer | null>((resolve) => {
-        const cancel = clock.after(ANSWER_LIMIT, () => resolve(null));
-        void this.world.report(this.world.nodes[this.node]!, this.host, report).then((said) => {
+        const cancel = clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null));
+        void this.dependencies.report(this.dependencies.nodes[this.nodeIndex]!, this.host, report).then((response) => {
           cancel();
-          resolve(said);
+          resolve(response);
         });
       });
       if (this.dead) return;
       if (
         answer === null ||
         answer.kind === "silent" ||
-        (answer.kind === "elsewhere" && (answer.boss === null || !this.world.nodes.includes(answer.boss)))
+        (answer.kind === "elsewhere" && (answer.boss === null || !this.dependencies.nodes.includes(answer.boss)))
       ) {
         await new Promise<void>((resolve) => clock.after(RETRY_MS, resolve));
-        this.node = (this.node + 1) % this.world.nodes.length;
+        this.nodeIndex = (this.nodeIndex + 1) % this.dependencies.nodes.length;
         this.changed = true;
       } else if (answer.kind === "elsewhere") {
-        const next = this.world.nodes.indexOf(answer.boss!);
-        if (next === this.node) await new Promise<void>((resolve) => clock.after(RETRY_MS, resolve));
-        this.node = next === this.node ? (this.node + 1) % this.world.nodes.length : next;
+        const next = this.dependencies.nodes.indexOf(answer.boss!);
+        if (next === this.nodeIndex) await new Promise<void>((resolve) => clock.after(RETRY_MS, resolve));
+        this.nodeIndex = next === this.nodeIndex ? (this.nodeIndex + 1) % this.dependencies.nodes.length : next;
         this.changed = true;
       } else {
         // Stale responses are dropped: they neither issue commands nor renew the lease.
-        if (answer.token < this.token || session !== this.session || clock.now() - sentAt > ANSWER_LIMIT) continue;
+        if (answer.token < this.token || session !== this.session || clock.now() - sentAt > RESPONSE_TIMEOUT_MS) continue;
         this.token = answer.token;
-        this.leaseFrom = sentAt;
+        this.leaseRenewedAt = sentAt;
         this.execute(answer.orders);
       }
     }
@@ -201,20 +201,20 @@
   command(token: number, session: number, orders: Order[]): CommandReply {
     const executed = token >= this.token && session === this.session;
     if (executed) {
-      if (token > this.token) this.mark();
+      if (token > this.token) this.markChanged();
       this.token = token;
       this.execute(orders);
     }
     return { executed, report: this.snapshot() };
   }
 
-  private exit(task: WorkerTask, cause: ReportedTask["cause"], saved = false): void {
-    const wasOn = task.hadImage && task.state !== "exited";
+  private exitTask(task: WorkerTask, cause: ReportedTask["cause"], saved = false): void {
+    const wasStarted = task.hadImage && task.state !== "exited";
     task.state = "exited";
     task.cause = cause;
     task.saved = saved;
-    if (wasOn) this.world.off(this, task.piece, cause ?? "");
-    this.mark();
+    if (wasStarted) this.dependencies.off(this, task.piece, cause ?? "");
+    this.markChanged();
   }
 
   private execute(orders: Order[]): void {
@@ -224,30 +224,30 @@
       if (order.verb === "clear") {
         if (task?.state === "exited") this.tasks.delete(key);
       } else if (order.verb === "stop") {
-        if (task !== undefined && task.state !== "exited") this.stop(task, order.graceS);
-      } else if (task === undefined) this.begin(order.piece, order.attempt);
+        if (task !== undefined && task.state !== "exited") this.stopTask(task, order.graceS);
+      } else if (task === undefined) this.startTask(order.piece, order.attempt);
     }
     this.look();
   }
 
-  private stop(task: WorkerTask, graceS: number): void {
-    const spec = this.world.spec(task.ref);
+  private stopTask(task: WorkerTask, graceS: number): void {
+    const spec = this.dependencies.spec(task.ref);
     if (task.state === "saving") {
-      if (graceS === 0) this.exit(task, "stopped");
+      if (graceS === 0) this.exitTask(task, "stopped");
       return;
     }
-    const saves = task.state === "running" && (spec?.checkpointS ?? 0) > 0 && graceS >= (spec?.flushS ?? 0);
-    if (!saves) return this.exit(task, "stopped");
+    const canSave = task.state === "running" && (spec?.checkpointS ?? 0) > 0 && graceS >= (spec?.flushS ?? 0);
+    if (!canSave) return this.exitTask(task, "stopped");
     // Progress ends with the stop command.
-    task.before = this.progress(task);
+    task.progressAtStateStart = this.progressOf(task);
     task.state = "saving";
-    task.since = task.stoppedAt = this.world.clock.now();
-    this.mark();
+    task.stateSince = task.stopReceivedAt = this.dependencies.clock.now();
+    this.markChanged();
   }
 
-  private begin(piece: string, attempt: number): void {
+  private startTask(piece: string, attempt: number): void {
     const ref = piece.slice(0, piece.lastIndexOf("/"));
-    const spec = this.world.spec(ref);
+    const spec = this.dependencies.spec(ref);
     const task: WorkerTask = {
       piece,
       attempt,
@@ -255,31 +255,31 @@
       state: "fetching",
       cause: null,
       saved: false,
-      since: this.world.clock.now(),
+      stateSince: this.dependencies.clock.now(),
       hadImage: false,
-      before: 0,
-      stoppedAt: null,
-      missedAt: null,
+      progressAtStateStart: 0,
+      stopReceivedAt: null,
+      memberMissingSince: null,
     };
     this.tasks.set(`${piece}#${attempt}`, task);
-    this.mark();
-    if (spec === undefined) return this.exit(task, "no_such");
-    const live = [...this.tasks.values()].filter((t) => t !== task && t.state !== "exited");
-    if (live.some((t) => t.piece === piece)) return this.exit(task, "busy");
+    this.markChanged();
+    if (spec === undefined) return this.exitTask(task, "no_such");
+    const activeTasks = [...this.tasks.values()].filter((t) => t !== task && t.state !== "exited");
+    if (activeTasks.some((t) => t.piece === piece)) return this.exitTask(task, "busy");
     const used = { cpus: spec.cpus, gpus: spec.gpus, ram: spec.ram };
-    for (const other of live) {
-      const s = this.world.spec(other.ref)!;
+    for (const other of activeTasks) {
+      const s = this.dependencies.spec(other.ref)!;
       used.cpus += s.cpus;
       used.gpus += s.gpus;
       used.ram += s.ram;
     }
-    const { cpus, gpus, ram } = this.room;
-    if (used.cpus > cpus + 1e-6 || used.gpus > gpus + 1e-6 || used.ram > ram + 1e-6) this.exit(task, "no_room");
+    const { cpus, gpus, ram } = this.capacity;
+    if (used.cpus > cpus + 1e-6 || used.gpus > gpus + 1e-6 || used.ram > ram + 1e-6) this.exitTask(task, "no_room");
   }
 
-  killAll(cause: string): void {
+  endAllTasks(cause: string): void {
     for (const task of this.tasks.values()) {
-      if (task.hadImage && task.state !== "exited") this.world.off(this, task.piece, cause);
+      if (task.hadImage && task.state !== "exited") this.dependencies.off(this, task.piece, cause);
       task.state = "exited";
     }
     this.tasks.clear();
@@ -287,162 +287,163 @@
 
   // Updates over time
 
-  private savedKey(task: WorkerTask): string {
+  private progressKey(task: WorkerTask): string {
     return this.isGang(task) ? task.ref : task.piece;
   }
 
   private isGang(task: WorkerTask): boolean {
-    const spec = this.world.spec(task.ref);
+    const spec = this.dependencies.spec(task.ref);
     return spec?.kind === "gang" && spec.tasks > 1;
   }
 
   /** Run time completed, in ms on a machine of normal speed. */
-  private progress(task: WorkerTask): number {
-    if (task.state !== "running") return task.before;
-    return task.before + (this.world.clock.now() - task.since) / this.paceOf(task);
+  private progressOf(task: WorkerTask): number {
+    if (task.state !== "running") return task.progressAtStateStart;
+    return task.progressAtStateStart + (this.dependencies.clock.now() - task.stateSince) / this.slowdownOf(task);
   }
 
   /** A gang runs at the speed of its slowest machine. */
-  private paceOf(task: WorkerTask): number {
-    if (!this.isGang(task)) return this.world.slowness(this.host);
-    return Math.max(1, ...this.world.mates(task.ref, task.attempt).map(({ worker }) => this.world.slowness(worker.host)));
+  private slowdownOf(task: WorkerTask): number {
+    if (!this.isGang(task)) return this.dependencies.slowness(this.host);
+    return Math.max(1, ...this.dependencies.mates(task.ref, task.attempt).map(({ worker }) => this.dependencies.slowness(worker.host)));
   }
 
   /** Records the last periodic checkpoint of a task that ends without saving. */
-  private keepCheckpoint(task: WorkerTask): void {
-    const stepMs = (this.world.spec(task.ref)?.checkpointS ?? 0) * 1000;
-    if (stepMs > 0 && task.hadImage) this.keep(task, Math.floor(this.progress(task) / stepMs) * stepMs);
+  private saveLastCheckpoint(task: WorkerTask): void {
+    const stepMs = (this.dependencies.spec(task.ref)?.checkpointS ?? 0) * 1000;
+    if (stepMs > 0 && task.hadImage) this.saveProgress(task, Math.floor(this.progressOf(task) / stepMs) * stepMs);
   }
 
-  private keep(task: WorkerTask, ms: number): void {
-    const key = this.savedKey(task);
-    this.world.saved.set(key, Math.max(ms, this.world.saved.get(key) ?? 0));
+  private saveProgress(task: WorkerTask, ms: number): void {
+    const key = this.progressKey(task);
+    this.dependencies.saved.set(key, Math.max(ms, this.dependencies.saved.get(key) ?? 0));
   }
 
   /** Schedules the next update: the earliest time at which a state can change without a command. */
-  private arm(): void {
-    this.cancelTick();
+  private scheduleUpdate(): void {
+    this.cancelUpdate();
     if (this.dead) return;
-    const { clock, leaseMs } = this.world;
+    const { clock, leaseMs } = this.dependencies;
     const now = clock.now();
-    let next = this.leaseFrom + leaseMs + 1;
-    if (!this.hung) {
+    let next = this.leaseRenewedAt + leaseMs + 1;
+    if (!this.isHung) {
       for (const task of this.tasks.values()) {
         if (task.state === "exited") continue;
-        if (task.state === "fetching") next = Math.min(next, this.imageAt(task));
-        else if (this.isGang(task)) next = Math.min(next, now + this.gangLookMs(task));
-        else if (task.state === "saving") next = Math.min(next, task.since + this.world.spec(task.ref)!.flushS * 1000);
-        else if (this.world.spec(task.ref)?.kind !== "service") next = Math.min(next, now + this.leftMs(task));
+        if (task.state === "fetching") next = Math.min(next, this.imageReadyAt(task));
+        else if (this.isGang(task)) next = Math.min(next, now + this.gangCheckMs(task));
+        else if (task.state === "saving") next = Math.min(next, task.stateSince + this.dependencies.spec(task.ref)!.flushS * 1000);
+        else if (this.dependencies.spec(task.ref)?.kind !== "service") next = Math.min(next, now + this.remainingMs(task));
       }
     }
-    this.cancelTick = clock.after(Math.max(1, next - now), () => this.look());
+    this.cancelUpdate = clock.after(Math.max(1, next - now), () => this.look());
   }
 
-  private gangLookMs(task: WorkerTask): number {
-    const members = this.world.spec(task.ref)!.tasks;
+  private gangCheckMs(task: WorkerTask): number {
+    const members = this.dependencies.spec(task.ref)!.tasks;
     // More often than the time within which a missing member has to be detected.
-    return Math.min(GANG_LOOK_MS * Math.max(1, members / GANG_LOOKERS), this.world.gangPeerMs / 2);
+    return Math.min(GANG_CHECK_MS * Math.max(1, members / GANG_CHECKING_MEMBERS), this.dependencies.gangPeerMs / 2);
   }
 
-  private imageAt(task: WorkerTask): number {
-    const image = this.world.spec(task.ref)?.image;
-    return image === undefined || this.images.has(image) ? 0 : task.since + this.world.fetchMs(task.ref);
+  private imageReadyAt(task: WorkerTask): number {
+    const image = this.dependencies.spec(task.ref)?.image;
+    return image === undefined || this.images.has(image) ? 0 : task.stateSince + this.dependencies.fetchMs(task.ref);
   }
 
-  private leftMs(task: WorkerTask): number {
-    return (this.world.runMs(task.ref) - this.progress(task)) * this.paceOf(task);
+  private remainingMs(task: WorkerTask): number {
+    return (this.dependencies.runMs(task.ref) - this.progressOf(task)) * this.slowdownOf(task);
   }
 
   look(): void {
     if (this.dead) return;
-    const { clock, leaseMs } = this.world;
-    if (clock.now() - this.leaseFrom > leaseMs) {
-      for (const task of this.tasks.values()) this.keepCheckpoint(task);
-      this.killAll("lease");
+    const { clock, leaseMs } = this.dependencies;
+    if (clock.now() - this.leaseRenewedAt > leaseMs) {
+      for (const task of this.tasks.values()) this.saveLastCheckpoint(task);
+      this.endAllTasks("lease");
       this.session++;
-      this.leaseFrom = clock.now();
-      this.mark();
+      this.leaseRenewedAt = clock.now();
+      this.markChanged();
     }
-    if (!this.hung) {
+    if (!this.isHung) {
       for (const task of [...this.tasks.values()]) {
-        if (task.state === "fetching") this.fetched(task);
-        if (task.state === "gathering") this.gathered(task);
-        else if (task.state === "running") this.ran(task);
-        else if (task.state === "saving") this.saves(task);
+        if (task.state === "fetching") this.updateFetching(task);
+        if (task.state === "gathering") this.updateGathering(task);
+        else if (task.state === "running") this.updateRunning(task);
+        else if (task.state === "saving") this.updateSaving(task);
       }
     }
-    this.arm();
+    this.scheduleUpdate();
   }
 
-  private fetched(task: WorkerTask): void {
-    const spec = this.world.spec(task.ref)!;
-    const { clock } = this.world;
-    if (clock.now() < this.imageAt(task)) return;
+  private updateFetching(task: WorkerTask): void {
+    const spec = this.dependencies.spec(task.ref)!;
+    const { clock } = this.dependencies;
+    if (clock.now() < this.imageReadyAt(task)) return;
     this.images.add(spec.image);
     task.hadImage = true;
-    this.world.on(this, task.piece);
-    task.since = clock.now();
-    task.before = this.world.saved.get(this.savedKey(task)) ?? 0;
+    this.dependencies.on(this, task.piece);
+    task.stateSince = clock.now();
+    task.progressAtStateStart = this.dependencies.saved.get(this.progressKey(task)) ?? 0;
     task.state = this.isGang(task) ? "gathering" : "running";
-    this.mark();
-    if (this.world.sick(this.host, task.ref)) this.exit(task, "error");
+    this.markChanged();
+    if (this.dependencies.sick(this.host, task.ref)) this.exitTask(task, "error");
   }
 
-  private gathered(task: WorkerTask): void {
-    const spec = this.world.spec(task.ref)!;
-    const { clock, gangWaitMs } = this.world;
-    const mates = this.world.mates(task.ref, task.attempt);
-    if (mates.filter((m) => m.task.state === "gathering" || m.task.state === "running").length < spec.tasks) {
-      if (clock.now() - task.since > gangWaitMs) this.exit(task, "alone");
+  private updateGathering(task: WorkerTask): void {
+    const spec = this.dependencies.spec(task.ref)!;
+    const { clock, gangWaitMs } = this.dependencies;
+    const members = this.dependencies.mates(task.ref, task.attempt);
+    if (members.filter((m) => m.task.state === "gathering" || m.task.state === "running").length < spec.tasks) {
+      if (clock.now() - task.stateSince > gangWaitMs) this.exitTask(task, "alone");
       return;
     }
-    const before = this.world.saved.get(task.ref) ?? 0;
-    for (const mate of mates) {
-      if (mate.task.state !== "gathering") continue;
-      Object.assign(mate.task, { state: "running", since: clock.now(), before });
-      mate.worker.mark();
+    const savedProgress = this.dependencies.saved.get(task.ref) ?? 0;
+    for (const member of members) {
+      if (member.task.state !== "gathering") continue;
+      Object.assign(member.task, { state: "running", stateSince: clock.now(), progressAtStateStart: savedProgress });
+      member.worker.markChanged();
     }
   }
 
-  private ran(task: WorkerTask): void {
-    const spec = this.world.spec(task.ref)!;
+  private updateRunning(task: WorkerTask): void {
+    const spec = this.dependencies.spec(task.ref)!;
     if (spec.kind === "service") return;
     if (!this.isGang(task)) {
-      if (this.leftMs(task) <= 0.5) this.exit(task, "done");
+      if (this.remainingMs(task) <= 0.5) this.exitTask(task, "done");
       return;
     }
-    const { clock, gangPeerMs } = this.world;
-    const mates = this.world.mates(task.ref, task.attempt);
-    const there = mates.filter((m) => !m.worker.hung && (m.task.state === "running" || m.task.state === "saving"));
-    if (there.length < spec.tasks) {
+    const { clock, gangPeerMs } = this.dependencies;
+    const members = this.dependencies.mates(task.ref, task.attempt);
+    const activeMembers = members.filter((m) => !m.worker.isHung && (m.task.state === "running" || m.task.state === "saving"));
+    if (activeMembers.length < spec.tasks) {
       // A gang is checkpointed as a whole: the progress saved is that when the first member was found missing.
-      if (task.missedAt === null) this.keepCheckpoint(task);
-      task.missedAt ??= clock.now();
-      if (clock.now() - task.missedAt > gangPeerMs) this.exit(task, "mates_gone");
+      if (task.memberMissingSince === null) this.saveLastCheckpoint(task);
+      task.memberMissingSince ??= clock.now();
+      if (clock.now() - task.memberMissingSince > gangPeerMs) this.exitTask(task, "mates_gone");
       return;
     }
-    const first = Math.min(...there.map((m) => m.task.stoppedAt ?? Infinity));
+    const firstStopAt = Math.min(...activeMembers.map((m) => m.task.stopReceivedAt ?? Infinity));
     // Other members were stopped, and the stop for this one has not arrived in time.
-    if (clock.now() - first > gangPeerMs) return this.exit(task, "mates_gone");
-    if (first === Infinity && this.leftMs(task) <= 0.5) for (const mate of there) mate.worker.exit(mate.task, "done");
+    if (clock.now() - firstStopAt > gangPeerMs) return this.exitTask(task, "mates_gone");
+    if (firstStopAt === Infinity && this.remainingMs(task) <= 0.5)
+      for (const member of activeMembers) member.worker.exitTask(member.task, "done");
   }
 
-  private saves(task: WorkerTask): void {
-    const spec = this.world.spec(task.ref)!;
-    const { clock, gangPeerMs } = this.world;
-    if (clock.now() - task.since < spec.flushS * 1000) return;
+  private updateSaving(task: WorkerTask): void {
+    const spec = this.dependencies.spec(task.ref)!;
+    const { clock, gangPeerMs } = this.dependencies;
+    if (clock.now() - task.stateSince < spec.flushS * 1000) return;
     if (!this.isGang(task)) {
-      this.keep(task, task.before);
-      return this.exit(task, "stopped", true);
+      this.saveProgress(task, task.progressAtStateStart);
+      return this.exitTask(task, "stopped", true);
     }
-    const mates = this.world.mates(task.ref, task.attempt);
-    const told = mates.filter((m) => m.task.stoppedAt !== null);
-    const first = Math.min(...told.map((m) => m.task.stoppedAt!));
-    if (told.length >= spec.tasks) {
-      this.keep(task, Math.min(...told.map((m) => m.task.before)));
-      return this.exit(task, "stopped", true);
+    const members = this.dependencies.mates(task.ref, task.attempt);
+    const stopped = members.filter((m) => m.task.stopReceivedAt !== null);
+    const firstStopAt = Math.min(...stopped.map((m) => m.task.stopReceivedAt!));
+    if (stopped.length >= spec.tasks) {
+      this.saveProgress(task, Math.min(...stopped.map((m) => m.task.progressAtStateStart)));
+      return this.exitTask(task, "stopped", true);
     }
-    if (clock.now() - first > gangPeerMs) this.exit(task, "mates_gone");
+    if (clock.now() - firstStopAt > gangPeerMs) this.exitTask(task, "mates_gone");
   }
 }
 
@@ -451,11 +452,11 @@
  * task's id, or null if there is none to start.
  */
 export function startTwice(workers: Iterable<Worker>): string | null {
-  const up = [...workers].filter((worker) => !worker.dead && !worker.hanging);
-  for (const first of up) {
+  const running = [...workers].filter((worker) => !worker.dead && !worker.hanging);
+  for (const first of running) {
     for (const { piece, state, attempt } of first.tasks.values()) {
       if (state !== "running") continue;
-      for (const second of up) {
+      for (const second of running) {
         if (second === first) continue;
         const { report } = second.command(second.token, second.session, [{ verb: "start", piece, attempt: attempt + 1 }]);
         if (report.tasks.some((task) => task.piece === piece && task.state !== "exited")) return piece;
--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { HabitualUsers } from "../src/crowd.js";
-import { carryOut, decodeFault, lastsMs, type Crowd, type Fault, type Stage } from "../src/faults.js";
+import { carryOut, decodeFault, durationMs, type SimulatedUserControl, type Fault, type Stage } from "../src/faults.js";
 import { Links } from "../src/links.js";
 import { seeded } from "../src/luck.js";
 import { VirtualClock } from "../src/virtual/clock.js";
@@ -59,7 +59,7 @@
 
 test("close looks: every controller is asked within milliseconds of an acceptance and of an end, and not after the time is over", async () => {
   const { clock, asked, nodes, users, begins, ends, count } = crowd();
-  users.begin("close-looks", 1, 20_000);
+  users.enableBehaviour("close-looks", 1, 20_000);
   begins("run-000001", "x");
   await clock.run(100);
   for (const node of nodes) assert.ok(count(`poll run-000001 ${node}`) >= 3, node);
@@ -78,7 +78,7 @@
 
 test("a share of the jobs that end is called off at the moment of the end: of the last task, not before", async () => {
   const { clock, asked, users, begins, ends } = crowd();
-  users.begin("cancel-at-end", 1, 10_000);
+  users.enableBehaviour("cancel-at-end", 1, 10_000);
   begins("run-000001", "x", { tasks: 2 });
   ends("run-000001", 0);
   ends("run-000001", 0);
@@ -100,7 +100,7 @@
   begins("run-000200", "b");
   begins("run-000020", "c", { kind: "service" });
   users.hear({ at: 0, kind: "submitted", spec: spec("run-000999") });
-  assert.deepEqual(users.cancelNow(3), { refs: ["run-000020", "run-000300", "run-000200"], hosts: ["b", "c"] });
+  assert.deepEqual(users.cancelLongestRunning(3), { refs: ["run-000020", "run-000300", "run-000200"], hosts: ["b", "c"] });
   await clock.run(200);
   assert.deepEqual(asked.map((one) => one.split(" ")[1]).sort(), ["run-000020", "run-000200", "run-000300"]);
 });
@@ -111,7 +111,7 @@
   begins("run-000002", "x");
   ends("run-000002");
   users.hear({ at: 1, kind: "told", ref: "run-000002", what: "done" });
-  users.begin("odd-requests", 1, 30_000);
+  users.enableBehaviour("odd-requests", 1, 30_000);
   await clock.run(29_500);
   assert.equal(count("submit run-000001"), 30);
   assert.equal(count("cancel run-000002"), 30);
@@ -140,7 +140,10 @@
     hang: (host: string, on: boolean) => void (on ? hanging.add(host) : hanging.delete(host)),
   } as unknown as Stage;
   const hosts = Array.from({ length: 12 }, (_, i) => `i-${i}`);
-  const users: Crowd = { begin: () => ["nest-0"], cancelNow: (count) => ({ refs: hosts.slice(0, count), hosts }) };
+  const users: SimulatedUserControl = {
+    enableBehaviour: () => ["nest-0"],
+    cancelLongestRunning: (count) => ({ refs: hosts.slice(0, count), hosts }),
+  };
   const strike = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
 
   assert.deepEqual(strike({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
@@ -173,8 +176,8 @@
   await clock.run(28_000);
   assert.equal(hanging.size, 0);
 
-  assert.equal(lastsMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last of them has been carried out");
-  assert.equal(lastsMs(fault({ kind: "cancel-now", hang: 4 })), 4000);
+  assert.equal(durationMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last of them has been carried out");
+  assert.equal(durationMs(fault({ kind: "cancel-now", hang: 4 })), 4000);
   for (const [raw, wrong] of [
     [{ kind: "late-writes", share: 2 }, /^share: /],
     [{ kind: "cancel-now", count: 0 }, /^count: /],
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { CloudModel } from "../src/cloud-model.js";
 import { Conductor, type UserPort } from "../src/conductor.js";
-import { carryOut, decodeFault, type Crowd, type Stage } from "../src/faults.js";
+import { carryOut, decodeFault, type SimulatedUserControl, type Stage } from "../src/faults.js";
 import { Links, type RuleAsked } from "../src/links.js";
 import { USUAL } from "../src/place.js";
 import { parsePlan } from "../src/plan.js";
@@ -20,14 +20,14 @@
   const offer = { type: "m", zone: "a", spot: true };
   const first = cloud.hire("r-1", offer, 2);
   assert.equal(first?.length, 2);
-  const { met, restore } = cloud.limit("m", "*", undefined, 1);
-  assert.deepEqual(met, ["m/a/spot", "m/b/spot"]);
+  const { affected, restore } = cloud.limit("m", "*", undefined, 1);
+  assert.deepEqual(affected, ["m/a/spot", "m/b/spot"]);
   assert.equal(cloud.hire("r-2", offer, 1), null);
   assert.deepEqual(cloud.hire("r-1", offer, 2), first);
   assert.equal(cloud.rented, 2);
   assert.equal(cloud.hire("r-3", { ...offer, spot: false }, 5)?.length, 3, "the others are as before");
-  assert.deepEqual(cloud.limit("nothing", "*", 1, 1).met, []);
-  assert.equal(cloud.limit("*", "a", 0, 0).met.length, 2);
+  assert.deepEqual(cloud.limit("nothing", "*", 1, 1).affected, []);
+  assert.equal(cloud.limit("*", "a", 0, 0).affected.length, 2);
   restore();
   assert.equal(cloud.hire("r-4", offer, 2)?.length, 1, "three spot machines again, two of them rented");
 });
@@ -130,7 +130,7 @@
   const strike = (fields: Record<string, unknown>): string[] => {
     const decoded = decodeFault({ kind: "split", target: "nest-0", ...fields });
     assert.ok("fault" in decoded, JSON.stringify(decoded));
-    return carryOut(stage, decoded.fault, undefined as unknown as Crowd);
+    return carryOut(stage, decoded.fault, undefined as unknown as SimulatedUserControl);
   };
   const only = strike({ reaches: "only-target", share: 0.5, way: "both" });
   const others = strike({ reaches: "all-but-target", share: 0.5, way: "to-machines" });
@@ -222,11 +222,11 @@
     prices: (factor: number) => void said.push(`${Math.round(clock.now() / 1000)} prices ${factor}`),
     capacity: (...of: unknown[]) => (
       said.push(`${Math.round(clock.now() / 1000)} capacity ${of.join()}`),
-      { met: ["m/a/ordinary"], restore: () => void said.push(`${Math.round(clock.now() / 1000)} restored`) }
+      { affected: ["m/a/ordinary"], restore: () => void said.push(`${Math.round(clock.now() / 1000)} restored`) }
     ),
   } as unknown as Stage;
   const plan = await parsePlan("plan.hcl", PLAN);
-  const crowd = { begin: () => [], cancelNow: () => ({ refs: [], hosts: [] }) };
+  const crowd = { enableBehaviour: () => [], cancelLongestRunning: () => ({ refs: [], hosts: [] }) };
   const conductor = new Conductor({
     plan,
     seed: 1,
@@ -244,7 +244,7 @@
   assert.deepEqual(asked.slice(0, 2), ["0 submit first", "6 submit second"]);
   // The first submission came before the moment counted; the second met it.
   assert.deepEqual(said, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
-  assert.deepEqual(conductor.moments, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
+  assert.deepEqual(conductor.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
   assert.ok(asked.filter((one) => one.startsWith("poll run-9")).length >= 3);
   assert.equal(conductor.allOver, true);
   const report = conductor.report({ mode: "virtual", broken: [], trouble: [], cost: 0 });
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { brokenRules, startsAfterCancellation, type Happening, type Limits } from "@thorntrail/emulator/checker";
+import { brokenRules, countStartsAfterWithdrawal, type Happening, type Limits } from "@thorntrail/emulator/checker";
 import { specOf } from "./world/parts.js";
 
 // The checker must be able to fail: each rule has a history that breaks it and nothing else.
@@ -86,15 +86,16 @@
 });
 test("a task that is still there when the history is closed is seen", () => {
   const left = [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn")];
-  assert.deepEqual(brokenRules(left, { ...limits, until: 43_003 }), []);
-  assert.match(brokenRules(left, { ...limits, until: 43_004 })[0] ?? "none", /^ran_cancelled/);
+  assert.deepEqual(brokenRules(left, { ...limits, historyEndAt: 43_003 }), []);
+  assert.match(brokenRules(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
 });
 test("a job about which nothing is answered for long after the troubles is forgotten", () => {
   const polls = (from: number, to: number): Happening[] =>
     Array.from({ length: (to - from) / 5000 + 1 }, (_, i) => ({ at: from + i * 5000, kind: "unanswered", ref: "run-000001" }));
   const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
-  const broken = (history: Happening[], calmAt: number): string => brokenRules([...began, ...history], { ...limits, calmAt }).join();
-  assert.match(broken(polls(10_000, 120_000), 30_000), /^forgotten at 110\.0 s: run-000001 was answered nothing since 10\.0 s$/);
+  const broken = (history: Happening[], faultsEndAt: number): string =>
+    brokenRules([...began, ...history], { ...limits, faultsEndAt }).join();
+  assert.match(broken(polls(10_000, 120_000), 30_000), /^forgotten at 110\.0 s: run-000001 got no response since 10\.0 s$/);
   assert.equal(broken(polls(10_000, 120_000), 60_000), "", "the troubles count for nothing");
   assert.equal(broken([...polls(10_000, 80_000), told(81_000, "running"), ...polls(85_000, 150_000)], 0), "", "one answer is enough");
   assert.equal(broken([...polls(10_000, 80_000), ...polls(85_000, 86_000)], 0), "", "75 s are not over");
@@ -132,8 +133,8 @@
     on(6, 1, "x"),
     off(7, 1, "x", "stopped"),
   ];
-  assert.deepEqual([brokenRules(history, limits), startsAfterCancellation(history)], [[], 2]);
-  assert.equal(startsAfterCancellation(good), 0);
+  assert.deepEqual([brokenRules(history, limits), countStartsAfterWithdrawal(history)], [[], 2]);
+  assert.equal(countStartsAfterWithdrawal(good), 0);
 });
 test("a job that must not be accepted is seen when it is, and a refusal of it is no fault", () => {
   const wrong: Happening = { at: 0, kind: "submitted", spec: spec({ ref: "run-000002", cpus: 500 }), never: "fits no machine" };
@@ -148,19 +149,22 @@
     }) as Happening;
   const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
   const broken = (history: Happening[], over: Partial<Limits> = {}): string =>
-    brokenRules([...history, ...began], { ...limits, calmAt: 10_000, until: 101_000, ...over }).join();
-  assert.match(broken([up()]), /^idle_room at 100\.0 s: run-000001 waits though there is room$/);
-  assert.equal(broken([up()], { until: 99_000 }), "", "90 s are not over");
-  assert.equal(broken([up()], { calmAt: 20_000 }), "", "the troubles count for nothing");
+    brokenRules([...history, ...began], { ...limits, faultsEndAt: 10_000, historyEndAt: 101_000, ...over }).join();
+  assert.match(broken([up()]), /^idle_room at 100\.0 s: run-000001 waits although there is free capacity$/);
+  assert.equal(broken([up()], { historyEndAt: 99_000 }), "", "90 s are not over");
+  assert.equal(broken([up()], { faultsEndAt: 20_000 }), "", "the troubles count for nothing");
   assert.equal(broken([up({ cpus: 3 })]), "", "no room for one of its tasks");
   assert.equal(broken([up()], { teams: new Map([["ops", { cpus: 7, gpus: 0 }]]) }), "", "its team is at its limit");
   assert.equal(broken([up({ spot: true })]), "", "it may not use a spot machine");
-  assert.equal(brokenRules([up(), ...began, { at: 60_000, kind: "gone", host: "z" }], { ...limits, calmAt: 0, until: 200_000 }).join(), "");
+  assert.equal(
+    brokenRules([up(), ...began, { at: 60_000, kind: "gone", host: "z" }], { ...limits, faultsEndAt: 0, historyEndAt: 200_000 }).join(),
+    "",
+  );
   const gang = (cpus: number): string =>
     brokenRules([up({ cpus }), submitted({ kind: "gang" }), told(1, "queued"), on(2, 0, "y", { at: 2 }), off(3, 0, "y", "alone")], {
       ...limits,
-      calmAt: 10_000,
-      until: 101_000,
+      faultsEndAt: 10_000,
+      historyEndAt: 101_000,
     }).join();
   assert.match(gang(8), /^idle_room/);
   assert.equal(gang(7), "", "of a gang all must fit");
