--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -31,7 +31,7 @@
   ...over,
 });
 
-function crowd() {
+function setUpUsers() {
   const clock = new VirtualClock();
   const asked: string[] = [];
   const nodes = ["nest-0", "nest-1", "nest-2"];
@@ -57,8 +57,8 @@
   return { clock, asked, nodes, users, begins, ends, count: (what: string) => asked.filter((one) => one.startsWith(what)).length };
 }
 
-test("close looks: every controller is asked within milliseconds of an acceptance and of an end, and not after the time is over", async () => {
-  const { clock, asked, nodes, users, begins, ends, count } = crowd();
+test("close-looks: every controller is polled within milliseconds of an acceptance and of an end, until the behaviour ends", async () => {
+  const { clock, asked, nodes, users, begins, ends, count } = setUpUsers();
   users.enableBehaviour("close-looks", 1, 20_000);
   begins("run-000001", "x");
   await clock.run(100);
@@ -76,8 +76,8 @@
   assert.equal(asked.length, after);
 });
 
-test("a share of the jobs that end is called off at the moment of the end: of the last task, not before", async () => {
-  const { clock, asked, users, begins, ends } = crowd();
+test("cancel-at-end: jobs are cancelled when their last task ends, not before", async () => {
+  const { clock, asked, users, begins, ends } = setUpUsers();
   users.enableBehaviour("cancel-at-end", 1, 10_000);
   begins("run-000001", "x", { tasks: 2 });
   ends("run-000001", 0);
@@ -93,8 +93,8 @@
   assert.equal(asked.length, 1);
 });
 
-test("calling off now takes those that have longest to go, and names their machines, the busiest first", async () => {
-  const { clock, asked, users, begins } = crowd();
+test("cancel-now selects the jobs with the longest remaining run time and returns their machines, the busiest first", async () => {
+  const { clock, asked, users, begins } = setUpUsers();
   begins("run-000010", "a");
   begins("run-000300", "b");
   begins("run-000200", "b");
@@ -105,8 +105,8 @@
   assert.deepEqual(asked.map((one) => one.split(" ")[1]).sort(), ["run-000020", "run-000200", "run-000300"]);
 });
 
-test("odd requests: repeated submissions, cancellations of what is done, and jobs that cannot be had", async () => {
-  const { clock, asked, users, begins, ends, count } = crowd();
+test("odd-requests: repeated submissions, cancellations of finished jobs, and invalid jobs", async () => {
+  const { clock, asked, users, begins, ends, count } = setUpUsers();
   begins("run-000001", "x");
   begins("run-000002", "x");
   ends("run-000002");
@@ -128,7 +128,7 @@
   return decoded.fault;
 };
 
-test("the further faults say whom they met, how long they last, and what is wrong with them", async () => {
+test("faults return what they affected, how long they last, and what is invalid in their definition", async () => {
   const clock = new VirtualClock();
   const links = new Links(seeded(1));
   const hanging = new Set<string>();
@@ -144,16 +144,16 @@
     enableBehaviour: () => ["nest-0"],
     cancelLongestRunning: (count) => ({ refs: hosts.slice(0, count), hosts }),
   };
-  const strike = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
+  const inject = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
 
-  assert.deepEqual(strike({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
+  assert.deepEqual(inject({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
   assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), true);
-  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "answer" }), false, "answers to direct commands come through");
+  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "answer" }), false, "responses to direct commands arrive");
   assert.equal(links.loses({ from: "nest-0", to: "i-1", what: "command" }), false);
   await clock.run(5001);
   assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), false);
 
-  assert.deepEqual(strike({ kind: "late-writes", share: 0.5, for: 5 }), ["nest-0", "nest-1"]);
+  assert.deepEqual(inject({ kind: "late-writes", share: 0.5, for: 5 }), ["nest-0", "nest-1"]);
   const call = { from: "nest-0", to: "state", what: "txn" };
   const judged = Array.from({ length: 400 }, () => links.judge(call));
   const late = judged.filter((effect) => effect?.kind === "late").map((effect) => (effect as { ms: number }).ms);
@@ -161,17 +161,17 @@
   assert.ok(Math.min(...late) >= 2000 && Math.max(...late) <= 12_000 && Math.max(...late) > 9000);
   assert.equal(links.judge({ ...call, what: "follow" }), null);
   await clock.run(11_000);
-  strike({ kind: "late-writes", share: 1, at_once: true, for: 5 });
+  inject({ kind: "late-writes", share: 1, at_once: true, for: 5 });
   assert.deepEqual(links.judge(call), { kind: "drop" });
   await clock.run(17_000);
 
-  strike({ kind: "late-reports", share: 1, for_next: true, for: 5 });
+  inject({ kind: "late-reports", share: 1, for_next: true, for: 5 });
   const report = { from: "i-1", to: "nest-0", what: "report" };
   assert.deepEqual([links.keeps(report), links.againMs(report, () => 0.5)], [true, null]);
   await clock.run(23_000);
   assert.equal(links.keeps(report), false);
 
-  assert.equal(strike({ kind: "cancel-now", count: 3, hang: 4 }).length, 3);
+  assert.equal(inject({ kind: "cancel-now", count: 3, hang: 4 }).length, 3);
   assert.equal(hanging.size, 8, "no more than eight machines hang");
   await clock.run(28_000);
   assert.equal(hanging.size, 0);
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -13,7 +13,7 @@
 const HOUR_MS = 3_600_000;
 const type = { name: "m", cpus: 4, gpus: 0, ram: 8, cacheGb: 10, fetchGbPerS: 1, price: 2, spotPrice: 1, bootS: 5, zones: ["a", "b"] };
 
-test("capacity that shrinks refuses new rentals and leaves what is rented; a repeated name is still answered", () => {
+test("reduced capacity refuses new rentals and keeps rented machines; a repeated request name still gets its first response", () => {
   const clock = new VirtualClock();
   const capacity = new Map(["a", "b"].flatMap((zone) => ["ordinary", "spot"].map((kind) => [`m/${zone}/${kind}`, 3] as const)));
   const cloud = new CloudModel(clock, { types: [type], capacity, lagMs: 0 });
@@ -32,7 +32,7 @@
   assert.equal(cloud.hire("r-4", offer, 2)?.length, 1, "three spot machines again, two of them rented");
 });
 
-test("spot machines are charged the price of the time, ordinary ones theirs, short ones a minute", async () => {
+test("spot machines are charged the current price, ordinary ones a fixed price, and each at least a minute", async () => {
   const clock = new VirtualClock();
   const cloud = new CloudModel(clock, { types: [type], capacity: new Map([["m/a/spot", 1], ["m/a/ordinary", 1]]), lagMs: 0 }); // prettier-ignore
   const [spot] = cloud.hire("r-1", { type: "m", zone: "a", spot: true }, 1)!;
@@ -95,7 +95,7 @@
 const OFFER = { type: "m", zone: "a", spot: false };
 const ROOM = { cpus: 1, gpus: 0, ram: 1 };
 
-test("on real sockets a cut between one controller and the machines holds its commands and nobody else's", async () => {
+test("on real sockets a cut between one controller and the machines holds its commands and no others", async () => {
   const links = new Links();
   const host = workerHost(links);
   const addr = await host.boot("i-000001", OFFER, ROOM);
@@ -106,12 +106,12 @@
   assert.equal(host.workers.get("i-000001")!.seq, seq, "held, not executed");
   end();
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.ok(host.workers.get("i-000001")!.seq > seq, "executed late, when the cut was over");
+  assert.ok(host.workers.get("i-000001")!.seq > seq, "executed when the cut ended");
   assert.equal(await post(addr, "nest-0"), 200);
   host.close();
 });
 
-test("on real sockets a split keeps some machines from the target and others from everybody else, both ways or one way", async () => {
+test("on real sockets a split separates some machines from the target and others from all other controllers, in both directions or one", async () => {
   const links = new Links();
   const host = workerHost(links);
   const names = Array.from({ length: 8 }, (_, i) => `i-00000${i + 1}`);
@@ -127,21 +127,21 @@
     const answers = await Promise.all(names.map(async (name) => [name, await post(addrs.get(name)!, asker)] as const));
     return answers.filter(([, status]) => status === 200).map(([name]) => name);
   };
-  const strike = (fields: Record<string, unknown>): string[] => {
+  const inject = (fields: Record<string, unknown>): string[] => {
     const decoded = decodeFault({ kind: "split", target: "nest-0", ...fields });
     assert.ok("fault" in decoded, JSON.stringify(decoded));
     return carryOut(stage, decoded.fault, undefined as unknown as SimulatedUserControl);
   };
-  const only = strike({ reaches: "only-target", share: 0.5, way: "both" });
-  const others = strike({ reaches: "all-but-target", share: 0.5, way: "to-machines" });
+  const only = inject({ reaches: "only-target", share: 0.5, way: "both" });
+  const others = inject({ reaches: "all-but-target", share: 0.5, way: "to-machines" });
   assert.ok(only.length > 0 && others.length > 0, JSON.stringify([only, others]));
-  assert.deepEqual([...only, ...others].sort(), names, "none is met twice, nor missed");
+  assert.deepEqual([...only, ...others].sort(), names, "each machine is affected exactly once");
   assert.deepEqual(await reachedBy("nest-0"), only);
   assert.deepEqual(await reachedBy("nest-1"), others);
   host.close();
 });
 
-test("a split is refused before anything starts: who, which share, which direction", async () => {
+test("a plan with an invalid split is rejected: target, share, direction", async () => {
   const said = async (fields: string): Promise<string> => {
     const fault = `fault {\n kind = "split"\n at = 3\n reaches = "only-target"\n ${fields}\n}\n`;
     return parsePlan("plan.hcl", PLAN + fault).then(
@@ -200,7 +200,7 @@
 }
 `;
 
-test("a conductor names only accepted jobs, strikes at its moments, asks for jobs of nobody, and stops", async () => {
+test("the driver submits jobs once their dependencies are accepted, injects faults at injection points, polls unknown jobs, and stops", async () => {
   const clock = new VirtualClock();
   const asked: string[] = [];
   const said: string[] = [];
@@ -227,7 +227,7 @@
   } as unknown as Stage;
   const plan = await parsePlan("plan.hcl", PLAN);
   const crowd = { enableBehaviour: () => [], cancelLongestRunning: () => ({ refs: [], hosts: [] }) };
-  const conductor = new Conductor({
+  const driver = new Conductor({
     plan,
     seed: 1,
     stage,
@@ -238,18 +238,18 @@
     pollMs: () => 2000,
     history: () => [],
   });
-  conductor.hear({ at: 0, node: "n", what: "part taken", detail: { reason: "owner gone" } });
-  conductor.begin();
+  driver.hear({ at: 0, node: "n", what: "part taken", detail: { reason: "owner gone" } });
+  driver.begin();
   await clock.run(60_000);
   assert.deepEqual(asked.slice(0, 2), ["0 submit first", "6 submit second"]);
-  // The first submission came before the moment counted; the second met it.
+  // The first submission was before `from`; the fault is injected at the second.
   assert.deepEqual(said, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
-  assert.deepEqual(conductor.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
+  assert.deepEqual(driver.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
   assert.ok(asked.filter((one) => one.startsWith("poll run-9")).length >= 3);
-  assert.equal(conductor.allOver, true);
-  const report = conductor.report({ mode: "virtual", broken: [], trouble: [], cost: 0 });
+  assert.equal(driver.allOver, true);
+  const report = driver.report({ mode: "virtual", broken: [], trouble: [], cost: 0 });
   assert.deepEqual([report.jobs.done, report.takeovers, report.faults.length], [2, 1, 2]);
-  conductor.stop();
+  driver.stop();
   const count = asked.length;
   await clock.run(120_000);
   assert.equal(asked.length, count);
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -4,7 +4,7 @@
 import { brokenRules, countStartsAfterWithdrawal, type Happening, type Limits } from "@thorntrail/emulator/checker";
 import { specOf } from "./world/parts.js";
 
-// The checker must be able to fail: each rule has a history that breaks it and nothing else.
+// The checker must be able to fail: each rule has a history that breaks only that rule.
 const limits: Limits = { cancelMs: 43_000, teams: new Map([["ops", { cpus: 10, gpus: 0 }]]) };
 const spec = (over: Partial<JobSpec> = {}): JobSpec => specOf({ tasks: 2, cpus: 4, ...over });
 const submitted = (over: Partial<JobSpec> = {}): Happening => ({ at: 0, kind: "submitted", spec: spec(over) });
@@ -56,15 +56,15 @@
   nothing_ran: [submitted(), told(1, "queued")],
 };
 
-test("a good history breaks no rule", () => assert.deepEqual(brokenRules(good, limits), []));
+test("a correct history breaks no rule", () => assert.deepEqual(brokenRules(good, limits), []));
 for (const [rule, history] of Object.entries(bad)) {
-  test(`the checker sees ${rule}`, () => {
+  test(`the checker detects ${rule}`, () => {
     const broken = brokenRules(history, limits);
     assert.equal(broken.length, 1, broken.join("; "));
     assert.ok(broken[0]!.startsWith(rule), broken[0]);
   });
 }
-test("kinds of machines, spreading and one zone are judged", () => {
+test("machine types, spreading and placement in one zone are checked", () => {
   for (const [over, history] of [
     [{ types: ["n"] }, [on(2, 0, "x")]],
     [{ spot: false }, [on(2, 0, "x", { spot: true })]],
@@ -74,34 +74,34 @@
     assert.match(brokenRules([submitted(over), ...history], limits)[0] ?? "none", /^wrong_place/);
   }
 });
-test("a job is called cancelled with one that it needs, through others too", () => {
+test("a job is withdrawn with a job that it depends on, directly or transitively", () => {
   const chain = ["run-000002", "run-000003"].map((ref, i) => submitted({ ref, needs: [`run-00000${i + 1}`] }));
   const said: Happening = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
   const ran = [on(2, 0, "x"), off(3, 0, "x", "stopped")];
   assert.deepEqual(brokenRules([submitted(), ...chain, asked, ...ran, told(4, "withdrawn"), said], limits), []);
   assert.match(brokenRules([submitted(), ...chain, ...ran, said], limits)[0] ?? "none", /^went_back/);
 });
-test("a start after the time for a cancellation is over is seen", () => {
+test("a start after the time limit of a cancellation is detected", () => {
   assert.match(brokenRules([submitted(), asked, told(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none", /^ran_cancelled/);
 });
-test("a task that is still there when the history is closed is seen", () => {
+test("a task that is still running when the history ends is detected", () => {
   const left = [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn")];
   assert.deepEqual(brokenRules(left, { ...limits, historyEndAt: 43_003 }), []);
   assert.match(brokenRules(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
 });
-test("a job about which nothing is answered for long after the troubles is forgotten", () => {
+test("a job whose polls stay unanswered long after the faults have ended is forgotten", () => {
   const polls = (from: number, to: number): Happening[] =>
     Array.from({ length: (to - from) / 5000 + 1 }, (_, i) => ({ at: from + i * 5000, kind: "unanswered", ref: "run-000001" }));
   const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
   const broken = (history: Happening[], faultsEndAt: number): string =>
     brokenRules([...began, ...history], { ...limits, faultsEndAt }).join();
   assert.match(broken(polls(10_000, 120_000), 30_000), /^forgotten at 110\.0 s: run-000001 got no response since 10\.0 s$/);
-  assert.equal(broken(polls(10_000, 120_000), 60_000), "", "the troubles count for nothing");
-  assert.equal(broken([...polls(10_000, 80_000), told(81_000, "running"), ...polls(85_000, 150_000)], 0), "", "one answer is enough");
-  assert.equal(broken([...polls(10_000, 80_000), ...polls(85_000, 86_000)], 0), "", "75 s are not over");
+  assert.equal(broken(polls(10_000, 120_000), 60_000), "", "the time of the faults does not count");
+  assert.equal(broken([...polls(10_000, 80_000), told(81_000, "running"), ...polls(85_000, 150_000)], 0), "", "one response is enough");
+  assert.equal(broken([...polls(10_000, 80_000), ...polls(85_000, 86_000)], 0), "", "75 s have not passed");
 });
 
-test("answers are judged in real time: two that overlap may differ, one asked after another had come is never older", () => {
+test("responses are checked in real time: two overlapping ones may differ, one requested after another had arrived is never older", () => {
   const answer = (at: number, asked: number, what: "unknown" | "queued" | "done" | "withdrawn" | "refused"): Happening => ({
     at,
     asked,
@@ -111,19 +111,19 @@
   });
   const ran = [submitted(), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y")];
   const judge = (...answers: Happening[]): string => brokenRules([...ran, ...answers], limits).join();
-  // Asked before the other had come, answered after it.
+  // Sent before the other response had arrived, answered after it.
   assert.equal(judge(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
   assert.equal(judge(answer(20, 10, "done"), answer(21, 19, "queued")), "");
   assert.match(judge(answer(20, 10, "queued"), answer(30, 20, "unknown")), /^forgotten/);
   assert.match(judge(answer(20, 10, "queued"), answer(30, 21, "refused")), /^forgotten/);
   assert.match(judge(answer(20, 10, "done"), answer(30, 21, "queued")), /^went_back/);
-  // Acceptance counts from the first who was told, the end too, whoever asks later.
+  // Acceptance and completion count from the first response that reported them, whoever asks later.
   assert.match(judge(answer(20, 10, "queued"), answer(21, 5, "unknown"), answer(30, 20.5, "unknown")), /^forgotten/);
   assert.match(judge(answer(20, 10, "done"), answer(25, 10, "done"), answer(30, 22, "queued")), /^went_back/);
-  // Both are final: they exclude one another, overlap or not.
+  // Both statuses are final and exclude one another, whether the requests overlap or not.
   assert.match(judge(asked, answer(20, 10, "done"), answer(21, 10, "withdrawn")), /^went_back/);
 });
-test("starts after a confirmed cancellation are counted; the rule is broken only past its time", () => {
+test("starts after a confirmed cancellation are counted; the rule is broken only after the time limit", () => {
   const history = [
     submitted(),
     asked,
@@ -136,13 +136,13 @@
   assert.deepEqual([brokenRules(history, limits), countStartsAfterWithdrawal(history)], [[], 2]);
   assert.equal(countStartsAfterWithdrawal(good), 0);
 });
-test("a job that must not be accepted is seen when it is, and a refusal of it is no fault", () => {
+test("accepting a job that must not be accepted is detected, and refusing it breaks no rule", () => {
   const wrong: Happening = { at: 0, kind: "submitted", spec: spec({ ref: "run-000002", cpus: 500 }), never: "fits no machine" };
   const answer = (what: "refused" | "queued"): Happening => ({ at: 1, kind: "told", ref: "run-000002", what });
   assert.deepEqual(brokenRules([...good, wrong, answer("refused")], limits), []);
   assert.match(brokenRules([...good, wrong, answer("queued")], limits).join(), /^accepted_wrongly .*run-000002: fits no machine$/);
 });
-test("once the troubles are over, a job that waits beside room that fits it is seen, and others are not", () => {
+test("after the faults have ended, a job that waits although free capacity fits it is detected, and others are not", () => {
   const up = (over: object = {}): Happening =>
     ({
       ...{ at: 0, kind: "up", host: "z", type: "m", zone: "a", spot: false, cpus: 8, gpus: 0, ram: 64, ...over },
@@ -151,9 +151,9 @@
   const broken = (history: Happening[], over: Partial<Limits> = {}): string =>
     brokenRules([...history, ...began], { ...limits, faultsEndAt: 10_000, historyEndAt: 101_000, ...over }).join();
   assert.match(broken([up()]), /^idle_room at 100\.0 s: run-000001 waits although there is free capacity$/);
-  assert.equal(broken([up()], { historyEndAt: 99_000 }), "", "90 s are not over");
-  assert.equal(broken([up()], { faultsEndAt: 20_000 }), "", "the troubles count for nothing");
-  assert.equal(broken([up({ cpus: 3 })]), "", "no room for one of its tasks");
+  assert.equal(broken([up()], { historyEndAt: 99_000 }), "", "90 s have not passed");
+  assert.equal(broken([up()], { faultsEndAt: 20_000 }), "", "the time of the faults does not count");
+  assert.equal(broken([up({ cpus: 3 })]), "", "no capacity for one of its tasks");
   assert.equal(broken([up()], { teams: new Map([["ops", { cpus: 7, gpus: 0 }]]) }), "", "its team is at its limit");
   assert.equal(broken([up({ spot: true })]), "", "it may not use a spot machine");
   assert.equal(
@@ -167,5 +167,5 @@
       historyEndAt: 101_000,
     }).join();
   assert.match(gang(8), /^idle_room/);
-  assert.equal(gang(7), "", "of a gang all must fit");
+  assert.equal(gang(7), "", "all tasks of a gang must fit");
 });
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -10,7 +10,7 @@
 
 const room = { cpus: 4, gpus: 0, ram: 64 };
 
-/** Every task placed on the machine comes to this end. */
+/** Ends every task placed on the machine with the given cause. */
 function end(part: Part, host: string, cause: ReportedTask["cause"], only?: Unit): void {
   const machine = part.machines.get(host)!;
   const tasks = [...machine.placements.values()]
@@ -43,7 +43,7 @@
   takeReport(part, machine, { ...seen, tasks: [...tasks, ...running] }, context, newFindings());
 }
 
-test("jobs that fail wherever they go are at fault, not the machines, and try again with one task", () => {
+test("jobs that fail on every machine are at fault, not the machines, and are retried with one task", () => {
   const { part } = partOf(4, room);
   const units = ["run-000001", "run-000002"].map((ref) => queueUp(part, specOf({ ref, tasks: 8, cpus: 1 })));
   runPass(part, pass);
@@ -58,12 +58,12 @@
     units.map((unit) => unit.placed.size),
     [1, 1],
   );
-  // One of them gets done after all: the mistake was not the job's.
+  // One task succeeds after all, so the job is not at fault.
   end(part, [...units[0]!.placed.values()][0]!.host, "done", units[0]);
   assert.equal(suspect(units[0]!), false);
 });
 
-test("a machine that fails several jobs that run elsewhere is set aside", () => {
+test("a machine on which several jobs fail that run elsewhere is drained", () => {
   const { part } = partOf(3, room);
   const a = queueUp(part, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
   const b = queueUp(part, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
@@ -74,14 +74,14 @@
   assert.equal(suspect(a) || suspect(b), false);
 });
 
-test("a stored map is read number by number as it is read whole", () => {
+test("reading single bits of a stored map agrees with decoding it", () => {
   const bits = new Bits(1003);
   for (const i of [0, 7, 8, 23, 24, 500, 1002]) bits.set(i);
   const text = bits.encode();
   const whole = Bits.decode(1003, text);
   assert.equal(whole.count, 7);
   for (let i = 0; i < 1003; i++) assert.equal(Bits.stored(text, i), whole.has(i), String(i));
-  // What another map has beyond the last number does not count.
+  // Bits beyond the size of the map are ignored.
   const short = Bits.decode(5, Buffer.from([0xff, 0xff]).toString("base64"));
   assert.deepEqual([short.count, short.full], [5, true]);
   assert.equal(Bits.stored("", 3), false);
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -20,19 +20,20 @@
 import { playScenario } from "./world/scenario.js";
 
 /**
- * The meeting that broke most: the state service refuses the leader alone, others confirm cancellations, then the
- * service is down for all for longer than a cancellation has, while workers keep reporting to the old leader.
+ * Compound faults: the state service refuses one owner, the other controllers confirm cancellations, and then the
+ * service is down for all for longer than the time limit of a cancellation, while workers keep reporting to the former
+ * owner. This combination has exposed the most defects.
  */
 interface Meeting {
   seed: number;
-  /** For how long the leader alone is refused; a presence lasts 9 s. */
+  /** How long the owner alone is refused; a presence lasts 9 s. */
   refusedS: number;
-  /** From the first refusal to the outage for all. */
+  /** Time from the first refusal to the outage for all. */
   outAfterS: number;
   outS: number;
-  /** When jobs are cancelled, in seconds after the refusal, and where. */
+  /** When jobs are cancelled, in seconds after the refusal, and at which controller. */
   cancels: { afterS: number; at: "nest-1" | "nest-2" | "nest-0" }[];
-  /** Troubles of the leader, its heir and its machines meanwhile. */
+  /** Further faults of the owner, its successor and its machines during that time. */
   beside: string[];
 }
 
@@ -63,7 +64,7 @@
   seconds(0, 12).map((s) => [`${REFUSED_AT + s} kill nest-2`, `${REFUSED_AT + s + 0.3} start nest-2`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} freeze nest-0 for ${3 + (s % 9)}`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} freeze nest-1 for ${3 + (s % 9)}`]),
-  // Orders that are held up, and images that are still being fetched when the job is cancelled.
+  // Delayed orders, and images that are still being fetched when the job is cancelled.
   seconds(0, 15).map((s) => [
     `${REFUSED_AT + s} delay nest-0 to workers by 12 for 10`,
     `${REFUSED_AT + s} submit run-000091 array of 6 cpus 4 for 300 at-node nest-0`,
@@ -80,7 +81,7 @@
   seed: fc.integer({ min: 1, max: 10_000 }),
   refusedS: fc.oneof(seconds(1, 9), seconds(20, 150)),
   outAfterS: fc.oneof(seconds(0.5, 8), seconds(8, 40)),
-  // The lease of a machine that is answered last just before silence ends between them.
+  // The outage ends before or after the end of the lease of a machine that was answered last just before the owner's silence.
   outS: fc.oneof(seconds(17, 19), seconds(44, 80)),
   cancels: fc.array(fc.record({ afterS: seconds(0.1, 40), at: fc.constantFrom("nest-0", "nest-1", "nest-2") }), {
     minLength: 3,
@@ -105,7 +106,7 @@
   );
 });
 
-/** Cancelled at the very beginning of the refusal, nothing else amiss: the time there is, used to its end. */
+/** Jobs are cancelled at the very beginning of the refusal, without other faults, so that the whole time limit is used. */
 const plain: Meeting = {
   seed: 5,
   refusedS: 150,
@@ -115,7 +116,7 @@
   beside: [],
 };
 
-/** Where the leader's open watch is as it is refused hangs on the seed: with some it still reads of all cancellations. */
+/** The state of the owner's open watch when it is refused depends on the seed: with some seeds it still receives all cancellations. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
 test("the bound of silence is sharp: four seconds more of it, and tasks of cancelled jobs are there too long", async () => {
@@ -147,7 +148,7 @@
 };
 const orders = { now: NOW, leaseMs: 18_000, clearable: () => false, refused: () => assert.fail("refused"), max: 9 };
 
-/** A task placed on one machine by a direct start to which no answer came. */
+/** A task placed on one machine by a direct start command that was not answered. */
 function startedUnheard() {
   const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const unit = queueUp(part, specOf({ tasks: 1 }));
@@ -181,7 +182,7 @@
     { verb: "start", piece, attempt },
     { verb: "stop", piece, attempt, graceS: 0 },
   ]);
-  // Not directly, which could be held up as well; nor once a cancellation of the job may be older than allowed.
+  // Not by a direct command, which could be delayed as well, and not once a cancellation of the job may be older than allowed.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   hear(2);
@@ -191,8 +192,8 @@
 });
 
 test("a session that is known from the reply to a command alone is a lease of its own, and its machine gets no new work", () => {
-  // What is guarded against: a machine that reaches no controller was counted as lost a lease after its last answer, while
-  // what had been started in its next session, which it told us in a reply, ran on; all of that was started elsewhere.
+  // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
+  // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
   const { part, machine, piece, hear } = startedUnheard();
   const leaseMs = 18_000;
   hear(2);
@@ -227,12 +228,12 @@
 const base = await loadPlan("deploy/meetings.hcl");
 
 test("no answer renews the lease of a machine without stopping what it runs of a job that is known to be over", async () => {
-  // What is guarded against: an answer to a machine that has not shown the new term yet gave it another lease and no
-  // orders; if it heard nothing more, tasks of cancelled jobs ran on until that was over.
+  // Guards against this failure: an answer to a machine that had not yet shown the new term renewed its lease without orders. If the
+  // machine received nothing more, tasks of cancelled jobs ran until that lease expired.
   let renewed = 0;
   for (const seed of [11, 12, 13, 14, 15, 16]) {
     const spawn: typeof spawnController = (asked) => {
-      // Direct commands never arrive, the new term among them: it is shown by answers to reports alone.
+      // Direct commands never arrive, so the machine learns the new term only from answers to its reports.
       const command = async (): Promise<never> => {
         await new Promise<void>((resolve) => asked.clock.after(2000, resolve));
         throw new NoReply("unanswered", "lost");
