--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -24,7 +24,7 @@
  * service is down for all for longer than the time limit of a cancellation, while workers keep reporting to the former
  * owner. This combination has exposed the most defects.
  */
-interface Meeting {
+interface CompoundFault {
   seed: number;
   /** How long the owner alone is refused; a presence lasts 9 s. */
   refusedS: number;
@@ -40,7 +40,7 @@
 const REFUSED_AT = 40;
 const SHAPES = ["array of 4 cpus 8 for 400", "gang of 3 cpus 8 for 400 saves 15", "service of 3 cpus 4"];
 
-function textOf({ seed, refusedS, outAfterS, outS, cancels, beside }: Meeting): string {
+function scenarioText({ seed, refusedS, outAfterS, outS, cancels, beside }: CompoundFault): string {
   const out = REFUSED_AT + outAfterS;
   const jobs = cancels.map((_, i) => `run-${String(i + 1).padStart(6, "0")}`);
   return [
@@ -59,7 +59,7 @@
 }
 
 const seconds = (min: number, max: number): fc.Arbitrary<number> => fc.integer({ min: min * 10, max: max * 10 }).map((n) => n / 10);
-const besides = fc.oneof(
+const additionalFaults = fc.oneof(
   seconds(0, 12).map((s) => [`${REFUSED_AT + s} kill nest-1`, `${REFUSED_AT + s + 7} start nest-1`]),
   seconds(0, 12).map((s) => [`${REFUSED_AT + s} kill nest-2`, `${REFUSED_AT + s + 0.3} start nest-2`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} freeze nest-0 for ${3 + (s % 9)}`]),
@@ -77,7 +77,7 @@
   seconds(0, 5).map((s) => [`${REFUSED_AT + s} repeat-reports 0.5 within 30 for 40`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} late-transactions nest-1 3 by 8`]),
 );
-const meeting: fc.Arbitrary<Meeting> = fc.record({
+const compoundFault: fc.Arbitrary<CompoundFault> = fc.record({
   seed: fc.integer({ min: 1, max: 10_000 }),
   refusedS: fc.oneof(seconds(1, 9), seconds(20, 150)),
   outAfterS: fc.oneof(seconds(0.5, 8), seconds(8, 40)),
@@ -89,16 +89,16 @@
   }),
   beside: fc.oneof(
     fc.constant([]),
-    besides,
-    fc.tuple(besides, besides).map((two) => two.flat()),
+    additionalFaults,
+    fc.tuple(additionalFaults, additionalFaults).map((two) => two.flat()),
   ),
-}) as fc.Arbitrary<Meeting>;
+}) as fc.Arbitrary<CompoundFault>;
 
-test("refused alone, cancelled elsewhere, then out for all: every task is gone in time", async () => {
+test("one owner refused, jobs cancelled elsewhere, then an outage for all: every task ends in time", async () => {
   const runs = Number(process.env["MEETINGS"] ?? 10);
   await fc.assert(
-    fc.asyncProperty(meeting, async (one) => {
-      const text = textOf(one);
+    fc.asyncProperty(compoundFault, async (one) => {
+      const text = scenarioText(one);
       const { world, failures } = await playScenario(text);
       assert.deepEqual([brokenRules(world.history, world.limits()), failures, world.errors], [[], [], []], text);
     }),
@@ -107,7 +107,7 @@
 });
 
 /** Jobs are cancelled at the very beginning of the refusal, without other faults, so that the whole time limit is used. */
-const plain: Meeting = {
+const plainScenario: CompoundFault = {
   seed: 5,
   refusedS: 150,
   outAfterS: 1.5,
@@ -119,9 +119,9 @@
 /** The state of the owner's open watch when it is refused depends on the seed: with some seeds it still receives all cancellations. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
-test("the bound of silence is sharp: four seconds more of it, and tasks of cancelled jobs are there too long", async () => {
+test("the silence bound is tight: with four seconds more, tasks of cancelled jobs run too long", async () => {
   const later = (ms: number, seed: number) =>
-    playScenario(textOf({ ...plain, seed }), (asked) =>
+    playScenario(scenarioText({ ...plainScenario, seed }), (asked) =>
       spawnController(asked, undefined, (settings) => ({
         ...settings,
         timing: { ...settings.timing, silentAfterMs: settings.timing.silentAfterMs + ms },
@@ -149,7 +149,7 @@
 const orders = { now: NOW, leaseMs: 18_000, clearable: () => false, refused: () => assert.fail("refused"), max: 9 };
 
 /** A task placed on one machine by a direct start command that was not answered. */
-function startedUnheard() {
+function startedWithoutAnswer() {
   const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const unit = queueUp(part, specOf({ tasks: 1 }));
   runPass(part, pass);
@@ -174,8 +174,8 @@
   return { part, unit, machine, placement, piece, hear };
 }
 
-test("a start that may still come, of a task that should no longer run, is made known and stopped, and its room is free again", () => {
-  const { machine, placement, piece, hear, unit } = startedUnheard();
+test("a pending start of a task that should no longer run is repeated and stopped, and its capacity is freed", () => {
+  const { machine, placement, piece, hear, unit } = startedWithoutAnswer();
   placement.stop = { graceS: 0 };
   const { attempt } = placement;
   assert.deepEqual(ordersFor(machine, "report", orders), [
@@ -186,15 +186,15 @@
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   hear(2);
-  assert.equal(machine.placements.size, 1, "not listed proves nothing: the direct start may still come");
+  assert.equal(machine.placements.size, 1, "absence from a report proves nothing: the direct start may still arrive");
   hear(3, [{ piece, attempt, state: "exited", cause: "stopped", saved: false }]);
   assert.deepEqual([machine.placements.size, machine.used.cpus, unit.waiting.length], [0, 0, 1]);
 });
 
-test("a session that is known from the reply to a command alone is a lease of its own, and its machine gets no new work", () => {
+test("a session known only from the reply to a command has a lease of its own, and its machine gets no new work", () => {
   // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
   // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
-  const { part, machine, piece, hear } = startedUnheard();
+  const { part, machine, piece, hear } = startedWithoutAnswer();
   const leaseMs = 18_000;
   hear(2);
   noteAnswer(machine, true, NOW);
@@ -219,15 +219,15 @@
   reply(2, 9, learnt, []);
   reply(2, 10, learnt + 200, [running]);
   assert.equal(machine.placements.size, 1);
-  assert.equal(leaseOver(machine, NOW + leaseMs + 700, leaseMs), false, "what runs in session 2 lives as long as that");
+  assert.equal(leaseOver(machine, NOW + leaseMs + 700, leaseMs), false, "tasks of session 2 may run that long");
   assert.equal(leaseOver(machine, learnt + leaseMs - 1, leaseMs), false);
-  assert.equal(leaseOver(machine, learnt + leaseMs + 1, leaseMs), true, "replies renew nothing");
-  assert.equal(usable(machine, learnt + 300, 5000), false, "it has not reported for long, whatever it replies");
+  assert.equal(leaseOver(machine, learnt + leaseMs + 1, leaseMs), true, "replies do not renew the lease");
+  assert.equal(usable(machine, learnt + 300, 5000), false, "it has not reported recently, whatever it replies");
 });
 
 const base = await loadPlan("deploy/meetings.hcl");
 
-test("no answer renews the lease of a machine without stopping what it runs of a job that is known to be over", async () => {
+test("no answer renews the lease of a machine without stopping its tasks of withdrawn jobs", async () => {
   // Guards against this failure: an answer to a machine that had not yet shown the new term renewed its lease without orders. If the
   // machine received nothing more, tasks of cancelled jobs ran until that lease expired.
   let renewed = 0;
@@ -267,7 +267,7 @@
   return decoded.fault;
 }
 
-test("a machine between a leader without proof and its heir: every way explored, and each wrong variant is found", () => {
+test("a machine between an owner without proof of ownership and its successor: all interleavings hold, and each faulty variant is detected", () => {
   const { states, broken } = exploreLeases();
   assert.equal(broken, null);
   assert.ok(states > 2000, `${states} states`);
@@ -282,13 +282,13 @@
     assert.match(exploreLeases(wrong).broken ?? "nothing", what, JSON.stringify(wrong));
 });
 
-test("two or three troubles drawn by seed break no rule, and all work comes to its end", async () => {
+test("two or three randomly generated faults break no rule, and all work finishes", async () => {
   let both = 0;
   for (let seed = 1; seed <= 12; seed++) {
     const report = await playVirtual({ plan: drawnPlan(base, seed), seed, spawn: spawnController, momentOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (report.faults.filter(({ met }) => met.length > 0).length > 1) both++;
   }
-  assert.ok(both > 6, `${both} of 12 had two that met somebody`);
+  assert.ok(both > 6, `${both} of 12 had two that affected something`);
   assert.deepEqual(drawnPlan(base, 7), drawnPlan(base, 7));
 });
