--- a/packages/emulator/src/links.ts
+++ b/packages/emulator/src/links.ts
@@ -1,140 +1,145 @@
 /**
- * What goes wrong between two parties, decided in one place for virtual time and for
- * real sockets: a rule says whose calls it meets, for how long or how often, and what
- * becomes of them. Parties are names of controllers and machines, `state` and `cloud`.
+ * Network faults between two endpoints, for virtual time and real sockets alike. A rule states which calls it applies
+ * to, for how long or how many times, and its effect on them. Endpoints are names of controllers and machines, `state`
+ * and `cloud`.
  */
-import { isParty, type Party } from "./party.js";
+import { matchesEndpoint, type EndpointSelector } from "./party.js";
 
+/** The ways in which a response can be wrong. */
 export type WrongForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
-export type Effect =
-  /** Packets are held, and delivered in order when the rule ends; who sent them hears nothing. */
+/** The effect of a rule on a call. */
+export type RuleEffect =
+  /** Messages are held and delivered in order when the rule ends; the sender gets no response. */
   | { kind: "cut" }
-  /** Answered 503, not executed. */
+  /** Answered with 503 and not executed. */
   | { kind: "refuse" }
   | { kind: "delay"; ms: number }
-  /** Executed, the answer is lost. */
+  /** Executed, but the response is lost. */
   | { kind: "drop" }
-  /** Executed so much later, or between `leastMs` and `ms`; no answer comes. */
+  /** Executed `ms` later, or at random between `leastMs` and `ms`; no response is sent. */
   | { kind: "late"; ms: number; leastMs?: number }
-  /** Executed a second time, right after. */
+  /** Executed a second time immediately afterwards. */
   | { kind: "twice" }
-  /** Never arrives, and nobody says so. */
+  /** Lost without an error. */
   | { kind: "lose" }
-  /** Of that share, a copy arrives again, 2 s to `mostMs` later. */
+  /** For this share of the messages, a copy arrives again 2 s to `mostMs` later. */
   | { kind: "again"; share: number; mostMs: number }
-  /** Of that share, a copy is kept, and comes again when a controller takes a part. */
+  /** For this share of the messages, a copy is stored and delivered when a controller takes over a partition. */
   | { kind: "keep"; share: number }
-  /** Executed, and answered wrongly. */
+  /** Executed, but the response is wrong. */
   | { kind: "wrong"; form: WrongForm };
 
-/** What becomes of a call that has arrived. */
-type Executed = Exclude<Effect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
+/** Effects on a call that has arrived. */
+type ArrivalEffect = Exclude<RuleEffect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
 
-export interface Call {
+/** A message between two endpoints, as rules match it. */
+export interface NetworkCall {
   from: string;
   to: string;
-  /** What is asked: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
+  /** Kind of request: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
   what: string;
 }
 
+/** A rule to add, as plain data. */
 export interface RuleAsked {
-  from: Party;
-  to: Party;
+  from: EndpointSelector;
+  to: EndpointSelector;
   what?: string;
-  effect: Effect;
-  /** How many calls it meets; without it, all until it ends. */
+  effect: RuleEffect;
+  /** Number of calls that the rule applies to; without it, all until the rule is removed. */
   count?: number;
-  /** Of the calls it would meet, that share; without it, each. */
+  /** Share of the matching calls that the rule applies to; without it, all. */
   share?: number;
 }
 
-interface Rule extends Required<RuleAsked> {
+interface ActiveRule extends Required<RuleAsked> {
   id: number;
   held: (() => void)[];
 }
 
-/** What is done to a message on its way, whatever it asks for. */
-const ON_THE_WAY = new Set<Effect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
-/** A copy of a message comes no sooner. */
-const LEAST_AGAIN_MS = 2000;
+/** Effects on a message in transit, independent of its kind of request. */
+const IN_TRANSIT_EFFECTS = new Set<RuleEffect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
+/** Minimum delay of the copy of a message, in ms. */
+const MIN_COPY_DELAY_MS = 2000;
 
+/** The active network rules and the decisions that follow from them. */
 export class Links {
-  private rules: Rule[] = [];
-  private count = 0;
+  private rules: ActiveRule[] = [];
+  private lastRuleId = 0;
 
-  constructor(private readonly luck: () => number = Math.random) {}
+  constructor(private readonly random: () => number = Math.random) {}
 
-  /** The rule holds until the function returned is called; what it held goes on its way then. */
-  add(asked: RuleAsked): () => void {
-    const rule: Rule = { what: "*", count: Infinity, share: 1, ...asked, id: ++this.count, held: [] };
+  /** Adds a rule and returns the function that removes it; removal delivers the messages that the rule holds. */
+  add(requested: RuleAsked): () => void {
+    const rule: ActiveRule = { what: "*", count: Infinity, share: 1, ...requested, id: ++this.lastRuleId, held: [] };
     this.rules.push(rule);
     return () => {
       this.rules = this.rules.filter((other) => other !== rule);
-      for (const run of rule.held.splice(0)) run();
+      for (const deliver of rule.held.splice(0)) deliver();
     };
   }
 
-  private find(call: Call, fits: (effect: Effect) => boolean): Rule | undefined {
+  private find(call: NetworkCall, fits: (effect: RuleEffect) => boolean): ActiveRule | undefined {
     return this.rules.find(
       (rule) =>
         fits(rule.effect) &&
         rule.count > 0 &&
         (rule.what === "*" || rule.what === call.what) &&
-        // A cut has no direction; everything else is said of calls one way.
-        ((isParty(rule.from, call.from) && isParty(rule.to, call.to)) ||
-          (rule.effect.kind === "cut" && isParty(rule.from, call.to) && isParty(rule.to, call.from))),
+        // A cut applies in both directions, all other effects only to calls from `from` to `to`.
+        ((matchesEndpoint(rule.from, call.from) && matchesEndpoint(rule.to, call.to)) ||
+          (rule.effect.kind === "cut" && matchesEndpoint(rule.from, call.to) && matchesEndpoint(rule.to, call.from))),
     );
   }
 
-  /** Holds the call if a cut lies in its way. */
-  hold(call: Call, run: () => void): boolean {
+  /** Holds the call if a cut applies to it, and returns whether it does. */
+  hold(call: NetworkCall, deliver: () => void): boolean {
     const rule = this.find(call, ({ kind }) => kind === "cut");
-    rule?.held.push(run);
+    rule?.held.push(deliver);
     return rule !== undefined;
   }
 
-  /** A cut lies in the way: what cannot be held, such as an answer to one who has given up, is lost. */
-  blocked(call: Call): boolean {
+  /** Whether a cut applies to the call. Messages that cannot be held, such as the response to a caller that has given up, are lost. */
+  blocked(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
 
-  /** Connections are refused, however often they are tried. */
-  refuses(call: Call): boolean {
+  /** Whether connections for the call are refused. */
+  isRefused(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "refuse") !== undefined;
   }
 
-  delayMs(call: Call): number {
+  delayMs(call: NetworkCall): number {
     const rule = this.find(call, ({ kind }) => kind === "delay");
     return rule?.effect.kind === "delay" ? rule.effect.ms : 0;
   }
 
-  /** It never arrives. */
-  loses(call: Call): boolean {
+  /** Whether the message is lost. */
+  loses(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "lose") !== undefined;
   }
 
-  /** In how many ms a copy of it arrives again; null: none does. */
-  againMs(call: Call, luck: () => number): number | null {
+  /** Delay in ms after which a copy of the message arrives again, or null for none. */
+  againMs(call: NetworkCall, random: () => number): number | null {
     const effect = this.find(call, ({ kind }) => kind === "again")?.effect;
-    if (effect?.kind !== "again" || luck() >= effect.share) return null;
-    return LEAST_AGAIN_MS + luck() * Math.max(0, effect.mostMs - LEAST_AGAIN_MS);
+    if (effect?.kind !== "again" || random() >= effect.share) return null;
+    return MIN_COPY_DELAY_MS + random() * Math.max(0, effect.mostMs - MIN_COPY_DELAY_MS);
   }
 
-  /** A copy of it is kept for the next controller that takes a part. */
-  keeps(call: Call): boolean {
+  /** Whether a copy of the message is stored for the next takeover of a partition. */
+  keeps(call: NetworkCall): boolean {
     const effect = this.find(call, ({ kind }) => kind === "keep")?.effect;
-    return effect?.kind === "keep" && this.luck() < effect.share;
+    return effect?.kind === "keep" && this.random() < effect.share;
   }
 
-  /** What becomes of the call once it has arrived; counts against rules that meet so many. */
-  judge(call: Call): Executed | null {
-    const rule = this.find(call, ({ kind }) => !ON_THE_WAY.has(kind));
-    if (rule === undefined || (rule.share < 1 && this.luck() >= rule.share)) return null;
+  /** Returns the effect on a call that has arrived, and counts it against rules with a limited number of calls. */
+  judge(call: NetworkCall): ArrivalEffect | null {
+    const rule = this.find(call, ({ kind }) => !IN_TRANSIT_EFFECTS.has(kind));
+    if (rule === undefined || (rule.share < 1 && this.random() >= rule.share)) return null;
     rule.count--;
     if (rule.count <= 0) this.rules = this.rules.filter((other) => other !== rule);
-    const effect = rule.effect as Executed;
+    const effect = rule.effect as ArrivalEffect;
     if (effect.kind !== "late" || effect.leastMs === undefined) return effect;
-    return { kind: "late", ms: effect.leastMs + this.luck() * (effect.ms - effect.leastMs) };
+    return { kind: "late", ms: effect.leastMs + this.random() * (effect.ms - effect.leastMs) };
   }
 }
--- a/packages/emulator/src/party.ts
+++ b/packages/emulator/src/party.ts
@@ -1,40 +1,45 @@
 /**
- * Whom a rule of the network speaks of: a party by name, all of a kind, one of several, or a sample of the machines. Plain
- * data, so that a rule can be handed to another process.
+ * Selectors for the endpoints of network rules: one name, all endpoints of a kind, a list of names, or a sample of the
+ * machines. They are plain data, so that rules can be sent to other processes.
  */
 
-/** Machines whose names fall into a part of the whole from `least` to `most`, 0 to 1; machines rented later fall into it too. */
+/** The machines whose names hash into the range from `least` to `most`, within 0 to 1. Machines rented later are included. */
 export interface MachineSample {
   least: number;
   most: number;
 }
 
-/** A name, `*`, `workers`, `controllers`, one of several names, or a sample of the machines. */
-export type Party = string | readonly string[] | MachineSample;
+/** A name, `*`, `workers`, `controllers`, a list of names, or a sample of the machines. */
+export type EndpointSelector = string | readonly string[] | MachineSample;
 
-const SERVICES = new Set(["state", "cloud"]);
+const SERVICE_NAMES = new Set(["state", "cloud"]);
 
-/** Machines are named by the cloud, all in one form. */
+/** The cloud names all machines in one form. */
 export const isMachine = (name: string): boolean => name.startsWith("i-");
 
-/** FNV-1a, mixed once more so that names that differ in their last digit are far apart. */
-function placeOf(name: string): number {
+/**
+ * Hashes a name to [0, 1): FNV-1a with a final mix, because names that differ only in the last digit would otherwise
+ * hash close together.
+ */
+function hashToUnitInterval(name: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < name.length; i++) hash = Math.imul(hash ^ name.charCodeAt(i), 0x01000193);
   hash = Math.imul(hash ^ (hash >>> 15), 0x2c1b3c6d);
   return ((hash ^ (hash >>> 13)) >>> 0) / 2 ** 32;
 }
 
-export function inSample({ least, most }: MachineSample, name: string): boolean {
-  const place = placeOf(name);
-  return isMachine(name) && place >= least && place < most;
+/** Whether the name is that of a machine in the sample. */
+export function isInSample({ least, most }: MachineSample, name: string): boolean {
+  const position = hashToUnitInterval(name);
+  return isMachine(name) && position >= least && position < most;
 }
 
-export function isParty(party: Party, name: string): boolean {
-  if (typeof party === "string") {
-    if (party === "*" || party === name) return true;
-    if (party === "workers") return isMachine(name);
-    return party === "controllers" && !isMachine(name) && !SERVICES.has(name);
+/** Whether the selector matches the endpoint of this name. */
+export function matchesEndpoint(selector: EndpointSelector, name: string): boolean {
+  if (typeof selector === "string") {
+    if (selector === "*" || selector === name) return true;
+    if (selector === "workers") return isMachine(name);
+    return selector === "controllers" && !isMachine(name) && !SERVICE_NAMES.has(name);
   }
-  return "least" in party ? inSample(party, name) : party.includes(name);
+  return "least" in selector ? isInSample(selector, name) : selector.includes(name);
 }
--- a/packages/emulator/src/virtual/node-clock.ts
+++ b/packages/emulator/src/virtual/node-clock.ts
@@ -1,21 +1,21 @@
 import { NEVER } from "rxjs";
-import type { ModelClock } from "../cloud-model.js";
+import type { MonotonicClock } from "../cloud-model.js";
 import type { VirtualClock } from "./clock.js";
 
 /**
- * Time as one controller's process sees it. While it is frozen its clocks run on,
- * but nothing of it does: what arrives waits in buffers, timers come late. On waking,
- * the buffers are emptied before any timer fires, as an event loop may well do.
+ * The clock of one controller's process. While the process is frozen, its clock continues but nothing in it runs:
+ * incoming messages are buffered and timers are delayed. On waking, the buffered messages are delivered before any
+ * timer fires, as a real event loop may do.
  */
-export class NodeClock implements ModelClock {
+export class NodeClock implements MonotonicClock {
   readonly stood$ = NEVER;
   private frozen = false;
-  private arrived: (() => void)[] = [];
-  private late: (() => void)[] = [];
+  private pendingDeliveries: (() => void)[] = [];
+  private pendingTimers: (() => void)[] = [];
 
   constructor(
     private readonly world: VirtualClock,
-    /** Steady seconds that it counts in one of the world's. */
+    /** Rate of this monotonic clock relative to the world's. */
     private readonly rate = 1,
   ) {}
 
@@ -37,13 +37,13 @@
   }
 
   private fire(fn: () => void): void {
-    if (this.frozen) this.late.push(fn);
+    if (this.frozen) this.pendingTimers.push(fn);
     else fn();
   }
 
-  /** Something comes in from outside. */
+  /** Delivers an event from outside the process. */
   deliver(fn: () => void): void {
-    if (this.frozen) this.arrived.push(fn);
+    if (this.frozen) this.pendingDeliveries.push(fn);
     else fn();
   }
 
@@ -53,6 +53,6 @@
 
   thaw(): void {
     this.frozen = false;
-    for (const fn of [...this.arrived.splice(0), ...this.late.splice(0)]) this.world.after(0, fn);
+    for (const fn of [...this.pendingDeliveries.splice(0), ...this.pendingTimers.splice(0)]) this.world.after(0, fn);
   }
 }
--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { HabitualUsers } from "../src/crowd.js";
-import { carryOut, decodeFault, lastsMs, type Crowd, type Fault, type Stage } from "../src/faults.js";
+import { carryOut, decodeFault, durationMs, type SimulatedUserControl, type Fault, type Stage } from "../src/faults.js";
 import { Links } from "../src/links.js";
 import { seeded } from "../src/luck.js";
 import { VirtualClock } from "../src/virtual/clock.js";
@@ -31,7 +31,7 @@
   ...over,
 });
 
-function crowd() {
+function setUpUsers() {
   const clock = new VirtualClock();
   const asked: string[] = [];
   const nodes = ["nest-0", "nest-1", "nest-2"];
@@ -57,9 +57,9 @@
   return { clock, asked, nodes, users, begins, ends, count: (what: string) => asked.filter((one) => one.startsWith(what)).length };
 }
 
-test("close looks: every controller is asked within milliseconds of an acceptance and of an end, and not after the time is over", async () => {
-  const { clock, asked, nodes, users, begins, ends, count } = crowd();
-  users.begin("close-looks", 1, 20_000);
+test("close-looks: every controller is polled within milliseconds of an acceptance and of an end, until the behaviour ends", async () => {
+  const { clock, asked, nodes, users, begins, ends, count } = setUpUsers();
+  users.enableBehaviour("close-looks", 1, 20_000);
   begins("run-000001", "x");
   await clock.run(100);
   for (const node of nodes) assert.ok(count(`poll run-000001 ${node}`) >= 3, node);
@@ -76,9 +76,9 @@
   assert.equal(asked.length, after);
 });
 
-test("a share of the jobs that end is called off at the moment of the end: of the last task, not before", async () => {
-  const { clock, asked, users, begins, ends } = crowd();
-  users.begin("cancel-at-end", 1, 10_000);
+test("cancel-at-end: jobs are cancelled when their last task ends, not before", async () => {
+  const { clock, asked, users, begins, ends } = setUpUsers();
+  users.enableBehaviour("cancel-at-end", 1, 10_000);
   begins("run-000001", "x", { tasks: 2 });
   ends("run-000001", 0);
   ends("run-000001", 0);
@@ -93,25 +93,25 @@
   assert.equal(asked.length, 1);
 });
 
-test("calling off now takes those that have longest to go, and names their machines, the busiest first", async () => {
-  const { clock, asked, users, begins } = crowd();
+test("cancel-now selects the jobs with the longest remaining run time and returns their machines, the busiest first", async () => {
+  const { clock, asked, users, begins } = setUpUsers();
   begins("run-000010", "a");
   begins("run-000300", "b");
   begins("run-000200", "b");
   begins("run-000020", "c", { kind: "service" });
   users.hear({ at: 0, kind: "submitted", spec: spec("run-000999") });
-  assert.deepEqual(users.cancelNow(3), { refs: ["run-000020", "run-000300", "run-000200"], hosts: ["b", "c"] });
+  assert.deepEqual(users.cancelLongestRunning(3), { refs: ["run-000020", "run-000300", "run-000200"], hosts: ["b", "c"] });
   await clock.run(200);
   assert.deepEqual(asked.map((one) => one.split(" ")[1]).sort(), ["run-000020", "run-000200", "run-000300"]);
 });
 
-test("odd requests: repeated submissions, cancellations of what is done, and jobs that cannot be had", async () => {
-  const { clock, asked, users, begins, ends, count } = crowd();
+test("odd-requests: repeated submissions, cancellations of finished jobs, and invalid jobs", async () => {
+  const { clock, asked, users, begins, ends, count } = setUpUsers();
   begins("run-000001", "x");
   begins("run-000002", "x");
   ends("run-000002");
   users.hear({ at: 1, kind: "told", ref: "run-000002", what: "done" });
-  users.begin("odd-requests", 1, 30_000);
+  users.enableBehaviour("odd-requests", 1, 30_000);
   await clock.run(29_500);
   assert.equal(count("submit run-000001"), 30);
   assert.equal(count("cancel run-000002"), 30);
@@ -128,7 +128,7 @@
   return decoded.fault;
 };
 
-test("the further faults say whom they met, how long they last, and what is wrong with them", async () => {
+test("faults return what they affected, how long they last, and what is invalid in their definition", async () => {
   const clock = new VirtualClock();
   const links = new Links(seeded(1));
   const hanging = new Set<string>();
@@ -140,17 +140,20 @@
     hang: (host: string, on: boolean) => void (on ? hanging.add(host) : hanging.delete(host)),
   } as unknown as Stage;
   const hosts = Array.from({ length: 12 }, (_, i) => `i-${i}`);
-  const users: Crowd = { begin: () => ["nest-0"], cancelNow: (count) => ({ refs: hosts.slice(0, count), hosts }) };
-  const strike = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
+  const users: SimulatedUserControl = {
+    enableBehaviour: () => ["nest-0"],
+    cancelLongestRunning: (count) => ({ refs: hosts.slice(0, count), hosts }),
+  };
+  const inject = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
 
-  assert.deepEqual(strike({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
+  assert.deepEqual(inject({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
   assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), true);
-  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "answer" }), false, "answers to direct commands come through");
+  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "answer" }), false, "responses to direct commands arrive");
   assert.equal(links.loses({ from: "nest-0", to: "i-1", what: "command" }), false);
   await clock.run(5001);
   assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), false);
 
-  assert.deepEqual(strike({ kind: "late-writes", share: 0.5, for: 5 }), ["nest-0", "nest-1"]);
+  assert.deepEqual(inject({ kind: "late-writes", share: 0.5, for: 5 }), ["nest-0", "nest-1"]);
   const call = { from: "nest-0", to: "state", what: "txn" };
   const judged = Array.from({ length: 400 }, () => links.judge(call));
   const late = judged.filter((effect) => effect?.kind === "late").map((effect) => (effect as { ms: number }).ms);
@@ -158,23 +161,23 @@
   assert.ok(Math.min(...late) >= 2000 && Math.max(...late) <= 12_000 && Math.max(...late) > 9000);
   assert.equal(links.judge({ ...call, what: "follow" }), null);
   await clock.run(11_000);
-  strike({ kind: "late-writes", share: 1, at_once: true, for: 5 });
+  inject({ kind: "late-writes", share: 1, at_once: true, for: 5 });
   assert.deepEqual(links.judge(call), { kind: "drop" });
   await clock.run(17_000);
 
-  strike({ kind: "late-reports", share: 1, for_next: true, for: 5 });
+  inject({ kind: "late-reports", share: 1, for_next: true, for: 5 });
   const report = { from: "i-1", to: "nest-0", what: "report" };
   assert.deepEqual([links.keeps(report), links.againMs(report, () => 0.5)], [true, null]);
   await clock.run(23_000);
   assert.equal(links.keeps(report), false);
 
-  assert.equal(strike({ kind: "cancel-now", count: 3, hang: 4 }).length, 3);
+  assert.equal(inject({ kind: "cancel-now", count: 3, hang: 4 }).length, 3);
   assert.equal(hanging.size, 8, "no more than eight machines hang");
   await clock.run(28_000);
   assert.equal(hanging.size, 0);
 
-  assert.equal(lastsMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last of them has been carried out");
-  assert.equal(lastsMs(fault({ kind: "cancel-now", hang: 4 })), 4000);
+  assert.equal(durationMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last of them has been carried out");
+  assert.equal(durationMs(fault({ kind: "cancel-now", hang: 4 })), 4000);
   for (const [raw, wrong] of [
     [{ kind: "late-writes", share: 2 }, /^share: /],
     [{ kind: "cancel-now", count: 0 }, /^count: /],
