--- a/packages/emulator/src/cli.ts
+++ b/packages/emulator/src/cli.ts
@@ -4,7 +4,7 @@
 export class CommandFailed extends Error {}
 
 /** Lines on a terminal overwrite each other; elsewhere only what is worth keeping is said. */
-export function teller(): { say: (text: string) => void; end: () => void } {
+export function progressLine(): { say: (text: string) => void; end: () => void } {
   const live = process.stderr.isTTY === true;
   let shown = false;
   return {
@@ -20,7 +20,7 @@
 }
 
 /** Aborted by Ctrl-C or a request to end; whatever goes on after `graceMs` is cut off. */
-export function interruptible(graceMs = 500): AbortController {
+export function abortOnSignal(graceMs = 500): AbortController {
   const stop = new AbortController();
   for (const signal of ["SIGINT", "SIGTERM", "SIGHUP"] as const) {
     process.once(signal, () => {
@@ -32,7 +32,7 @@
 }
 
 /** The cases of one turn of several: `0/4` has the first, fifth and so on. */
-export function inTurn<T>(all: T[], turn: string | undefined): T[] {
+export function selectTurn<T>(all: T[], turn: string | undefined): T[] {
   if (turn === undefined) return all;
   const found = /^(\d{1,3})\/(\d{1,3})$/.exec(turn);
   const [which, of] = [Number(found?.[1]), Number(found?.[2])];
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { CommandFailed, inTurn, interruptible, teller } from "./cli.js";
+import { CommandFailed, selectTurn, abortOnSignal, progressLine } from "./cli.js";
 import { BRISK, USUAL } from "./place.js";
 import type { MomentOf } from "./conductor.js";
 import { cases, coverageTable, planOf, type Case, type Covered } from "./campaign.js";
@@ -12,19 +12,19 @@
 import { serveAdmin } from "./real/admin.js";
 import { ask, objectOf } from "./real/http.js";
 import { playReal } from "./real/play.js";
-import { Rig } from "./real/rig.js";
-import { metSplitWhileRefused, table, type Report } from "./report.js";
+import { TestEnvironment } from "./real/test-environment.js";
+import { metSplitWhileRefused, formatTable, type Report } from "./report.js";
 import { shrink } from "./shrink.js";
 import { playVirtual, type VirtualOptions } from "./virtual/play.js";
 import type { ControllerPort } from "./virtual/world.js";
 
-const good = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
+const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
 /** `npm run demo`: everything on this machine, from nothing, within a minute. */
 export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: MomentOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = teller();
-  const stop = interruptible();
+  const { say, end } = progressLine();
+  const stop = abortOnSignal();
   const report = await playReal({
     program: options.program,
     plan,
@@ -40,14 +40,14 @@
     process.exitCode = 130;
     return;
   }
-  process.stdout.write(`${table(report)}\n`);
+  process.stdout.write(`${formatTable(report)}\n`);
   for (const { at, kind, met } of report.faults) process.stdout.write(`at ${at.toFixed(0)} s: ${kind} ${met.join(", ")}\n`);
   for (const line of [...report.broken, ...report.trouble]) process.stdout.write(`${line}\n`);
   const { done, submitted, unfinished } = report.jobs;
   if (unfinished.length > 0) process.stdout.write(`not over: ${unfinished.join(", ")}\n`);
   process.stdout.write(`demo: ${done} jobs done, ${report.broken.length} rules broken, ${report.takeovers} takeovers\n`);
   const asPlanned = report.faults.length === plan.fault.length && report.faults.every(({ met }) => met.length > 0) && report.takeovers > 0;
-  if (!good(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
+  if (!passed(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
 }
 
 /** `thorntrail rehearse` on real processes. */
@@ -61,8 +61,8 @@
   virtually: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = teller();
-  const stop = interruptible();
+  const { say, end } = progressLine();
+  const stop = abortOnSignal();
   const seed = options.seed ?? plan.seed;
   const report = await playReal({
     program: options.program,
@@ -76,12 +76,12 @@
   });
   end();
   if (stop.signal.aborted) throw new CommandFailed("interrupted; nothing was left behind");
-  if (report.broken.length > 0) await shortest(plan, report, (one) => options.virtually(one, seed), say, end);
-  finish(report, options.report);
+  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.virtually(one, seed), say, end);
+  finishRehearsal(report, options.report);
 }
 
 /** Looks for the shortest plan that still breaks a rule in virtual time, and says so in the report. */
-async function shortest(
+async function reportMinimisedPlan(
   plan: RehearsalPlan,
   report: Report,
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
@@ -95,7 +95,7 @@
     process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat it on real processes\n");
     return;
   }
-  const found = await shrink(plan, breaks, SHRINK_RUNS);
+  const found = await shrink(plan, breaks, MAX_MINIMISE_RUNS);
   Object.assign(report, { shortest: found.plan, shrinkRuns: found.runs });
   end();
   process.stdout.write(
@@ -104,15 +104,15 @@
 }
 
 /** Writes the report, says what came of it, and fails if a rule broke or work was left. */
-export function finish(report: Report, file: string | undefined): void {
+export function finishRehearsal(report: Report, file: string | undefined): void {
   if (file !== undefined) writeFileSync(file, `${JSON.stringify(report, null, 2)}\n`);
-  process.stdout.write(`${table(report)}\n`);
+  process.stdout.write(`${formatTable(report)}\n`);
   for (const line of [...report.broken, ...report.trouble]) process.stdout.write(`${line}\n`);
   const { done, withdrawn, unfinished } = report.jobs;
   process.stdout.write(
     `${report.plan}: ${done} jobs done, ${withdrawn} withdrawn, ${unfinished.length} unfinished, ${report.broken.length} rules broken, ${report.takeovers} takeovers\n`,
   );
-  if (!good(report)) process.exitCode = 4;
+  if (!passed(report)) process.exitCode = 4;
 }
 
 export interface RehearseVirtual<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
@@ -132,7 +132,7 @@
   program?: string[];
 }
 
-const SHRINK_RUNS = 60;
+const MAX_MINIMISE_RUNS = 60;
 
 /** `thorntrail rehearse --virtual`: the plan once, or with each case of a campaign; what broke, and the shortest plan that still breaks it. */
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtual<C>): Promise<void> {
@@ -140,58 +140,58 @@
   const seed = options.seed ?? plan.seed;
   const { spawn, momentOf } = options;
   const play = (one: RehearsalPlan): ReturnType<typeof playVirtual> => playVirtual({ plan: one, seed, spawn, momentOf });
-  const { say, end } = teller();
-  const drawnSeeds = options.drawn ?? options.soak;
-  if (drawnSeeds !== undefined) {
+  const { say, end } = progressLine();
+  const seedCount = options.drawn ?? options.soak;
+  if (seedCount !== undefined) {
     const planOfSeed = options.soak === undefined ? drawnPlan : soakPlan;
-    const seeds = inTurn(
-      Array.from({ length: drawnSeeds }, (_, i) => seed + i),
+    const seeds = selectTurn(
+      Array.from({ length: seedCount }, (_, i) => seed + i),
       options.turn,
     );
     const { processes = 1, program } = options;
     const shared = processes > 1 && program !== undefined;
     const played = shared
-      ? await shareOut<Drawn>({ ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, say }, [
+      ? await runInProcesses<RandomisedResult>({ ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, say }, [
           options.soak === undefined ? "--drawn" : "--soak",
-          String(drawnSeeds),
+          String(seedCount),
         ])
-      : [await drawn(plan, planOfSeed, seeds, (one, luck) => playVirtual({ plan: one, seed: luck, spawn, momentOf }), say)];
+      : [await runRandomised(plan, planOfSeed, seeds, (one, luck) => playVirtual({ plan: one, seed: luck, spawn, momentOf }), say)];
     end();
-    return tellDrawn(plan, seed, { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) }, options.report);
+    return printRandomisedSummary(plan, seed, { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) }, options.report);
   }
   if (options.campaign === undefined) {
     const report = await play(plan);
-    if (report.broken.length > 0) await shortest(plan, report, play, say, end);
-    return finish(report, options.report);
+    if (report.broken.length > 0) await reportMinimisedPlan(plan, report, play, say, end);
+    return finishRehearsal(report, options.report);
   }
-  const chosen = inTurn(cases(seed).slice(0, options.campaign), options.turn);
+  const chosen = selectTurn(cases(seed).slice(0, options.campaign), options.turn);
   const { processes = 1, program } = options;
   const played =
     processes > 1 && program !== undefined
-      ? together(
-          await shareOut<Campaign>(
+      ? mergeCampaigns(
+          await runInProcesses<CampaignResult>(
             { ...options, seed, processes: Math.min(processes, chosen.length), program, count: chosen.length, say },
             ["--campaign", String(options.campaign)],
           ),
         )
-      : await campaign(plan, chosen, play, say);
+      : await runCampaign(plan, chosen, play, say);
   end();
-  tellCampaign(plan, seed, played, options.report);
+  printCampaignSummary(plan, seed, played, options.report);
 }
 
-interface Campaign {
+interface CampaignResult {
   covered: Covered[];
   bad: { name: string; broken: string[]; unfinished: string[]; trouble: string[] }[];
 }
 
-async function campaign(
+async function runCampaign(
   plan: RehearsalPlan,
   chosen: Case[],
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
   say: (text: string) => void,
-): Promise<Campaign> {
+): Promise<CampaignResult> {
   const covered: Covered[] = [];
-  const bad: Campaign["bad"] = [];
+  const bad: CampaignResult["bad"] = [];
   for (const [i, one] of chosen.entries()) {
     const asked = planOf(plan, one);
     say(`${i + 1} of ${chosen.length}: ${asked.name}`);
@@ -210,25 +210,25 @@
   return { covered, bad };
 }
 
-const together = (parts: Campaign[]): Campaign => ({
+const mergeCampaigns = (parts: CampaignResult[]): CampaignResult => ({
   covered: parts.flatMap(({ covered }) => covered),
   bad: parts.flatMap(({ bad }) => bad),
 });
 
-interface Drawn {
+interface RandomisedResult {
   /** By seed: how many faults met somebody. */
   played: { seed: number; met: number; splitWhileRefused: boolean }[];
   bad: { seed: number; broken: string[]; unfinished: string[]; trouble: string[]; shortest: { work: string[]; fault: unknown } }[];
 }
 
-async function drawn(
+async function runRandomised(
   base: RehearsalPlan,
   planOfSeed: (base: RehearsalPlan, seed: number) => RehearsalPlan,
   seeds: number[],
   play: (one: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>,
   say: (text: string) => void,
-): Promise<Drawn> {
-  const result: Drawn = { played: [], bad: [] };
+): Promise<RandomisedResult> {
+  const result: RandomisedResult = { played: [], bad: [] };
   for (const [i, seed] of seeds.entries()) {
     say(`${i + 1} of ${seeds.length}: drawn ${seed}`);
     const plan = planOfSeed(base, seed);
@@ -244,14 +244,14 @@
       const again = await play(one, seed);
       return broken.length > 0 ? again.broken.length > 0 : again.jobs.unfinished.length + again.trouble.length > 0;
     };
-    const { plan: shortest } = await shrink(plan, fails, SHRINK_RUNS / 3);
+    const { plan: shortest } = await shrink(plan, fails, MAX_MINIMISE_RUNS / 3);
     const told = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
     result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: told });
   }
   return result;
 }
 
-function tellDrawn(plan: RehearsalPlan, seed: number, { played, bad }: Drawn, report: string | undefined): void {
+function printRandomisedSummary(plan: RehearsalPlan, seed: number, { played, bad }: RandomisedResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, played, bad }, null, 2)}\n`);
   for (const { seed: one, broken, unfinished, trouble, shortest } of bad) {
     const what = [...broken, ...trouble].join("; ") || `unfinished: ${unfinished.join(", ")}`;
@@ -266,7 +266,7 @@
 }
 
 /** Cases know nothing of each other: processes take them in turn; what each came to is put together by whoever asks. */
-async function shareOut<T>(
+async function runInProcesses<T>(
   asked: {
     plan: string;
     seed: number;
@@ -278,36 +278,36 @@
   which: string[],
 ): Promise<T[]> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-campaign-"));
-  let told = 0;
-  const [file, ...first] = asked.program as [string, ...string[]];
+  let started = 0;
+  const [file, ...programArgs] = asked.program as [string, ...string[]];
   const running = new Set<ChildProcess>();
   const endAll = (): void => running.forEach((child) => child.kill("SIGKILL"));
   process.once("exit", endAll);
-  const part = (i: number): Promise<T> => {
-    const out = join(dir, `${i}.json`);
-    const args = ["rehearse", asked.plan, "--virtual", "--seed", String(asked.seed), "--report", out];
+  const runShare = (i: number): Promise<T> => {
+    const reportFile = join(dir, `${i}.json`);
+    const args = ["rehearse", asked.plan, "--virtual", "--seed", String(asked.seed), "--report", reportFile];
     args.push(...which, "--turn", `${i}/${asked.processes}`);
-    const child = spawn(file, [...first, ...args], { stdio: ["ignore", "ignore", "pipe"] });
+    const child = spawn(file, [...programArgs, ...args], { stdio: ["ignore", "ignore", "pipe"] });
     running.add(child);
     let errors = "";
-    child.stderr.on("data", (some: Buffer) => {
-      errors = (errors + some.toString()).slice(-2000);
+    child.stderr.on("data", (data: Buffer) => {
+      errors = (errors + data.toString()).slice(-2000);
       // A line is said before each rehearsal.
-      told += some.toString().split("\n").length - 1;
-      asked.say(`${Math.min(told, asked.count)} of ${asked.count}, in ${asked.processes} processes`);
+      started += data.toString().split("\n").length - 1;
+      asked.say(`${Math.min(started, asked.count)} of ${asked.count}, in ${asked.processes} processes`);
     });
     return new Promise((resolve, reject) => {
       child.once("error", reject);
       child.once("exit", (code, signal) => {
         running.delete(child);
         // 4: a rule broke, which the report says.
-        if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(out, "utf8")) as T);
+        if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(reportFile, "utf8")) as T);
         else reject(new CommandFailed(`process ${i} of the campaign ended with ${code ?? signal}: ${errors.trim().split("\n").at(-1)}`));
       });
     });
   };
   try {
-    return await Promise.all(Array.from({ length: asked.processes }, (_, i) => part(i)));
+    return await Promise.all(Array.from({ length: asked.processes }, (_, i) => runShare(i)));
   } finally {
     endAll();
     process.off("exit", endAll);
@@ -315,7 +315,7 @@
   }
 }
 
-function tellCampaign(plan: RehearsalPlan, seed: number, { covered, bad }: Campaign, report: string | undefined): void {
+function printCampaignSummary(plan: RehearsalPlan, seed: number, { covered, bad }: CampaignResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, covered, bad }, null, 2)}\n`);
   process.stdout.write(`${coverageTable(covered)}\n`);
   for (const { name, broken, unfinished } of bad)
@@ -327,7 +327,7 @@
   if (bad.some((one) => one.broken.length > 0)) process.exitCode = 4;
 }
 
-function addressOf(text: string, option: string): [string, number] {
+function parseAddress(text: string, option: string): [string, number] {
   const found = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
   if (found === null || Number(found[2]) > 65_535) throw new CommandFailed(`${option} ${text}: give an address like 127.0.0.1:7070`);
   return [found[1]!, Number(found[2])];
@@ -336,24 +336,24 @@
 /** `thorntrail emulator serve`: the place of a plan on real processes, without its work and faults, until it is ended. */
 export async function emulatorServe(options: { plan: string; program: string[]; admin: string; seed: number | undefined }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const [host, port] = addressOf(options.admin, "--admin");
-  const stop = interruptible();
-  const rig = new Rig({ program: options.program, plan, timing: USUAL, seed: options.seed ?? plan.seed });
+  const [host, port] = parseAddress(options.admin, "--admin");
+  const stop = abortOnSignal();
+  const environment = new TestEnvironment({ program: options.program, plan, timing: USUAL, seed: options.seed ?? plan.seed });
   try {
-    await rig.start();
-    const { server, addr } = await serveAdmin(rig, host, port);
-    process.stdout.write(`${JSON.stringify({ admin: addr, ...rig.status() })}\n`);
+    await environment.start();
+    const { server, addr } = await serveAdmin(environment, host, port);
+    process.stdout.write(`${JSON.stringify({ admin: addr, ...environment.status() })}\n`);
     await new Promise<void>((resolve) => stop.signal.addEventListener("abort", () => resolve()));
     server.close();
     server.closeAllConnections();
   } finally {
-    rig.close();
+    environment.close();
   }
 }
 
 /** `thorntrail fault KIND key=value...`: one fault, now. */
 export async function faultCommand(options: { emulator: string; kind: string; fields: string[] }): Promise<Record<string, unknown>> {
-  addressOf(options.emulator, "--emulator");
+  parseAddress(options.emulator, "--emulator");
   const asked: Record<string, unknown> = { kind: options.kind };
   for (const field of options.fields) {
     const at = field.indexOf("=");
--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -3,30 +3,33 @@
 import express from "express";
 import { decodeJob } from "@thorntrail/protocol/jobs";
 import { carryOut, decodeFault } from "../faults.js";
-import type { Rig } from "./rig.js";
+import type { TestEnvironment } from "./test-environment.js";
 
-const MOST_BODY = "64kb";
-/** True run time of uploaded jobs, where nobody says: what their owner guesses. */
-const LEAST_RUN_S = 0.1;
+const MAX_BODY = "64kb";
+/** Lower bound for the run time of jobs submitted here, in seconds; otherwise they run as long as their estimate (`guessS`) says. */
+const MIN_RUN_S = 0.1;
 
-/** For whoever rehearses by hand: how things stand, faults on command, jobs to submit. */
-export function serveAdmin(rig: Rig, host: string, port: number): Promise<{ server: Server; addr: string }> {
+/**
+ * Serves the administration interface of an emulator: `GET /status`, `POST /faults` (carries out one fault at once) and `POST /jobs`.
+ * Rejects if the address cannot be listened on.
+ */
+export function serveAdmin(environment: TestEnvironment, host: string, port: number): Promise<{ server: Server; addr: string }> {
   const app = express();
   app.disable("x-powered-by");
-  app.use(express.json({ limit: MOST_BODY }));
-  app.get("/status", (_req, res) => void res.json(rig.status()));
+  app.use(express.json({ limit: MAX_BODY }));
+  app.get("/status", (_req, res) => void res.json(environment.status()));
   app.post("/faults", async (req, res) => {
-    const asked = decodeFault(req.body);
-    if ("wrong" in asked) return void res.status(400).json({ error: asked.wrong });
-    await rig.findLeader();
-    res.json({ kind: asked.fault.kind, met: carryOut(rig, asked.fault, rig.crowd) });
+    const decoded = decodeFault(req.body);
+    if ("wrong" in decoded) return void res.status(400).json({ error: decoded.wrong });
+    await environment.findLargestOwner();
+    res.json({ kind: decoded.fault.kind, met: carryOut(environment, decoded.fault, environment.crowd) });
   });
   app.post("/jobs", (req, res) => {
-    const asked = decodeJob(req.body);
-    if ("fault" in asked) return void res.status(400).json({ error: asked.fault });
-    const { spec } = asked;
-    if (rig.jobs.has(spec.ref)) return void res.status(409).json({ error: `${spec.ref}: was submitted already` });
-    void rig.submit({ atMs: 0, spec, runMs: Math.max(LEAST_RUN_S, spec.guessS) * 1000, cancelMs: null });
+    const decoded = decodeJob(req.body);
+    if ("fault" in decoded) return void res.status(400).json({ error: decoded.fault });
+    const { spec } = decoded;
+    if (environment.jobs.has(spec.ref)) return void res.status(409).json({ error: `${spec.ref}: was submitted already` });
+    void environment.submit({ atMs: 0, spec, runMs: Math.max(MIN_RUN_S, spec.guessS) * 1000, cancelMs: null });
     res.status(202).json({ ref: spec.ref });
   });
   app.use((_req, res) => void res.status(404).json({ error: "expected GET /status, POST /faults or POST /jobs" }));
--- a/packages/emulator/src/real/balancer.ts
+++ b/packages/emulator/src/real/balancer.ts
@@ -1,30 +1,35 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
 import { ask } from "./http.js";
 
-/** PROTOCOL's load balancer: by connection, never by request. Times in ms. */
-const PROBE_MS = 1000;
-const ACCEPT_MS = 500;
-const TRIES = 3;
+/** Interval and timeout of the health probes. All times in this file are in ms. */
+const PROBE_INTERVAL_MS = 1000;
+const CONNECT_TIMEOUT_MS = 500;
+/** Nodes tried for one connection, and failures in a row after which a node is skipped for `SKIP_MS`. */
+const MAX_TRIES = 3;
 const SKIP_MS = 3000;
-const PAUSE = { first: 3000, most: 60_000, window: 120_000 };
-const RESET_MS = 5000;
-const WARM_MS = 10_000;
+/** How long a node stays out once unhealthy. The delay doubles, up to `max`, if the node last became unhealthy less than `window` ago. */
+const READMIT_DELAY_MS = { initial: 3000, max: 60_000, window: 120_000 };
+/** Connections of a node that is still unhealthy after this time are reset. */
+const RESET_DELAY_MS = 5000;
+const SLOW_START_MS = 10_000;
 
+/** A controller behind the balancer, with the state of its health checks. */
 interface Node {
   name: string;
   addr: string;
   healthy: boolean;
   everHealthy: boolean;
-  good: number;
-  last: boolean[];
+  successesInRow: number;
+  recentProbes: boolean[];
   healthySince: number;
   unhealthySince: number;
-  pauseMs: number;
-  refusedInRow: number;
+  readmitDelayMs: number;
+  failuresInRow: number;
   skipUntil: number;
-  open: Set<Socket>;
+  connections: Set<Socket>;
 }
 
+/** The load balancer of the protocol: it distributes connections, never single requests, over the controllers that answer health probes. */
 export class Balancer {
   private readonly nodes: Node[];
   private readonly server: Server;
@@ -32,26 +37,28 @@
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
+    /** Address of the HTTP listener of each controller, by name. */
     fronts: ReadonlyMap<string, string>,
-    private readonly luck: () => number,
+    private readonly random: () => number,
   ) {
     this.nodes = [...fronts].map(([name, addr]) => ({
       name,
       addr,
       healthy: false,
       everHealthy: false,
-      good: 0,
-      last: [],
+      successesInRow: 0,
+      recentProbes: [],
       healthySince: 0,
       unhealthySince: -Infinity,
-      pauseMs: PAUSE.first / 2,
-      refusedInRow: 0,
+      readmitDelayMs: READMIT_DELAY_MS.initial / 2,
+      failuresInRow: 0,
       skipUntil: 0,
-      open: new Set(),
+      connections: new Set(),
     }));
-    this.server = createServer((socket) => void this.take(socket));
+    this.server = createServer((socket) => void this.accept(socket));
   }
 
+  /** Starts probing and listening; resolves with the listening address. */
   async start(): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
@@ -61,86 +68,94 @@
       for (const node of this.nodes) void this.probe(node);
     };
     probe();
-    this.timer = setInterval(probe, PROBE_MS);
+    this.timer = setInterval(probe, PROBE_INTERVAL_MS);
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
+  /** Names of the nodes that currently receive connections. */
   get healthy(): string[] {
     return this.nodes.filter((node) => node.healthy).map(({ name }) => name);
   }
 
   private async probe(node: Node): Promise<void> {
-    const answer = await ask(false, node.addr, "GET", "/up", undefined, PROBE_MS);
+    const answer = await ask(false, node.addr, "GET", "/up", undefined, PROBE_INTERVAL_MS);
     const good = answer?.status === 200;
     const now = Date.now();
-    node.last = [...node.last.slice(-5), good];
-    node.good = good ? node.good + 1 : 0;
+    node.recentProbes = [...node.recentProbes.slice(-5), good];
+    node.successesInRow = good ? node.successesInRow + 1 : 0;
     if (node.healthy) {
-      const bad = node.last.slice(-2).every((ok) => !ok) || node.last.filter((ok) => !ok).length >= 3;
+      const bad = node.recentProbes.slice(-2).every((ok) => !ok) || node.recentProbes.filter((ok) => !ok).length >= 3;
       if (!bad) return;
-      node.pauseMs = now - node.unhealthySince < PAUSE.window ? Math.min(PAUSE.most, node.pauseMs * 2) : PAUSE.first;
-      Object.assign(node, { healthy: false, unhealthySince: now, last: [] });
+      node.readmitDelayMs =
+        now - node.unhealthySince < READMIT_DELAY_MS.window
+          ? Math.min(READMIT_DELAY_MS.max, node.readmitDelayMs * 2)
+          : READMIT_DELAY_MS.initial;
+      Object.assign(node, { healthy: false, unhealthySince: now, recentProbes: [] });
       setTimeout(() => {
-        if (!node.healthy) for (const socket of node.open) socket.resetAndDestroy();
-      }, RESET_MS).unref();
-    } else if (node.good >= (node.everHealthy ? 2 : 1) && (!node.everHealthy || now - node.unhealthySince >= node.pauseMs)) {
-      Object.assign(node, { healthy: true, everHealthy: true, healthySince: now, last: [] });
+        if (!node.healthy) for (const socket of node.connections) socket.resetAndDestroy();
+      }, RESET_DELAY_MS).unref();
+    } else if (
+      node.successesInRow >= (node.everHealthy ? 2 : 1) &&
+      (!node.everHealthy || now - node.unhealthySince >= node.readmitDelayMs)
+    ) {
+      Object.assign(node, { healthy: true, everHealthy: true, healthySince: now, recentProbes: [] });
     }
   }
 
-  /** Favours nodes with fewer open connections; one that has just come back gets its share by and by. */
-  private choose(not: ReadonlySet<Node>): Node | undefined {
+  /** Prefers nodes with fewer open connections. A node that has just become healthy is admitted with a probability that rises over `SLOW_START_MS`. */
+  private choose(excluded: ReadonlySet<Node>): Node | undefined {
     const now = Date.now();
-    const fit = this.nodes.filter((node) => node.healthy && node.skipUntil <= now && !not.has(node));
-    const warm = fit.filter((node) => this.luck() < Math.max(0.1, Math.min(1, (now - node.healthySince) / WARM_MS)));
-    return (warm.length > 0 ? warm : fit).sort((a, b) => a.open.size - b.open.size || this.luck() - 0.5)[0];
+    const candidates = this.nodes.filter((node) => node.healthy && node.skipUntil <= now && !excluded.has(node));
+    const admitted = candidates.filter((node) => this.random() < Math.max(0.1, Math.min(1, (now - node.healthySince) / SLOW_START_MS)));
+    return (admitted.length > 0 ? admitted : candidates).sort((a, b) => a.connections.size - b.connections.size || this.random() - 0.5)[0];
   }
 
-  private async take(socket: Socket): Promise<void> {
+  private async accept(socket: Socket): Promise<void> {
     this.sockets.add(socket);
     socket.on("error", () => undefined);
     socket.once("close", () => this.sockets.delete(socket));
     const tried = new Set<Node>();
-    for (let i = 0; i < TRIES && !socket.destroyed; i++) {
+    for (let i = 0; i < MAX_TRIES && !socket.destroyed; i++) {
       const node = this.choose(tried);
       if (node === undefined) break;
       tried.add(node);
-      const through = await this.open(node);
-      if (through === null) continue;
-      node.open.add(socket);
+      const upstream = await this.connect(node);
+      if (upstream === null) continue;
+      node.connections.add(socket);
       socket.once("close", () => {
-        node.open.delete(socket);
-        through.destroy();
+        node.connections.delete(socket);
+        upstream.destroy();
       });
-      through.once("close", () => socket.destroy());
-      socket.pipe(through).pipe(socket);
+      upstream.once("close", () => socket.destroy());
+      socket.pipe(upstream).pipe(socket);
       return;
     }
     socket.resetAndDestroy();
   }
 
-  private open(node: Node): Promise<Socket | null> {
+  private connect(node: Node): Promise<Socket | null> {
     return new Promise((resolve) => {
       const colon = node.addr.lastIndexOf(":");
-      const through = connect(Number(node.addr.slice(colon + 1)), node.addr.slice(0, colon));
+      const upstream = connect(Number(node.addr.slice(colon + 1)), node.addr.slice(0, colon));
       const fail = (): void => {
         clearTimeout(timer);
-        through.destroy();
-        if (++node.refusedInRow >= TRIES) Object.assign(node, { refusedInRow: 0, skipUntil: Date.now() + SKIP_MS });
+        upstream.destroy();
+        if (++node.failuresInRow >= MAX_TRIES) Object.assign(node, { failuresInRow: 0, skipUntil: Date.now() + SKIP_MS });
         resolve(null);
       };
-      const timer = setTimeout(fail, ACCEPT_MS);
-      through.once("error", fail);
-      through.once("connect", () => {
+      const timer = setTimeout(fail, CONNECT_TIMEOUT_MS);
+      upstream.once("error", fail);
+      upstream.once("connect", () => {
         clearTimeout(timer);
-        through.off("error", fail);
-        through.on("error", () => undefined);
-        node.refusedInRow = 0;
-        resolve(through);
+        upstream.off("error", fail);
+        upstream.on("error", () => undefined);
+        node.failuresInRow = 0;
+        resolve(upstream);
       });
     });
   }
 
+  /** Stops listening and probing, and destroys all client connections. */
   close(): void {
     if (this.timer !== null) clearInterval(this.timer);
     this.server.close();
--- a/packages/emulator/src/real/http.ts
+++ b/packages/emulator/src/real/http.ts
@@ -1,18 +1,18 @@
 import { Agent, request, type IncomingMessage, type ServerResponse } from "node:http";
 
-/** An answer as bytes, so that it can be passed on, cut short or kept back. */
+/** An HTTP response with an undecoded body, so that it can be forwarded, truncated or withheld. */
 export interface Raw {
   status: number;
   text: string;
   retryAfter: string | undefined;
 }
 
-const MOST_BYTES = 64 * 1024 * 1024;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
-/** Connections kept to one host, and no more than so many at a time. */
+/** Creates an agent with persistent connections, at most `maxSockets` per host. */
 export const agentOf = (maxSockets: number): Agent => new Agent({ keepAlive: true, maxSockets, scheduling: "lifo" });
 
-/** Null: no answer within the time, or the connection failed. */
+/** Sends a request; resolves with null if there is no complete answer within `timeoutMs` or the connection fails. Never rejects. */
 export function ask(
   agent: Agent | false,
   addr: string,
@@ -47,13 +47,14 @@
   });
 }
 
+/** Reads a request body; rejects if it exceeds `MAX_BODY_BYTES` or the connection fails. */
 export function readBody(req: IncomingMessage): Promise<string> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     req.on("data", (chunk: Buffer) => {
       size += chunk.length;
-      if (size > MOST_BYTES) reject(new Error("too large"));
+      if (size > MAX_BODY_BYTES) reject(new Error("too large"));
       else chunks.push(chunk);
     });
     req.on("end", () => resolve(Buffer.concat(chunks).toString("utf8")));
@@ -61,6 +62,7 @@
   });
 }
 
+/** Sends a response, unless one was sent already or the connection is closed. */
 export function send(res: ServerResponse, { status, text, retryAfter }: Raw): void {
   if (res.headersSent || res.destroyed) return;
   res.writeHead(status, {
@@ -71,7 +73,7 @@
   res.end(text);
 }
 
-/** An object out of a text; empty if it is none. */
+/** Parses a JSON object; returns an empty object if the text is not valid JSON or not an object. */
 export function objectOf(text: string): Record<string, unknown> {
   try {
     const value = JSON.parse(text) as unknown;
--- a/packages/emulator/src/real/peer-lines.ts
+++ b/packages/emulator/src/real/peer-proxy.ts
@@ -1,8 +1,11 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
 import type { Links } from "../links.js";
 
-/** One line between two controllers, in one direction: what a cut holds goes on its way when it ends. */
-export async function openPeerLine(
+/**
+ * Starts a TCP proxy for the peer connections that controller `from` opens to controller `to`. Chunks held by a cut are delivered
+ * when the cut ends.
+ */
+export async function startPeerProxy(
   links: Links,
   from: string,
   to: string,
@@ -13,19 +16,19 @@
   const server: Server = createServer((socket) => {
     const addr = target();
     const colon = addr.lastIndexOf(":");
-    const through = connect(Number(addr.slice(colon + 1)), addr.slice(0, colon));
-    const pass = (into: Socket) => (chunk: Buffer) => {
-      // What is lost out of a stream breaks it; the other way is left alone until then.
-      if (into === through && links.loses(call)) return void socket.destroy();
+    const upstream = connect(Number(addr.slice(colon + 1)), addr.slice(0, colon));
+    const forward = (into: Socket) => (chunk: Buffer) => {
+      // Losing part of a stream breaks the connection. Only the direction from the client to the target is subject to loss rules.
+      if (into === upstream && links.loses(call)) return void socket.destroy();
       const write = (): void => void (into.destroyed || into.write(chunk));
       if (!links.hold(call, write)) write();
     };
     for (const [one, other] of [
-      [socket, through],
-      [through, socket],
+      [socket, upstream],
+      [upstream, socket],
     ] as const) {
       sockets.add(one);
-      one.on("data", pass(other));
+      one.on("data", forward(other));
       one.on("error", () => undefined);
       one.once("close", () => {
         sockets.delete(one);
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -3,77 +3,82 @@
 import type { Timing } from "../place.js";
 import type { RehearsalPlan } from "../plan.js";
 import type { Report } from "../report.js";
-import { Rig } from "./rig.js";
+import { TestEnvironment } from "./test-environment.js";
 
+/** Options of one rehearsal on real processes. */
 export interface PlayOptions {
+  /** The command that starts the program, such as `[node, main.js]`. */
   program: readonly string[];
   plan: RehearsalPlan;
   timing: Timing;
   seed: number;
   momentOf: MomentOf;
-  /** Told once a second how things stand. */
+  /** Receives a progress message at the start, once a second, and at each fault. */
   progress?: (text: string) => void;
-  /** After all was submitted, how long to wait for the last. */
+  /** How long to wait for unfinished jobs after the plan's own duration, in ms. */
   patienceMs: number;
   stop?: AbortSignal;
-  /** Each line that a controller logs. */
-  onLine?: (node: string, entry: Record<string, unknown>) => void;
-  /** Told in the end what workers and users saw. */
+  /** Receives each log line of the store and the controllers. */
+  onLogLine?: (node: string, entry: Record<string, unknown>) => void;
+  /** Receives, at the end, all events that workers and users observed. */
   onHistory?: (history: readonly Happening[]) => void;
 }
 
-/** Plays a plan on real processes. Whatever ends it, no process and no folder stays. */
+/**
+ * Runs a plan on real processes and returns its report. All processes and temporary folders are removed, also after an error or an abort.
+ * Rejects if the environment cannot be started.
+ */
 export async function playReal(options: PlayOptions): Promise<Report & { moments: MetMoment[] }> {
   const { plan, seed, progress } = options;
-  const trouble: string[] = [];
-  const rig: Rig = new Rig({
+  const errors: string[] = [];
+  const environment: TestEnvironment = new TestEnvironment({
     ...options,
     onLog: (node, entry) => {
-      options.onLine?.(node, entry);
-      conductor.hear({ at: rig.clock.now(), node, what: String(entry["msg"] ?? ""), detail: entry });
-      if (entry["level"] === "error" || entry["level"] === 50) trouble.push(`${node}: ${JSON.stringify(entry).slice(0, 300)}`);
+      options.onLogLine?.(node, entry);
+      driver.hear({ at: environment.clock.now(), node, what: String(entry["msg"] ?? ""), detail: entry });
+      if (entry["level"] === "error" || entry["level"] === 50) errors.push(`${node}: ${JSON.stringify(entry).slice(0, 300)}`);
     },
-    onCall: (node, what, detail) => conductor.hear({ at: rig.clock.now(), node, what, detail }),
-    onHappening: (event) => conductor.happened(event),
+    onCall: (node, what, detail) => driver.hear({ at: environment.clock.now(), node, what, detail }),
+    onEvent: (event) => driver.happened(event),
   });
-  const conductor: Conductor = new Conductor({
+  const driver: Conductor = new Conductor({
     plan,
     seed,
-    stage: rig,
-    users: rig.port,
-    crowd: rig.crowd,
-    clock: rig.clock,
+    stage: environment,
+    users: environment.userPort,
+    crowd: environment.crowd,
+    clock: environment.clock,
     momentOf: options.momentOf,
-    pollMs: () => rig.pollMs(),
-    history: () => rig.history,
+    pollMs: () => environment.pollMs(),
+    history: () => environment.history,
     ...(progress === undefined ? {} : { say: progress }),
   });
-  const stop = (): void => rig.close();
+  const stop = (): void => environment.close();
   options.stop?.addEventListener("abort", stop);
   try {
     progress?.("starting store, cloud and controllers");
-    await rig.start();
-    conductor.begin();
-    const began = rig.clock.now();
-    const last = plan.seconds * 1000 + options.patienceMs;
-    while (!conductor.allOver && rig.clock.now() - began < last && options.stop?.aborted !== true) {
+    await environment.start();
+    driver.begin();
+    const began = environment.clock.now();
+    const limitMs = plan.seconds * 1000 + options.patienceMs;
+    while (!driver.allOver && environment.clock.now() - began < limitMs && options.stop?.aborted !== true) {
       await new Promise((resolve) => setTimeout(resolve, 1000));
-      const seconds = Math.round((rig.clock.now() - began) / 1000);
-      const over = `${conductor.countOver} of ${conductor.planned.length} jobs over`;
-      progress?.(`${seconds} s: ${over}, ${rig.cloud.rented} machines, ${conductor.takeovers} takeovers`);
+      const seconds = Math.round((environment.clock.now() - began) / 1000);
+      const finished = `${driver.countOver} of ${driver.planned.length} jobs over`;
+      progress?.(`${seconds} s: ${finished}, ${environment.cloud.rented} machines, ${driver.takeovers} takeovers`);
     }
-    conductor.stop();
-    options.onHistory?.(rig.history);
-    const { reports: sent, late } = rig.reports;
-    return conductor.report({
+    driver.stop();
+    options.onHistory?.(environment.history);
+    const { reports: sent, late } = environment.reports;
+    return driver.report({
       reports: { sent, late },
       mode: "real",
-      broken: rig.broken(),
-      trouble: [...trouble, ...rig.ended.map((name) => `ended by itself: ${name}`)],
-      cost: rig.cloud.cost,
+      broken: environment.broken(),
+      trouble: [...errors, ...environment.unexpectedExits.map((name) => `ended by itself: ${name}`)],
+      cost: environment.cloud.cost,
     });
   } finally {
     options.stop?.removeEventListener("abort", stop);
-    rig.close();
+    environment.close();
   }
 }
--- a/packages/emulator/src/real/ports.ts
+++ b/packages/emulator/src/real/ports.ts
@@ -1,13 +1,13 @@
 /**
- * Ports for processes that are told where to listen. They are chosen below those that the system hands out by itself: one that
- * was seen free there a moment ago can be taken by any connection or listener before its process has started.
+ * Allocates ports for processes that get their listening port as a setting. The ports lie below the ephemeral range: a port of that
+ * range that was found free can be taken by any other connection or listener before the process has started.
  */
 import { createServer } from "node:net";
 
-const FIRST = 12_000;
-/** Below 32,768, where systems commonly begin to hand out ports by themselves. */
-const END = 32_000;
-const MOST_TRIES = 200;
+const FIRST_PORT = 12_000;
+/** Exclusive. Below 32,768, where the ephemeral port range commonly begins. */
+const END_PORT = 32_000;
+const MAX_TRIES = 200;
 
 function isFree(port: number): Promise<boolean> {
   const server = createServer();
@@ -17,18 +17,18 @@
   });
 }
 
-/** A port nobody has just now, and none that was given out by this process before. */
-export class Ports {
-  private readonly given = new Set<number>();
+/** Allocates random free ports of 127.0.0.1, never the same one twice. */
+export class PortAllocator {
+  private readonly allocated = new Set<number>();
 
-  /** Throws if none is found. */
-  async next(): Promise<number> {
-    for (let i = 0; i < MOST_TRIES; i++) {
-      const port = FIRST + Math.floor(Math.random() * (END - FIRST));
-      if (this.given.has(port) || !(await isFree(port))) continue;
-      this.given.add(port);
+  /** Returns a port that is currently free. Throws if none was found in `MAX_TRIES` tries. */
+  async allocate(): Promise<number> {
+    for (let i = 0; i < MAX_TRIES; i++) {
+      const port = FIRST_PORT + Math.floor(Math.random() * (END_PORT - FIRST_PORT));
+      if (this.allocated.has(port) || !(await isFree(port))) continue;
+      this.allocated.add(port);
       return port;
     }
-    throw new Error(`no free port between ${FIRST} and ${END} in ${MOST_TRIES} tries`);
+    throw new Error(`no free port between ${FIRST_PORT} and ${END_PORT} in ${MAX_TRIES} tries`);
   }
 }
--- a/packages/emulator/src/real/processes.ts
+++ b/packages/emulator/src/real/processes.ts
@@ -1,54 +1,57 @@
 import { spawn, type ChildProcess } from "node:child_process";
 
-/** Child processes that end with this one, whatever ends it. */
+/** Manages named child processes, which are killed when this process exits. */
 export class Processes {
   private readonly running = new Map<string, ChildProcess>();
-  private readonly last = () => this.killAll();
+  private readonly onParentExit = () => this.killAll();
 
   constructor(
-    /** The program and its first arguments, as `[node, main.js]`. */
+    /** The program and its first arguments, such as `[node, main.js]`. */
     private readonly program: readonly string[],
-    /** Lines of standard error, with the name of who wrote them. */
+    /** Receives each line that a child writes to standard error. */
     private readonly onLine: (name: string, line: string) => void,
-    /** Ended though nobody asked for it. */
-    private readonly onEnd: (name: string, how: string) => void,
+    /** Called when a child exits without a call of `kill`; `how` is the signal or the exit code. */
+    private readonly onUnexpectedExit: (name: string, how: string) => void,
   ) {
-    process.once("exit", this.last);
+    process.once("exit", this.onParentExit);
   }
 
-  /** Resolves with the first line on standard output if `answers`, else once started. */
-  start(name: string, args: readonly string[], env: Record<string, string>, answers: boolean): Promise<string> {
-    // The first would be forgotten, and left behind.
-    if (this.running.has(name)) return Promise.reject(new Error(`${name} runs already`));
-    const [file, ...first] = this.program as [string, ...string[]];
-    const child = spawn(file, [...first, ...args], { stdio: ["ignore", "pipe", "pipe"], env: { ...process.env, ...env } });
+  /**
+   * Starts a child. Resolves with the first line of its standard output if `awaitFirstLine`, else at once with an empty string.
+   * Rejects if a child of that name is running, if the program cannot be started, or if it exits before its first line.
+   */
+  start(name: string, args: readonly string[], env: Record<string, string>, awaitFirstLine: boolean): Promise<string> {
+    // The running child would be dropped from the map and never be killed.
+    if (this.running.has(name)) return Promise.reject(new Error(`${name} is already running`));
+    const [file, ...programArgs] = this.program as [string, ...string[]];
+    const child = spawn(file, [...programArgs, ...args], { stdio: ["ignore", "pipe", "pipe"], env: { ...process.env, ...env } });
     this.running.set(name, child);
     let errors = "";
-    child.stderr!.on("data", (some: Buffer) => {
-      errors += some.toString();
+    child.stderr!.on("data", (data: Buffer) => {
+      errors += data.toString();
       const lines = errors.split("\n");
       errors = lines.pop()!;
       for (const line of lines) this.onLine(name, line);
     });
     return new Promise((resolve, reject) => {
       let out = "";
-      child.stdout!.on("data", (some: Buffer) => {
-        out += some.toString();
+      child.stdout!.on("data", (data: Buffer) => {
+        out += data.toString();
         const end = out.indexOf("\n");
         if (end >= 0) resolve(out.slice(0, end));
       });
       child.once("error", reject);
       child.once("exit", (code, signal) => {
-        reject(new Error(`${name} ended at its start with ${code ?? signal}: ${errors}`));
+        reject(new Error(`${name} exited before it was ready with ${code ?? signal}: ${errors}`));
         if (this.running.get(name) !== child) return;
         this.running.delete(name);
-        this.onEnd(name, String(signal ?? code));
+        this.onUnexpectedExit(name, String(signal ?? code));
       });
-      if (!answers) resolve("");
+      if (!awaitFirstLine) resolve("");
     });
   }
 
-  /** Without warning. Resolves once it is gone. */
+  /** Sends the signal, by default SIGKILL; resolves once the child has exited. */
   kill(name: string, signal: NodeJS.Signals = "SIGKILL"): Promise<void> {
     const child = this.running.get(name);
     this.running.delete(name);
@@ -59,19 +62,20 @@
     });
   }
 
-  /** Undefined: it does not run. */
+  /** Returns the process id; undefined if no child of that name is running. */
   pid(name: string): number | undefined {
     return this.running.get(name)?.pid;
   }
 
-  /** Stands still, and goes on. */
+  /** Stops the child with SIGSTOP (`on`) or continues it with SIGCONT. */
   freeze(name: string, on: boolean): void {
     this.running.get(name)?.kill(on ? "SIGSTOP" : "SIGCONT");
   }
 
+  /** Kills all children with SIGKILL and stops listening for the exit of this process. */
   killAll(): void {
     for (const child of this.running.values()) child.kill("SIGKILL");
     this.running.clear();
-    process.off("exit", this.last);
+    process.off("exit", this.onParentExit);
   }
 }
--- a/packages/emulator/src/real/rig.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -15,93 +15,96 @@
 import { isTakeover, tookOver } from "../recovery.js";
 import { startTwice } from "../worker-model.js";
 import { Balancer } from "./balancer.js";
-import { openGate } from "./gate.js";
+import { startFaultProxy } from "./fault-proxy.js";
 import { ask, objectOf } from "./http.js";
-import { openPeerLine } from "./peer-lines.js";
-import { Ports } from "./ports.js";
+import { startPeerProxy } from "./peer-proxy.js";
+import { PortAllocator } from "./ports.js";
 import { Processes } from "./processes.js";
-import { CloudFace, StateFace } from "./services.js";
+import { CloudFace, StateForwarder } from "./services.js";
 import { Users } from "./users.js";
 import { WorkerHost } from "./worker-host.js";
 
 const STORE = "store";
-/** A kept report comes within so long of the new owner's beginning. */
-const KEPT_REPORTS_MS = 500;
+/** Kept copies of reports are delivered within this time after a controller has taken over a partition. */
+const MAX_KEPT_REPORT_DELAY_MS = 500;
 
-export interface RigOptions {
-  /** The program that serves, as `[node, main.js]`. */
+/** Options of a test environment. */
+export interface TestEnvironmentOptions {
+  /** The command that starts the program, such as `[node, main.js]`. */
   program: readonly string[];
   plan: RehearsalPlan;
   timing: Timing;
   seed: number;
-  /** A line of a log, as an object. */
+  /** Receives each log line of the store and the controllers; a line that is not JSON arrives as `msg`. */
   onLog?: (node: string, entry: Record<string, unknown>) => void;
-  /** A call to a service. */
+  /** Receives the transactions (`txn`) and rentals (`hire`) that controllers send to the services. */
   onCall?: (node: string, what: string, detail: Record<string, unknown>) => void;
-  /** Something that happened to a task on its machine. */
-  onHappening?: (event: Happening) => void;
+  /** Receives each event that workers and users observe. */
+  onEvent?: (event: Happening) => void;
 }
 
-/** A whole cluster on this machine: store and controllers as processes, cloud, workers and users in this one. */
-export class Rig implements Stage {
+/** Runs a whole cluster on this machine: the store and the controllers as child processes; cloud, workers and users in this process. */
+export class TestEnvironment implements Stage {
   readonly history: Happening[] = [];
-  readonly links = new Links(() => this.luck());
+  readonly links = new Links(() => this.random());
   readonly dir = mkdtempSync(join(tmpdir(), "thorntrail-"));
   readonly cloud: CloudModel;
-  readonly ended: string[] = [];
-  /** Users with habits of their own, who reach each controller by itself. */
+  /** Processes that exited on their own or could not be restarted, with the reason. */
+  readonly unexpectedExits: string[] = [];
+  /** Simulated users whose behaviour is set by faults; they call the controllers directly, not through the load balancer. */
   readonly crowd: HabitualUsers;
   takeovers = 0;
-  /** Controllers that were ended and are not started again yet. */
-  private readonly away = new Set<string>();
-  private readonly luck: () => number;
+  /** Controllers that were killed and are not restarted yet. */
+  private readonly down = new Set<string>();
+  private readonly random: () => number;
+  /** Submitted jobs with their true run times, by ref. */
   private readonly specs = new Map<string, Planned>();
   private readonly processes: Processes;
-  private readonly freePorts = new Ports();
+  private readonly portAllocator = new PortAllocator();
   private readonly fronts = new Map<string, string>();
-  private readonly sickHosts = new Set<string>();
+  private readonly failingHosts = new Set<string>();
   private readonly slowness = new Map<string, number>();
   private readonly addrs = new Map<string, string>();
   private readonly closers: (() => void)[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
   private hosts!: WorkerHost;
-  private cloudFace!: CloudFace;
-  private stateFace!: StateFace;
+  private cloudStub!: CloudFace;
+  private stateForwarder!: StateForwarder;
   private storeAddr: string | null = null;
   private adminPort = 0;
   private storePort = 0;
-  /** Where users reach the load balancer. */
-  private front = "";
+  /** Address of the load balancer, to which users send their requests. */
+  private balancerAddr = "";
   private users!: Users;
   private balancer!: Balancer;
   private began = performance.now();
   private closing = false;
 
-  constructor(private readonly options: RigOptions) {
-    this.luck = seeded(options.seed);
+  constructor(private readonly options: TestEnvironmentOptions) {
+    this.random = seeded(options.seed);
     const { types, capacity } = platformOf(options.plan, options.timing);
     this.cloud = new CloudModel(this.clock, {
       types,
       capacity,
       lagMs: options.timing.listLagMs,
-      ...(options.plan.boots === undefined ? {} : { luck: this.luck, boots: options.plan.boots }),
+      ...(options.plan.boots === undefined ? {} : { luck: this.random, boots: options.plan.boots }),
     });
-    const frontOf = (node: string): string => this.fronts.get(node) ?? this.front;
+    const frontOf = (node: string): string => this.fronts.get(node) ?? this.balancerAddr;
     this.crowd = new HabitualUsers(
       {
         controllers: () => this.controllers(),
-        submit: (wire, spec, node, never) => this.users.offer(wire, spec, frontOf(node), never),
+        submit: (wire, spec, node, never) => this.users.submitRaw(wire, spec, frontOf(node), never),
         poll: (ref, node) => this.users.poll(ref, frontOf(node)),
         cancel: (ref, node) => this.users.cancel(ref, frontOf(node)),
         runMs: (ref) => this.specs.get(ref)?.runMs ?? 0,
       },
       this.clock,
-      this.luck,
+      this.random,
     );
     this.processes = new Processes(
       options.program,
-      (name, line) => this.hearLine(name, line),
-      (name, how) => this.closing || this.ended.push(`${name} (${how})`),
+      (name, line) => this.handleLogLine(name, line),
+      (name, how) => this.closing || this.unexpectedExits.push(`${name} (${how})`),
     );
   }
 
@@ -120,13 +123,13 @@
     },
   };
 
-  private happened(event: Happening): void {
+  private recordEvent(event: Happening): void {
     this.history.push(event);
     this.crowd.hear(event);
-    this.options.onHappening?.(event);
+    this.options.onEvent?.(event);
   }
 
-  private hearLine(node: string, line: string): void {
+  private handleLogLine(node: string, line: string): void {
     let entry: Record<string, unknown>;
     try {
       entry = JSON.parse(line) as Record<string, unknown>;
@@ -135,42 +138,45 @@
     }
     const what = String(entry["msg"]);
     if (tookOver(what, entry)) this.takeovers++;
-    if (isTakeover(what)) this.clock.after(KEPT_REPORTS_MS * this.luck(), () => this.hosts.deliverKept());
+    if (isTakeover(what)) this.clock.after(MAX_KEPT_REPORT_DELAY_MS * this.random(), () => this.hosts.deliverKept());
     this.options.onLog?.(node, entry);
   }
 
-  /** Starts everything; resolves when the load balancer finds every controller healthy. */
+  /**
+   * Starts all processes, stubs and proxies; resolves when the load balancer finds every controller healthy. Rejects if that takes
+   * longer than 30 s, if a process cannot be started, or if the environment is closed meanwhile.
+   */
   async start(): Promise<void> {
     const { plan, timing } = this.options;
     const names = Array.from({ length: plan.controllers }, (_, i) => `nest-${i}`);
     const ports = new Map<string, { front: number; peer: number }>();
-    for (const name of names) ports.set(name, { front: await this.freePorts.next(), peer: await this.freePorts.next() });
+    for (const name of names) ports.set(name, { front: await this.portAllocator.allocate(), peer: await this.portAllocator.allocate() });
     for (const [name, { front }] of ports) this.fronts.set(name, `127.0.0.1:${front}`);
-    this.adminPort = await this.freePorts.next();
-    this.storePort = await this.freePorts.next();
+    this.adminPort = await this.portAllocator.allocate();
+    this.storePort = await this.portAllocator.allocate();
     writeFileSync(
       join(this.dir, "store.hcl"),
       `limits {\n requests_per_second = ${plan.state.rps}\n changes_per_second = ${plan.state.writes}\n value_kb = ${plan.state.value_kb}\n changes_per_transaction = ${plan.state.changes}\n}\n`,
     );
     await this.startStore();
-    this.cloudFace = new CloudFace(this.cloud, this.clock, timing.cloudRps);
-    this.stateFace = new StateFace(() => this.storeAddr);
+    this.cloudStub = new CloudFace(this.cloud, this.clock, timing.cloudRps);
+    this.stateForwarder = new StateForwarder(() => this.storeAddr);
     this.hosts = new WorkerHost(this.links, this.fronts, {
       clock: this.clock,
       reportMs: timing.reportMs,
       leaseMs: timing.leaseMs,
       gangPeerMs: timing.gangPeerMs,
       gangWaitMs: timing.gangWaitMs,
-      luck: this.luck,
+      luck: this.random,
       nodes: names,
       spec: (ref) => this.specs.get(ref)?.spec,
       runMs: (ref) => this.specs.get(ref)?.runMs ?? 10_000,
       fetchMs: (ref) => (this.specs.get(ref)?.spec.imageGb ?? 1) * 1000,
       slowness: (host) => this.slowness.get(host) ?? 1,
-      sick: (host) => this.sickHosts.has(host),
+      sick: (host) => this.failingHosts.has(host),
       saved: new Map(),
-      on: (worker, piece) => this.happened({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      off: (worker, piece, cause) => this.happened({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      on: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
+      off: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
     });
     this.cloud.addrOf = (host) => this.addrs.get(host) ?? "127.0.0.1:1";
     this.cloud.onGone = (host) => this.hosts.end(host);
@@ -178,25 +184,25 @@
       const type = this.cloud.types().find((one) => one.name === offer.type)!;
       void this.hosts.boot(host, offer, type).then((addr) => {
         this.addrs.set(host, addr);
-        // It may have gone while its listener opened.
+        // The machine may have been removed while its listener was being opened.
         if (this.cloud.machines.get(host)?.goneAt !== null) this.hosts.end(host);
       });
     };
-    for (const name of names) await this.openDoors(name, names, ports);
-    this.balancer = new Balancer(this.fronts, this.luck);
+    for (const name of names) await this.startProxies(name, names, ports);
+    this.balancer = new Balancer(this.fronts, this.random);
     this.closers.push(() => this.balancer.close());
-    this.front = await this.balancer.start();
+    this.balancerAddr = await this.balancer.start();
     this.users = new Users(
-      this.front,
+      this.balancerAddr,
       () => this.clock.now(),
-      (event) => this.happened(event),
-      this.luck,
+      (event) => this.recordEvent(event),
+      this.random,
     );
     this.closers.push(() => this.users.close());
     for (const name of names) await this.startController(name);
     const until = this.clock.now() + 30_000;
     while (this.balancer.healthy.length < names.length) {
-      if (this.closing) throw new Error("ended while its processes were starting");
+      if (this.closing) throw new Error("closed while its processes were starting");
       if (this.clock.now() > until)
         throw new Error(`only ${this.balancer.healthy.join(", ") || "none"} of the controllers became healthy in 30 s`);
       await new Promise((resolve) => setTimeout(resolve, 100));
@@ -216,35 +222,35 @@
     this.storeAddr = String(objectOf(line)["listening"]);
   }
 
-  /** The controller's settings: its own doors to the services and its own lines to the others. */
-  private async openDoors(name: string, names: string[], ports: Map<string, { front: number; peer: number }>): Promise<void> {
-    const state = await openGate({
+  /** Starts the controller's own proxies to the services and to its peers, and writes its settings file. */
+  private async startProxies(name: string, names: string[], ports: Map<string, { front: number; peer: number }>): Promise<void> {
+    const state = await startFaultProxy({
       links: this.links,
       from: name,
       to: "state",
-      what: (passing) => this.stateFace.what(passing),
-      execute: (passing) => {
-        if (this.stateFace.what(passing) === "txn") this.options.onCall?.(name, "txn", objectOf(passing.body));
-        return this.stateFace.execute(passing);
+      operationOf: (request) => this.stateForwarder.operationOf(request),
+      forward: (request) => {
+        if (this.stateForwarder.operationOf(request) === "txn") this.options.onCall?.(name, "txn", objectOf(request.body));
+        return this.stateForwarder.forward(request);
       },
     });
-    const cloud = await openGate({
+    const cloud = await startFaultProxy({
       links: this.links,
       from: name,
       to: "cloud",
-      what: (passing) => this.cloudFace.what(passing),
-      execute: (passing) => {
-        if (this.cloudFace.what(passing) === "hire") this.options.onCall?.(name, "hire", objectOf(passing.body));
-        return this.cloudFace.execute(passing);
+      operationOf: (request) => this.cloudStub.what(request),
+      forward: (request) => {
+        if (this.cloudStub.what(request) === "hire") this.options.onCall?.(name, "hire", objectOf(request.body));
+        return this.cloudStub.execute(request);
       },
-      spoil: (passing, form) => this.cloudFace.spoil(passing, form),
+      wrongAnswer: (request, form) => this.cloudStub.wrongAnswer(request, form),
     });
     const known: Record<string, unknown>[] = [];
     for (const other of names) {
       if (other === name) continue;
-      const line = await openPeerLine(this.links, name, other, () => `127.0.0.1:${ports.get(other)!.peer}`);
-      this.closers.push(line.close);
-      known.push({ host_name: other, area: "a", peer_addr: line.addr });
+      const proxy = await startPeerProxy(this.links, name, other, () => `127.0.0.1:${ports.get(other)!.peer}`);
+      this.closers.push(proxy.close);
+      known.push({ host_name: other, area: "a", peer_addr: proxy.addr });
     }
     for (const { server } of [state, cloud])
       this.closers.push(() => {
@@ -273,14 +279,14 @@
     );
   }
 
-  /** Submits a job and follows it to its end. */
+  /** Submits a job and polls it until it is done or withdrawn. */
   submit(planned: Planned): Promise<void> {
     this.specs.set(planned.spec.ref, planned);
     return this.users.follow(planned);
   }
 
-  /** Users, for whoever conducts a rehearsal. */
-  get port(): UserPort {
+  /** The users' operations, as the driver of a rehearsal calls them. */
+  get userPort(): UserPort {
     return {
       submit: (one) => {
         this.specs.set(one.spec.ref, one);
@@ -291,42 +297,46 @@
     };
   }
 
+  /** The pause before the next poll of a job, in ms. */
   pollMs(): number {
     return this.users.pollMs();
   }
 
+  /** Submitted jobs, by ref. */
   get jobs(): Users["jobs"] {
     return this.users.jobs;
   }
 
-  /** How things stand, for a person or a script. */
+  /** The answer of `GET /status`. */
   status(): Record<string, unknown> {
-    const over = [...this.jobs.values()].filter(({ final }) => final !== null).length;
+    const finished = [...this.jobs.values()].filter(({ terminalState }) => terminalState !== null).length;
     return {
       seconds: Math.round(this.clock.now() / 1000),
-      balancer: this.front,
+      balancer: this.balancerAddr,
       controllers: Object.fromEntries(this.fronts),
       healthy: this.balancer.healthy,
       machines: this.cloud.rented,
       jobs: this.jobs.size,
-      over,
+      over: finished,
       takeovers: this.takeovers,
       broken: this.broken(),
       reports: this.hosts.stats,
-      ended: this.ended,
+      ended: this.unexpectedExits,
     };
   }
 
+  /** Counts of worker reports. */
   get reports(): WorkerHost["stats"] {
     return this.hosts.stats;
   }
 
+  /** Describes each rule that the events so far break. */
   broken(): string[] {
     const teams: Limits["teams"] = new Map(this.options.plan.team.map((t) => [t.name, { cpus: t.most_cpus, gpus: t.most_gpus }]));
     return brokenRules(this.history, { cancelMs: this.options.timing.cancelMs, teams });
   }
 
-  // ---- what faults are carried out on
+  // ---- Operations that faults call (`Stage`)
 
   after(ms: number, fn: () => void): void {
     this.clock.after(ms, fn);
@@ -336,27 +346,27 @@
     return [...this.fronts.keys()];
   }
 
-  /** As `/cluster` of any that answers was asked last; see `watchLeader`. */
-  private leads = "nest-0";
+  /** The controller that owned the most machines when `findLargestOwner` last got an answer. */
+  private lastOwner = "nest-0";
   leader(): string {
-    return this.leads;
+    return this.lastOwner;
   }
 
   async prepare(): Promise<void> {
-    await this.findLeader();
+    await this.findLargestOwner();
   }
 
-  /** Asks a controller who leads the most machines. */
-  async findLeader(): Promise<string> {
+  /** Asks the controllers in turn for `/cluster` until one names the controller that owns the most machines. Keeps the last result if none does. */
+  async findLargestOwner(): Promise<string> {
     for (const front of this.fronts.values()) {
       const answer = await ask(false, front, "GET", "/cluster", undefined, 1000);
       const parts = answer?.status === 200 ? (objectOf(answer.text)["parts"] as { owner: string | null; machines: number }[]) : [];
       const counts = new Map<string, number>();
       for (const { owner, machines } of parts) if (owner !== null) counts.set(owner, (counts.get(owner) ?? 0) + machines);
-      const [most] = [...counts].sort((a, b) => b[1] - a[1]);
-      if (most !== undefined) return (this.leads = most[0]);
+      const [largest] = [...counts].sort((a, b) => b[1] - a[1]);
+      if (largest !== undefined) return (this.lastOwner = largest[0]);
     }
-    return this.leads;
+    return this.lastOwner;
   }
 
   machines(): string[] {
@@ -369,15 +379,15 @@
     return [...this.hosts.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host);
   }
 
-  /** One that is away already comes back when it was to: two processes of one name would take each other's place. */
-  restart(controller: string, awayMs: number): void {
-    if (this.away.has(controller)) return;
-    this.away.add(controller);
-    const back = (): void => {
-      this.away.delete(controller);
-      void this.startController(controller).catch((error: Error) => this.ended.push(`${controller}: ${error.message}`));
+  /** A controller that is already down keeps its restart time: two processes of one name would replace each other. */
+  restart(controller: string, downMs: number): void {
+    if (this.down.has(controller)) return;
+    this.down.add(controller);
+    const start = (): void => {
+      this.down.delete(controller);
+      void this.startController(controller).catch((error: Error) => this.unexpectedExits.push(`${controller}: ${error.message}`));
     };
-    void this.processes.kill(controller).then(() => this.after(awayMs, back));
+    void this.processes.kill(controller).then(() => this.after(downMs, start));
   }
 
   freeze(controller: string, ms: number): void {
@@ -385,17 +395,19 @@
     this.after(ms, () => this.processes.freeze(controller, false));
   }
 
-  restartStore(awayMs: number): void {
+  restartStore(downMs: number): void {
     if (this.storeAddr === null) return;
     this.storeAddr = null;
     void this.processes
       .kill(STORE)
-      .then(() => this.after(awayMs, () => void this.startStore().catch((error: Error) => this.ended.push(`store: ${error.message}`))));
+      .then(() =>
+        this.after(downMs, () => void this.startStore().catch((error: Error) => this.unexpectedExits.push(`store: ${error.message}`))),
+      );
   }
 
   outage(of: "state" | "cloud", on: boolean): void {
-    if (of === "cloud") this.cloudFace.down = on;
-    else this.stateFace.down = on;
+    if (of === "cloud") this.cloudStub.down = on;
+    else this.stateForwarder.down = on;
   }
 
   rule(asked: Parameters<Links["add"]>[0]): () => void {
@@ -429,7 +441,7 @@
   }
 
   sicken(machine: string): void {
-    this.sickHosts.add(machine);
+    this.failingHosts.add(machine);
   }
 
   startTwice(): string | null {
@@ -444,7 +456,7 @@
     this.cloud.spotFactor = factor;
   }
 
-  /** Ends every process and takes the folder away. */
+  /** Kills all processes, closes all listeners and deletes the folder. */
   close(): void {
     if (this.closing) return;
     this.closing = true;
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -3,105 +3,111 @@
 import type { Planned } from "../plan.js";
 import { agentOf, ask, objectOf, type Raw } from "./http.js";
 
-const PATIENCE_MS = { submit: 5000, poll: 2000 };
-const GIVE_UP_MS = 60_000;
+/** How long a user waits for an answer, before it repeats the request. */
+const TIMEOUT_MS = { submit: 5000, poll: 2000 };
+/** How long a submission or cancellation is repeated without an answer. */
+const RETRY_LIMIT_MS = 60_000;
 const POLL_MS = 2000;
 
-export interface JobSeen {
+/** A submitted job as its user sees it. */
+export interface TrackedJob {
   planned: Planned;
   acceptedMs: number | null;
-  final: "done" | "withdrawn" | null;
+  terminalState: "done" | "withdrawn" | null;
 }
 
-/** Users as the protocol has them: they submit through the load balancer, repeat, poll and cancel. */
+/** Simulated users that follow the protocol: they submit through the load balancer, repeat unanswered requests, poll and cancel. */
 export class Users {
   private readonly agent = agentOf(64);
-  readonly jobs = new Map<string, JobSeen>();
-  private over = false;
+  readonly jobs = new Map<string, TrackedJob>();
+  private closed = false;
 
   constructor(
     private readonly addr: string,
     private readonly now: () => number,
-    private readonly happened: (event: Happening) => void,
-    private readonly luck: () => number,
+    private readonly recordEvent: (event: Happening) => void,
+    private readonly random: () => number,
   ) {}
 
   private wait(ms: number): Promise<void> {
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  /** `asked`: when the question was sent. */
-  private hear(ref: string, asked: number, answer: Raw | null): void {
+  /** Records the job state that an answer contains; `asked` is the time at which the request was sent. */
+  private recordAnswer(ref: string, asked: number, answer: Raw | null): void {
     if (answer === null) return;
     const what = toldBy(answer.status, objectOf(answer.text));
-    if (what !== null) this.happened({ at: this.now(), kind: "told", ref, asked, what });
+    if (what !== null) this.recordEvent({ at: this.now(), kind: "told", ref, asked, what });
   }
 
-  private async insist(path: string, ref: string, body: string | undefined, addr = this.addr): Promise<Raw | null> {
-    const until = this.now() + GIVE_UP_MS;
-    while (!this.over && this.now() < until) {
+  /** Repeats a POST until it is answered with a status below 429; null after `RETRY_LIMIT_MS` or once closed. */
+  private async postUntilAnswered(path: string, ref: string, body: string | undefined, addr = this.addr): Promise<Raw | null> {
+    const until = this.now() + RETRY_LIMIT_MS;
+    while (!this.closed && this.now() < until) {
       const asked = this.now();
-      const answer = await ask(this.agent, addr, "POST", path, body, PATIENCE_MS.submit);
-      this.hear(ref, asked, answer);
+      const answer = await ask(this.agent, addr, "POST", path, body, TIMEOUT_MS.submit);
+      this.recordAnswer(ref, asked, answer);
       if (answer !== null && answer.status < 429) return answer;
       await this.wait(Math.max(1000, Number(answer?.retryAfter ?? 0) * 1000));
     }
     return null;
   }
 
-  /** Submits one job; false: it was refused, or given up. */
+  /** Submits one job; false if it was refused or never answered. */
   async submit(planned: Planned): Promise<boolean> {
     const { spec } = planned;
-    const seen: JobSeen = { planned, acceptedMs: null, final: null };
-    this.jobs.set(spec.ref, seen);
-    this.happened({ at: this.now(), kind: "submitted", spec });
-    const accepted = await this.insist("/v2/runs", spec.ref, JSON.stringify(encodeJob(spec)));
+    const job: TrackedJob = { planned, acceptedMs: null, terminalState: null };
+    this.jobs.set(spec.ref, job);
+    this.recordEvent({ at: this.now(), kind: "submitted", spec });
+    const accepted = await this.postUntilAnswered("/v2/runs", spec.ref, JSON.stringify(encodeJob(spec)));
     if (accepted === null || accepted.status >= 400) return false;
-    seen.acceptedMs = this.now();
+    job.acceptedMs = this.now();
     return true;
   }
 
-  /** The state as told; empty if there was none. */
+  /** Returns the job's state as answered; an empty string if the answer contains none. */
   async poll(ref: string, addr = this.addr): Promise<string> {
     const asked = this.now();
-    const answer = await ask(this.agent, addr, "GET", `/v2/runs/${ref}`, undefined, PATIENCE_MS.poll);
-    this.hear(ref, asked, answer);
-    if (answer?.status !== 200 && answer?.status !== 404) this.happened({ at: this.now(), kind: "unanswered", ref });
+    const answer = await ask(this.agent, addr, "GET", `/v2/runs/${ref}`, undefined, TIMEOUT_MS.poll);
+    this.recordAnswer(ref, asked, answer);
+    if (answer?.status !== 200 && answer?.status !== 404) this.recordEvent({ at: this.now(), kind: "unanswered", ref });
     const status = answer?.status === 200 ? objectOf(answer.text)["status"] : undefined;
-    const seen = this.jobs.get(ref);
-    if (seen !== undefined && (status === "done" || status === "withdrawn")) seen.final = status;
+    const job = this.jobs.get(ref);
+    if (job !== undefined && (status === "done" || status === "withdrawn")) job.terminalState = status;
     return typeof status === "string" ? status : "";
   }
 
-  /** The pause between two polls, in ms. */
+  /** A randomised pause between two polls, in ms: 0.75 to 1.25 times `POLL_MS`. */
   pollMs(): number {
-    return POLL_MS * (0.75 + this.luck() / 2);
+    return POLL_MS * (0.75 + this.random() / 2);
   }
 
-  /** Submits one job and follows it to its end. */
+  /** Submits one job and polls it until it is done or withdrawn. */
   async follow(planned: Planned): Promise<void> {
     const { spec, cancelMs } = planned;
     if (!(await this.submit(planned))) return;
     if (cancelMs !== null) setTimeout(() => void this.cancel(spec.ref), cancelMs);
-    while (!this.over && this.jobs.get(spec.ref)?.final === null) {
+    while (!this.closed && this.jobs.get(spec.ref)?.terminalState === null) {
       await this.wait(this.pollMs());
       await this.poll(spec.ref);
     }
   }
 
+  /** Requests the cancellation of a job, repeatedly until answered. */
   async cancel(ref: string, addr = this.addr): Promise<void> {
-    this.happened({ at: this.now(), kind: "asked-cancel", ref });
-    await this.insist(`/v2/runs/${ref}/cancel`, ref, undefined, addr);
+    this.recordEvent({ at: this.now(), kind: "asked-cancel", ref });
+    await this.postUntilAnswered(`/v2/runs/${ref}/cancel`, ref, undefined, addr);
   }
 
-  /** A submission of what is said, at one controller; `never`: why it must not be accepted. */
-  async offer(wire: Record<string, unknown>, spec: JobSpec, addr: string, never?: string): Promise<void> {
-    if (never !== undefined) this.happened({ at: this.now(), kind: "submitted", spec, never });
-    await this.insist("/v2/runs", spec.ref, JSON.stringify(wire), addr);
+  /** Submits `wire` as it is to one controller; `never` is the reason why it must not be accepted. */
+  async submitRaw(wire: Record<string, unknown>, spec: JobSpec, addr: string, never?: string): Promise<void> {
+    if (never !== undefined) this.recordEvent({ at: this.now(), kind: "submitted", spec, never });
+    await this.postUntilAnswered("/v2/runs", spec.ref, JSON.stringify(wire), addr);
   }
 
+  /** Stops all retries and polls. */
   close(): void {
-    this.over = true;
+    this.closed = true;
     this.agent.destroy();
   }
 }
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -24,7 +24,7 @@
   return isTakeover(what) && String(detail["reason"]).startsWith("owner");
 }
 
-interface Line {
+interface LogLine {
   at: number;
   node: string;
   what: string;
@@ -34,26 +34,26 @@
 /** Gathers spans while a rehearsal runs. */
 export class Recoveries {
   readonly all: Recovery[] = [];
-  private readonly open = new Map<number, Recovery>();
+  private readonly unfinished = new Map<number, Recovery>();
   private lostAt = new Map<string, number>();
-  private silentAt = new Map<string, number>();
+  private silentSince = new Map<string, number>();
 
   /** A controller ended, stands still, or is cut off from now on. */
   lost(node: string, at: number): void {
     this.lostAt.set(node, at);
-    this.silentAt.delete(node);
+    this.silentSince.delete(node);
   }
 
-  hear({ at, what, detail }: Line): void {
+  hear({ at, what, detail }: LogLine): void {
     if (what === "controller is silent" || what === "controller is suspected") {
       const peer = String(detail["peer"]);
-      if (!this.silentAt.has(peer)) this.silentAt.set(peer, at);
+      if (!this.silentSince.has(peer)) this.silentSince.set(peer, at);
     } else if (what === "part taken") {
       const former = String(detail["former"]);
       const lostAt = this.lostAt.get(former);
       // Coming home again is planned; a first start is no loss.
       if (lostAt === undefined || String(detail["reason"]) === "home again" || detail["reason"] === "unowned") return;
-      const silent = this.silentAt.get(former);
+      const silent = this.silentSince.get(former);
       const span: Recovery = {
         part: Number(detail["part"]),
         reason: String(detail["reason"]),
@@ -65,16 +65,16 @@
         back: null,
       };
       this.all.push(span);
-      this.open.set(span.part, span);
+      this.unfinished.set(span.part, span);
     } else if (what === "all machines accounted for; placing") {
-      const span = this.open.get(Number(detail["part"]));
+      const span = this.unfinished.get(Number(detail["part"]));
       if (span !== undefined) span.fenced ??= at - span.lostAt;
     } else if (what === "recovered") {
-      const span = this.open.get(Number(detail["part"]));
+      const span = this.unfinished.get(Number(detail["part"]));
       if (span === undefined) return;
       span.placed = detail["placedMs"] === null ? null : (span.claimed ?? 0) + Number(detail["placedMs"]);
       span.back = (span.claimed ?? 0) + Number(detail["backMs"]);
-      this.open.delete(span.part);
+      this.unfinished.delete(span.part);
     }
   }
 }
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -5,7 +5,7 @@
 import type { Recovery } from "./recovery.js";
 
 /** A fault that was carried out: when, in seconds, whom it met, and as it was planned. */
-export interface MetFault {
+export interface FaultOccurrence {
   at: number;
   kind: string;
   met: string[];
@@ -16,7 +16,7 @@
  * Did a split meet machines of a controller while the state service refused that one alone for longer than a lease? Only there
  * can an heir answer what the former owner holds for lost.
  */
-export function metSplitWhileRefused(faults: readonly MetFault[], leaseS: number): boolean {
+export function metSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
   const refusals = faults.filter(({ fault }) => fault.kind === "refuse" && fault.by === "state" && fault.for > leaseS);
   return faults.some(({ at, met, fault }) => {
     if (fault.kind !== "split" || met.length === 0) return false;
@@ -40,10 +40,10 @@
   broken: string[];
   /** Starts after a user had been told that the job is cancelled, all within the time for it or not. */
   started_cancelled: number;
-  faults: MetFault[];
+  faults: FaultOccurrence[];
   takeovers: number;
   recoveries: Recovery[];
-  classes: ClassFigures[];
+  classes: ClassStatistics[];
   /** Processes that ended though nobody asked for it, and errors logged. */
   trouble: string[];
   cost: number;
@@ -51,7 +51,7 @@
   reports?: { sent: number; late: number };
 }
 
-export interface ClassFigures {
+export interface ClassStatistics {
   name: string;
   jobs: number;
   done: number;
@@ -84,7 +84,7 @@
 }
 
 /** Figures by class, out of what happened. Times count from the first attempt to submit. */
-export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassFigures[] {
+export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
   const submitted = new Map<string, number>();
   const firstOn = new Map<string, number>();
   const done = new Map<string, number>();
@@ -123,19 +123,19 @@
   }));
 }
 
-const shown = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
+const formatSeconds = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
 
 /** The figures as a table that fits a terminal. */
-export function table(report: Report): string {
+export function formatTable(report: Report): string {
   const head = ["class", "jobs", "done", "start p50", "start p99", "done p50", "done p99", "late"];
   const rows = report.classes.map((one) => [
     one.name,
     String(one.jobs),
     String(one.done),
-    shown(one.start_p50_s),
-    shown(one.start_p99_s),
-    shown(one.done_p50_s),
-    shown(one.done_p99_s),
+    formatSeconds(one.start_p50_s),
+    formatSeconds(one.start_p99_s),
+    formatSeconds(one.done_p50_s),
+    formatSeconds(one.done_p99_s),
     String(one.late),
   ]);
   const widths = head.map((_, i) => Math.max(...[head, ...rows].map((row) => row[i]!.length)));
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -1,15 +1,15 @@
 /** `thorntrail rehearse --soak`: plays the seeds asked for, here or shared by processes, and says what they came to. */
 import { writeFileSync } from "node:fs";
-import { inTurn, interruptible } from "./cli.js";
+import { selectTurn, abortOnSignal } from "./cli.js";
 import type { MomentOf } from "./conductor.js";
 import { USUAL } from "./place.js";
 import { loadPlan } from "./plan.js";
-import { lineOf, soakSeed, soakShared, type SoakRun } from "./soak.js";
+import { formatSoakRun, runSoakSeed, runSoakInProcesses, type SoakRun } from "./soak.js";
 
 /** A soak still writes down what it came to, and waits for the processes that share it. */
 const SOAK_GRACE_MS = 8000;
 
-export interface RehearseSoak {
+export interface RehearseSoakOptions {
   plan: string;
   program: string[];
   /** How many seeds, and the first of them. */
@@ -24,12 +24,12 @@
 }
 
 /** `thorntrail rehearse --soak N`: N seeds of faults at random moments on real processes. */
-export async function rehearseSoak(options: RehearseSoak): Promise<void> {
+export async function rehearseSoak(options: RehearseSoakOptions): Promise<void> {
   const { program, keep, keepAll, momentOf } = options;
   const plan = await loadPlan(options.plan);
-  const stop = interruptible(SOAK_GRACE_MS);
+  const stop = abortOnSignal(SOAK_GRACE_MS);
   const first = options.first ?? plan.seed;
-  const seeds = inTurn(
+  const seeds = selectTurn(
     Array.from({ length: options.seeds }, (_, i) => first + i),
     options.turn,
   );
@@ -40,11 +40,11 @@
       ...["rehearse", options.plan, "--soak", String(options.seeds), "--seed", String(first), "--keep", keep],
       ...["--turn", turn, "--report", report, ...(keepAll ? ["--keep-all"] : [])],
     ];
-    runs = await soakShared({ program, args, processes: Math.min(options.processes, seeds.length), say }, stop.signal);
+    runs = await runSoakInProcesses({ program, args, processes: Math.min(options.processes, seeds.length), say }, stop.signal);
   } else {
     for (const seed of seeds) {
       if (stop.signal.aborted) break;
-      const run = await soakSeed({ program, plan, timing: USUAL, momentOf, keep, keepAll, stop: stop.signal }, seed).catch(
+      const run = await runSoakSeed({ program, plan, timing: USUAL, momentOf, artifactsDir: keep, keepAll, stop: stop.signal }, seed).catch(
         (error: unknown) => {
           // Interrupted before all of its processes were up.
           if (stop.signal.aborted) return null;
@@ -53,17 +53,17 @@
       );
       if (run === null) break;
       runs.push(run);
-      say(lineOf(run));
+      say(formatSoakRun(run));
       for (const line of [...run.broken, ...run.trouble]) say(`  ${line}`);
     }
   }
   if (options.report !== undefined) writeFileSync(options.report, `${JSON.stringify(runs, null, 2)}\n`);
-  if (options.turn === undefined) tellSoak(runs, options.seeds);
+  if (options.turn === undefined) printSoakSummary(runs, options.seeds);
   if (runs.some(({ broken }) => broken.length > 0)) process.exitCode = 4;
   if (stop.signal.aborted) process.exitCode = 130;
 }
 
-function tellSoak(runs: readonly SoakRun[], asked: number): void {
+function printSoakSummary(runs: readonly SoakRun[], asked: number): void {
   const whole = runs.filter(({ partial }) => !partial);
   const sum = (read: (run: SoakRun) => number): number => runs.reduce((n, run) => n + read(run), 0);
   const bad = runs.filter(({ broken }) => broken.length > 0).map(({ seed }) => seed);
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -36,11 +36,11 @@
 }
 
 /** Rules whose verdict does not hang on how fast the machine is. */
-const TIMELESS = /^(ran_twice|quota|wrong_place|invented|not_done|went_back|forgotten|accepted_wrongly|too_early)\b/;
+const TIMING_INDEPENDENT = /^(ran_twice|quota|wrong_place|invented|not_done|went_back|forgotten|accepted_wrongly|too_early)\b/;
 
 /** Broken rules that say something on a busy machine too. */
-export function timeless(broken: readonly string[]): string[] {
-  return broken.filter((line) => TIMELESS.test(line));
+export function timingIndependent(broken: readonly string[]): string[] {
+  return broken.filter((line) => TIMING_INDEPENDENT.test(line));
 }
 
 export interface SoakOptions {
@@ -50,16 +50,16 @@
   timing: Timing;
   momentOf: MomentOf;
   /** Where a seed that broke a rule leaves its logs and its history. */
-  keep: string;
+  artifactsDir: string;
   /** Every seed leaves them. */
   keepAll?: boolean;
   stop?: AbortSignal;
 }
 
 /** Lines of logs that a seed keeps; the oldest make room. */
-const MOST_LINES = 200_000;
+const MAX_LOG_LINES = 200_000;
 
-export async function soakSeed(options: SoakOptions, seed: number): Promise<SoakRun> {
+export async function runSoakSeed(options: SoakOptions, seed: number): Promise<SoakRun> {
   const { program, timing, momentOf, stop } = options;
   const plan = soakPlan(options.plan, seed);
   const lines: string[] = [];
@@ -71,9 +71,9 @@
     seed,
     momentOf,
     patienceMs: plan.settle * 1000,
-    onLine: (node, entry) => {
+    onLogLine: (node, entry) => {
       lines.push(JSON.stringify({ node, ...entry }));
-      if (lines.length > MOST_LINES) lines.shift();
+      if (lines.length > MAX_LOG_LINES) lines.shift();
     },
     onHistory: (all) => history.push(...all),
     ...(stop === undefined ? {} : { stop }),
@@ -93,11 +93,11 @@
     reports: report.reports?.sent ?? 0,
     partial: stop?.aborted === true,
   };
-  if (run.broken.length > 0 || run.trouble.length > 0 || options.keepAll === true) keep(options.keep, run, plan, lines, history);
+  if (run.broken.length > 0 || run.trouble.length > 0 || options.keepAll === true) writeArtifacts(options.artifactsDir, run, plan, lines, history);
   return run;
 }
 
-function keep(folder: string, run: SoakRun, plan: RehearsalPlan, lines: readonly string[], history: readonly Happening[]): void {
+function writeArtifacts(folder: string, run: SoakRun, plan: RehearsalPlan, lines: readonly string[], history: readonly Happening[]): void {
   const dir = join(folder, `seed-${run.seed}`);
   mkdirSync(dir, { recursive: true });
   writeFileSync(join(dir, "run.json"), `${JSON.stringify({ ...run, plan }, null, 2)}\n`);
@@ -106,7 +106,7 @@
 }
 
 /** One line a seed: what it met and what it broke. */
-export function lineOf({
+export function formatSoakRun({
   seed,
   seconds,
   faults,
@@ -135,25 +135,25 @@
 }
 
 /** Children that share the seeds; each is asked to end, and takes its own processes along. */
-export async function soakShared(
+export async function runSoakInProcesses(
   asked: { program: readonly string[]; args: (turn: string, report: string) => string[]; processes: number; say: (text: string) => void },
   stop: AbortSignal,
 ): Promise<SoakRun[]> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-soak-"));
-  const [file, ...first] = asked.program as [string, ...string[]];
+  const [file, ...programArgs] = asked.program as [string, ...string[]];
   const running = new Set<ChildProcess>();
   stop.addEventListener("abort", () => running.forEach((child) => child.kill("SIGTERM")));
-  const part = (i: number): Promise<SoakRun[]> => {
-    const out = join(dir, `${i}.json`);
-    const child = spawn(file, [...first, ...asked.args(`${i}/${asked.processes}`, out)], { stdio: ["ignore", "pipe", "inherit"] });
+  const runShare = (i: number): Promise<SoakRun[]> => {
+    const reportFile = join(dir, `${i}.json`);
+    const child = spawn(file, [...programArgs, ...asked.args(`${i}/${asked.processes}`, reportFile)], { stdio: ["ignore", "pipe", "inherit"] });
     running.add(child);
-    child.stdout.on("data", (some: Buffer) => asked.say(some.toString().trimEnd()));
+    child.stdout.on("data", (data: Buffer) => asked.say(data.toString().trimEnd()));
     return new Promise((resolve, reject) => {
       child.once("error", reject);
       child.once("exit", (code) => {
         running.delete(child);
         try {
-          resolve(JSON.parse(readFileSync(out, "utf8")) as SoakRun[]);
+          resolve(JSON.parse(readFileSync(reportFile, "utf8")) as SoakRun[]);
         } catch {
           reject(new Error(`process ${i} of the soak ended with ${code} and told nothing`));
         }
@@ -161,7 +161,7 @@
     });
   };
   try {
-    return (await Promise.all(Array.from({ length: asked.processes }, (_, i) => part(i)))).flat();
+    return (await Promise.all(Array.from({ length: asked.processes }, (_, i) => runShare(i)))).flat();
   } finally {
     running.forEach((child) => child.kill("SIGTERM"));
     rmSync(dir, { recursive: true, force: true });
--- a/packages/emulator/test/processes.test.ts
+++ b/packages/emulator/test/processes.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { Processes } from "../src/real/processes.js";
 
-test("a process whose name runs already is not started beside it: the first would be left behind", async () => {
+test("a process is not started while one of the same name is running: the first would never be killed", async () => {
   const ended: string[] = [];
   const processes = new Processes(
     [process.execPath, "-e"],
@@ -13,10 +13,10 @@
   try {
     assert.equal(await processes.start("nest-0", waits, {}, true), "up");
     const pid = processes.pid("nest-0");
-    await assert.rejects(processes.start("nest-0", waits, {}, true), /nest-0 runs already/);
+    await assert.rejects(processes.start("nest-0", waits, {}, true), /nest-0 is already running/);
     assert.equal(processes.pid("nest-0"), pid);
     await processes.kill("nest-0");
-    assert.equal(await processes.start("nest-0", waits, {}, true), "up", "once it is gone its name is free");
+    assert.equal(await processes.start("nest-0", waits, {}, true), "up", "the name can be reused after the process has exited");
   } finally {
     processes.killAll();
   }
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -18,7 +18,7 @@
 async function soak(plan: RehearsalPlan, seed: number): Promise<SoakRun & { left: string[] }> {
   const keep = mkdtempSync(join(tmpdir(), "soak-test-"));
   try {
-    const run = await soakSeed({ program, plan, timing: BRISK, momentOf, keep }, seed);
+    const run = await soakSeed({ program, plan, timing: BRISK, momentOf, artifactsDir: keep }, seed);
     const dir = join(keep, `seed-${seed}`);
     return { ...run, left: existsSync(dir) ? readdirSync(dir).sort() : [] };
   } finally {
