--- a/packages/emulator/src/cli.ts
+++ b/packages/emulator/src/cli.ts
@@ -1,25 +1,28 @@
-/** What the commands of rehearsals share: words on a terminal, interruption, turns. */
+/** Shared by the rehearsal commands: progress output, interruption by signals, and the division of cases between processes. */
 
-/** A rehearsal that could not be carried out, or did not go well. */
+/** Thrown when a command cannot be carried out; the message is printed and the class name decides the exit code. */
 export class CommandFailed extends Error {}
 
-/** Lines on a terminal overwrite each other; elsewhere only what is worth keeping is said. */
-export function progressLine(): { say: (text: string) => void; end: () => void } {
-  const live = process.stderr.isTTY === true;
-  let shown = false;
+/**
+ * Returns functions that write progress to standard error: on a terminal each text overwrites the last one, elsewhere each is a line.
+ * `endProgress` ends the line on a terminal.
+ */
+export function progressLine(): { showProgress: (text: string) => void; endProgress: () => void } {
+  const isTerminal = process.stderr.isTTY === true;
+  let lineOpen = false;
   return {
-    say: (text) => {
-      if (live) process.stderr.write(`\r\x1b[K${text}`);
+    showProgress: (text) => {
+      if (isTerminal) process.stderr.write(`\r\x1b[K${text}`);
       else process.stderr.write(`${text}\n`);
-      shown = live;
+      lineOpen = isTerminal;
     },
-    end: () => {
-      if (shown) process.stderr.write("\n");
+    endProgress: () => {
+      if (lineOpen) process.stderr.write("\n");
     },
   };
 }
 
-/** Aborted by Ctrl-C or a request to end; whatever goes on after `graceMs` is cut off. */
+/** Returns an `AbortController` that SIGINT, SIGTERM and SIGHUP abort. The process exits with 130 if it is still running `graceMs` later. */
 export function abortOnSignal(graceMs = 500): AbortController {
   const stop = new AbortController();
   for (const signal of ["SIGINT", "SIGTERM", "SIGHUP"] as const) {
@@ -31,11 +34,11 @@
   return stop;
 }
 
-/** The cases of one turn of several: `0/4` has the first, fifth and so on. */
+/** Returns the cases of one turn of several: turn `0/4` has the first, the fifth and so on. Throws `CommandFailed` if the turn is malformed. */
 export function selectTurn<T>(all: T[], turn: string | undefined): T[] {
   if (turn === undefined) return all;
-  const found = /^(\d{1,3})\/(\d{1,3})$/.exec(turn);
-  const [which, of] = [Number(found?.[1]), Number(found?.[2])];
-  if (found === null || of < 1 || which >= of) throw new CommandFailed(`--turn ${turn}: expected a turn such as 0/4`);
-  return all.filter((_, i) => i % of === which);
+  const match = /^(\d{1,3})\/(\d{1,3})$/.exec(turn);
+  const [index, count] = [Number(match?.[1]), Number(match?.[2])];
+  if (match === null || count < 1 || index >= count) throw new CommandFailed(`--turn ${turn}: expected a turn such as 0/4`);
+  return all.filter((_, i) => i % count === index);
 }
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -20,10 +20,10 @@
 
 const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
-/** `npm run demo`: everything on this machine, from nothing, within a minute. */
+/** `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if it did not go as planned. */
 export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: MomentOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = progressLine();
+  const { showProgress, endProgress } = progressLine();
   const stop = abortOnSignal();
   const report = await playReal({
     program: options.program,
@@ -31,11 +31,11 @@
     timing: BRISK,
     seed: options.seed,
     momentOf: options.momentOf,
-    progress: say,
+    progress: showProgress,
     patienceMs: 20_000,
     stop: stop.signal,
   });
-  end();
+  endProgress();
   if (stop.signal.aborted) {
     process.exitCode = 130;
     return;
@@ -50,18 +50,18 @@
   if (!passed(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
 }
 
-/** `thorntrail rehearse` on real processes. */
+/** `thorntrail rehearse`: runs a plan on real processes, prints its result and writes the report. Throws `CommandFailed` if interrupted. */
 export async function rehearseReal(options: {
   plan: string;
   program: string[];
   seed: number | undefined;
   report: string | undefined;
   momentOf: MomentOf;
-  /** Plays the plan in virtual time, to look for the shortest that breaks the same rules there. */
+  /** Runs a plan in virtual time, to minimise one that broke a rule. */
   virtually: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = progressLine();
+  const { showProgress, endProgress } = progressLine();
   const stop = abortOnSignal();
   const seed = options.seed ?? plan.seed;
   const report = await playReal({
@@ -70,40 +70,40 @@
     timing: USUAL,
     seed,
     momentOf: options.momentOf,
-    progress: say,
+    progress: showProgress,
     patienceMs: plan.settle * 1000,
     stop: stop.signal,
   });
-  end();
+  endProgress();
   if (stop.signal.aborted) throw new CommandFailed("interrupted; nothing was left behind");
-  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.virtually(one, seed), say, end);
+  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.virtually(one, seed), showProgress, endProgress);
   finishRehearsal(report, options.report);
 }
 
-/** Looks for the shortest plan that still breaks a rule in virtual time, and says so in the report. */
+/** Minimises a plan that broke a rule, in virtual time; prints the result and adds it to the report. */
 async function reportMinimisedPlan(
   plan: RehearsalPlan,
   report: Report,
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
-  end: () => void,
+  showProgress: (text: string) => void,
+  endProgress: () => void,
 ): Promise<void> {
-  say("a rule broke: looking for the shortest plan that still breaks it in virtual time");
+  showProgress("a rule broke: looking for the shortest plan that still breaks it in virtual time");
   const breaks = async (one: RehearsalPlan): Promise<boolean> => (await play(one)).broken.length > 0;
   if (report.mode === "real" && !(await breaks(plan))) {
-    end();
+    endProgress();
     process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat it on real processes\n");
     return;
   }
   const found = await shrink(plan, breaks, MAX_MINIMISE_RUNS);
   Object.assign(report, { shortest: found.plan, shrinkRuns: found.runs });
-  end();
+  endProgress();
   process.stdout.write(
     `shortest plan that still breaks: ${JSON.stringify({ work: found.plan.work.map(({ name }) => name), fault: found.plan.fault })}\n`,
   );
 }
 
-/** Writes the report, says what came of it, and fails if a rule broke or work was left. */
+/** Writes the report to `file`, prints the result, and sets exit code 4 if a rule broke or jobs are unfinished. */
 export function finishRehearsal(report: Report, file: string | undefined): void {
   if (file !== undefined) writeFileSync(file, `${JSON.stringify(report, null, 2)}\n`);
   process.stdout.write(`${formatTable(report)}\n`);
@@ -115,32 +115,37 @@
   if (!passed(report)) process.exitCode = 4;
 }
 
+/** Options of a rehearsal in virtual time. */
 export interface RehearseVirtual<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
   plan: string;
   seed: number | undefined;
   report: string | undefined;
-  /** Instead of the plan's own faults: every pair of fault and moment, at most so many rehearsals. */
+  /** Instead of the plan's own faults: pairs of fault and injection point, at most this number. */
   campaign: number | undefined;
-  /** Instead of the plan's own faults: so many rehearsals of two or three drawn ones each, from the seed on. */
+  /** Instead of the plan's own faults: two or three randomly generated ones for each seed; the number of seeds, from `seed` on. */
   drawn?: number | undefined;
-  /** Instead of the plan's own faults: so many seeds of what a soak draws. */
+  /** Instead of the plan's own faults: those that a soak generates; the number of seeds, from `seed` on. */
   soak?: number | undefined;
-  /** Only the cases of this turn, as `2/8`: for one of the processes that share a campaign. */
+  /** Runs only the cases of this turn, such as `2/8`: set for the processes that share a campaign. */
   turn?: string | undefined;
-  /** Processes that share the campaign, and this program, to start them. */
+  /** Number of processes that share the campaign, and the command that starts each. */
   processes?: number | undefined;
   program?: string[];
 }
 
+/** Rehearsals for minimising one plan. */
 const MAX_MINIMISE_RUNS = 60;
 
-/** `thorntrail rehearse --virtual`: the plan once, or with each case of a campaign; what broke, and the shortest plan that still breaks it. */
+/**
+ * `thorntrail rehearse --virtual`: runs the plan once, with each case of a campaign, or with generated faults. Prints the broken rules and
+ * the minimised plan that still breaks them; a campaign's cases are not minimised.
+ */
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtual<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
   const seed = options.seed ?? plan.seed;
   const { spawn, momentOf } = options;
   const play = (one: RehearsalPlan): ReturnType<typeof playVirtual> => playVirtual({ plan: one, seed, spawn, momentOf });
-  const { say, end } = progressLine();
+  const { showProgress, endProgress } = progressLine();
   const seedCount = options.drawn ?? options.soak;
   if (seedCount !== undefined) {
     const planOfSeed = options.soak === undefined ? drawnPlan : soakPlan;
@@ -151,17 +156,30 @@
     const { processes = 1, program } = options;
     const shared = processes > 1 && program !== undefined;
     const played = shared
-      ? await runInProcesses<RandomisedResult>({ ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, say }, [
-          options.soak === undefined ? "--drawn" : "--soak",
-          String(seedCount),
-        ])
-      : [await runRandomised(plan, planOfSeed, seeds, (one, luck) => playVirtual({ plan: one, seed: luck, spawn, momentOf }), say)];
-    end();
-    return printRandomisedSummary(plan, seed, { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) }, options.report);
+      ? await runInProcesses<RandomisedResult>(
+          { ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, showProgress },
+          [options.soak === undefined ? "--drawn" : "--soak", String(seedCount)],
+        )
+      : [
+          await runRandomised(
+            plan,
+            planOfSeed,
+            seeds,
+            (one, caseSeed) => playVirtual({ plan: one, seed: caseSeed, spawn, momentOf }),
+            showProgress,
+          ),
+        ];
+    endProgress();
+    return printRandomisedSummary(
+      plan,
+      seed,
+      { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) },
+      options.report,
+    );
   }
   if (options.campaign === undefined) {
     const report = await play(plan);
-    if (report.broken.length > 0) await reportMinimisedPlan(plan, report, play, say, end);
+    if (report.broken.length > 0) await reportMinimisedPlan(plan, report, play, showProgress, endProgress);
     return finishRehearsal(report, options.report);
   }
   const chosen = selectTurn(cases(seed).slice(0, options.campaign), options.turn);
@@ -170,12 +188,12 @@
     processes > 1 && program !== undefined
       ? mergeCampaigns(
           await runInProcesses<CampaignResult>(
-            { ...options, seed, processes: Math.min(processes, chosen.length), program, count: chosen.length, say },
+            { ...options, seed, processes: Math.min(processes, chosen.length), program, count: chosen.length, showProgress },
             ["--campaign", String(options.campaign)],
           ),
         )
-      : await runCampaign(plan, chosen, play, say);
-  end();
+      : await runCampaign(plan, chosen, play, showProgress);
+  endProgress();
   printCampaignSummary(plan, seed, played, options.report);
 }
 
@@ -188,15 +206,15 @@
   plan: RehearsalPlan,
   chosen: Case[],
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
+  showProgress: (text: string) => void,
 ): Promise<CampaignResult> {
   const covered: Covered[] = [];
   const bad: CampaignResult["bad"] = [];
   for (const [i, one] of chosen.entries()) {
-    const asked = planOf(plan, one);
-    say(`${i + 1} of ${chosen.length}: ${asked.name}`);
-    const report = await play(asked);
-    const met = report.moments.some(({ moment, met: whom }) => moment === one.moment && whom.length > 0);
+    const rehearsal = planOf(plan, one);
+    showProgress(`${i + 1} of ${chosen.length}: ${rehearsal.name}`);
+    const report = await play(rehearsal);
+    const met = report.moments.some(({ moment, met: targets }) => moment === one.moment && targets.length > 0);
     covered.push({
       fault: one.fault,
       moment: one.moment,
@@ -205,18 +223,18 @@
       unfinished: report.jobs.unfinished.length,
     });
     if (report.broken.length + report.jobs.unfinished.length > 0)
-      bad.push({ name: asked.name, broken: report.broken, unfinished: report.jobs.unfinished, trouble: report.trouble });
+      bad.push({ name: rehearsal.name, broken: report.broken, unfinished: report.jobs.unfinished, trouble: report.trouble });
   }
   return { covered, bad };
 }
 
-const mergeCampaigns = (parts: CampaignResult[]): CampaignResult => ({
-  covered: parts.flatMap(({ covered }) => covered),
-  bad: parts.flatMap(({ bad }) => bad),
+const mergeCampaigns = (results: CampaignResult[]): CampaignResult => ({
+  covered: results.flatMap(({ covered }) => covered),
+  bad: results.flatMap(({ bad }) => bad),
 });
 
 interface RandomisedResult {
-  /** By seed: how many faults met somebody. */
+  /** For each seed, the number of faults that affected at least one target. */
   played: { seed: number; met: number; splitWhileRefused: boolean }[];
   bad: { seed: number; broken: string[]; unfinished: string[]; trouble: string[]; shortest: { work: string[]; fault: unknown } }[];
 }
@@ -226,11 +244,11 @@
   planOfSeed: (base: RehearsalPlan, seed: number) => RehearsalPlan,
   seeds: number[],
   play: (one: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
+  showProgress: (text: string) => void,
 ): Promise<RandomisedResult> {
   const result: RandomisedResult = { played: [], bad: [] };
   for (const [i, seed] of seeds.entries()) {
-    say(`${i + 1} of ${seeds.length}: drawn ${seed}`);
+    showProgress(`${i + 1} of ${seeds.length}: drawn ${seed}`);
     const plan = planOfSeed(base, seed);
     const report = await play(plan, seed);
     const { broken, trouble, jobs } = report;
@@ -245,8 +263,8 @@
       return broken.length > 0 ? again.broken.length > 0 : again.jobs.unfinished.length + again.trouble.length > 0;
     };
     const { plan: shortest } = await shrink(plan, fails, MAX_MINIMISE_RUNS / 3);
-    const told = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
-    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: told });
+    const minimised = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
+    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: minimised });
   }
   return result;
 }
@@ -258,59 +276,59 @@
     process.stdout.write(`drawn ${one}: ${what}\n  ${JSON.stringify(shortest)}\n`);
   }
   const splits = played.filter(({ splitWhileRefused }) => splitWhileRefused).length;
-  const meetings = played.filter(({ met }) => met > 1).length;
+  const compound = played.filter(({ met }) => met > 1).length;
   process.stdout.write(
-    `drawn: ${played.length} rehearsals, in ${meetings} two troubles met somebody, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
+    `drawn: ${played.length} rehearsals, in ${compound} two troubles met somebody, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
   );
   if (bad.length > 0) process.exitCode = 4;
 }
 
-/** Cases know nothing of each other: processes take them in turn; what each came to is put together by whoever asks. */
+/** Divides independent cases between child processes and returns the report of each. Rejects if a child fails. */
 async function runInProcesses<T>(
-  asked: {
+  options: {
     plan: string;
     seed: number;
     processes: number;
     program: string[];
     count: number;
-    say: (text: string) => void;
+    showProgress: (text: string) => void;
   },
-  which: string[],
+  caseArgs: string[],
 ): Promise<T[]> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-campaign-"));
   let started = 0;
-  const [file, ...programArgs] = asked.program as [string, ...string[]];
+  const [file, ...programArgs] = options.program as [string, ...string[]];
   const running = new Set<ChildProcess>();
-  const endAll = (): void => running.forEach((child) => child.kill("SIGKILL"));
-  process.once("exit", endAll);
+  const killAll = (): void => running.forEach((child) => child.kill("SIGKILL"));
+  process.once("exit", killAll);
   const runShare = (i: number): Promise<T> => {
     const reportFile = join(dir, `${i}.json`);
-    const args = ["rehearse", asked.plan, "--virtual", "--seed", String(asked.seed), "--report", reportFile];
-    args.push(...which, "--turn", `${i}/${asked.processes}`);
+    const args = ["rehearse", options.plan, "--virtual", "--seed", String(options.seed), "--report", reportFile];
+    args.push(...caseArgs, "--turn", `${i}/${options.processes}`);
     const child = spawn(file, [...programArgs, ...args], { stdio: ["ignore", "ignore", "pipe"] });
     running.add(child);
     let errors = "";
     child.stderr.on("data", (data: Buffer) => {
       errors = (errors + data.toString()).slice(-2000);
-      // A line is said before each rehearsal.
+      // Each child writes one line before each rehearsal.
       started += data.toString().split("\n").length - 1;
-      asked.say(`${Math.min(started, asked.count)} of ${asked.count}, in ${asked.processes} processes`);
+      options.showProgress(`${Math.min(started, options.count)} of ${options.count}, in ${options.processes} processes`);
     });
     return new Promise((resolve, reject) => {
       child.once("error", reject);
       child.once("exit", (code, signal) => {
         running.delete(child);
-        // 4: a rule broke, which the report says.
+        // Exit code 4 means that a rule broke; the report contains it.
         if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(reportFile, "utf8")) as T);
         else reject(new CommandFailed(`process ${i} of the campaign ended with ${code ?? signal}: ${errors.trim().split("\n").at(-1)}`));
       });
     });
   };
   try {
-    return await Promise.all(Array.from({ length: asked.processes }, (_, i) => runShare(i)));
+    return await Promise.all(Array.from({ length: options.processes }, (_, i) => runShare(i)));
   } finally {
-    endAll();
-    process.off("exit", endAll);
+    killAll();
+    process.off("exit", killAll);
     rmSync(dir, { recursive: true, force: true });
   }
 }
@@ -327,13 +345,14 @@
   if (bad.some((one) => one.broken.length > 0)) process.exitCode = 4;
 }
 
+/** Splits an IPv4 address with port; throws `CommandFailed` naming the option. */
 function parseAddress(text: string, option: string): [string, number] {
-  const found = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
-  if (found === null || Number(found[2]) > 65_535) throw new CommandFailed(`${option} ${text}: give an address like 127.0.0.1:7070`);
-  return [found[1]!, Number(found[2])];
+  const match = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
+  if (match === null || Number(match[2]) > 65_535) throw new CommandFailed(`${option} ${text}: give an address like 127.0.0.1:7070`);
+  return [match[1]!, Number(match[2])];
 }
 
-/** `thorntrail emulator serve`: the place of a plan on real processes, without its work and faults, until it is ended. */
+/** `thorntrail emulator serve`: starts the test environment of a plan on real processes, without its work and faults, until interrupted. */
 export async function emulatorServe(options: { plan: string; program: string[]; admin: string; seed: number | undefined }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const [host, port] = parseAddress(options.admin, "--admin");
@@ -351,20 +370,20 @@
   }
 }
 
-/** `thorntrail fault KIND key=value...`: one fault, now. */
+/** `thorntrail fault KIND key=value...`: has a running emulator carry out one fault. Throws `CommandFailed` if it is malformed or refused. */
 export async function faultCommand(options: { emulator: string; kind: string; fields: string[] }): Promise<Record<string, unknown>> {
   parseAddress(options.emulator, "--emulator");
-  const asked: Record<string, unknown> = { kind: options.kind };
+  const request: Record<string, unknown> = { kind: options.kind };
   for (const field of options.fields) {
-    const at = field.indexOf("=");
-    if (at <= 0) throw new CommandFailed(`${field}: expected name=value, such as for=10`);
-    const value = field.slice(at + 1);
-    asked[field.slice(0, at)] = /^-?\d+(\.\d+)?$/.test(value) ? Number(value) : value;
+    const separator = field.indexOf("=");
+    if (separator <= 0) throw new CommandFailed(`${field}: expected name=value, such as for=10`);
+    const value = field.slice(separator + 1);
+    request[field.slice(0, separator)] = /^-?\d+(\.\d+)?$/.test(value) ? Number(value) : value;
   }
-  // Checked here first: a mistake is told without a running emulator.
-  const decoded = decodeFault(asked);
+  // Validated here first, so that a mistake is reported without a running emulator.
+  const decoded = decodeFault(request);
   if ("wrong" in decoded) throw new CommandFailed(`fault ${options.kind}: ${decoded.wrong}`);
-  const answer = await ask(false, options.emulator, "POST", "/faults", JSON.stringify(asked), 5000);
+  const answer = await ask(false, options.emulator, "POST", "/faults", JSON.stringify(request), 5000);
   if (answer === null) throw new CommandFailed(`${options.emulator} does not answer: start 'thorntrail emulator serve' first`);
   if (answer.status !== 200) throw new CommandFailed(String(objectOf(answer.text)["error"] ?? `status ${answer.status}`));
   return objectOf(answer.text);
--- a/packages/emulator/src/entry.ts
+++ b/packages/emulator/src/entry.ts
@@ -1,5 +1,6 @@
+/** Interface of the emulator package for the program's commands, its tests and its measurements. */
 export { World, plainPlan, type ControllerPort, type Plan, type Spawned } from "./virtual/world.js";
-export { demo, emulatorServe, faultCommand, finishRehearsal as finish, rehearseReal, rehearseVirtual, type RehearseVirtual } from "./commands.js";
+export { demo, emulatorServe, faultCommand, finishRehearsal, rehearseReal, rehearseVirtual, type RehearseVirtual } from "./commands.js";
 export { CommandFailed } from "./cli.js";
 export { rehearseSoak } from "./soak-command.js";
 export { type MetMoment, type MomentOf } from "./conductor.js";
@@ -9,5 +10,5 @@
 export { loadPlan, parsePlan, type Moment, type RehearsalPlan } from "./plan.js";
 export { Spread, type Report } from "./report.js";
 export { BRISK } from "./place.js";
-export { runSoakSeed as soakSeed, timingIndependent as timeless, type SoakRun } from "./soak.js";
+export { runSoakSeed, timingIndependent, type SoakRun } from "./soak.js";
 export { playReal } from "./real/play.js";
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -1,7 +1,6 @@
 /**
- * How the cluster came back from each loss of a controller's part: told from what the
- * controllers log as spans, and from what is seen to start outside. Times in ms from
- * the loss; null: it did not come to that.
+ * The recovery of one partition after its owner was lost, reconstructed from log lines of the controllers. The steps are in ms since the
+ * loss; null if a step was not reached.
  */
 export interface Recovery {
   part: number;
@@ -14,12 +13,12 @@
   back: number | null;
 }
 
-/** Did a controller take a part, for whatever reason? */
+/** Whether a log line says that a controller took over a partition, for any reason. */
 export function isTakeover(what: string): boolean {
   return what === "part taken";
 }
 
-/** Did a part change hands because its leader was lost? */
+/** Whether a log line says that a controller took over a partition because its owner was lost. */
 export function tookOver(what: string, detail: Record<string, unknown>): boolean {
   return isTakeover(what) && String(detail["reason"]).startsWith("owner");
 }
@@ -31,19 +30,20 @@
   detail: Record<string, unknown>;
 }
 
-/** Gathers spans while a rehearsal runs. */
+/** Collects the recoveries of a rehearsal from log lines. */
 export class Recoveries {
   readonly all: Recovery[] = [];
   private readonly unfinished = new Map<number, Recovery>();
   private lostAt = new Map<string, number>();
   private silentSince = new Map<string, number>();
 
-  /** A controller ended, stands still, or is cut off from now on. */
+  /** Records the time at which a controller was ended, stopped or cut off. */
   lost(node: string, at: number): void {
     this.lostAt.set(node, at);
     this.silentSince.delete(node);
   }
 
+  /** Processes one log line. */
   hear({ at, what, detail }: LogLine): void {
     if (what === "controller is silent" || what === "controller is suspected") {
       const peer = String(detail["peer"]);
@@ -51,30 +51,30 @@
     } else if (what === "part taken") {
       const former = String(detail["former"]);
       const lostAt = this.lostAt.get(former);
-      // Coming home again is planned; a first start is no loss.
+      // The return of a partition to its home controller is planned, and the first start is not a loss.
       if (lostAt === undefined || String(detail["reason"]) === "home again" || detail["reason"] === "unowned") return;
-      const silent = this.silentSince.get(former);
-      const span: Recovery = {
+      const silentAt = this.silentSince.get(former);
+      const recovery: Recovery = {
         part: Number(detail["part"]),
         reason: String(detail["reason"]),
         lostAt,
-        detected: silent === undefined ? null : silent - lostAt,
+        detected: silentAt === undefined ? null : silentAt - lostAt,
         claimed: at - lostAt,
         fenced: null,
         placed: null,
         back: null,
       };
-      this.all.push(span);
-      this.unfinished.set(span.part, span);
+      this.all.push(recovery);
+      this.unfinished.set(recovery.part, recovery);
     } else if (what === "all machines accounted for; placing") {
-      const span = this.unfinished.get(Number(detail["part"]));
-      if (span !== undefined) span.fenced ??= at - span.lostAt;
+      const recovery = this.unfinished.get(Number(detail["part"]));
+      if (recovery !== undefined) recovery.fenced ??= at - recovery.lostAt;
     } else if (what === "recovered") {
-      const span = this.unfinished.get(Number(detail["part"]));
-      if (span === undefined) return;
-      span.placed = detail["placedMs"] === null ? null : (span.claimed ?? 0) + Number(detail["placedMs"]);
-      span.back = (span.claimed ?? 0) + Number(detail["backMs"]);
-      this.unfinished.delete(span.part);
+      const recovery = this.unfinished.get(Number(detail["part"]));
+      if (recovery === undefined) return;
+      recovery.placed = detail["placedMs"] === null ? null : (recovery.claimed ?? 0) + Number(detail["placedMs"]);
+      recovery.back = (recovery.claimed ?? 0) + Number(detail["backMs"]);
+      this.unfinished.delete(recovery.part);
     }
   }
 }
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -4,7 +4,7 @@
 import type { Planned } from "./plan.js";
 import type { Recovery } from "./recovery.js";
 
-/** A fault that was carried out: when, in seconds, whom it met, and as it was planned. */
+/** A fault that was carried out: its time in seconds, the targets it affected (`met`), and the fault as planned. */
 export interface FaultOccurrence {
   at: number;
   kind: string;
@@ -13,8 +13,8 @@
 }
 
 /**
- * Did a split meet machines of a controller while the state service refused that one alone for longer than a lease? Only there
- * can an heir answer what the former owner holds for lost.
+ * Whether a split affected machines of a controller while the state service refused just that controller for longer than a lease
+ * (`leaseS`, in seconds). Only in this case can a new owner answer machines that the former owner considers lost.
  */
 export function metSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
   const refusals = faults.filter(({ fault }) => fault.kind === "refuse" && fault.by === "state" && fault.for > leaseS);
@@ -30,7 +30,7 @@
   });
 }
 
-/** What a rehearsal came to; the same for real processes and virtual time. Times in seconds. */
+/** The result of a rehearsal, in the same form for real processes and virtual time. Times in seconds. */
 export interface Report {
   plan: string;
   mode: "real" | "virtual";
@@ -38,19 +38,20 @@
   seconds: number;
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
   broken: string[];
-  /** Starts after a user had been told that the job is cancelled, all within the time for it or not. */
+  /** Task starts after a user had received the answer that the job is cancelled, whether or not within the time allowed for a cancellation. */
   started_cancelled: number;
   faults: FaultOccurrence[];
   takeovers: number;
   recoveries: Recovery[];
   classes: ClassStatistics[];
-  /** Processes that ended though nobody asked for it, and errors logged. */
+  /** Processes that exited on their own, and logged errors. */
   trouble: string[];
   cost: number;
-  /** Of the emulated workers, on real processes: how many were sent, and how many of them later than they should. */
+  /** Reports of the emulated workers, on real processes: how many were sent, and how many of them late. */
   reports?: { sent: number; late: number };
 }
 
+/** Figures of the jobs of one class; percentiles count from the first submission. */
 export interface ClassStatistics {
   name: string;
   jobs: number;
@@ -62,7 +63,7 @@
   late: number;
 }
 
-/** Times in ms, to percentiles in seconds with three digits; null: there were none. */
+/** Collects durations in ms and returns percentiles in seconds with three significant digits; null if there are none. */
 export class Spread {
   private readonly histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 86_400_000, numberOfSignificantValueDigits: 3 });
 
@@ -83,16 +84,16 @@
   }
 }
 
-/** Figures by class, out of what happened. Times count from the first attempt to submit. */
+/** Computes the figures of each class from the events. Durations count from the first attempt to submit the job. */
 export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
   const submitted = new Map<string, number>();
-  const firstOn = new Map<string, number>();
+  const firstStart = new Map<string, number>();
   const done = new Map<string, number>();
   for (const event of history) {
     if (event.kind === "submitted" && !submitted.has(event.spec.ref)) submitted.set(event.spec.ref, event.at);
     else if (event.kind === "on") {
       const ref = event.piece.slice(0, event.piece.lastIndexOf("/"));
-      if (!firstOn.has(ref)) firstOn.set(ref, event.at);
+      if (!firstStart.has(ref)) firstStart.set(ref, event.at);
     } else if (event.kind === "told" && event.what === "done" && !done.has(event.ref)) done.set(event.ref, event.at);
   }
   const classes = new Map<string, { jobs: number; done: number; late: number; starts: Spread; ends: Spread }>();
@@ -102,9 +103,9 @@
     let one = classes.get(spec.klass);
     if (one === undefined) classes.set(spec.klass, (one = { jobs: 0, done: 0, late: 0, starts: new Spread(), ends: new Spread() }));
     one.jobs++;
-    const began = firstOn.get(ref);
+    const started = firstStart.get(ref);
     const ended = done.get(ref);
-    if (began !== undefined) one.starts.add(began - at);
+    if (started !== undefined) one.starts.add(started - at);
     if (ended !== undefined) {
       one.done++;
       one.ends.add(ended - at);
@@ -125,7 +126,7 @@
 
 const formatSeconds = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
 
-/** The figures as a table that fits a terminal. */
+/** Formats the figures of all classes as a table for a terminal. */
 export function formatTable(report: Report): string {
   const head = ["class", "jobs", "done", "start p50", "start p99", "done p50", "done p99", "late"];
   const rows = report.classes.map((one) => [
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -1,6 +1,7 @@
 /**
- * A soak: seed after seed, faults of the whole vocabulary at random moments against real processes, judged from outside by
- * what workers and users see. A seed that breaks a rule leaves its logs and its history.
+ * Soak runs: for one seed after the other, faults of all kinds hit real processes at random times, and the events that workers and
+ * users observe are checked against the rules. A seed that breaks a rule or logs an error leaves its
+ * logs and its history.
  */
 import { spawn, type ChildProcess } from "node:child_process";
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -14,51 +15,53 @@
 import { metSplitWhileRefused } from "./report.js";
 import { playReal } from "./real/play.js";
 
-/** What one seed came to. */
+/** The result of one seed. */
 export interface SoakRun {
   seed: number;
   seconds: number;
-  /** Kinds of faults that met somebody. */
+  /** Kinds of the faults that affected at least one target. */
   faults: string[];
-  /** A split met machines of a controller that the state service refused alone for longer than a lease. */
+  /** Whether a split affected machines of a controller while the state service refused just that controller for longer than a lease. */
   splitWhileRefused: boolean;
   takeovers: number;
   started: number;
   jobs: { submitted: number; over: number };
   broken: string[];
-  /** Errors that the controllers logged, and processes that ended by themselves. */
+  /** Errors in the logs, and processes that exited on their own. */
   trouble: string[];
-  /** Reports of the emulated workers that were sent late: the machine was too slow for the run. */
+  /** Reports that the emulated workers sent late; many of them mean that this machine is too slow for the run. */
   lateReports: number;
   reports: number;
-  /** Ended before its time, by a signal. */
+  /** Whether a signal ended the run early. */
   partial: boolean;
 }
 
-/** Rules whose verdict does not hang on how fast the machine is. */
+/** Rules whose result does not depend on the speed of this machine. */
 const TIMING_INDEPENDENT = /^(ran_twice|quota|wrong_place|invented|not_done|went_back|forgotten|accepted_wrongly|too_early)\b/;
 
-/** Broken rules that say something on a busy machine too. */
+/** Returns the broken rules that are meaningful on a busy machine too. */
 export function timingIndependent(broken: readonly string[]): string[] {
   return broken.filter((line) => TIMING_INDEPENDENT.test(line));
 }
 
+/** Options of a soak. */
 export interface SoakOptions {
-  /** The program that serves, as `[node, main.js]`. */
+  /** The command that starts the program, such as `[node, main.js]`. */
   program: readonly string[];
   plan: RehearsalPlan;
   timing: Timing;
   momentOf: MomentOf;
-  /** Where a seed that broke a rule leaves its logs and its history. */
+  /** Folder for the logs and the history of seeds that broke a rule or logged an error. */
   artifactsDir: string;
-  /** Every seed leaves them. */
+  /** Writes them for every seed. */
   keepAll?: boolean;
   stop?: AbortSignal;
 }
 
-/** Lines of logs that a seed keeps; the oldest make room. */
+/** Log lines kept for one seed; beyond this number the oldest are dropped. */
 const MAX_LOG_LINES = 200_000;
 
+/** Runs one seed on real processes and returns its result. Rejects if the processes cannot be started. */
 export async function runSoakSeed(options: SoakOptions, seed: number): Promise<SoakRun> {
   const { program, timing, momentOf, stop } = options;
   const plan = soakPlan(options.plan, seed);
@@ -93,7 +96,8 @@
     reports: report.reports?.sent ?? 0,
     partial: stop?.aborted === true,
   };
-  if (run.broken.length > 0 || run.trouble.length > 0 || options.keepAll === true) writeArtifacts(options.artifactsDir, run, plan, lines, history);
+  if (run.broken.length > 0 || run.trouble.length > 0 || options.keepAll === true)
+    writeArtifacts(options.artifactsDir, run, plan, lines, history);
   return run;
 }
 
@@ -105,7 +109,7 @@
   writeFileSync(join(dir, "history.jsonl"), `${history.map((event) => JSON.stringify(event)).join("\n")}\n`);
 }
 
-/** One line a seed: what it met and what it broke. */
+/** Formats the result of one seed as a line for the terminal. */
 export function formatSoakRun({
   seed,
   seconds,
@@ -120,34 +124,44 @@
   reports,
   partial,
 }: SoakRun): string {
-  const late = reports === 0 ? 0 : (100 * lateReports) / reports;
+  const latePercent = reports === 0 ? 0 : (100 * lateReports) / reports;
   const facts = [
     `${faults.length} faults (${[...new Set(faults)].sort().join(" ")})`,
     ...(splitWhileRefused ? ["split while refused"] : []),
     `${takeovers} takeovers`,
     `${started} tasks started`,
     `${jobs.over} of ${jobs.submitted} jobs over`,
-    `${late.toFixed(1)}% of reports late`,
+    `${latePercent.toFixed(1)}% of reports late`,
     `${trouble.length} errors`,
     `${broken.length} rules broken`,
   ];
   return `seed ${seed}: ${seconds.toFixed(0)} s${partial ? ", PARTIAL" : ""}, ${facts.join(", ")}`;
 }
 
-/** Children that share the seeds; each is asked to end, and takes its own processes along. */
+/**
+ * Divides the seeds between child processes and returns their results. Children are ended with SIGTERM, so that each can end its own
+ * processes. Rejects if a child writes no report.
+ */
 export async function runSoakInProcesses(
-  asked: { program: readonly string[]; args: (turn: string, report: string) => string[]; processes: number; say: (text: string) => void },
+  options: {
+    program: readonly string[];
+    args: (turn: string, report: string) => string[];
+    processes: number;
+    print: (text: string) => void;
+  },
   stop: AbortSignal,
 ): Promise<SoakRun[]> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-soak-"));
-  const [file, ...programArgs] = asked.program as [string, ...string[]];
+  const [file, ...programArgs] = options.program as [string, ...string[]];
   const running = new Set<ChildProcess>();
   stop.addEventListener("abort", () => running.forEach((child) => child.kill("SIGTERM")));
   const runShare = (i: number): Promise<SoakRun[]> => {
     const reportFile = join(dir, `${i}.json`);
-    const child = spawn(file, [...programArgs, ...asked.args(`${i}/${asked.processes}`, reportFile)], { stdio: ["ignore", "pipe", "inherit"] });
+    const child = spawn(file, [...programArgs, ...options.args(`${i}/${options.processes}`, reportFile)], {
+      stdio: ["ignore", "pipe", "inherit"],
+    });
     running.add(child);
-    child.stdout.on("data", (data: Buffer) => asked.say(data.toString().trimEnd()));
+    child.stdout.on("data", (data: Buffer) => options.print(data.toString().trimEnd()));
     return new Promise((resolve, reject) => {
       child.once("error", reject);
       child.once("exit", (code) => {
@@ -155,13 +169,13 @@
         try {
           resolve(JSON.parse(readFileSync(reportFile, "utf8")) as SoakRun[]);
         } catch {
-          reject(new Error(`process ${i} of the soak ended with ${code} and told nothing`));
+          reject(new Error(`process ${i} of the soak exited with ${code} and wrote no report`));
         }
       });
     });
   };
   try {
-    return (await Promise.all(Array.from({ length: asked.processes }, (_, i) => runShare(i)))).flat();
+    return (await Promise.all(Array.from({ length: options.processes }, (_, i) => runShare(i)))).flat();
   } finally {
     running.forEach((child) => child.kill("SIGTERM"));
     rmSync(dir, { recursive: true, force: true });
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -13,21 +13,21 @@
 const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof playVirtual> =>
   playVirtual({ plan, seed, spawn: spawnController, momentOf });
 
-function sound(report: Report): void {
+function assertPassed(report: Report): void {
   assert.deepEqual(report.broken, [], report.plan);
   assert.deepEqual(report.jobs.unfinished, [], report.plan);
 }
 
-test("the same seed plays the same rehearsal again", async () => {
+test("a rehearsal is deterministic: the same seed gives the same report", async () => {
   const [one, two] = [await play(base, 5), await play(base, 5)];
   assert.deepEqual(one, two);
   assert.equal(one.takeovers, 1);
-  sound(one);
+  assertPassed(one);
 });
 
-// The whole campaign is `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
-test("a short campaign: every eleventh case of faults met with moments", async () => {
-  for (const one of cases(1).filter((_, i) => i % 11 === 0)) sound(await play(planOf(base, one)));
+// The whole campaign: `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
+test("a short campaign: every eleventh pair of fault and injection point", async () => {
+  for (const one of cases(1).filter((_, i) => i % 11 === 0)) assertPassed(await play(planOf(base, one)));
 });
 
 const fault = (raw: Record<string, unknown>, at: number): RehearsalPlan["fault"][number] => {
@@ -36,7 +36,7 @@
   return { at, fault: decoded.fault };
 };
 
-test("hard case: a rental is executed after it was given up, by a controller that has died since", async () => {
+test("hard case: a rental is executed after its controller gave it up and died", async () => {
   const report = await play({
     ...base,
     fault: [
@@ -44,10 +44,10 @@
       fault({ kind: "restart", target: "leader", for: 40 }, 3),
     ],
   });
-  sound(report);
+  assertPassed(report);
 });
 
-test("hard case: the store ends between applying and answering, and is asked again; then restarts under open watches", async () => {
+test("hard case: the store restarts between applying and answering requests, which are repeated; later it restarts under open watches", async () => {
   const report = await play({
     ...base,
     fault: [
@@ -56,11 +56,12 @@
       fault({ kind: "restart-store", for: 12 }, 50),
     ],
   });
-  sound(report);
+  assertPassed(report);
 });
 
-test("hard case: the store ends once more while it is away: it is back once, with everybody's leases, and parts stay with their owners", async () => {
-  // Found by a soak in virtual time: a second store on the same data ended the leases that were renewed at the first, and parts went to and fro for ever.
+test("hard case: a second restart of the store while it is down starts it only once, with all leases, and partitions keep their owners", async () => {
+  // Found by a soak in virtual time: a second store on the same data ended the leases that were renewed at the first one, and
+  // partitions changed owners for ever.
   const report = await play({
     ...base,
     fault: [
@@ -69,12 +70,12 @@
       fault({ kind: "restart", target: "nest-2", for: 0.7 }, 55),
     ],
   });
-  sound(report);
+  assertPassed(report);
   const unwanted = report.recoveries.filter(({ reason }) => reason === "owner gone" || reason === "owner suspected");
   assert.deepEqual(unwanted, []);
 });
 
-test("hard case: lists without machines that run tasks, for longer than twice the lag, within a takeover", async () => {
+test("hard case: during a takeover the cloud lists no machines, although they run tasks, for longer than twice the list lag", async () => {
   const report = await play({
     ...base,
     fault: [
@@ -82,13 +83,13 @@
       fault({ kind: "wrong", target: "all", by: "cloud", what: "list", form: "other", count: 8 }, 30),
     ],
   });
-  sound(report);
-  // A list that names nothing is not believed: no machine is given up for it.
-  const away = report.recoveries.find(({ reason }) => reason === "owner suspected");
-  assert.ok(away !== undefined && away.fenced !== null && away.fenced < 12_000, JSON.stringify(report.recoveries));
+  assertPassed(report);
+  // An empty list is not trusted: no machine is given up because of it.
+  const takeover = report.recoveries.find(({ reason }) => reason === "owner suspected");
+  assert.ok(takeover !== undefined && takeover.fenced !== null && takeover.fenced < 12_000, JSON.stringify(report.recoveries));
 });
 
-test("hard case: two faults inside one takeover, a machine lost in an edition close that is still done in time", async () => {
+test("hard case: two faults inside one takeover; a job with a deadline loses a machine and still finishes in time", async () => {
   const report = await play({
     ...base,
     fault: [
@@ -97,35 +98,35 @@
       fault({ kind: "restart-store", for: 2 }, 40),
     ],
   });
-  sound(report);
+  assertPassed(report);
   assert.equal(report.classes.find(({ name }) => name === "cierre")?.late, 0);
 });
 
-test("whatever faults are drawn, no rule breaks and all work is done", async () => {
-  const drawn = fc.array(fc.tuple(fc.nat(cases(1).length - 1), fc.integer({ min: 5, max: 80 })), { minLength: 1, maxLength: 4 });
+test("randomly generated faults break no rule, and all jobs finish", async () => {
+  const faultChoices = fc.array(fc.tuple(fc.nat(cases(1).length - 1), fc.integer({ min: 5, max: 80 })), { minLength: 1, maxLength: 4 });
   await fc.assert(
-    fc.asyncProperty(drawn, fc.nat(1000), async (chosen, seed) => {
+    fc.asyncProperty(faultChoices, fc.nat(1000), async (chosen, seed) => {
       const faults = chosen.map(([i, at]) => {
         const [first] = planOf(base, cases(1)[i]!).fault;
         return { at, fault: first!.fault };
       });
-      sound(await play({ ...base, fault: faults }, seed));
+      assertPassed(await play({ ...base, fault: faults }, seed));
     }),
     { numRuns: 8, seed: 16 },
   );
 });
 
-test("the last job of a quiet place does not stay for ever with the one machine that fails it", async () => {
-  // Drawn by the test above: the machine had failed no other job, the job failed nowhere else, and nothing was rented.
+test("the last job of an otherwise idle cluster is not assigned for ever to the one machine on which it fails", async () => {
+  // Found by the test above: the machine had failed no other job, the job had failed on no other machine, and no machine was rented.
   const faults = [
     fault({ kind: "fail" }, 25),
     fault({ kind: "drop", target: "all", by: "state", what: "txn", count: 3 }, 27),
     fault({ kind: "sick" }, 49),
   ];
-  sound(await play({ ...base, fault: faults }, 7));
+  assertPassed(await play({ ...base, fault: faults }, 7));
 });
 
-test("the shortest plan that still breaks is found", async () => {
+test("a plan is minimised to the faults and work that still fail", async () => {
   const needed = (plan: RehearsalPlan): Promise<boolean> =>
     Promise.resolve(plan.fault.some(({ fault: { kind } }) => kind === "lose") && plan.work.some(({ name }) => name === "fotos"));
   const faults = ["restart", "lose", "sick", "freeze", "fail"].map((kind, i) => fault({ kind }, i));
@@ -134,20 +135,20 @@
   assert.ok(runs < 20);
 });
 
-test("links: what a cut held goes on its way in order; rules that meet so many calls meet no more", () => {
+test("links: calls held by a cut are delivered in order when it ends; rules with a count apply to no more calls than that", () => {
   const links = new Links();
   const call = { from: "nest-0", to: "state", what: "txn" };
-  const went: number[] = [];
+  const delivered: number[] = [];
   const end = links.add({ from: "nest-0", to: "state", effect: { kind: "cut" } });
   for (const n of [1, 2])
     assert.equal(
-      links.hold(call, () => went.push(n)),
+      links.hold(call, () => delivered.push(n)),
       true,
     );
   assert.equal(links.blocked({ ...call, from: "state", to: "nest-0" }), true, "a cut has no direction");
   assert.equal(links.blocked({ ...call, from: "nest-1" }), false);
   end();
-  assert.deepEqual(went, [1, 2]);
+  assert.deepEqual(delivered, [1, 2]);
   links.add({ from: "*", to: "cloud", what: "hire", effect: { kind: "twice" }, count: 2 });
   const hire = { from: "nest-1", to: "cloud", what: "hire" };
   assert.deepEqual(
@@ -156,28 +157,28 @@
   );
 });
 
-test("links: what is lost, and what comes again, is so one way, and counts against no rule of so many calls", () => {
+test("links: loss and duplication apply to one direction, and do not use up the count of other rules", () => {
   const links = new Links();
   const end = links.add({ from: "*", to: "i-000001", effect: { kind: "lose" } });
   assert.deepEqual(
     ["command", "answer"].map((what) => links.loses({ from: "nest-0", to: "i-000001", what })),
     [true, true],
   );
-  assert.equal(links.loses({ from: "i-000001", to: "nest-0", what: "report" }), false, "its reports arrive");
+  assert.equal(links.loses({ from: "i-000001", to: "nest-0", what: "report" }), false, "reports of the machine arrive");
   links.add({ from: "workers", to: "controllers", what: "report", effect: { kind: "again", share: 0.5, mostMs: 12_000 } });
   const report = { from: "i-000001", to: "nest-0", what: "report" };
-  const luck = (first: number): (() => number) => {
-    const drawn = [first, 1];
-    return () => drawn.shift()!;
+  const random = (first: number): (() => number) => {
+    const values = [first, 1];
+    return () => values.shift()!;
   };
-  assert.deepEqual([links.againMs(report, luck(0.4)), links.againMs(report, luck(0.5))], [12_000, null]);
-  assert.equal(links.againMs({ ...report, what: "command" }, luck(0)), null);
+  assert.deepEqual([links.againMs(report, random(0.4)), links.againMs(report, random(0.5))], [12_000, null]);
+  assert.equal(links.againMs({ ...report, what: "command" }, random(0)), null);
   assert.equal(links.judge(report), null);
   end();
   assert.equal(links.loses({ from: "nest-0", to: "i-000001", what: "command" }), false);
 });
 
-test("plans and faults that are malformed are refused with file, place and what was expected", async () => {
+test("malformed plans and faults are refused with file, field and expectation", async () => {
   const head = `seconds = 10\nteam {\n name = "t"\n}\nmachine {\n name = "m"\n cpus = 4\n ram = 4\n count = 2\n}\n`;
   const work = `work {\n name = "w"\n team = "t"\n cpus = 1\n run = 1\n every = 1\n jobs = 1\n}\n`;
   await parsePlan("p.hcl", head + work);
@@ -196,14 +197,14 @@
   assert.match((decodeFault(null) as { wrong: string }).wrong, /expected one of/);
 });
 
-test("real processes: a place by hand, a fault by command, a job done, and nothing left behind", async () => {
+test("real processes: an emulator started by hand carries out a fault and a job, and leaves no process", async () => {
   const child = spawn(process.execPath, ["target/main.js", "emulator", "serve", "deploy/demo.hcl", "--admin", "127.0.0.1:0"], {
     stdio: ["ignore", "pipe", "inherit"],
     env: { ...process.env, LOG_LEVEL: "error" },
   });
   try {
     const line = await new Promise<string>((resolve, reject) => {
-      child.stdout.once("data", (some: Buffer) => resolve(some.toString()));
+      child.stdout.once("data", (data: Buffer) => resolve(data.toString()));
       child.once("exit", (code) => reject(new Error(`ended with ${code}`)));
     });
     const { admin, controllers } = JSON.parse(line) as { admin: string; controllers: Record<string, string> };
@@ -253,14 +254,14 @@
     assert.deepEqual([status.over, status.broken, status.ended], [1, [], []]);
     assert.match(String(run("show", "--node", Object.values(controllers)[0]!, "run-000001").stdout), /"done"/);
   } finally {
-    const gone = new Promise((resolve) => child.once("exit", resolve));
+    const exited = new Promise((resolve) => child.once("exit", resolve));
     child.kill("SIGTERM");
-    await gone;
+    await exited;
   }
   assert.equal(existsSync(`/proc/${child.pid}`), false);
 });
 
-test("a campaign shared by processes plays the same cases, and a turn that is none is refused", () => {
+test("a campaign divided between processes runs the same cases, and a malformed turn is refused", () => {
   const rehearse = (...args: string[]) =>
     spawnSync(process.execPath, ["target/main.js", "rehearse", "deploy/rehearsal.hcl", "--virtual", "--campaign", "3", ...args], {
       encoding: "utf8",
