--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -410,8 +410,8 @@
     else this.stateForwarder.down = on;
   }
 
-  rule(asked: Parameters<Links["add"]>[0]): () => void {
-    return this.links.add(asked);
+  rule(rule: Parameters<Links["add"]>[0]): () => void {
+    return this.links.add(rule);
   }
 
   limits(limits: { writeRps?: number; valueKb?: number; txnOps?: number }): void {
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -33,20 +33,20 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  /** Records the job state that an answer contains; `asked` is the time at which the request was sent. */
-  private recordAnswer(ref: string, asked: number, answer: Raw | null): void {
+  /** Records the job state that an answer contains; `sentAt` is the time at which the request was sent. */
+  private recordAnswer(ref: string, sentAt: number, answer: Raw | null): void {
     if (answer === null) return;
     const what = toldBy(answer.status, objectOf(answer.text));
-    if (what !== null) this.recordEvent({ at: this.now(), kind: "told", ref, asked, what });
+    if (what !== null) this.recordEvent({ at: this.now(), kind: "told", ref, asked: sentAt, what });
   }
 
   /** Repeats a POST until it is answered with a status below 429; null after `RETRY_LIMIT_MS` or once closed. */
   private async postUntilAnswered(path: string, ref: string, body: string | undefined, addr = this.addr): Promise<Raw | null> {
     const until = this.now() + RETRY_LIMIT_MS;
     while (!this.closed && this.now() < until) {
-      const asked = this.now();
+      const sentAt = this.now();
       const answer = await ask(this.agent, addr, "POST", path, body, TIMEOUT_MS.submit);
-      this.recordAnswer(ref, asked, answer);
+      this.recordAnswer(ref, sentAt, answer);
       if (answer !== null && answer.status < 429) return answer;
       await this.wait(Math.max(1000, Number(answer?.retryAfter ?? 0) * 1000));
     }
@@ -67,9 +67,9 @@
 
   /** Returns the job's state as answered; an empty string if the answer contains none. */
   async poll(ref: string, addr = this.addr): Promise<string> {
-    const asked = this.now();
+    const sentAt = this.now();
     const answer = await ask(this.agent, addr, "GET", `/v2/runs/${ref}`, undefined, TIMEOUT_MS.poll);
-    this.recordAnswer(ref, asked, answer);
+    this.recordAnswer(ref, sentAt, answer);
     if (answer?.status !== 200 && answer?.status !== 404) this.recordEvent({ at: this.now(), kind: "unanswered", ref });
     const status = answer?.status === 200 ? objectOf(answer.text)["status"] : undefined;
     const job = this.jobs.get(ref);
