--- a/packages/emulator/src/real/services.ts
+++ b/packages/emulator/src/real/services.ts
@@ -55,11 +55,11 @@
     if (this.down) return jsonResponse(503, { error: "trouble" });
     if (!this.rate.take()) return jsonResponse(429, { error: "over the rate" });
     const { path, query } = parsePath(request);
-    const what = `${request.method} ${path}`;
-    if (what === "GET /machine_types") return jsonResponse(200, { builds: this.model.types().map(encodeType) });
-    if (what === "GET /hosts") return this.list(query)!;
+    const route = `${request.method} ${path}`;
+    if (route === "GET /machine_types") return jsonResponse(200, { builds: this.model.types().map(encodeType) });
+    if (route === "GET /hosts") return this.list(query)!;
     const body = objectOf(request.body);
-    if (what === "POST /hosts") {
+    if (route === "POST /hosts") {
       const { hire, build, yard, loaner, count } = body;
       if (typeof hire !== "string" || typeof build !== "string" || typeof yard !== "string" || !Number.isInteger(count))
         return jsonResponse(400, { error: "expected hire, build, yard, loaner and a whole count" });
@@ -68,7 +68,7 @@
       const hosts = this.model.hire(hire, offer, Number(count));
       return hosts === null ? jsonResponse(503, { error: "no capacity" }) : jsonResponse(200, { hosts });
     }
-    if (what === "POST /hosts/delete") {
+    if (route === "POST /hosts/delete") {
       const { hosts } = body;
       if (!Array.isArray(hosts) || hosts.length > MAX_DELETED)
         return jsonResponse(400, { error: `hosts: expected at most ${MAX_DELETED} names` });
@@ -87,8 +87,8 @@
 
   /** Builds an incorrect answer of the given form; undefined if there is none for this request. */
   wrongAnswer(request: ProxiedRequest, form: WrongForm): Raw | undefined {
-    const what = this.what(request);
-    if (what === "list") return this.list(parsePath(request).query, form);
+    const operation = this.what(request);
+    if (operation === "list") return this.list(parsePath(request).query, form);
     if (form === "other") return jsonResponse(200, { hosts: [] });
     return undefined;
   }
