--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -6,7 +6,7 @@
 import type { TestEnvironment } from "./test-environment.js";
 
 const MAX_BODY = "64kb";
-/** Lower bound for the run time of jobs submitted here, in seconds; otherwise they run as long as their estimate (`guessS`) says. */
+/** Lower bound for the run time of jobs submitted here, in seconds; otherwise they run as long as their estimate (`guessS`). */
 const MIN_RUN_S = 0.1;
 
 /**
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -360,9 +360,9 @@
   async findLargestOwner(): Promise<string> {
     for (const front of this.fronts.values()) {
       const answer = await ask(false, front, "GET", "/cluster", undefined, 1000);
-      const parts = answer?.status === 200 ? (objectOf(answer.text)["parts"] as { owner: string | null; machines: number }[]) : [];
+      const partitions = answer?.status === 200 ? (objectOf(answer.text)["parts"] as { owner: string | null; machines: number }[]) : [];
       const counts = new Map<string, number>();
-      for (const { owner, machines } of parts) if (owner !== null) counts.set(owner, (counts.get(owner) ?? 0) + machines);
+      for (const { owner, machines } of partitions) if (owner !== null) counts.set(owner, (counts.get(owner) ?? 0) + machines);
       const [largest] = [...counts].sort((a, b) => b[1] - a[1]);
       if (largest !== undefined) return (this.lastOwner = largest[0]);
     }
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -141,7 +141,7 @@
     return this.links.blocked(call) || this.links.loses({ from: node, to: host, what: "answer" }) ? null : answer;
   }
 
-  /** Keeps a copy of a report for `deliverKept`. */
+  /** Keeps a copy of a report for the next takeover of a partition. */
   private keepCopy(report: string): void {
     this.keptReports.push(report);
     if (this.keptReports.length > MAX_KEPT_REPORTS) this.keptReports.shift();
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -6,19 +6,24 @@
   part: number;
   reason: string;
   lostAt: number;
+  /** A peer first logged that the controller is silent or suspected. */
   detected: number | null;
+  /** Another controller took over the partition. */
   claimed: number | null;
+  /** All machines of the partition were accounted for. */
   fenced: number | null;
+  /** The new owner saw the first task start. */
   placed: number | null;
+  /** After fencing: no earlier task set was left waiting, a task had started, or the shortest boot time had passed. */
   back: number | null;
 }
 
-/** Whether a log line says that a controller took over a partition, for any reason. */
+/** Whether a log line reports that a controller took over a partition, for any reason. */
 export function isTakeover(what: string): boolean {
   return what === "part taken";
 }
 
-/** Whether a log line says that a controller took over a partition because its owner was lost. */
+/** Whether a log line reports that a controller took over a partition because its owner was lost. */
 export function tookOver(what: string, detail: Record<string, unknown>): boolean {
   return isTakeover(what) && String(detail["reason"]).startsWith("owner");
 }
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -37,6 +37,7 @@
   seed: number;
   seconds: number;
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
+  /** Descriptions of the broken rules. */
   broken: string[];
   /** Task starts after a user had received the answer that the job is cancelled, whether or not within the time allowed for a cancellation. */
   started_cancelled: number;
@@ -67,18 +68,22 @@
 export class Spread {
   private readonly histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 86_400_000, numberOfSignificantValueDigits: 3 });
 
+  /** Adds a duration in ms; those below 1 ms count as 1 ms. */
   add(ms: number): void {
     this.histogram.recordValue(Math.max(1, Math.round(ms)));
   }
 
+  /** Number of durations added. */
   get count(): number {
     return this.histogram.totalCount;
   }
 
+  /** Returns the given percentile (0 to 100) in seconds. */
   at(percentile: number): number | null {
     return this.count === 0 ? null : this.histogram.getValueAtPercentile(percentile) / 1000;
   }
 
+  /** The longest duration, in seconds. */
   get worst(): number | null {
     return this.count === 0 ? null : this.histogram.maxValue / 1000;
   }
