--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { CommandFailed, inTurn, interruptible, teller } from "./cli.js";
+import { CommandFailed, selectTurn, abortOnSignal, progressLine } from "./cli.js";
 import { BRISK, USUAL } from "./place.js";
 import type { MomentOf } from "./conductor.js";
 import { cases, coverageTable, planOf, type Case, type Covered } from "./campaign.js";
@@ -12,57 +12,57 @@
 import { serveAdmin } from "./real/admin.js";
 import { ask, objectOf } from "./real/http.js";
 import { playReal } from "./real/play.js";
-import { Rig } from "./real/rig.js";
-import { metSplitWhileRefused, table, type Report } from "./report.js";
+import { TestEnvironment } from "./real/test-environment.js";
+import { metSplitWhileRefused, formatTable, type Report } from "./report.js";
 import { shrink } from "./shrink.js";
 import { playVirtual, type VirtualOptions } from "./virtual/play.js";
 import type { ControllerPort } from "./virtual/world.js";
 
-const good = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
+const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
-/** `npm run demo`: everything on this machine, from nothing, within a minute. */
+/** `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if it did not go as planned. */
 export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: MomentOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = teller();
-  const stop = interruptible();
+  const { showProgress, endProgress } = progressLine();
+  const stop = abortOnSignal();
   const report = await playReal({
     program: options.program,
     plan,
     timing: BRISK,
     seed: options.seed,
     momentOf: options.momentOf,
-    progress: say,
+    progress: showProgress,
     patienceMs: 20_000,
     stop: stop.signal,
   });
-  end();
+  endProgress();
   if (stop.signal.aborted) {
     process.exitCode = 130;
     return;
   }
-  process.stdout.write(`${table(report)}\n`);
+  process.stdout.write(`${formatTable(report)}\n`);
   for (const { at, kind, met } of report.faults) process.stdout.write(`at ${at.toFixed(0)} s: ${kind} ${met.join(", ")}\n`);
   for (const line of [...report.broken, ...report.trouble]) process.stdout.write(`${line}\n`);
   const { done, submitted, unfinished } = report.jobs;
   if (unfinished.length > 0) process.stdout.write(`not over: ${unfinished.join(", ")}\n`);
   process.stdout.write(`demo: ${done} jobs done, ${report.broken.length} rules broken, ${report.takeovers} takeovers\n`);
   const asPlanned = report.faults.length === plan.fault.length && report.faults.every(({ met }) => met.length > 0) && report.takeovers > 0;
-  if (!good(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
+  if (!passed(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
 }
 
-/** `thorntrail rehearse` on real processes. */
+/** `thorntrail rehearse`: runs a plan on real processes, prints its result and writes the report. Throws `CommandFailed` if interrupted. */
 export async function rehearseReal(options: {
   plan: string;
   program: string[];
   seed: number | undefined;
   report: string | undefined;
   momentOf: MomentOf;
-  /** Plays the plan in virtual time, to look for the shortest that breaks the same rules there. */
+  /** Runs a plan in virtual time, to minimise one that broke a rule. */
   virtually: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const { say, end } = teller();
-  const stop = interruptible();
+  const { showProgress, endProgress } = progressLine();
+  const stop = abortOnSignal();
   const seed = options.seed ?? plan.seed;
   const report = await playReal({
     program: options.program,
@@ -70,133 +70,151 @@
     timing: USUAL,
     seed,
     momentOf: options.momentOf,
-    progress: say,
+    progress: showProgress,
     patienceMs: plan.settle * 1000,
     stop: stop.signal,
   });
-  end();
+  endProgress();
   if (stop.signal.aborted) throw new CommandFailed("interrupted; nothing was left behind");
-  if (report.broken.length > 0) await shortest(plan, report, (one) => options.virtually(one, seed), say, end);
-  finish(report, options.report);
+  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.virtually(one, seed), showProgress, endProgress);
+  finishRehearsal(report, options.report);
 }
 
-/** Looks for the shortest plan that still breaks a rule in virtual time, and says so in the report. */
-async function shortest(
+/** Minimises a plan that broke a rule, in virtual time; prints the result and adds it to the report. */
+async function reportMinimisedPlan(
   plan: RehearsalPlan,
   report: Report,
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
-  end: () => void,
+  showProgress: (text: string) => void,
+  endProgress: () => void,
 ): Promise<void> {
-  say("a rule broke: looking for the shortest plan that still breaks it in virtual time");
+  showProgress("a rule broke: looking for the shortest plan that still breaks it in virtual time");
   const breaks = async (one: RehearsalPlan): Promise<boolean> => (await play(one)).broken.length > 0;
   if (report.mode === "real" && !(await breaks(plan))) {
-    end();
+    endProgress();
     process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat it on real processes\n");
     return;
   }
-  const found = await shrink(plan, breaks, SHRINK_RUNS);
+  const found = await shrink(plan, breaks, MAX_MINIMISE_RUNS);
   Object.assign(report, { shortest: found.plan, shrinkRuns: found.runs });
-  end();
+  endProgress();
   process.stdout.write(
     `shortest plan that still breaks: ${JSON.stringify({ work: found.plan.work.map(({ name }) => name), fault: found.plan.fault })}\n`,
   );
 }
 
-/** Writes the report, says what came of it, and fails if a rule broke or work was left. */
-export function finish(report: Report, file: string | undefined): void {
+/** Writes the report to `file`, prints the result, and sets exit code 4 if a rule broke or jobs are unfinished. */
+export function finishRehearsal(report: Report, file: string | undefined): void {
   if (file !== undefined) writeFileSync(file, `${JSON.stringify(report, null, 2)}\n`);
-  process.stdout.write(`${table(report)}\n`);
+  process.stdout.write(`${formatTable(report)}\n`);
   for (const line of [...report.broken, ...report.trouble]) process.stdout.write(`${line}\n`);
   const { done, withdrawn, unfinished } = report.jobs;
   process.stdout.write(
     `${report.plan}: ${done} jobs done, ${withdrawn} withdrawn, ${unfinished.length} unfinished, ${report.broken.length} rules broken, ${report.takeovers} takeovers\n`,
   );
-  if (!good(report)) process.exitCode = 4;
+  if (!passed(report)) process.exitCode = 4;
 }
 
+/** Options of a rehearsal in virtual time. */
 export interface RehearseVirtual<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
   plan: string;
   seed: number | undefined;
   report: string | undefined;
-  /** Instead of the plan's own faults: every pair of fault and moment, at most so many rehearsals. */
+  /** Instead of the plan's own faults: pairs of fault and injection point, at most this number. */
   campaign: number | undefined;
-  /** Instead of the plan's own faults: so many rehearsals of two or three drawn ones each, from the seed on. */
+  /** Instead of the plan's own faults: two or three randomly generated ones for each seed; the number of seeds, from `seed` on. */
   drawn?: number | undefined;
-  /** Instead of the plan's own faults: so many seeds of what a soak draws. */
+  /** Instead of the plan's own faults: those that a soak generates; the number of seeds, from `seed` on. */
   soak?: number | undefined;
-  /** Only the cases of this turn, as `2/8`: for one of the processes that share a campaign. */
+  /** Runs only the cases of this turn, such as `2/8`: set for the processes that share a campaign. */
   turn?: string | undefined;
-  /** Processes that share the campaign, and this program, to start them. */
+  /** Number of processes that share the campaign, and the command that starts each. */
   processes?: number | undefined;
   program?: string[];
 }
 
-const SHRINK_RUNS = 60;
+/** Rehearsals for minimising one plan. */
+const MAX_MINIMISE_RUNS = 60;
 
-/** `thorntrail rehearse --virtual`: the plan once, or with each case of a campaign; what broke, and the shortest plan that still breaks it. */
+/**
+ * `thorntrail rehearse --virtual`: runs the plan once, with each case of a campaign, or with generated faults. Prints the broken rules and
+ * the minimised plan that still breaks them; a campaign's cases are not minimised.
+ */
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtual<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
   const seed = options.seed ?? plan.seed;
   const { spawn, momentOf } = options;
   const play = (one: RehearsalPlan): ReturnType<typeof playVirtual> => playVirtual({ plan: one, seed, spawn, momentOf });
-  const { say, end } = teller();
-  const drawnSeeds = options.drawn ?? options.soak;
-  if (drawnSeeds !== undefined) {
+  const { showProgress, endProgress } = progressLine();
+  const seedCount = options.drawn ?? options.soak;
+  if (seedCount !== undefined) {
     const planOfSeed = options.soak === undefined ? drawnPlan : soakPlan;
-    const seeds = inTurn(
-      Array.from({ length: drawnSeeds }, (_, i) => seed + i),
+    const seeds = selectTurn(
+      Array.from({ length: seedCount }, (_, i) => seed + i),
       options.turn,
     );
     const { processes = 1, program } = options;
     const shared = processes > 1 && program !== undefined;
     const played = shared
-      ? await shareOut<Drawn>({ ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, say }, [
-          options.soak === undefined ? "--drawn" : "--soak",
-          String(drawnSeeds),
-        ])
-      : [await drawn(plan, planOfSeed, seeds, (one, luck) => playVirtual({ plan: one, seed: luck, spawn, momentOf }), say)];
-    end();
-    return tellDrawn(plan, seed, { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) }, options.report);
+      ? await runInProcesses<RandomisedResult>(
+          { ...options, seed, processes: Math.min(processes, seeds.length), program, count: seeds.length, showProgress },
+          [options.soak === undefined ? "--drawn" : "--soak", String(seedCount)],
+        )
+      : [
+          await runRandomised(
+            plan,
+            planOfSeed,
+            seeds,
+            (one, caseSeed) => playVirtual({ plan: one, seed: caseSeed, spawn, momentOf }),
+            showProgress,
+          ),
+        ];
+    endProgress();
+    return printRandomisedSummary(
+      plan,
+      seed,
+      { played: played.flatMap((one) => one.played), bad: played.flatMap((one) => one.bad) },
+      options.report,
+    );
   }
   if (options.campaign === undefined) {
     const report = await play(plan);
-    if (report.broken.length > 0) await shortest(plan, report, play, say, end);
-    return finish(report, options.report);
+    if (report.broken.length > 0) await reportMinimisedPlan(plan, report, play, showProgress, endProgress);
+    return finishRehearsal(report, options.report);
   }
-  const chosen = inTurn(cases(seed).slice(0, options.campaign), options.turn);
+  const chosen = selectTurn(cases(seed).slice(0, options.campaign), options.turn);
   const { processes = 1, program } = options;
   const played =
     processes > 1 && program !== undefined
-      ? together(
-          await shareOut<Campaign>(
-            { ...options, seed, processes: Math.min(processes, chosen.length), program, count: chosen.length, say },
+      ? mergeCampaigns(
+          await runInProcesses<CampaignResult>(
+            { ...options, seed, processes: Math.min(processes, chosen.length), program, count: chosen.length, showProgress },
             ["--campaign", String(options.campaign)],
           ),
         )
-      : await campaign(plan, chosen, play, say);
-  end();
-  tellCampaign(plan, seed, played, options.report);
+      : await runCampaign(plan, chosen, play, showProgress);
+  endProgress();
+  printCampaignSummary(plan, seed, played, options.report);
 }
 
-interface Campaign {
+interface CampaignResult {
   covered: Covered[];
   bad: { name: string; broken: string[]; unfinished: string[]; trouble: string[] }[];
 }
 
-async function campaign(
+async function runCampaign(
   plan: RehearsalPlan,
   chosen: Case[],
   play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
-): Promise<Campaign> {
+  showProgress: (text: string) => void,
+): Promise<CampaignResult> {
   const covered: Covered[] = [];
-  const bad: Campaign["bad"] = [];
+  const bad: CampaignResult["bad"] = [];
   for (const [i, one] of chosen.entries()) {
-    const asked = planOf(plan, one);
-    say(`${i + 1} of ${chosen.length}: ${asked.name}`);
-    const report = await play(asked);
-    const met = report.moments.some(({ moment, met: whom }) => moment === one.moment && whom.length > 0);
+    const rehearsal = planOf(plan, one);
+    showProgress(`${i + 1} of ${chosen.length}: ${rehearsal.name}`);
+    const report = await play(rehearsal);
+    const met = report.moments.some(({ moment, met: targets }) => moment === one.moment && targets.length > 0);
     covered.push({
       fault: one.fault,
       moment: one.moment,
@@ -205,32 +223,32 @@
       unfinished: report.jobs.unfinished.length,
     });
     if (report.broken.length + report.jobs.unfinished.length > 0)
-      bad.push({ name: asked.name, broken: report.broken, unfinished: report.jobs.unfinished, trouble: report.trouble });
+      bad.push({ name: rehearsal.name, broken: report.broken, unfinished: report.jobs.unfinished, trouble: report.trouble });
   }
   return { covered, bad };
 }
 
-const together = (parts: Campaign[]): Campaign => ({
-  covered: parts.flatMap(({ covered }) => covered),
-  bad: parts.flatMap(({ bad }) => bad),
+const mergeCampaigns = (results: CampaignResult[]): CampaignResult => ({
+  covered: results.flatMap(({ covered }) => covered),
+  bad: results.flatMap(({ bad }) => bad),
 });
 
-interface Drawn {
-  /** By seed: how many faults met somebody. */
+interface RandomisedResult {
+  /** For each seed, the number of faults that affected at least one target. */
   played: { seed: number; met: number; splitWhileRefused: boolean }[];
   bad: { seed: number; broken: string[]; unfinished: string[]; trouble: string[]; shortest: { work: string[]; fault: unknown } }[];
 }
 
-async function drawn(
+async function runRandomised(
   base: RehearsalPlan,
   planOfSeed: (base: RehearsalPlan, seed: number) => RehearsalPlan,
   seeds: number[],
   play: (one: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>,
-  say: (text: string) => void,
-): Promise<Drawn> {
-  const result: Drawn = { played: [], bad: [] };
+  showProgress: (text: string) => void,
+): Promise<RandomisedResult> {
+  const result: RandomisedResult = { played: [], bad: [] };
   for (const [i, seed] of seeds.entries()) {
-    say(`${i + 1} of ${seeds.length}: drawn ${seed}`);
+    showProgress(`${i + 1} of ${seeds.length}: drawn ${seed}`);
     const plan = planOfSeed(base, seed);
     const report = await play(plan, seed);
     const { broken, trouble, jobs } = report;
@@ -244,78 +262,78 @@
       const again = await play(one, seed);
       return broken.length > 0 ? again.broken.length > 0 : again.jobs.unfinished.length + again.trouble.length > 0;
     };
-    const { plan: shortest } = await shrink(plan, fails, SHRINK_RUNS / 3);
-    const told = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
-    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: told });
+    const { plan: shortest } = await shrink(plan, fails, MAX_MINIMISE_RUNS / 3);
+    const minimised = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
+    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: minimised });
   }
   return result;
 }
 
-function tellDrawn(plan: RehearsalPlan, seed: number, { played, bad }: Drawn, report: string | undefined): void {
+function printRandomisedSummary(plan: RehearsalPlan, seed: number, { played, bad }: RandomisedResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, played, bad }, null, 2)}\n`);
   for (const { seed: one, broken, unfinished, trouble, shortest } of bad) {
     const what = [...broken, ...trouble].join("; ") || `unfinished: ${unfinished.join(", ")}`;
     process.stdout.write(`drawn ${one}: ${what}\n  ${JSON.stringify(shortest)}\n`);
   }
   const splits = played.filter(({ splitWhileRefused }) => splitWhileRefused).length;
-  const meetings = played.filter(({ met }) => met > 1).length;
+  const compound = played.filter(({ met }) => met > 1).length;
   process.stdout.write(
-    `drawn: ${played.length} rehearsals, in ${meetings} two troubles met somebody, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
+    `drawn: ${played.length} rehearsals, in ${compound} two troubles met somebody, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
   );
   if (bad.length > 0) process.exitCode = 4;
 }
 
-/** Cases know nothing of each other: processes take them in turn; what each came to is put together by whoever asks. */
-async function shareOut<T>(
-  asked: {
+/** Divides independent cases between child processes and returns the report of each. Rejects if a child fails. */
+async function runInProcesses<T>(
+  options: {
     plan: string;
     seed: number;
     processes: number;
     program: string[];
     count: number;
-    say: (text: string) => void;
+    showProgress: (text: string) => void;
   },
-  which: string[],
+  caseArgs: string[],
 ): Promise<T[]> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-campaign-"));
-  let told = 0;
-  const [file, ...first] = asked.program as [string, ...string[]];
+  let started = 0;
+  const [file, ...programArgs] = options.program as [string, ...string[]];
   const running = new Set<ChildProcess>();
-  const endAll = (): void => running.forEach((child) => child.kill("SIGKILL"));
-  process.once("exit", endAll);
-  const part = (i: number): Promise<T> => {
-    const out = join(dir, `${i}.json`);
-    const args = ["rehearse", asked.plan, "--virtual", "--seed", String(asked.seed), "--report", out];
-    args.push(...which, "--turn", `${i}/${asked.processes}`);
-    const child = spawn(file, [...first, ...args], { stdio: ["ignore", "ignore", "pipe"] });
+  const killAll = (): void => running.forEach((child) => child.kill("SIGKILL"));
+  process.once("exit", killAll);
+  const runShare = (i: number): Promise<T> => {
+    const reportFile = join(dir, `${i}.json`);
+    const args = ["rehearse", options.plan, "--virtual", "--seed", String(options.seed), "--report", reportFile];
+    args.push(...caseArgs, "--turn", `${i}/${options.processes}`);
+    const child = spawn(file, [...programArgs, ...args], { stdio: ["ignore", "ignore", "pipe"] });
     running.add(child);
     let errors = "";
-    child.stderr.on("data", (some: Buffer) => {
-      errors = (errors + some.toString()).slice(-2000);
-      // A line is said before each rehearsal.
-      told += some.toString().split("\n").length - 1;
-      asked.say(`${Math.min(told, asked.count)} of ${asked.count}, in ${asked.processes} processes`);
+    child.stderr.on("data", (data: Buffer) => {
+      errors = (errors + data.toString()).slice(-2000);
+      // Each child writes one line before each rehearsal.
+      started += data.toString().split("\n").length - 1;
+      options.showProgress(`${Math.min(started, options.count)} of ${options.count}, in ${options.processes} processes`);
     });
     return new Promise((resolve, reject) => {
       child.once("error", reject);
       child.once("exit", (code, signal) => {
         running.delete(child);
-        // 4: a rule broke, which the report says.
-        if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(out, "utf8")) as T);
+        // Exit code 4 means that a rule broke; the report contains it.
+        if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(reportFile, "utf8")) as T);
         else reject(new CommandFailed(`process ${i} of the campaign ended with ${code ?? signal}: ${errors.trim().split("\n").at(-1)}`));
       });
     });
   };
   try {
-    return await Promise.all(Array.from({ length: asked.processes }, (_, i) => part(i)));
+    return await Promise.all(Array.from({ length: options.processes }, (_, i) => runShare(i)));
   } finally {
-    endAll();
-    process.off("exit", endAll);
+    killAll();
+    process.off("exit", killAll);
     rmSync(dir, { recursive: true, force: true });
   }
 }
 
-function tellCampaign(plan: RehearsalPlan, seed: number, { covered, bad }: Campaign, report: string | undefined): void {
+function printCampaignSummary(plan: RehearsalPlan, seed: number, { covered, bad }: CampaignResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, covered, bad }, null, 2)}\n`);
   process.stdout.write(`${coverageTable(covered)}\n`);
   for (const { name, broken, unfinished } of bad)
@@ -327,44 +345,45 @@
   if (bad.some((one) => one.broken.length > 0)) process.exitCode = 4;
 }
 
-function addressOf(text: string, option: string): [string, number] {
-  const found = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
-  if (found === null || Number(found[2]) > 65_535) throw new CommandFailed(`${option} ${text}: give an address like 127.0.0.1:7070`);
-  return [found[1]!, Number(found[2])];
+/** Splits an IPv4 address with port; throws `CommandFailed` naming the option. */
+function parseAddress(text: string, option: string): [string, number] {
+  const match = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
+  if (match === null || Number(match[2]) > 65_535) throw new CommandFailed(`${option} ${text}: give an address like 127.0.0.1:7070`);
+  return [match[1]!, Number(match[2])];
 }
 
-/** `thorntrail emulator serve`: the place of a plan on real processes, without its work and faults, until it is ended. */
+/** `thorntrail emulator serve`: starts the test environment of a plan on real processes, without its work and faults, until interrupted. */
 export async function emulatorServe(options: { plan: string; program: string[]; admin: string; seed: number | undefined }): Promise<void> {
   const plan = await loadPlan(options.plan);
-  const [host, port] = addressOf(options.admin, "--admin");
-  const stop = interruptible();
-  const rig = new Rig({ program: options.program, plan, timing: USUAL, seed: options.seed ?? plan.seed });
+  const [host, port] = parseAddress(options.admin, "--admin");
+  const stop = abortOnSignal();
+  const environment = new TestEnvironment({ program: options.program, plan, timing: USUAL, seed: options.seed ?? plan.seed });
   try {
-    await rig.start();
-    const { server, addr } = await serveAdmin(rig, host, port);
-    process.stdout.write(`${JSON.stringify({ admin: addr, ...rig.status() })}\n`);
+    await environment.start();
+    const { server, addr } = await serveAdmin(environment, host, port);
+    process.stdout.write(`${JSON.stringify({ admin: addr, ...environment.status() })}\n`);
     await new Promise<void>((resolve) => stop.signal.addEventListener("abort", () => resolve()));
     server.close();
     server.closeAllConnections();
   } finally {
-    rig.close();
+    environment.close();
   }
 }
 
-/** `thorntrail fault KIND key=value...`: one fault, now. */
+/** `thorntrail fault KIND key=value...`: has a running emulator carry out one fault. Throws `CommandFailed` if it is malformed or refused. */
 export async function faultCommand(options: { emulator: string; kind: string; fields: string[] }): Promise<Record<string, unknown>> {
-  addressOf(options.emulator, "--emulator");
-  const asked: Record<string, unknown> = { kind: options.kind };
+  parseAddress(options.emulator, "--emulator");
+  const request: Record<string, unknown> = { kind: options.kind };
   for (const field of options.fields) {
-    const at = field.indexOf("=");
-    if (at <= 0) throw new CommandFailed(`${field}: expected name=value, such as for=10`);
-    const value = field.slice(at + 1);
-    asked[field.slice(0, at)] = /^-?\d+(\.\d+)?$/.test(value) ? Number(value) : value;
+    const separator = field.indexOf("=");
+    if (separator <= 0) throw new CommandFailed(`${field}: expected name=value, such as for=10`);
+    const value = field.slice(separator + 1);
+    request[field.slice(0, separator)] = /^-?\d+(\.\d+)?$/.test(value) ? Number(value) : value;
   }
-  // Checked here first: a mistake is told without a running emulator.
-  const decoded = decodeFault(asked);
+  // Validated here first, so that a mistake is reported without a running emulator.
+  const decoded = decodeFault(request);
   if ("wrong" in decoded) throw new CommandFailed(`fault ${options.kind}: ${decoded.wrong}`);
-  const answer = await ask(false, options.emulator, "POST", "/faults", JSON.stringify(asked), 5000);
+  const answer = await ask(false, options.emulator, "POST", "/faults", JSON.stringify(request), 5000);
   if (answer === null) throw new CommandFailed(`${options.emulator} does not answer: start 'thorntrail emulator serve' first`);
   if (answer.status !== 200) throw new CommandFailed(String(objectOf(answer.text)["error"] ?? `status ${answer.status}`));
   return objectOf(answer.text);
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -4,8 +4,8 @@
 import type { Planned } from "./plan.js";
 import type { Recovery } from "./recovery.js";
 
-/** A fault that was carried out: when, in seconds, whom it met, and as it was planned. */
-export interface MetFault {
+/** A fault that was carried out: its time in seconds, the targets it affected (`met`), and the fault as planned. */
+export interface FaultOccurrence {
   at: number;
   kind: string;
   met: string[];
@@ -13,10 +13,10 @@
 }
 
 /**
- * Did a split meet machines of a controller while the state service refused that one alone for longer than a lease? Only there
- * can an heir answer what the former owner holds for lost.
+ * Whether a split affected machines of a controller while the state service refused just that controller for longer than a lease
+ * (`leaseS`, in seconds). Only in this case can a new owner answer machines that the former owner considers lost.
  */
-export function metSplitWhileRefused(faults: readonly MetFault[], leaseS: number): boolean {
+export function metSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
   const refusals = faults.filter(({ fault }) => fault.kind === "refuse" && fault.by === "state" && fault.for > leaseS);
   return faults.some(({ at, met, fault }) => {
     if (fault.kind !== "split" || met.length === 0) return false;
@@ -30,28 +30,30 @@
   });
 }
 
-/** What a rehearsal came to; the same for real processes and virtual time. Times in seconds. */
+/** The result of a rehearsal, in the same form for real processes and virtual time. Times in seconds. */
 export interface Report {
   plan: string;
   mode: "real" | "virtual";
   seed: number;
   seconds: number;
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
+  /** Descriptions of the broken rules. */
   broken: string[];
-  /** Starts after a user had been told that the job is cancelled, all within the time for it or not. */
+  /** Task starts after a user had received the answer that the job is cancelled, whether or not within the time allowed for a cancellation. */
   started_cancelled: number;
-  faults: MetFault[];
+  faults: FaultOccurrence[];
   takeovers: number;
   recoveries: Recovery[];
-  classes: ClassFigures[];
-  /** Processes that ended though nobody asked for it, and errors logged. */
+  classes: ClassStatistics[];
+  /** Processes that exited on their own, and logged errors. */
   trouble: string[];
   cost: number;
-  /** Of the emulated workers, on real processes: how many were sent, and how many of them later than they should. */
+  /** Reports of the emulated workers, on real processes: how many were sent, and how many of them late. */
   reports?: { sent: number; late: number };
 }
 
-export interface ClassFigures {
+/** Figures of the jobs of one class; percentiles count from the first submission. */
+export interface ClassStatistics {
   name: string;
   jobs: number;
   done: number;
@@ -62,37 +64,41 @@
   late: number;
 }
 
-/** Times in ms, to percentiles in seconds with three digits; null: there were none. */
+/** Collects durations in ms and returns percentiles in seconds with three significant digits; null if there are none. */
 export class Spread {
   private readonly histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 86_400_000, numberOfSignificantValueDigits: 3 });
 
+  /** Adds a duration in ms; those below 1 ms count as 1 ms. */
   add(ms: number): void {
     this.histogram.recordValue(Math.max(1, Math.round(ms)));
   }
 
+  /** Number of durations added. */
   get count(): number {
     return this.histogram.totalCount;
   }
 
+  /** Returns the given percentile (0 to 100) in seconds. */
   at(percentile: number): number | null {
     return this.count === 0 ? null : this.histogram.getValueAtPercentile(percentile) / 1000;
   }
 
+  /** The longest duration, in seconds. */
   get worst(): number | null {
     return this.count === 0 ? null : this.histogram.maxValue / 1000;
   }
 }
 
-/** Figures by class, out of what happened. Times count from the first attempt to submit. */
-export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassFigures[] {
+/** Computes the figures of each class from the events. Durations count from the first attempt to submit the job. */
+export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
   const submitted = new Map<string, number>();
-  const firstOn = new Map<string, number>();
+  const firstStart = new Map<string, number>();
   const done = new Map<string, number>();
   for (const event of history) {
     if (event.kind === "submitted" && !submitted.has(event.spec.ref)) submitted.set(event.spec.ref, event.at);
     else if (event.kind === "on") {
       const ref = event.piece.slice(0, event.piece.lastIndexOf("/"));
-      if (!firstOn.has(ref)) firstOn.set(ref, event.at);
+      if (!firstStart.has(ref)) firstStart.set(ref, event.at);
     } else if (event.kind === "told" && event.what === "done" && !done.has(event.ref)) done.set(event.ref, event.at);
   }
   const classes = new Map<string, { jobs: number; done: number; late: number; starts: Spread; ends: Spread }>();
@@ -102,9 +108,9 @@
     let one = classes.get(spec.klass);
     if (one === undefined) classes.set(spec.klass, (one = { jobs: 0, done: 0, late: 0, starts: new Spread(), ends: new Spread() }));
     one.jobs++;
-    const began = firstOn.get(ref);
+    const started = firstStart.get(ref);
     const ended = done.get(ref);
-    if (began !== undefined) one.starts.add(began - at);
+    if (started !== undefined) one.starts.add(started - at);
     if (ended !== undefined) {
       one.done++;
       one.ends.add(ended - at);
@@ -123,19 +129,19 @@
   }));
 }
 
-const shown = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
+const formatSeconds = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
 
-/** The figures as a table that fits a terminal. */
-export function table(report: Report): string {
+/** Formats the figures of all classes as a table for a terminal. */
+export function formatTable(report: Report): string {
   const head = ["class", "jobs", "done", "start p50", "start p99", "done p50", "done p99", "late"];
   const rows = report.classes.map((one) => [
     one.name,
     String(one.jobs),
     String(one.done),
-    shown(one.start_p50_s),
-    shown(one.start_p99_s),
-    shown(one.done_p50_s),
-    shown(one.done_p99_s),
+    formatSeconds(one.start_p50_s),
+    formatSeconds(one.start_p99_s),
+    formatSeconds(one.done_p50_s),
+    formatSeconds(one.done_p99_s),
     String(one.late),
   ]);
   const widths = head.map((_, i) => Math.max(...[head, ...rows].map((row) => row[i]!.length)));
