--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -28,19 +28,19 @@
   needs?: string[];
 }
 
-const MAX_NAME = 200;
+const MAX_NAME_LENGTH = 200;
 const MAX_AMOUNT = 1e9;
 const amount = z.number().finite().min(0).max(MAX_AMOUNT);
-const name = z.string().min(1).max(MAX_NAME);
-const KINDS: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
+const name = z.string().min(1).max(MAX_NAME_LENGTH);
+const KIND_BY_SHAPE: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
 
 /** No more than this many fit into a request anyway. */
 const MAX_NEEDS = 5000;
 
-const REF = /^run-\d{6,20}$/;
+const REF_PATTERN = /^run-\d{6,20}$/;
 
-const wireJob = z.object({
-  ref: z.string().regex(REF, "must look like run-000412"),
+const jobSchema = z.object({
+  ref: z.string().regex(REF_PATTERN, "must look like run-000412"),
   lane: name,
   desk: name,
   shape: z.enum(["sweep", "gang", "daemon"]),
@@ -60,16 +60,16 @@
   snapshotS: amount,
   flushS: amount,
   closeS: amount.nullish(),
-  waitsOn: z.array(z.string().regex(REF, "must look like run-000412")).max(MAX_NEEDS).nullish(),
+  waitsOn: z.array(z.string().regex(REF_PATTERN, "must look like run-000412")).max(MAX_NEEDS).nullish(),
 });
 
 export function isRef(text: string): boolean {
-  return REF.test(text);
+  return REF_PATTERN.test(text);
 }
 
 /** A submission in our names, or what is wrong with it. */
 export function decodeJob(raw: unknown): { spec: JobSpec } | { fault: string } {
-  const parsed = wireJob.safeParse(raw);
+  const parsed = jobSchema.safeParse(raw);
   if (!parsed.success) {
     const issue = parsed.error.issues[0]!;
     return { fault: `${issue.path.join(".") || "body"}: ${issue.message}` };
@@ -81,7 +81,7 @@
       ref: wire.ref,
       klass: wire.lane,
       team: wire.desk,
-      kind: KINDS[wire.shape]!,
+      kind: KIND_BY_SHAPE[wire.shape]!,
       urgency: wire.urgency,
       tasks: wire.pieces,
       cpus: wire.cpus,
@@ -103,7 +103,7 @@
   };
 }
 
-const SHAPES: Record<JobKind, string> = { array: "sweep", gang: "gang", service: "daemon" };
+const SHAPE_BY_KIND: Record<JobKind, string> = { array: "sweep", gang: "gang", service: "daemon" };
 
 /** A job as users submit it. */
 export function encodeJob(spec: JobSpec): Record<string, unknown> {
@@ -111,7 +111,7 @@
     ref: spec.ref,
     lane: spec.klass,
     desk: spec.team,
-    shape: SHAPES[spec.kind],
+    shape: SHAPE_BY_KIND[spec.kind],
     urgency: spec.urgency,
     pieces: spec.tasks,
     cpus: spec.cpus,
--- a/packages/protocol/src/rate.ts
+++ b/packages/protocol/src/rate.ts
@@ -6,7 +6,7 @@
 /** A token bucket with one second's worth of burst. */
 export class Rate {
   private tokens: number;
-  private at: number;
+  private refilledAt: number;
 
   constructor(
     private readonly clock: SteadyClock,
@@ -14,13 +14,13 @@
     readonly burst = perSecond,
   ) {
     this.tokens = burst;
-    this.at = clock.now();
+    this.refilledAt = clock.now();
   }
 
   private refill(): void {
     const now = this.clock.now();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.at) / 1000) * this.perSecond);
-    this.at = now;
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.perSecond);
+    this.refilledAt = now;
   }
 
   available(): number {
--- a/packages/protocol/src/state-wire.ts
+++ b/packages/protocol/src/state-wire.ts
@@ -7,11 +7,11 @@
   pageItems: 1000,
   pageBytes: 512 * 1024,
   /** Changes that a watch can still be told of. */
-  history: 10_000,
-  ttlMs: { least: 100, most: 600_000 },
+  historyChanges: 10_000,
+  ttlMs: { min: 100, max: 600_000 },
   blockMs: 60_000,
   /** How much longer than its time a lease may live. */
-  lateMs: 100,
+  maxExpiryDelayMs: 100,
   /** Conditions in a transaction, as a multiple of the changes it may have. */
   conditionsPerChange: 4,
 } as const;
@@ -25,7 +25,7 @@
 const stamp = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 const value = z.custom<unknown>((v) => v !== undefined, "a value is missing");
 
-const wireTxn = z.object({
+const txnSchema = z.object({
   if: z.array(z.object({ k: key, stamp })).nullish(),
   apply: z
     .array(
@@ -36,24 +36,24 @@
     )
     .nullish(),
 });
-const wireGrant = z.object({ ttlMs: z.number().int().min(STATE_BOUNDS.ttlMs.least).max(STATE_BOUNDS.ttlMs.most) });
+const grantSchema = z.object({ ttlMs: z.number().int().min(STATE_BOUNDS.ttlMs.min).max(STATE_BOUNDS.ttlMs.max) });
 
-export type WireTxn = z.infer<typeof wireTxn>;
+export type TxnRequest = z.infer<typeof txnSchema>;
 
-function said<T>(parsed: z.ZodSafeParseResult<T>): T | { fault: string } {
+function valueOrFault<T>(parsed: z.ZodSafeParseResult<T>): T | { fault: string } {
   if (parsed.success) return parsed.data;
   const [issue] = parsed.error.issues;
   return { fault: `${issue!.path.join(".") || "body"}: ${issue!.message}` };
 }
 
 /** A transaction as it came in, or what is wrong with it. */
-export function decodeTxn(raw: unknown): WireTxn | { fault: string } {
-  return said(wireTxn.safeParse(raw));
+export function decodeTxn(raw: unknown): TxnRequest | { fault: string } {
+  return valueOrFault(txnSchema.safeParse(raw));
 }
 
 /** A request for a lease, or what is wrong with it. */
 export function decodeGrant(raw: unknown): { ttlMs: number } | { fault: string } {
-  return said(wireGrant.safeParse(raw));
+  return valueOrFault(grantSchema.safeParse(raw));
 }
 
 /** A key as it may be asked for, or what is wrong with it. */
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -29,23 +29,23 @@
   | { verb: "stop"; piece: string; attempt: number; graceS: number }
   | { verb: "clear"; piece: string; attempt: number };
 
-const STATES: ReadonlySet<unknown> = new Set<TaskState>(["fetching", "gathering", "running", "saving", "exited"]);
-const PIECE = /^.+\/\d+$/;
+const TASK_STATES: ReadonlySet<unknown> = new Set<TaskState>(["fetching", "gathering", "running", "saving", "exited"]);
+const TASK_ID_PATTERN = /^.+\/\d+$/;
 
-type Raw = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
-const isRecord = (raw: unknown): raw is Raw => typeof raw === "object" && raw !== null;
+const isRecord = (raw: unknown): raw is JsonObject => typeof raw === "object" && raw !== null;
 const isCount = (raw: unknown): raw is number => Number.isSafeInteger(raw) && (raw as number) >= 0;
 /** A field that may be null may equally be omitted. */
-const absent = (raw: unknown): raw is null | undefined => raw === null || raw === undefined;
-const text = (raw: unknown): string | null => (raw === undefined ? "" : typeof raw === "string" ? raw : null);
+const isNullish = (raw: unknown): raw is null | undefined => raw === null || raw === undefined;
+const optionalText = (raw: unknown): string | null => (raw === undefined ? "" : typeof raw === "string" ? raw : null);
 
 function decodeTask(raw: unknown): ReportedTask | null {
   if (!isRecord(raw)) return null;
   const { piece, try: attempt, status, cause, kept } = raw;
-  if (typeof piece !== "string" || !PIECE.test(piece) || !isCount(attempt) || !STATES.has(status)) return null;
-  if (!absent(cause) && typeof cause !== "string") return null;
-  if (!absent(kept) && typeof kept !== "boolean") return null;
+  if (typeof piece !== "string" || !TASK_ID_PATTERN.test(piece) || !isCount(attempt) || !TASK_STATES.has(status)) return null;
+  if (!isNullish(cause) && typeof cause !== "string") return null;
+  if (!isNullish(kept) && typeof kept !== "boolean") return null;
   return { piece, attempt, state: status as TaskState, cause: (cause ?? null) as ExitCause | null, saved: kept ?? false };
 }
 
@@ -56,21 +56,21 @@
 export function decodeReport(raw: unknown): Report | null {
   if (!isRecord(raw)) return null;
   const { host, loaner, shift, tick, baton, warningS, pieces } = raw;
-  const addr = text(raw["addr"]);
-  const type = text(raw["build"]);
-  const zone = text(raw["yard"]);
+  const addr = optionalText(raw["addr"]);
+  const type = optionalText(raw["build"]);
+  const zone = optionalText(raw["yard"]);
   if (typeof host !== "string" || host === "" || addr === null || type === null || zone === null) return null;
-  if (!absent(loaner) && typeof loaner !== "boolean") return null;
-  if (!isCount(shift) || !isCount(tick) || (!absent(baton) && !isCount(baton))) return null;
-  if (!absent(warningS) && !Number.isFinite(warningS)) return null;
-  if (!absent(pieces) && !Array.isArray(pieces)) return null;
+  if (!isNullish(loaner) && typeof loaner !== "boolean") return null;
+  if (!isCount(shift) || !isCount(tick) || (!isNullish(baton) && !isCount(baton))) return null;
+  if (!isNullish(warningS) && !Number.isFinite(warningS)) return null;
+  if (!isNullish(pieces) && !Array.isArray(pieces)) return null;
   const tasks: ReportedTask[] = [];
   for (const piece of pieces ?? []) {
     const task = decodeTask(piece);
     if (task === null) return null;
     tasks.push(task);
   }
-  if (listsTwice(tasks)) return null;
+  if (hasDuplicateAttempts(tasks)) return null;
   return {
     host,
     addr,
@@ -86,7 +86,7 @@
 }
 
 /** Of an attempt that is listed in two states, neither can be believed. */
-function listsTwice(tasks: readonly ReportedTask[]): boolean {
+function hasDuplicateAttempts(tasks: readonly ReportedTask[]): boolean {
   if (tasks.length < 2) return false;
   return new Set(tasks.map(({ piece, attempt }) => `${piece}#${attempt}`)).size < tasks.length;
 }
@@ -138,7 +138,7 @@
 
 const count = z.number().int().min(0);
 
-const wireOrders = z.object({
+const ordersSchema = z.object({
   baton: count.nullish(),
   shift: count.nullish(),
   orders: z
@@ -155,7 +155,7 @@
 
 /** Orders as they come to a worker, with token and session; null: not what the protocol says. */
 export function decodeOrders(raw: unknown): { token: number | null; session: number | null; orders: Order[] } | null {
-  const parsed = wireOrders.safeParse(raw);
+  const parsed = ordersSchema.safeParse(raw);
   if (!parsed.success) return null;
   const { baton, shift, orders } = parsed.data;
   return {
--- a/packages/store/src/admin.ts
+++ b/packages/store/src/admin.ts
@@ -2,17 +2,17 @@
 import express from "express";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import { z } from "zod";
-import { writeSnapshot } from "./archive-file.js";
+import { writeSnapshot } from "./snapshot-file.js";
 import type { LevelEngine } from "./level-engine.js";
 import type { Store, StoreLimits } from "./store.js";
 
 const positive = z.number().finite().positive();
-const wireLimits = z
+const limitsSchema = z
   .strictObject({ rps: positive, writeRps: positive, valueKb: positive.max(64), txnOps: z.number().int().min(1).max(1000) })
   .partial();
-const wireSnapshot = z.strictObject({ file: z.string().min(1) });
+const snapshotRequestSchema = z.strictObject({ file: z.string().min(1) });
 
-/** Figures for the operators' collector. */
+/** Creates the registry of the store's Prometheus metrics. */
 export function storeMetrics(store: Store): Registry {
   const registry = new Registry();
   const registers = [registry];
@@ -27,10 +27,10 @@
     });
   };
   gauge("ledger", "Newest durable revision", () => store.ledger);
-  gauge("leases", "Leases that have not ended", () => store.open.leases);
-  gauge("watches", "Watches that wait for a change", () => store.open.watches);
-  gauge("waiting", "Requests that wait for the disk", () => store.open.waiting);
-  gauge("trouble", "1 while storage does not take writes", () => Number(store.open.trouble !== null));
+  gauge("leases", "Leases that have not ended", () => store.status.leases);
+  gauge("watches", "Watches that wait for a change", () => store.status.watches);
+  gauge("waiting", "Requests that wait for the disk", () => store.status.waiting);
+  gauge("trouble", "1 while storage does not take writes", () => Number(store.status.trouble !== null));
   gauge("groups_total", "Groups of changes made durable", () => store.stats.groups);
   gauge("changes_total", "Changes asked for that were decided", () => store.stats.changes);
   gauge("conflicts_total", "Transactions whose conditions failed", () => store.stats.conflicts);
@@ -42,31 +42,34 @@
     registers,
   });
   const answers = new Counter({ name: "thorntrail_store_group_answers_total", help: "Answers that waited for groups", registers });
-  store.onGroup = (ms, count) => {
+  store.onGroupDurable = (ms, count) => {
     commit.observe(ms / 1000);
     answers.inc(count);
   };
   return registry;
 }
 
-/** For operators alone, at an address of its own: health, figures, limits, snapshots of a running store. */
+/** Serves the operators' interface at an address of its own: health, metrics, limits, and snapshots of the running store. */
 export function serveAdmin(store: Store, engine: LevelEngine, host: string, port: number): Promise<Server> {
   const registry = storeMetrics(store);
   const app = express();
   app.disable("x-powered-by");
   app.use(express.json({ limit: "16kb" }));
-  app.get("/health", (_req, res) => void res.status(store.open.trouble === null ? 200 : 503).json({ ledger: store.ledger, ...store.open }));
+  app.get(
+    "/health",
+    (_req, res) => void res.status(store.status.trouble === null ? 200 : 503).json({ ledger: store.ledger, ...store.status }),
+  );
   app.get("/metrics", async (_req, res) => void res.type("text/plain").send(await registry.metrics()));
   app.put("/limits", (req, res) => {
-    const asked = wireLimits.safeParse(req.body);
-    if (asked.success) res.json(store.limit(asked.data as Partial<StoreLimits>));
-    else res.status(400).json({ error: asked.error.issues.map((i) => `${i.path.join(".") || "body"}: ${i.message}`).join("; ") });
+    const parsed = limitsSchema.safeParse(req.body);
+    if (parsed.success) res.json(store.limit(parsed.data as Partial<StoreLimits>));
+    else res.status(400).json({ error: parsed.error.issues.map((i) => `${i.path.join(".") || "body"}: ${i.message}`).join("; ") });
   });
   app.post("/snapshot", async (req, res) => {
-    const asked = wireSnapshot.safeParse(req.body);
-    if (!asked.success) return void res.status(400).json({ error: 'expected {"file":"..."}' });
+    const parsed = snapshotRequestSchema.safeParse(req.body);
+    if (!parsed.success) return void res.status(400).json({ error: 'expected {"file":"..."}' });
     try {
-      res.json(await writeSnapshot(engine, asked.data.file));
+      res.json(await writeSnapshot(engine, parsed.data.file));
     } catch (error) {
       res
         .status(503)
--- a/packages/store/src/core.ts
+++ b/packages/store/src/core.ts
@@ -1,55 +1,61 @@
 import { STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import type { Condition } from "@thorntrail/protocol/state";
-import type { Batch, Meta, StoredEvent } from "./engine.js";
-import type { Known } from "./known.js";
+import type { Batch, EngineMeta, StoredEvent } from "./engine.js";
+import type { KeyMetadata } from "./key-metadata-cache.js";
 
-/** A change as asked for, its value as JSON text. */
+/** A requested change. The value is JSON text; `permit` is the ID of the lease to attach the key to, or null. */
 export type Change = { write: string; text: string; permit: number | null } | { remove: string };
 
+/**
+ * Outcome of a transaction: applied at revision `ledger`; `conflict`, with the keys whose
+ * conditions failed; or `no-lease` if a change names a lease that does not exist.
+ */
 export type TxnAnswer =
   { kind: "applied"; ledger: number } | { kind: "conflict"; failed: string[]; ledger: number } | { kind: "no-lease"; ledger: number };
 
-interface Permit {
+interface Lease {
   ttlMs: number;
-  until: number;
+  expiresAt: number;
   keys: Set<string>;
 }
 
 /**
- * Every decision of the store, as a function of what is stored, the request and the
- * time. Nothing here waits: effects gather in a batch that the caller makes durable,
- * and no answer may leave before the batch that holds what it is based on.
+ * The store's deterministic state machine: every decision is a function of the stored
+ * state, the request and the time. Nothing here waits. Effects accumulate in a batch that
+ * the caller makes durable, and no answer may be sent before everything that it depends on
+ * is durable.
  */
 export class Core {
   private ledger: number;
   private floor: number;
   private permitCount: number;
-  private readonly permits = new Map<number, Permit>();
+  private readonly leases = new Map<number, Lease>();
   private readonly revisions: { stamp: number; count: number }[];
-  private kept: number;
+  private retainedChanges: number;
   private pending: Batch;
 
   constructor(
-    meta: Meta,
-    /** What the engine holds; decisions not yet durable are laid over it. */
-    private readonly view: (key: string) => Known | undefined,
+    meta: EngineMeta,
+    /** Reads the metadata of a key from durable data; the pending batch takes precedence over it. */
+    private readonly readDurable: (key: string) => KeyMetadata | undefined,
     now: number,
   ) {
     this.ledger = meta.ledger;
     this.floor = meta.floor;
     this.permitCount = meta.permitCount;
     this.revisions = [...meta.revisions];
-    this.kept = this.revisions.reduce((n, { count }) => n + count, 0);
-    // Whoever held a lease could not renew it while the service was away: it has its full time again.
-    for (const { id, ttlMs, keys } of meta.permits) this.permits.set(id, { ttlMs, until: now + ttlMs, keys: new Set(keys) });
-    this.pending = this.empty();
+    this.retainedChanges = this.revisions.reduce((n, { count }) => n + count, 0);
+    // Holders could not renew their leases while the service was down, so every lease gets its full time to live again.
+    for (const { id, ttlMs, keys } of meta.leases) this.leases.set(id, { ttlMs, expiresAt: now + ttlMs, keys: new Set(keys) });
+    this.pending = this.emptyBatch();
   }
 
-  get leases(): number {
-    return this.permits.size;
+  /** Number of leases that have not ended. */
+  get leaseCount(): number {
+    return this.leases.size;
   }
 
-  private empty(): Batch {
+  private emptyBatch(): Batch {
     return {
       ledger: this.ledger,
       floor: this.floor,
@@ -57,36 +63,37 @@
       keys: new Map(),
       events: [],
       revisions: [],
-      permits: new Map(),
-      attached: [],
+      leases: new Map(),
+      leaseKeys: [],
       trimmed: [],
     };
   }
 
-  /** All that has been decided and is not stored yet; null: nothing. To be called once a group. */
-  take(): Batch | null {
+  /** The effects of all decisions since the last durable batch, or null if there are none. To be called once per commit group. */
+  takeBatch(): Batch | null {
     const batch = this.pending;
-    if (batch.ledger === this.ledger && batch.permits.size === 0) return null;
-    this.trim(batch);
+    if (batch.ledger === this.ledger && batch.leases.size === 0) return null;
+    this.trimHistory(batch);
     return Object.assign(batch, { ledger: this.ledger, floor: this.floor, permitCount: this.permitCount });
   }
 
-  /** The batch taken last is durable: from here on the engine's view has it. */
-  stored(): void {
-    this.pending = this.empty();
+  /** Starts a new batch after the one taken last has become durable and `readDurable` returns its effects. */
+  onBatchDurable(): void {
+    this.pending = this.emptyBatch();
   }
 
-  private get(key: string): Known | undefined {
-    const laid = this.pending.keys.get(key);
-    return laid === undefined ? this.view(key) : (laid ?? undefined);
+  private get(key: string): KeyMetadata | undefined {
+    const undurable = this.pending.keys.get(key);
+    return undurable === undefined ? this.readDurable(key) : (undurable ?? undefined);
   }
 
+  /** Applies all changes if every condition holds: each key named must have the given stamp, 0 meaning that it does not exist. */
   txn(conditions: readonly Condition[], changes: readonly Change[]): TxnAnswer {
     const failed = [...new Set(conditions.filter((c) => (this.get(c.k)?.stamp ?? 0) !== c.stamp).map((c) => c.k))];
     if (failed.length > 0) return { kind: "conflict", failed, ledger: this.ledger };
-    // Checked before anything changes: a transaction is applied wholly or not at all.
+    // All leases are checked before anything changes, because a transaction is applied atomically.
     for (const change of changes)
-      if ("write" in change && change.permit !== null && !this.permits.has(change.permit)) return { kind: "no-lease", ledger: this.ledger };
+      if ("write" in change && change.permit !== null && !this.leases.has(change.permit)) return { kind: "no-lease", ledger: this.ledger };
     if (changes.length > 0) this.apply(changes);
     return { kind: "applied", ledger: this.ledger };
   }
@@ -99,8 +106,8 @@
       const before = this.get(key);
       if ("remove" in change && before === undefined) continue;
       const permit = "write" in change ? change.permit : null;
-      if (before !== undefined && before.permit !== null && before.permit !== permit) this.attach(before.permit, key, false);
-      if (permit !== null && before?.permit !== permit) this.attach(permit, key, true);
+      if (before !== undefined && before.permit !== null && before.permit !== permit) this.setLeaseKey(before.permit, key, false);
+      if (permit !== null && before?.permit !== permit) this.setLeaseKey(permit, key, true);
       const text = "write" in change ? change.text : null;
       this.pending.keys.set(key, text === null ? null : { text, stamp, permit });
       events.push({ key, text, stamp, index: events.length });
@@ -108,67 +115,71 @@
     this.pending.events.push(...events);
     this.revisions.push({ stamp, count: events.length });
     this.pending.revisions.push({ stamp, count: events.length });
-    this.kept += events.length;
+    this.retainedChanges += events.length;
   }
 
-  private attach(id: number, key: string, on: boolean): void {
-    const permit = this.permits.get(id);
-    if (on) permit?.keys.add(key);
-    else permit?.keys.delete(key);
-    this.pending.attached.push({ id, key, on });
+  private setLeaseKey(id: number, key: string, attached: boolean): void {
+    const lease = this.leases.get(id);
+    if (attached) lease?.keys.add(key);
+    else lease?.keys.delete(key);
+    this.pending.leaseKeys.push({ id, key, attached });
   }
 
-  /** The history is what the protocol promises and no more, however long the service runs. */
-  private trim(batch: Batch): void {
-    let over = 0;
-    // Revisions without a change, of keys removed that were not there, must not pile up either.
-    const many = (): boolean => this.kept > STATE_BOUNDS.history || this.revisions.length - over > STATE_BOUNDS.history;
-    while (over < this.revisions.length && many()) {
-      const oldest = this.revisions[over]!;
-      // A revision is told wholly or not at all.
-      this.kept -= oldest.count;
+  /** Trims the history to the length that the protocol guarantees, so that it does not grow with uptime. */
+  private trimHistory(batch: Batch): void {
+    let dropped = 0;
+    // Revisions without changes (removals of keys that did not exist) are bounded too.
+    const exceedsHistory = (): boolean => this.retainedChanges > STATE_BOUNDS.historyChanges || this.revisions.length - dropped > STATE_BOUNDS.historyChanges;
+    while (dropped < this.revisions.length && exceedsHistory()) {
+      const oldest = this.revisions[dropped]!;
+      // A revision is kept or dropped as a whole, so that a watch never receives part of one.
+      this.retainedChanges -= oldest.count;
       this.floor = oldest.stamp;
       batch.trimmed.push(oldest);
-      over++;
+      dropped++;
     }
-    if (over > 0) this.revisions.splice(0, over);
+    if (dropped > 0) this.revisions.splice(0, dropped);
   }
 
+  /** Grants a lease and returns its ID. */
   grant(ttlMs: number, now: number): number {
     const id = ++this.permitCount;
-    this.permits.set(id, { ttlMs, until: now + ttlMs, keys: new Set() });
-    this.pending.permits.set(id, ttlMs);
+    this.leases.set(id, { ttlMs, expiresAt: now + ttlMs, keys: new Set() });
+    this.pending.leases.set(id, ttlMs);
     return id;
   }
 
-  /** False: there is no such lease any more. Not stored: after a restart every lease has its full time anyway. */
+  /**
+   * Renews a lease; returns false if it does not exist or has expired. A renewal is not
+   * stored, because every lease gets its full time to live after a restart anyway.
+   */
   renew(id: number, now: number): boolean {
-    const permit = this.permits.get(id);
-    if (permit === undefined || permit.until <= now) return false;
-    permit.until = now + permit.ttlMs;
+    const lease = this.leases.get(id);
+    if (lease === undefined || lease.expiresAt <= now) return false;
+    lease.expiresAt = now + lease.ttlMs;
     return true;
   }
 
-  /** Ends a lease, and with it all keys that hang on it. */
+  /** Ends a lease and removes all keys attached to it; returns false if the lease does not exist. */
   end(id: number): boolean {
-    const permit = this.permits.get(id);
-    if (permit === undefined) return false;
-    const keys = [...permit.keys];
-    this.permits.delete(id);
+    const lease = this.leases.get(id);
+    if (lease === undefined) return false;
+    const keys = [...lease.keys];
+    this.leases.delete(id);
     if (keys.length > 0) this.apply(keys.map((remove) => ({ remove })));
-    this.pending.permits.set(id, null);
+    this.pending.leases.set(id, null);
     return true;
   }
 
-  /** Leases whose time is over. */
-  due(now: number): number[] {
-    const over: number[] = [];
-    for (const [id, permit] of this.permits) if (permit.until <= now) over.push(id);
-    return over;
+  /** IDs of the leases that have expired. */
+  expiredLeases(now: number): number[] {
+    const expired: number[] = [];
+    for (const [id, lease] of this.leases) if (lease.expiresAt <= now) expired.push(id);
+    return expired;
   }
 
-  /** The service was out of reach: nobody could renew, so every lease has its full time again. */
+  /** Gives every lease its full time to live again, because holders could not renew while the service was unreachable. */
   refreshLeases(now: number): void {
-    for (const permit of this.permits.values()) permit.until = now + permit.ttlMs;
+    for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
 }
--- a/packages/store/src/engine.ts
+++ b/packages/store/src/engine.ts
@@ -1,16 +1,19 @@
 /**
- * Where the store keeps what it was told. The decisions are made in `core.ts`;
- * an engine only holds their effects: a batch wholly, or not at all.
+ * Interface between the store and its storage engines. `core.ts` makes the decisions;
+ * an engine only persists their effects, each batch atomically.
+ *
+ * The types use the names of the wire protocol: a `stamp` is the revision of a change,
+ * a `permit` is the ID of a lease, and the `ledger` is the newest revision of the store.
  */
 
-/** A key's value as JSON text, the revision of its last change, and the lease it hangs on. */
-export interface Stored {
+/** A key's value as JSON text, the revision of its last change, and the lease it is attached to (null: none). */
+export interface StoredValue {
   text: string;
   stamp: number;
   permit: number | null;
 }
 
-/** A change as watches are told of it; `text` null: the key was removed. `index` counts within the revision. */
+/** A change as delivered to watches. `text` is null if the key was removed; `index` is the change's position within its revision. */
 export interface StoredEvent {
   key: string;
   text: string | null;
@@ -18,52 +21,55 @@
   index: number;
 }
 
-/** What has to be known at start besides keys: its size goes with leases and history, not with keys. */
-export interface Meta {
+/** Data loaded at start, apart from the keys. Its size grows with leases and history, not with the number of keys. */
+export interface EngineMeta {
   ledger: number;
-  /** Changes up to this revision can no longer be told. */
+  /** Changes up to and including this revision are no longer in the history. */
   floor: number;
+  /** Number of leases granted so far, which is also the ID of the newest one. */
   permitCount: number;
-  permits: { id: number; ttlMs: number; keys: string[] }[];
-  /** Revisions whose changes are kept, oldest first, and how many changes each has. */
+  leases: { id: number; ttlMs: number; keys: string[] }[];
+  /** Revisions in the history, oldest first, with the number of changes in each. */
   revisions: { stamp: number; count: number }[];
 }
 
-/** All that one group of decisions changes. */
+/** All changes of one commit group, written atomically. */
 export interface Batch {
   ledger: number;
   floor: number;
   permitCount: number;
-  /** Null: removed. */
-  keys: Map<string, Stored | null>;
+  /** New values by key; null for a removed key. */
+  keys: Map<string, StoredValue | null>;
   events: StoredEvent[];
   revisions: { stamp: number; count: number }[];
-  /** Time to live in ms; null: ended. */
-  permits: Map<number, number | null>;
-  /** Keys that hang on a lease from now on, and such that no longer do. */
-  attached: { id: number; key: string; on: boolean }[];
-  /** Revisions whose changes are dropped from the history. */
+  /** Time to live in ms by lease ID; null for a lease that has ended. */
+  leases: Map<number, number | null>;
+  /** Keys that the batch attaches to a lease (`attached`) or detaches from one. */
+  leaseKeys: { id: number; key: string; attached: boolean }[];
+  /** Revisions removed from the history. */
   trimmed: { stamp: number; count: number }[];
 }
 
+/** One page of a range read. `more` is true if further keys match. */
 export interface Page {
-  rows: { key: string; stored: Stored }[];
+  rows: { key: string; stored: StoredValue }[];
   more: boolean;
 }
 
+/** A storage engine. Methods that read throw `CorruptDataError` if the data fail an integrity check. */
 export interface Engine {
-  meta(): Promise<Meta>;
-  get(key: string): Stored | undefined;
-  /** Resolves once the batch would survive the end of the process and of the machine. */
+  meta(): Promise<EngineMeta>;
+  get(key: string): StoredValue | undefined;
+  /** Writes a batch atomically. Resolves once it is durable, that is, survives a crash of the process or the machine. */
   write(batch: Batch): Promise<void>;
-  /** Keys with the prefix after `from`, in order, as of one moment. */
-  range(prefix: string, from: string | undefined, most: { items: number; bytes: number }): Promise<Page>;
-  /** Changes of keys with the prefix after the revision `from`. */
+  /** Keys with the prefix that sort after `from`, in order, from one consistent view of the data. */
+  range(prefix: string, from: string | undefined, limit: { items: number; bytes: number }): Promise<Page>;
+  /** Changes to keys with the prefix in revisions after `from`, oldest first. */
   events(prefix: string, from: number): Promise<StoredEvent[]>;
-  /** After a write that failed: what is on disk is read again. */
+  /** Reopens the data after a failed write, so that later reads return what is on disk. */
   reopen(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** The data on disk do not add up: they must not be served. */
-export class Damaged extends Error {}
+/** The data on disk fail an integrity check and must not be served. */
+export class CorruptDataError extends Error {}
--- a/packages/store/src/entry.ts
+++ b/packages/store/src/entry.ts
@@ -3,16 +3,17 @@
 import { join } from "node:path";
 import { performance } from "node:perf_hooks";
 import { pino } from "pino";
-import { readSnapshot, writeSnapshot, type Written } from "./archive-file.js";
-import { FolderError, openFolder } from "./folder.js";
-import { examine, type Findings } from "./level-engine.js";
+import { restoreSnapshot, writeSnapshot, type SnapshotSummary } from "./snapshot-file.js";
+import { FolderError, openDataFolder } from "./folder.js";
+import { checkData, type CheckReport } from "./level-engine.js";
 import { StoreServer } from "./server.js";
-import { limitsOf, loadHcl, storeSettings, type StoreSettings } from "./settings.js";
+import { storeLimits, loadHcl, storeSettings, type StoreSettings } from "./settings.js";
 import { Store, type StoreClock } from "./store.js";
 
 export { FolderError } from "./folder.js";
 export { SettingsFault } from "./settings.js";
 
+/** The process's monotonic clock and timers. */
 export const steadyClock: StoreClock = {
   now: () => performance.now(),
   after(ms, fn) {
@@ -21,43 +22,46 @@
   },
 };
 
-/** How often the room left on the disk is looked at. */
-const ROOM_LOOK_MS = 1000;
+/** Interval between checks of the free disk space. */
+const DISK_CHECK_INTERVAL_MS = 1000;
 
-/** Says why changes cannot be taken for want of room; what was answered must find room in the log. */
-class Room {
-  private why: string | null = null;
+/** Monitors free disk space, so that changes are refused while less than the reserve is left: every answered change must fit in the log. */
+class DiskSpaceMonitor {
+  private shortageText: string | null = null;
 
   constructor(
     private readonly dir: string,
     private readonly reserveMb: number,
   ) {
-    void this.look();
-    setInterval(() => void this.look(), ROOM_LOOK_MS).unref();
+    void this.check();
+    setInterval(() => void this.check(), DISK_CHECK_INTERVAL_MS).unref();
   }
 
-  private async look(): Promise<void> {
+  private async check(): Promise<void> {
     try {
       const { bavail, bsize } = await statfs(this.dir);
       const leftMb = (bavail * bsize) / 2 ** 20;
-      this.why = leftMb < this.reserveMb ? `the disk has ${Math.floor(leftMb)} MB left, ${this.reserveMb} are kept in reserve` : null;
+      this.shortageText =
+        leftMb < this.reserveMb ? `the disk has ${Math.floor(leftMb)} MB left, ${this.reserveMb} are kept in reserve` : null;
     } catch {
-      // Where the system does not tell, a write that fails does.
-      this.why = null;
+      // If the free space cannot be determined, a shortage shows as a failed write.
+      this.shortageText = null;
     }
   }
 
-  fault(): string | null {
-    return this.why;
+  /** Why changes must be refused, or null if there is enough space. */
+  shortage(): string | null {
+    return this.shortageText;
   }
 }
 
-function address(text: string, option: string): [string, number] {
+function parseAddress(text: string, option: string): [string, number] {
   const found = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
   if (found === null || Number(found[2]) > 65_535) throw new FolderError(`${option} ${text}: give an address like 127.0.0.1:2379`);
   return [found[1]!, Number(found[2])];
 }
 
+/** Options of `store serve`. */
 export interface ServeOptions {
   listen: string;
   data: string;
@@ -65,27 +69,30 @@
   admin?: string;
 }
 
-/** Runs the state service until it is ended by a signal. Prints one line of JSON with the addresses once it serves. */
+/**
+ * Runs the state service until SIGTERM or SIGINT. Prints one line of JSON with its address
+ * and ledger once it serves. Throws `FolderError` or `SettingsFault` if it cannot start.
+ */
 export async function storeServe(options: ServeOptions): Promise<void> {
   const settings: StoreSettings = options.config === undefined ? storeSettings.parse({}) : await loadHcl(options.config, storeSettings);
-  const [host, port] = address(options.listen, "--listen");
+  const [host, port] = parseAddress(options.listen, "--listen");
   const log = pino({ level: process.env["LOG_LEVEL"] ?? "info", base: { service: "store" } }, pino.destination({ fd: 2, sync: true }));
-  const engine = await openFolder(options.data, { make: true });
-  const store = await Store.open(engine, steadyClock, limitsOf(settings)).catch((error: Error) => {
+  const engine = await openDataFolder(options.data, { create: true });
+  const store = await Store.open(engine, steadyClock, storeLimits(settings)).catch((error: Error) => {
     throw new FolderError(`${options.data}: ${error.message}; run 'store check', or restore a snapshot into a new folder`);
   });
-  store.onTrouble = (what, error) => log.error({ err: error.message }, what);
-  const room = new Room(options.data, settings.storage.reserve_mb);
+  store.onStorageFault = (what, error) => log.error({ err: error.message }, what);
+  const diskSpace = new DiskSpaceMonitor(options.data, settings.storage.reserve_mb);
   const server = new StoreServer(store, {
     connections: settings.connections,
-    onFault: (error) => log.error({ err: String(error.stack ?? error) }, "unexpected fault"),
-    room: () => room.fault(),
+    onUnexpectedError: (error) => log.error({ err: String(error.stack ?? error) }, "unexpected fault"),
+    diskShortage: () => diskSpace.shortage(),
   });
   let listening: number;
   try {
     listening = await server.listen(host, port);
     if (options.admin !== undefined) {
-      const [adminHost, adminPort] = address(options.admin, "--admin");
+      const [adminHost, adminPort] = parseAddress(options.admin, "--admin");
       const { serveAdmin } = await import("./admin.js");
       await serveAdmin(store, engine, adminHost, adminPort);
     }
@@ -94,23 +101,24 @@
   }
   log.info({ listen: `${host}:${listening}`, data: options.data, ledger: store.ledger }, "serving");
   process.stdout.write(`${JSON.stringify({ listening: `${host}:${listening}`, ledger: store.ledger })}\n`);
-  const end = (): void => void server.close().then(() => process.exit(0));
-  process.once("SIGTERM", end);
-  process.once("SIGINT", end);
+  const shutDown = (): void => void server.close().then(() => process.exit(0));
+  process.once("SIGTERM", shutDown);
+  process.once("SIGINT", shutDown);
 }
 
-/** Reads everything in a data folder that nobody serves, and says what does not add up. */
-export async function storeCheck(dir: string): Promise<Findings> {
-  const engine = await openFolder(dir, { make: false });
+/** Checks the integrity of a data folder that no process has open; throws `FolderError` if it cannot be opened. */
+export async function storeCheck(dir: string): Promise<CheckReport> {
+  const engine = await openDataFolder(dir, { create: false });
   try {
-    return await examine(engine);
+    return await checkData(engine);
   } finally {
     await engine.close();
   }
 }
 
-export async function storeSnapshot(dir: string, file: string): Promise<Written> {
-  const engine = await openFolder(dir, { make: false });
+/** Writes a snapshot of a data folder that no process has open; throws `FolderError` if that fails. */
+export async function storeSnapshot(dir: string, file: string): Promise<SnapshotSummary> {
+  const engine = await openDataFolder(dir, { create: false });
   try {
     return await writeSnapshot(engine, file);
   } catch (error) {
@@ -120,7 +128,8 @@
   }
 }
 
-export async function storeRestore(file: string, dir: string, skip?: number): Promise<Written> {
+/** Restores a snapshot into a new data folder, skipping `skip` revisions; throws `FolderError` if that fails. */
+export async function storeRestore(file: string, dir: string, skip?: number): Promise<SnapshotSummary> {
   if (!existsSync(file)) throw new FolderError(`${file}: there is no such file`);
-  return readSnapshot(file, join(dir), skip);
+  return restoreSnapshot(file, join(dir), skip);
 }
--- a/packages/store/src/folder.ts
+++ b/packages/store/src/folder.ts
@@ -3,15 +3,16 @@
 import { z } from "zod";
 import { LevelEngine } from "./level-engine.js";
 
-/** The data folder cannot be used; the message says why and what to do. */
+/** The data folder or an argument cannot be used; the message gives the cause and the remedy. */
 export class FolderError extends Error {}
 
-const MARK = "thorntrail-store.json";
-const FORMAT = 1;
-const mark = z.object({ format: z.number().int() });
+/** File that identifies a folder as a store's data folder and holds its format version. */
+const MARKER_FILE = "thorntrail-store.json";
+const FORMAT_VERSION = 1;
+const markerSchema = z.object({ format: z.number().int() });
 
-/** Makes sure that names written in a folder survive a crash of the machine. */
-export function syncFolder(dir: string): void {
+/** Syncs a directory, so that entries created or renamed in it survive a crash of the machine. */
+export function syncDirectory(dir: string): void {
   const fd = openSync(dir, "r");
   try {
     fsyncSync(fd);
@@ -20,58 +21,61 @@
   }
 }
 
-function codeOf(error: unknown): string {
-  const own = error as { code?: string; cause?: { code?: string } };
-  return own.cause?.code ?? own.code ?? "";
+function errorCode(error: unknown): string {
+  const source = error as { code?: string; cause?: { code?: string } };
+  return source.cause?.code ?? source.code ?? "";
 }
 
-function reasonOf(error: unknown): string {
-  const own = error as { message?: string; cause?: { message?: string } };
-  return own.cause?.message ?? own.message ?? String(error);
+function errorText(error: unknown): string {
+  const source = error as { message?: string; cause?: { message?: string } };
+  return source.cause?.message ?? source.message ?? String(error);
 }
 
 /**
- * Opens a data folder, making it if it is not there yet and `make` is set. Anything
- * that is not plainly ours is refused before it is touched.
+ * Opens a data folder, creating it if it does not exist and `create` is set. A folder that
+ * is not clearly a store's is refused before anything in it is changed. Throws
+ * `FolderError`, also if another process has the folder open.
  */
-export async function openFolder(dir: string, options: { make: boolean }): Promise<LevelEngine> {
+export async function openDataFolder(dir: string, options: { create: boolean }): Promise<LevelEngine> {
   let names: string[] = [];
   try {
     if (existsSync(dir)) names = readdirSync(dir);
-    else if (!options.make) throw new FolderError(`${dir}: there is no such folder; give the one that 'store serve --data' was given`);
+    else if (!options.create) throw new FolderError(`${dir}: there is no such folder; give the one that 'store serve --data' was given`);
     else mkdirSync(dir, { recursive: true });
   } catch (error) {
     if (error instanceof FolderError) throw error;
-    throw new FolderError(`${dir}: cannot be used as a data folder: ${reasonOf(error)}`);
+    throw new FolderError(`${dir}: cannot be used as a data folder: ${errorText(error)}`);
   }
-  const file = join(dir, MARK);
+  const file = join(dir, MARKER_FILE);
   if (names.length === 0) {
-    if (!options.make) throw new FolderError(`${dir}: is empty; give the folder that 'store serve --data' was given`);
+    if (!options.create) throw new FolderError(`${dir}: is empty; give the folder that 'store serve --data' was given`);
     try {
-      writeFileSync(file, `${JSON.stringify({ format: FORMAT })}\n`, { flush: true });
-      syncFolder(dir);
+      writeFileSync(file, `${JSON.stringify({ format: FORMAT_VERSION })}\n`, { flush: true });
+      syncDirectory(dir);
     } catch (error) {
-      throw new FolderError(`${dir}: cannot be written: ${reasonOf(error)}`);
+      throw new FolderError(`${dir}: cannot be written: ${errorText(error)}`);
     }
-  } else if (!names.includes(MARK)) {
+  } else if (!names.includes(MARKER_FILE)) {
     throw new FolderError(`${dir}: holds files of something else (${names.slice(0, 3).join(", ")}); give an empty folder or a store's own`);
   }
   let format: number | undefined;
   try {
-    format = mark.parse(JSON.parse(readFileSync(file, "utf8"))).format;
+    format = markerSchema.parse(JSON.parse(readFileSync(file, "utf8"))).format;
   } catch {
     throw new FolderError(
-      `${file}: is damaged; if db/ beside it is whole, write {"format":${FORMAT}} into it, then run 'store check ${dir}'`,
+      `${file}: is damaged; if db/ beside it is whole, write {"format":${FORMAT_VERSION}} into it, then run 'store check ${dir}'`,
     );
   }
-  if (format !== FORMAT)
-    throw new FolderError(`${file}: format ${format} is of another version; this one reads ${FORMAT}: use the version that wrote it`);
+  if (format !== FORMAT_VERSION)
+    throw new FolderError(
+      `${file}: format ${format} is of another version; this one reads ${FORMAT_VERSION}: use the version that wrote it`,
+    );
   try {
     return await LevelEngine.open(join(dir, "db"));
   } catch (error) {
-    if (codeOf(error) === "LEVEL_LOCKED") throw new FolderError(`${dir}: another process has it open; stop that one first`);
+    if (errorCode(error) === "LEVEL_LOCKED") throw new FolderError(`${dir}: another process has it open; stop that one first`);
     throw new FolderError(
-      `${dir}: the database cannot be opened (${reasonOf(error)}); restore a snapshot with 'store restore FILE DIR' into a new folder`,
+      `${dir}: the database cannot be opened (${errorText(error)}); restore a snapshot with 'store restore FILE DIR' into a new folder`,
     );
   }
 }
--- /dev/null
+++ b/packages/store/src/key-metadata-cache.ts
@@ -0,0 +1,43 @@
+import { LRUCache } from "lru-cache";
+import type { Batch, StoredValue } from "./engine.js";
+
+/** The metadata of an existing key that decisions depend on. */
+export type KeyMetadata = Pick<StoredValue, "stamp" | "permit">;
+
+/** Maximum number of cached keys; each takes on the order of a hundred bytes. */
+const MAX_CACHED_KEYS = 50_000;
+
+/** Cache entry of a key that does not exist. */
+const ABSENT: KeyMetadata = { stamp: 0, permit: null };
+
+/**
+ * LRU cache of the stamps and leases of keys, so that a transaction on recently used keys
+ * does not read the engine (a tenth of the cost of a transaction). It holds durable data
+ * only: it is updated once a batch has been written and cleared when the engine is reopened.
+ */
+export class KeyMetadataCache {
+  private readonly cache = new LRUCache<string, KeyMetadata>({ max: MAX_CACHED_KEYS });
+
+  constructor(private readonly read: (key: string) => StoredValue | undefined) {}
+
+  /** The metadata of a key, read from the engine if it is not cached; undefined if the key does not exist. */
+  get(key: string): KeyMetadata | undefined {
+    let metadata = this.cache.get(key);
+    if (metadata === undefined) {
+      const stored = this.read(key);
+      metadata = stored === undefined ? ABSENT : { stamp: stored.stamp, permit: stored.permit };
+      this.cache.set(key, metadata);
+    }
+    return metadata.stamp === 0 ? undefined : metadata;
+  }
+
+  /** Updates the cache with a batch that has become durable. */
+  onBatchDurable({ keys }: Batch): void {
+    for (const [key, stored] of keys) this.cache.set(key, stored === null ? ABSENT : { stamp: stored.stamp, permit: stored.permit });
+  }
+
+  /** Drops all entries. */
+  clear(): void {
+    this.cache.clear();
+  }
+}
--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -1,63 +1,67 @@
 import { ClassicLevel, type IteratorOptions } from "classic-level";
 import { buf } from "crc-32";
 import * as zlib from "node:zlib";
-import { Damaged, type Batch, type Engine, type Meta, type Page, type Stored, type StoredEvent } from "./engine.js";
+import { CorruptDataError, type Batch, type Engine, type EngineMeta, type Page, type StoredValue, type StoredEvent } from "./engine.js";
 
 /**
- * The store on LevelDB. One folder of keys for each purpose:
- *   k!KEY             stamp permit value, of a key that is there
- *   e!STAMP!INDEX     key value, of a change that can still be told
- *   r!STAMP           number of changes of a revision that can still be told
- *   p!LEASE           time to live of a lease that has not ended
- *   a!LEASE!KEY       a key that hangs on a lease
- *   m!                ledger, floor, number of leases ever granted
- * Every value carries a checksum: LevelDB has them too, but does not look at them in
- * ordinary reads. A batch is written with one sync; it is visible only after that.
+ * Storage engine on LevelDB. Records are grouped by prefix:
+ *   k!KEY             stamp, permit and value of an existing key
+ *   e!STAMP!INDEX     key and value of a change in the history
+ *   r!STAMP           number of changes in a revision of the history
+ *   p!LEASE           time to live in ms of a lease that has not ended
+ *   a!LEASE!KEY       a key attached to a lease
+ *   m!                ledger, floor and number of leases granted so far
+ * Every value starts with a checksum, because LevelDB does not verify its own ones in
+ * ordinary reads. A batch is written with one sync and is visible only after it.
  */
-const KEYS = "k!";
-const EVENTS = "e!";
-const REVISIONS = "r!";
-const PERMITS = "p!";
-const ATTACHED = "a!";
-const META = "m!";
-/** Sorts after everything that begins with the same prefix, as keys hold no such character. */
-const LAST = "\uffff";
-const DIGITS = 16;
+const KEY_PREFIX = "k!";
+const EVENT_PREFIX = "e!";
+const REVISION_PREFIX = "r!";
+const LEASE_PREFIX = "p!";
+const LEASE_KEY_PREFIX = "a!";
+const META_KEY = "m!";
+/** Upper bound of a prefix scan; sorts after every key with the prefix, because keys do not contain this character. */
+const RANGE_END = "\uffff";
+/** Digits that numbers in record names are padded to, so that they sort numerically. */
+const NUMBER_WIDTH = 16;
 
-const padded = (n: number): string => String(n).padStart(DIGITS, "0");
-const eventKey = (stamp: number, index: number): string => `${EVENTS}${padded(stamp)}!${String(index).padStart(6, "0")}`;
+const padded = (n: number): string => String(n).padStart(NUMBER_WIDTH, "0");
+const eventKey = (stamp: number, index: number): string => `${EVENT_PREFIX}${padded(stamp)}!${String(index).padStart(6, "0")}`;
 
-/** The same checksum from Node itself where it has one (20.15 on): a quarter of the time, and no copy of the text. */
+/** Uses Node's own CRC-32 where it exists (from 20.15): the same checksum in a quarter of the time, without a copy of the text. */
 const crc32: (text: string) => number = typeof zlib.crc32 === "function" ? (text) => zlib.crc32(text) : (text) => buf(Buffer.from(text));
 
-/** Puts the checksum of name and text ahead of the text, so that neither a torn nor a misplaced value passes. */
-function seal(name: string, text: string): string {
+/** Prepends a checksum of name and text, which detects both torn values and values stored under a wrong name. */
+function addChecksum(name: string, text: string): string {
   return `${(crc32(`${name}\n${text}`) >>> 0).toString(16).padStart(8, "0")}${text}`;
 }
 
-function unseal(name: string, sealed: string): string {
+/** Returns the text behind the checksum; throws `CorruptDataError` if the checksum does not match. */
+function verifyChecksum(name: string, sealed: string): string {
   const text = sealed.slice(8);
-  if (seal(name, text) !== sealed) throw new Damaged(`the value of ${JSON.stringify(name)} does not match its checksum`);
+  if (addChecksum(name, text) !== sealed) throw new CorruptDataError(`the value of ${JSON.stringify(name)} does not match its checksum`);
   return text;
 }
 
-function storedOf(text: string): Stored {
+function decodeStoredValue(text: string): StoredValue {
   const first = text.indexOf(" ");
   const second = text.indexOf(" ", first + 1);
   const permit = text.slice(first + 1, second);
   return { stamp: Number(text.slice(0, first)), permit: permit === "-" ? null : Number(permit), text: text.slice(second + 1) };
 }
 
-const textOf = ({ stamp, permit, text }: Stored): string => `${stamp} ${permit ?? "-"} ${text}`;
+const encodeStoredValue = ({ stamp, permit, text }: StoredValue): string => `${stamp} ${permit ?? "-"} ${text}`;
 
-function eventOf(name: string, text: string): StoredEvent {
+function decodeEvent(name: string, text: string): StoredEvent {
   const space = text.indexOf(" ");
-  const [stamp, index] = name.slice(EVENTS.length).split("!").map(Number) as [number, number];
+  const [stamp, index] = name.slice(EVENT_PREFIX.length).split("!").map(Number) as [number, number];
   return { key: space < 0 ? text : text.slice(0, space), text: space < 0 ? null : text.slice(space + 1), stamp, index };
 }
 
-const PAGE = 1000;
+/** Records fetched per call of an iterator. */
+const ITERATOR_BATCH_SIZE = 1000;
 
+/** Storage engine on a LevelDB database in the directory `dir`. */
 export class LevelEngine implements Engine {
   private db: ClassicLevel<string, string>;
 
@@ -65,6 +69,7 @@
     this.db = new ClassicLevel(dir);
   }
 
+  /** Opens the database, creating it if it does not exist; throws if another process has it open. */
   static async open(dir: string): Promise<LevelEngine> {
     const engine = new LevelEngine(dir);
     await engine.db.open();
@@ -72,136 +77,137 @@
   }
 
   private async *entries(options: IteratorOptions<string, string>): AsyncGenerator<[string, string]> {
-    // One iterator sees the data as of its making, whatever is written meanwhile.
+    // An iterator reads a consistent snapshot as of its creation, regardless of concurrent writes.
     const iterator = this.db.iterator(options);
     try {
       for (;;) {
-        const some = await iterator.nextv(PAGE);
-        if (some.length === 0) return;
-        for (const [name, sealed] of some) yield [name, unseal(name, sealed)];
+        const records = await iterator.nextv(ITERATOR_BATCH_SIZE);
+        if (records.length === 0) return;
+        for (const [name, sealed] of records) yield [name, verifyChecksum(name, sealed)];
       }
     } finally {
       await iterator.close();
     }
   }
 
-  private under(prefix: string): AsyncGenerator<[string, string]> {
-    return this.entries({ gte: prefix, lt: `${prefix}${LAST}` });
+  private recordsWithPrefix(prefix: string): AsyncGenerator<[string, string]> {
+    return this.entries({ gte: prefix, lt: `${prefix}${RANGE_END}` });
   }
 
-  async meta(): Promise<Meta> {
-    const sealed = this.db.getSync(META);
-    const about =
+  async meta(): Promise<EngineMeta> {
+    const sealed = this.db.getSync(META_KEY);
+    const counters =
       sealed === undefined
         ? { ledger: 0, floor: 0, permitCount: 0 }
-        : (JSON.parse(unseal(META, sealed)) as Omit<Meta, "permits" | "revisions">);
-    const permits = new Map<number, Meta["permits"][number]>();
-    for await (const [name, text] of this.under(PERMITS)) {
-      const id = Number(name.slice(PERMITS.length));
-      permits.set(id, { id, ttlMs: Number(text), keys: [] });
+        : (JSON.parse(verifyChecksum(META_KEY, sealed)) as Omit<EngineMeta, "leases" | "revisions">);
+    const leases = new Map<number, EngineMeta["leases"][number]>();
+    for await (const [name, text] of this.recordsWithPrefix(LEASE_PREFIX)) {
+      const id = Number(name.slice(LEASE_PREFIX.length));
+      leases.set(id, { id, ttlMs: Number(text), keys: [] });
     }
-    for await (const [name] of this.under(ATTACHED)) {
-      const rest = name.slice(ATTACHED.length);
-      const bang = rest.indexOf("!");
-      permits.get(Number(rest.slice(0, bang)))?.keys.push(rest.slice(bang + 1));
+    for await (const [name] of this.recordsWithPrefix(LEASE_KEY_PREFIX)) {
+      const rest = name.slice(LEASE_KEY_PREFIX.length);
+      const separator = rest.indexOf("!");
+      leases.get(Number(rest.slice(0, separator)))?.keys.push(rest.slice(separator + 1));
     }
-    const revisions: Meta["revisions"] = [];
-    for await (const [name, text] of this.under(REVISIONS))
-      revisions.push({ stamp: Number(name.slice(REVISIONS.length)), count: Number(text) });
-    this.checkWhole(about, revisions);
-    return { ...about, permits: [...permits.values()], revisions };
+    const revisions: EngineMeta["revisions"] = [];
+    for await (const [name, text] of this.recordsWithPrefix(REVISION_PREFIX))
+      revisions.push({ stamp: Number(name.slice(REVISION_PREFIX.length)), count: Number(text) });
+    this.checkRevisionsContiguous(counters, revisions);
+    return { ...counters, leases: [...leases.values()], revisions };
   }
 
   /**
-   * A log with a damaged place in its middle is opened without what stood there, as if
-   * it had never been written. Revisions have no gaps, so one shows.
+   * Detects lost writes: LevelDB opens a log that is damaged in the middle without the
+   * damaged records, as if they had never been written. Revision numbers are contiguous,
+   * so such a loss shows as a gap.
    */
-  private checkWhole(about: { ledger: number; floor: number }, revisions: Meta["revisions"]): void {
-    let expected = about.floor;
+  private checkRevisionsContiguous(counters: { ledger: number; floor: number }, revisions: EngineMeta["revisions"]): void {
+    let expected = counters.floor;
     for (const { stamp } of revisions) {
-      if (stamp !== ++expected) throw new Damaged(`revision ${expected} is missing: the next one there is ${stamp}`);
+      if (stamp !== ++expected) throw new CorruptDataError(`revision ${expected} is missing: the next one there is ${stamp}`);
     }
-    if (expected !== about.ledger) throw new Damaged(`the newest revision should be ${about.ledger}, and is ${expected}`);
+    if (expected !== counters.ledger) throw new CorruptDataError(`the newest revision should be ${counters.ledger}, and is ${expected}`);
   }
 
-  get(key: string): Stored | undefined {
-    const name = KEYS + key;
+  get(key: string): StoredValue | undefined {
+    const name = KEY_PREFIX + key;
     const sealed = this.db.getSync(name);
-    return sealed === undefined ? undefined : storedOf(unseal(name, sealed));
+    return sealed === undefined ? undefined : decodeStoredValue(verifyChecksum(name, sealed));
   }
 
   async write(batch: Batch): Promise<void> {
     const chained = this.db.batch();
-    const put = (name: string, text: string): void => void chained.put(name, seal(name, text));
+    const put = (name: string, text: string): void => void chained.put(name, addChecksum(name, text));
     for (const [key, stored] of batch.keys) {
-      if (stored === null) chained.del(KEYS + key);
-      else put(KEYS + key, textOf(stored));
+      if (stored === null) chained.del(KEY_PREFIX + key);
+      else put(KEY_PREFIX + key, encodeStoredValue(stored));
     }
     for (const { key, text, stamp, index } of batch.events) put(eventKey(stamp, index), text === null ? key : `${key} ${text}`);
-    for (const { stamp, count } of batch.revisions) put(REVISIONS + padded(stamp), String(count));
-    for (const { id, key, on } of batch.attached) {
-      const name = `${ATTACHED}${id}!${key}`;
+    for (const { stamp, count } of batch.revisions) put(REVISION_PREFIX + padded(stamp), String(count));
+    for (const { id, key, attached: on } of batch.leaseKeys) {
+      const name = `${LEASE_KEY_PREFIX}${id}!${key}`;
       if (on) put(name, "");
       else chained.del(name);
     }
-    for (const [id, ttlMs] of batch.permits) {
-      const name = `${PERMITS}${padded(id)}`;
+    for (const [id, ttlMs] of batch.leases) {
+      const name = `${LEASE_PREFIX}${padded(id)}`;
       if (ttlMs === null) chained.del(name);
       else put(name, String(ttlMs));
     }
     for (const { stamp, count } of batch.trimmed) {
-      chained.del(REVISIONS + padded(stamp));
+      chained.del(REVISION_PREFIX + padded(stamp));
       for (let index = 0; index < count; index++) chained.del(eventKey(stamp, index));
     }
-    put(META, JSON.stringify({ ledger: batch.ledger, floor: batch.floor, permitCount: batch.permitCount }));
+    put(META_KEY, JSON.stringify({ ledger: batch.ledger, floor: batch.floor, permitCount: batch.permitCount }));
     await chained.write({ sync: true });
   }
 
-  async range(prefix: string, from: string | undefined, most: { items: number; bytes: number }): Promise<Page> {
+  async range(prefix: string, from: string | undefined, limit: { items: number; bytes: number }): Promise<Page> {
     const rows: Page["rows"] = [];
     let bytes = 0;
-    const start = from !== undefined && from >= prefix ? { gt: KEYS + from } : { gte: KEYS + prefix };
-    for await (const [name, text] of this.entries({ ...start, lt: `${KEYS}${prefix}${LAST}`, limit: most.items + 1 })) {
-      const key = name.slice(KEYS.length);
+    const start = from !== undefined && from >= prefix ? { gt: KEY_PREFIX + from } : { gte: KEY_PREFIX + prefix };
+    for await (const [name, text] of this.entries({ ...start, lt: `${KEY_PREFIX}${prefix}${RANGE_END}`, limit: limit.items + 1 })) {
+      const key = name.slice(KEY_PREFIX.length);
       bytes += key.length + text.length;
-      if (rows.length >= most.items || (rows.length > 0 && bytes > most.bytes)) return { rows, more: true };
-      rows.push({ key, stored: storedOf(text) });
+      if (rows.length >= limit.items || (rows.length > 0 && bytes > limit.bytes)) return { rows, more: true };
+      rows.push({ key, stored: decodeStoredValue(text) });
     }
     return { rows, more: false };
   }
 
   async events(prefix: string, from: number): Promise<StoredEvent[]> {
     const found: StoredEvent[] = [];
-    for await (const [name, text] of this.entries({ gte: eventKey(from + 1, 0), lt: `${EVENTS}${LAST}` })) {
-      const event = eventOf(name, text);
+    for await (const [name, text] of this.entries({ gte: eventKey(from + 1, 0), lt: `${EVENT_PREFIX}${RANGE_END}` })) {
+      const event = decodeEvent(name, text);
       if (event.key.startsWith(prefix)) found.push(event);
     }
     return found;
   }
 
-  /** Everything there is, checked, in the order of its names. */
-  async *everything(): AsyncGenerator<[string, string]> {
+  /** All records in the order of their names, with checksums verified and removed. */
+  async *allEntries(): AsyncGenerator<[string, string]> {
     yield* this.entries({});
   }
 
-  /** Takes in what `everything` gave. */
+  /** Writes records as returned by `allEntries`. */
   async fill(entries: [string, string][], sync: boolean): Promise<void> {
     await this.db.batch(
-      entries.map(([key, text]) => ({ type: "put" as const, key, value: seal(key, text) })),
+      entries.map(([key, text]) => ({ type: "put" as const, key, value: addChecksum(key, text) })),
       { sync },
     );
   }
 
-  /** After a restore: the ledger goes on from here, and what happened before can no longer be told. */
-  async skipTo(ledger: number): Promise<void> {
+  /** Continues the ledger from the given revision after a restore and drops the history before it. */
+  async skipToRevision(ledger: number): Promise<void> {
     const { permitCount, revisions } = await this.meta();
     const events: string[] = [];
-    for await (const [name] of this.under(EVENTS)) events.push(name);
-    const names = [...events, ...revisions.map(({ stamp }) => REVISIONS + padded(stamp))];
+    for await (const [name] of this.recordsWithPrefix(EVENT_PREFIX)) events.push(name);
+    const names = [...events, ...revisions.map(({ stamp }) => REVISION_PREFIX + padded(stamp))];
     await this.db.batch(
       [
         ...names.map((key) => ({ type: "del" as const, key })),
-        { type: "put" as const, key: META, value: seal(META, JSON.stringify({ ledger, floor: ledger, permitCount })) },
+        { type: "put" as const, key: META_KEY, value: addChecksum(META_KEY, JSON.stringify({ ledger, floor: ledger, permitCount })) },
       ],
       { sync: true },
     );
@@ -218,43 +224,47 @@
   }
 }
 
-export interface Findings {
+/** Result of an integrity check, printed under these names. */
+export interface CheckReport {
   keys: number;
+  /** Total size of keys and values in UTF-16 code units. */
   bytes: number;
   leases: number;
   ledger: number;
+  /** The oldest revision in the history. */
   oldestTold: number;
+  /** Descriptions of the inconsistencies found. */
   faults: string[];
 }
 
-/** Reads all there is and says what does not add up. */
-export async function examine(engine: LevelEngine): Promise<Findings> {
-  const found: Findings = { keys: 0, bytes: 0, leases: 0, ledger: 0, oldestTold: 0, faults: [] };
+/** Reads all records and checks them for consistency. Faults are reported, not thrown; a record that cannot be read ends the check. */
+export async function checkData(engine: LevelEngine): Promise<CheckReport> {
+  const report: CheckReport = { keys: 0, bytes: 0, leases: 0, ledger: 0, oldestTold: 0, faults: [] };
   try {
     const meta = await engine.meta();
-    Object.assign(found, { leases: meta.permits.length, ledger: meta.ledger, oldestTold: meta.floor + 1 });
-    const leases = new Map(meta.permits.map(({ id, keys }) => [id, new Set(keys)]));
+    Object.assign(report, { leases: meta.leases.length, ledger: meta.ledger, oldestTold: meta.floor + 1 });
+    const leases = new Map(meta.leases.map(({ id, keys }) => [id, new Set(keys)]));
     const counts = new Map<number, number>();
-    for await (const [name, text] of engine.everything()) {
-      if (name.startsWith(KEYS)) {
-        const key = name.slice(KEYS.length);
-        const stored = storedOf(text);
-        found.keys++;
-        found.bytes += key.length + stored.text.length;
+    for await (const [name, text] of engine.allEntries()) {
+      if (name.startsWith(KEY_PREFIX)) {
+        const key = name.slice(KEY_PREFIX.length);
+        const stored = decodeStoredValue(text);
+        report.keys++;
+        report.bytes += key.length + stored.text.length;
         JSON.parse(stored.text);
-        if (stored.stamp > meta.ledger) found.faults.push(`${key} has revision ${stored.stamp}, past the ledger at ${meta.ledger}`);
+        if (stored.stamp > meta.ledger) report.faults.push(`${key} has revision ${stored.stamp}, past the ledger at ${meta.ledger}`);
         if (stored.permit !== null && leases.get(stored.permit)?.has(key) !== true)
-          found.faults.push(`${key} hangs on lease ${stored.permit}, which does not know it`);
-      } else if (name.startsWith(EVENTS)) {
-        const { stamp } = eventOf(name, text);
+          report.faults.push(`${key} hangs on lease ${stored.permit}, which does not know it`);
+      } else if (name.startsWith(EVENT_PREFIX)) {
+        const { stamp } = decodeEvent(name, text);
         counts.set(stamp, (counts.get(stamp) ?? 0) + 1);
       }
     }
     for (const { stamp, count } of meta.revisions)
       if ((counts.get(stamp) ?? 0) !== count)
-        found.faults.push(`revision ${stamp} had ${count} changes, ${counts.get(stamp) ?? 0} are there`);
+        report.faults.push(`revision ${stamp} had ${count} changes, ${counts.get(stamp) ?? 0} are there`);
   } catch (error) {
-    found.faults.push((error as Error).message);
+    report.faults.push((error as Error).message);
   }
-  return found;
+  return report;
 }
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -2,24 +2,28 @@
 import { z } from "zod";
 import type { StoreLimits } from "./store.js";
 
-/** A file of operators' settings that does not hold: file, field, and what was expected. */
+/** An operators' settings file is invalid; the message names the file, the field and what was expected. */
 export class SettingsFault extends Error {}
 
-/** Blocks come as lists with one entry from the parser, at every depth; `lists` stay lists. */
-function flatten(file: string, tree: unknown, lists: ReadonlySet<string>, path = ""): unknown {
+/** Replaces the one-element lists that the parser returns for blocks at every depth by the blocks; blocks named in `lists` stay lists. */
+function unwrapBlocks(file: string, tree: unknown, lists: ReadonlySet<string>, path = ""): unknown {
   if (tree === null || typeof tree !== "object" || Array.isArray(tree)) return tree;
   const flat: Record<string, unknown> = {};
   for (const [name, value] of Object.entries(tree)) {
-    const at = path === "" ? name : `${path}.${name}`;
+    const fieldPath = path === "" ? name : `${path}.${name}`;
     const isBlock = Array.isArray(value) && value.every((one) => one !== null && typeof one === "object" && !Array.isArray(one));
-    if (isBlock && lists.has(name)) flat[name] = value.map((one: unknown, i: number) => flatten(file, one, lists, `${at}.${i}`));
-    else if (isBlock && value.length > 1) throw new SettingsFault(`${file}: ${at}: given ${value.length} times, expected once`);
-    else flat[name] = isBlock ? flatten(file, value[0], lists, at) : value;
+    if (isBlock && lists.has(name))
+      flat[name] = value.map((one: unknown, i: number) => unwrapBlocks(file, one, lists, `${fieldPath}.${i}`));
+    else if (isBlock && value.length > 1) throw new SettingsFault(`${file}: ${fieldPath}: given ${value.length} times, expected once`);
+    else flat[name] = isBlock ? unwrapBlocks(file, value[0], lists, fieldPath) : value;
   }
   return flat;
 }
 
-/** An HCL file read, flattened and checked. `lists`: names of blocks that may come several times. */
+/**
+ * Reads an HCL file and validates it against the schema. `lists` names the blocks that may
+ * occur more than once. Throws `SettingsFault` if the file cannot be read or is invalid.
+ */
 export async function loadHcl<T>(file: string, schema: z.ZodType<T>, lists: string[] = []): Promise<T> {
   let text: string;
   try {
@@ -30,24 +34,25 @@
   return parseHcl(file, text, schema, lists);
 }
 
+/** Parses and validates HCL text; `file` is the name used in error messages. Throws `SettingsFault` if the text is invalid. */
 export async function parseHcl<T>(file: string, text: string, schema: z.ZodType<T>, lists: string[] = []): Promise<T> {
   const { parse } = await import("@cdktf/hcl2json");
   let tree: unknown;
   try {
     tree = await parse(file, text);
   } catch (error) {
-    // The parser's own message names line and column after the file.
-    const said = /:(\d+),(\d+)[^:]*: (.*)/.exec(String((error as Error)?.message ?? error));
-    throw new SettingsFault(said === null ? `${file}: not HCL` : `${file}: line ${said[1]}, column ${said[2]}: ${said[3]}`);
+    // The parser's message has the line and column after the file name.
+    const match = /:(\d+),(\d+)[^:]*: (.*)/.exec(String((error as Error)?.message ?? error));
+    throw new SettingsFault(match === null ? `${file}: not HCL` : `${file}: line ${match[1]}, column ${match[2]}: ${match[3]}`);
   }
-  const result = schema.safeParse(flatten(file, tree, new Set(lists)));
+  const result = schema.safeParse(unwrapBlocks(file, tree, new Set(lists)));
   if (result.success) return result.data;
   throw new SettingsFault(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
 }
 
 const positive = z.number().finite().positive();
 
-/** `deploy/store.hcl`: what one store takes. The defaults are those that controllers assume of a small installation. */
+/** Schema of `deploy/store.hcl`: the limits of one store. The defaults are those that controllers assume of a small installation. */
 export const storeSettings = z.strictObject({
   limits: z
     .strictObject({
@@ -60,9 +65,11 @@
   storage: z.strictObject({ reserve_mb: z.number().finite().min(0).default(64) }).prefault({}),
   connections: z.number().int().min(8).default(2000),
 });
+/** Settings of a store, with defaults applied. */
 export type StoreSettings = z.infer<typeof storeSettings>;
 
-export function limitsOf({ limits }: StoreSettings): StoreLimits {
+/** Converts the settings to the store's limits. */
+export function storeLimits({ limits }: StoreSettings): StoreLimits {
   return {
     rps: limits.requests_per_second,
     writeRps: limits.changes_per_second,
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -3,27 +3,30 @@
 import { OverRate, type Condition } from "@thorntrail/protocol/state";
 import { STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import { Core, type Change, type TxnAnswer } from "./core.js";
-import { Damaged, type Batch, type Engine, type Meta, type Page, type Stored, type StoredEvent } from "./engine.js";
-import { KnownKeys } from "./known.js";
+import { CorruptDataError, type Batch, type Engine, type EngineMeta, type Page, type StoredValue, type StoredEvent } from "./engine.js";
+import { KeyMetadataCache } from "./key-metadata-cache.js";
 
-/** Time as the store needs it. Steady milliseconds. */
+/** Monotonic clock and timers of the store, in milliseconds. */
 export interface StoreClock {
   now(): number;
   /** Runs `fn` after `ms`; the returned function cancels it. */
   after(ms: number, fn: () => void): () => void;
 }
 
+/** Limits on requests, adjustable while the store runs. */
 export interface StoreLimits {
-  /** Requests a second; bursts of one second's worth. */
+  /** Requests per second, with bursts of up to one second's worth. */
   rps: number;
-  /** Changes a second; bursts of one second's worth. */
+  /** Changes per second, with bursts of up to one second's worth. */
   writeRps: number;
+  /** Maximum size of a value in KiB. */
   valueKb: number;
-  /** Changes in a transaction. */
+  /** Maximum number of changes in a transaction. */
   txnOps: number;
 }
 
-export interface Followed {
+/** Changes returned to a watch, and the revision to continue from. */
+export interface FollowedEvents {
   ledger: number;
   events: StoredEvent[];
 }
@@ -33,82 +36,89 @@
   settle: (events: StoredEvent[]) => void;
 }
 
-/** 400: it breaks a limit, now and whenever it is asked again under these limits. */
+/** The request exceeds a limit and fails again for as long as the limits stay the same. Answered with 400. */
 export class Unfit extends Error {}
 
-/** Leases are looked at this often, so that none outlives its time by more than the protocol allows. */
-const LEASE_LOOK_MS = STATE_BOUNDS.lateMs / 2;
-/** Looks missed before the service counts as having been away. */
-const AWAY_LOOKS = 10;
-/** After a failed write: pauses between tries to open the engine again. */
-const MEND_MS = { first: 100, most: 2000 };
-/** Requests for changes that wait for the write under way, and watches that wait; past them, 503. */
-const MOST_WAITING = 10_000;
-const MOST_WATCHES = 10_000;
+/** Interval between checks for expired leases, short enough that none outlives its time by more than the protocol allows. */
+const LEASE_CHECK_INTERVAL_MS = STATE_BOUNDS.maxExpiryDelayMs / 2;
+/** If the last check is more than this many intervals ago, the process counts as stalled and all leases are refreshed. */
+const MAX_MISSED_LEASE_CHECKS = 10;
+/** Exponential backoff between attempts to reopen the engine after a failed write. */
+const REOPEN_BACKOFF_MS = { initial: 100, max: 2000 };
+/** Bounds on requests queued behind the current write and on open watches; requests beyond them get 503. */
+const MAX_WAITING_REQUESTS = 10_000;
+const MAX_WATCHES = 10_000;
 
 /**
- * The state service without its sockets. Changes are decided one after the other and
- * made durable in groups: while one group is being written, the next one gathers. No
- * answer leaves before everything that it is based on is durable.
+ * The state service without its network layer. Changes are decided sequentially and made
+ * durable by group commit: while one group is being written, the next one accumulates. No
+ * answer is sent before everything that it depends on is durable.
+ *
+ * Requests reject with `OverRate`, `Unfit` (a limit is exceeded) or `NoReply`: `refused`
+ * if the request was not executed, `unanswered` if its outcome is unknown.
  */
 export class Store {
   private core: Core;
-  private readonly known: KnownKeys;
+  private readonly keyMetadata: KeyMetadataCache;
   private requests: Rate;
   private writes: Rate;
   private waiting: { decide: () => void; fail: (error: Error) => void }[] = [];
   private writing = false;
-  private broken: Error | null = null;
+  private storageError: Error | null = null;
   private readonly watches = new Set<Watch>();
-  private durable: number;
+  private durableRevision: number;
   private floor: number;
-  private lookedAt: number;
+  private leasesCheckedAt: number;
   private closed = false;
   private suspended = false;
   readonly stats = { groups: 0, changes: 0, conflicts: 0, refused: 0, failures: 0 };
-  /** A write has failed, and whether it turned out to be stored all the same. */
-  onTrouble: (what: string, error: Error) => void = () => undefined;
-  /** How long a group took to become durable, in ms, and how many answers it held. */
-  onGroup: (ms: number, answers: number) => void = () => undefined;
+  /** Called when a write fails, and again when the data have been reopened and it is known whether the write was stored. */
+  onStorageFault: (what: string, error: Error) => void = () => undefined;
+  /** Called with the time that a group took to become durable, in ms, and the number of answers that waited for it. */
+  onGroupDurable: (ms: number, answers: number) => void = () => undefined;
 
   private constructor(
     private readonly engine: Engine,
     private readonly clock: StoreClock,
     private limits: StoreLimits,
-    meta: Meta,
+    meta: EngineMeta,
   ) {
-    this.known = new KnownKeys((key) => engine.get(key));
-    this.core = this.coreOf(meta);
-    this.durable = meta.ledger;
+    this.keyMetadata = new KeyMetadataCache((key) => engine.get(key));
+    this.core = this.createCore(meta);
+    this.durableRevision = meta.ledger;
     this.floor = meta.floor;
     this.requests = new Rate(clock, limits.rps);
     this.writes = new Rate(clock, limits.writeRps);
-    this.lookedAt = clock.now();
-    this.look();
+    this.leasesCheckedAt = clock.now();
+    this.checkLeases();
   }
 
-  private coreOf(meta: Meta): Core {
-    return new Core(meta, (key) => this.known.get(key), this.clock.now());
+  private createCore(meta: EngineMeta): Core {
+    return new Core(meta, (key) => this.keyMetadata.get(key), this.clock.now());
   }
 
+  /** Opens a store on the engine's data; throws if they fail an integrity check. */
   static async open(engine: Engine, clock: StoreClock, limits: StoreLimits): Promise<Store> {
     const meta = await engine.meta();
     return new Store(engine, clock, limits, meta);
   }
 
-  /** On an engine that holds nothing yet. */
+  /** Creates a store on an empty engine. */
   static fresh(engine: Engine, clock: StoreClock, limits: StoreLimits): Store {
-    const nothing = { ledger: 0, floor: 0, permitCount: 0, permits: [], revisions: [] };
-    return new Store(engine, clock, limits, nothing);
+    const emptyMeta = { ledger: 0, floor: 0, permitCount: 0, leases: [], revisions: [] };
+    return new Store(engine, clock, limits, emptyMeta);
   }
 
-  /** Takes nothing for a while: 503 to all that is asked, watches stay open, leases have their full time again afterwards. */
+  /**
+   * Suspends or resumes the service. While suspended, requests are refused with 503 and
+   * open watches stay open; leases get their full time to live again afterwards.
+   */
   suspend(on: boolean): void {
     this.suspended = on;
     this.core.refreshLeases(this.clock.now());
   }
 
-  /** As when the process ends: nothing is answered any more, and what was not durable is not. */
+  /** Simulates a crash of the process: nothing is answered any more, and decisions that are not durable are lost. */
   abandon(): void {
     this.closed = true;
     this.waiting = [];
@@ -118,14 +128,20 @@
 
   /** The newest revision that is durable. */
   get ledger(): number {
-    return this.durable;
+    return this.durableRevision;
   }
 
-  get open(): { leases: number; watches: number; waiting: number; trouble: string | null } {
-    return { leases: this.core.leases, watches: this.watches.size, waiting: this.waiting.length, trouble: this.broken?.message ?? null };
+  /** Numbers of open leases, watches and queued requests, and the storage error while writes are not accepted; served by `/health`. */
+  get status(): { leases: number; watches: number; waiting: number; trouble: string | null } {
+    return {
+      leases: this.core.leaseCount,
+      watches: this.watches.size,
+      waiting: this.waiting.length,
+      trouble: this.storageError?.message ?? null,
+    };
   }
 
-  /** Without notice, as services do. */
+  /** Changes the given limits at once and returns the limits in force. */
   limit(limits: Partial<StoreLimits>): StoreLimits {
     this.limits = { ...this.limits, ...limits };
     this.requests = new Rate(this.clock, this.limits.rps);
@@ -133,55 +149,61 @@
     return this.limits;
   }
 
+  /** Throws if the service cannot take a request now or the rate limits are exceeded. */
   private admit(changes = 0): void {
     if (this.closed) throw new NoReply("refused", "the service is ending");
     if (this.suspended) throw new NoReply("refused", "the service is suspended");
     if (!this.requests.take() || !this.writes.take(changes)) throw new OverRate();
-    if (this.broken !== null) throw new NoReply("refused", `storage: ${this.broken.message}`);
+    if (this.storageError !== null) throw new NoReply("refused", `storage: ${this.storageError.message}`);
   }
 
-  private checked(conditions: readonly Condition[], changes: readonly Change[]): void {
+  /** Throws `Unfit` if a transaction exceeds the limits. */
+  private checkLimits(conditions: readonly Condition[], changes: readonly Change[]): void {
     const { txnOps, valueKb } = this.limits;
     if (changes.length > txnOps) throw new Unfit(`${changes.length} changes, at most ${txnOps} in a transaction`);
-    const most = txnOps * STATE_BOUNDS.conditionsPerChange;
-    if (conditions.length > most) throw new Unfit(`${conditions.length} conditions, at most ${most} in a transaction`);
+    const maxConditions = txnOps * STATE_BOUNDS.conditionsPerChange;
+    if (conditions.length > maxConditions) throw new Unfit(`${conditions.length} conditions, at most ${maxConditions} in a transaction`);
     for (const change of changes) {
       if ("write" in change && Buffer.byteLength(change.text) > valueKb * 1024)
         throw new Unfit(`the value of ${change.write} has more than ${valueKb} KiB`);
     }
   }
 
+  /** Applies the changes atomically if all conditions hold. */
   txn(conditions: readonly Condition[], changes: readonly Change[]): Promise<TxnAnswer> {
-    return this.decided(
+    return this.enqueue(
       () => {
         const answer = this.core.txn(conditions, changes);
         if (answer.kind === "conflict") this.stats.conflicts++;
         return answer;
       },
       changes.length,
-      () => this.checked(conditions, changes),
+      () => this.checkLimits(conditions, changes),
     );
   }
 
+  /** Grants a lease and returns its ID. */
   grant(ttlMs: number): Promise<number> {
-    return this.decided(() => this.core.grant(ttlMs, this.clock.now()));
+    return this.enqueue(() => this.core.grant(ttlMs, this.clock.now()));
   }
 
+  /** Renews a lease; false if it does not exist or has expired. */
   renew(permit: number): Promise<boolean> {
-    return this.decided(() => this.core.renew(permit, this.clock.now()));
+    return this.enqueue(() => this.core.renew(permit, this.clock.now()));
   }
 
+  /** Ends a lease and removes its keys; false if it does not exist. */
   end(permit: number): Promise<boolean> {
-    return this.decided(() => this.core.end(permit));
+    return this.enqueue(() => this.core.end(permit));
   }
 
-  /** Puts a decision in line; its answer comes once the group it falls into is durable. */
-  private decided<T>(decide: () => T, changes = 0, check: () => void = () => undefined): Promise<T> {
+  /** Queues a decision and resolves to its answer once its commit group is durable. */
+  private enqueue<T>(decide: () => T, changes = 0, check: () => void = () => undefined): Promise<T> {
     return new Promise((resolve, reject) => {
       try {
         this.admit(changes);
         check();
-        if (this.waiting.length >= MOST_WAITING) throw new NoReply("refused", "too many wait for the disk");
+        if (this.waiting.length >= MAX_WAITING_REQUESTS) throw new NoReply("refused", "too many wait for the disk");
       } catch (error) {
         this.stats.refused++;
         return reject(error as Error);
@@ -191,48 +213,50 @@
         decide: () => {
           answer = decide();
           this.stats.changes += changes;
-          this.group.push({ tell: () => resolve(answer), fail: reject });
+          this.group.push({ respond: () => resolve(answer), fail: reject });
         },
         fail: reject,
       });
-      if (!this.writing) void this.drain();
+      if (!this.writing) void this.commitGroups();
     });
   }
 
-  /** Answers that wait for the group being put together or written. */
-  private group: { tell: () => void; fail: (error: Error) => void }[] = [];
+  /** Pending answers of the commit group that is being assembled or written. */
+  private group: { respond: () => void; fail: (error: Error) => void }[] = [];
 
-  private async drain(): Promise<void> {
+  /** Decides and commits queued requests, one group after the other, until none is left or a write fails. */
+  private async commitGroups(): Promise<void> {
     this.writing = true;
-    // All that arrives in this turn of the loop shares the group.
+    // Requests that were queued before this microtask runs share one group.
     await Promise.resolve();
-    while (this.waiting.length > 0 && this.broken === null) {
+    while (this.waiting.length > 0 && this.storageError === null) {
       this.group = [];
       let batch: Batch | null = null;
       try {
         for (const { decide } of this.waiting.splice(0)) decide();
-        batch = this.core.take();
+        batch = this.core.takeBatch();
         if (batch !== null) await this.write(batch);
-        for (const { tell } of this.group) tell();
+        for (const { respond } of this.group) respond();
       } catch (error) {
-        await this.failed(error as Error, batch);
+        await this.recoverFromFailedWrite(error as Error, batch);
       }
     }
     this.writing = false;
   }
 
   private async write(batch: Batch): Promise<void> {
-    const began = this.clock.now();
+    const startedAt = this.clock.now();
     await this.engine.write(batch);
-    this.onGroup(this.clock.now() - began, this.group.length);
-    this.landed(batch);
+    this.onGroupDurable(this.clock.now() - startedAt, this.group.length);
+    this.onBatchDurable(batch);
   }
 
-  private landed(batch: Batch): void {
-    this.core.stored();
-    this.known.landed(batch);
+  /** Updates the in-memory state with a durable batch and delivers its changes to watches. */
+  private onBatchDurable(batch: Batch): void {
+    this.core.onBatchDurable();
+    this.keyMetadata.onBatchDurable(batch);
     this.stats.groups++;
-    this.durable = batch.ledger;
+    this.durableRevision = batch.ledger;
     this.floor = batch.floor;
     if (batch.events.length === 0) return;
     for (const watch of [...this.watches]) {
@@ -242,121 +266,123 @@
   }
 
   /**
-   * A write that failed may have reached the disk all the same, so nobody is told
-   * anything before the data have been read again: then it is known whether the group
-   * was stored. While they cannot be read, nobody gets an answer that could be wrong:
-   * those in the group get none, all others 503.
+   * Recovers after a failed write. The write may have reached the disk nevertheless, so the
+   * requests of the group are answered only after the data have been reopened and it is
+   * known whether the group was stored. If the first attempt to reopen fails, the requests
+   * of the group get no answer; all other requests get 503 until the data can be read.
    */
-  private async failed(error: Error, wanted: Batch | null): Promise<void> {
+  private async recoverFromFailedWrite(error: Error, batch: Batch | null): Promise<void> {
     this.stats.failures++;
-    this.broken = error;
+    this.storageError = error;
     const { group } = this;
-    this.onTrouble("a write failed; nothing is taken until the data have been read again", error);
+    this.onStorageFault("write failed; requests are refused until the data have been reopened", error);
     for (const { fail } of this.waiting.splice(0)) fail(new NoReply("refused", `storage: ${error.message}`));
-    let pauseMs = MEND_MS.first;
+    let pauseMs = REOPEN_BACKOFF_MS.initial;
     for (let first = true; !this.closed; first = false) {
       try {
         await this.engine.reopen();
         const meta = await this.engine.meta();
-        const stored = wanted !== null && meta.ledger === wanted.ledger && meta.permitCount === wanted.permitCount;
-        if (wanted !== null && stored) this.landed(wanted);
+        const stored = batch !== null && meta.ledger === batch.ledger && meta.permitCount === batch.permitCount;
+        if (batch !== null && stored) this.onBatchDurable(batch);
         if (first) {
-          for (const { tell, fail } of group) {
-            if (stored) tell();
+          for (const { respond, fail } of group) {
+            if (stored) respond();
             else fail(new NoReply("refused", `storage: ${error.message}`));
           }
         }
-        this.known.forget();
-        this.core = this.coreOf(meta);
-        this.durable = meta.ledger;
+        this.keyMetadata.clear();
+        this.core = this.createCore(meta);
+        this.durableRevision = meta.ledger;
         this.floor = meta.floor;
-        this.broken = null;
-        this.onTrouble(
-          stored
-            ? "the data are read again: the last group had been stored"
-            : "the data are read again: the last group had not been stored",
+        this.storageError = null;
+        this.onStorageFault(
+          stored ? "data reopened: the last group had been stored" : "data reopened: the last group had not been stored",
           error,
         );
         return;
-      } catch (again) {
+      } catch (reopenError) {
         if (first) for (const { fail } of group) fail(new NoReply("unanswered", error.message));
-        if (again instanceof Damaged) this.onTrouble("the data do not add up; not served any more", again);
+        if (reopenError instanceof CorruptDataError)
+          this.onStorageFault("the data fail an integrity check; requests are still refused", reopenError);
         await new Promise<void>((resolve) => this.clock.after(pauseMs, resolve));
-        pauseMs = Math.min(pauseMs * 2, MEND_MS.most);
+        pauseMs = Math.min(pauseMs * 2, REOPEN_BACKOFF_MS.max);
       }
     }
   }
 
-  read(key: string): { stored: Stored | undefined; ledger: number } {
+  /** Reads one key and the newest durable revision. */
+  read(key: string): { stored: StoredValue | undefined; ledger: number } {
     this.admit();
-    return { stored: this.engine.get(key), ledger: this.durable };
+    return { stored: this.engine.get(key), ledger: this.durableRevision };
   }
 
-  /** The revision given is no newer than the rows: who follows from it misses nothing. */
+  /** Reads a page of keys. The returned revision is no newer than the rows, so following from it misses no change. */
   async range(prefix: string, from: string | undefined, limit: number): Promise<Page & { ledger: number }> {
     this.admit();
-    const { durable } = this;
+    const { durableRevision } = this;
     const page = await this.engine.range(prefix, from, { items: Math.min(limit, STATE_BOUNDS.pageItems), bytes: STATE_BOUNDS.pageBytes });
-    return { ...page, ledger: durable };
+    return { ...page, ledger: durableRevision };
   }
 
   /**
-   * Changes after `from`, waiting up to `blockMs` for the first. `leave` is given a
-   * function to call when whoever waits has gone.
+   * Returns the changes after revision `from` to keys with the prefix, waiting up to
+   * `blockMs` for the first; `too-old` if the history no longer reaches back that far.
+   * `onDisconnect` receives a function to call when the client disconnects.
    */
   async follow(
     prefix: string,
     from: number,
     blockMs: number,
-    leave: (gone: () => void) => void = () => undefined,
-  ): Promise<Followed | "too-old"> {
+    onDisconnect: (cancelWatch: () => void) => void = () => undefined,
+  ): Promise<FollowedEvents | "too-old"> {
     this.admit();
     if (from < this.floor) return "too-old";
     for (;;) {
-      const ledger = this.durable;
+      const ledger = this.durableRevision;
       const events = from >= ledger ? [] : await this.engine.events(prefix, from);
-      // The history may have been cut while it was read.
+      // The history may have been trimmed during the read.
       if (from < this.floor) return "too-old";
       if (events.length > 0) return { ledger: Math.max(ledger, events[events.length - 1]!.stamp), events };
-      if (ledger === this.durable) break;
+      if (ledger === this.durableRevision) break;
     }
-    if (blockMs <= 0) return { ledger: this.durable, events: [] };
-    if (this.watches.size >= MOST_WATCHES) throw new NoReply("refused", "too many watches");
+    if (blockMs <= 0) return { ledger: this.durableRevision, events: [] };
+    if (this.watches.size >= MAX_WATCHES) throw new NoReply("refused", "too many watches");
     return new Promise((resolve) => {
       const settle = (events: StoredEvent[]): void => {
         cancel();
         this.watches.delete(watch);
-        resolve({ ledger: this.durable, events });
+        resolve({ ledger: this.durableRevision, events });
       };
       const watch: Watch = { prefix, settle };
       const cancel = this.clock.after(blockMs, () => settle([]));
       this.watches.add(watch);
-      leave(() => settle([]));
+      onDisconnect(() => settle([]));
     });
   }
 
-  /** Ends leases whose time is over, unless the service itself was away meanwhile. */
-  private look(): void {
+  /** Ends expired leases; refreshes all leases instead if the process was stalled, the service is suspended or storage has failed. */
+  private checkLeases(): void {
     if (this.closed) return;
     const now = this.clock.now();
-    const away = now - this.lookedAt > LEASE_LOOK_MS * AWAY_LOOKS;
-    this.lookedAt = now;
-    if (away || this.suspended || this.broken !== null) this.core.refreshLeases(now);
-    else if (this.core.due(now).length > 0) {
-      const over = this.core.due(now);
+    const stalled = now - this.leasesCheckedAt > LEASE_CHECK_INTERVAL_MS * MAX_MISSED_LEASE_CHECKS;
+    this.leasesCheckedAt = now;
+    if (stalled || this.suspended || this.storageError !== null) this.core.refreshLeases(now);
+    else if (this.core.expiredLeases(now).length > 0) {
+      const expired = this.core.expiredLeases(now);
       this.waiting.push({
-        // Renewed in the same group, before its turn came: it lives on.
+        // A lease renewed earlier in the same group does not end.
         decide: () => {
-          const still = new Set(this.core.due(this.clock.now()));
-          for (const id of over) if (still.has(id)) this.core.end(id);
+          const stillExpired = new Set(this.core.expiredLeases(this.clock.now()));
+          for (const id of expired) if (stillExpired.has(id)) this.core.end(id);
         },
         fail: () => undefined,
       });
-      if (!this.writing) void this.drain();
+      if (!this.writing) void this.commitGroups();
     }
-    this.clock.after(LEASE_LOOK_MS, () => this.look());
+    this.clock.after(LEASE_CHECK_INTERVAL_MS, () => this.checkLeases());
   }
 
+  /** Answers open watches, waits for the current commit and closes the engine. */
   async close(): Promise<void> {
     this.closed = true;
     for (const watch of [...this.watches]) watch.settle([]);
