--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -317,10 +317,10 @@
   }
 
   /** Reads a page of keys. The returned revision is no newer than the rows, so following from it misses no change. */
-  async range(prefix: string, from: string | undefined, limit: number): Promise<Page & { ledger: number }> {
+  async range(prefix: string, from: string | undefined, maxRows: number): Promise<Page & { ledger: number }> {
     this.admit();
     const { durableRevision } = this;
-    const page = await this.engine.range(prefix, from, { items: Math.min(limit, STATE_BOUNDS.pageItems), bytes: STATE_BOUNDS.pageBytes });
+    const page = await this.engine.range(prefix, from, { items: Math.min(maxRows, STATE_BOUNDS.pageItems), bytes: STATE_BOUNDS.pageBytes });
     return { ...page, ledger: durableRevision };
   }
 
