--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -54,8 +54,9 @@
  * durable by group commit: while one group is being written, the next one accumulates. No
  * answer is sent before everything that it depends on is durable.
  *
- * Requests reject with `OverRate`, `Unfit` (a limit is exceeded) or `NoReply`: `refused`
- * if the request was not executed, `unanswered` if its outcome is unknown.
+ * Requests fail with `OverRate`, `Unfit` (a limit is exceeded), `CorruptDataError` (a read
+ * failed an integrity check) or `NoReply`: `refused` if the request was not executed,
+ * `unanswered` if its outcome is unknown.
  */
 export class Store {
   private core: Core;
