--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -1,10 +1,15 @@
 import * as z from "zod";
 
+/** Priority of a job, highest first. */
 export type Urgency = "critical" | "urgent" | "normal" | "low";
+/** `array`: independent tasks; `gang`: tasks that run at the same time; `service`: tasks that run until cancelled. */
 export type JobKind = "array" | "gang" | "service";
 
+/** Description of a job. It is stored under these member names. Times are in seconds, sizes in GB. */
 export interface JobSpec {
+  /** ID of the job, such as run-000412. */
   ref: string;
+  /** Class of the job, to which objectives and run time estimates apply. */
   klass: string;
   team: string;
   kind: JobKind;
@@ -24,23 +29,23 @@
   checkpointS: number;
   flushS: number;
   deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Jobs that must be done before any task of this one starts. */
   needs?: string[];
 }
 
-const MAX_NAME = 200;
+const MAX_NAME_LENGTH = 200;
 const MAX_AMOUNT = 1e9;
 const amount = z.number().finite().min(0).max(MAX_AMOUNT);
-const name = z.string().min(1).max(MAX_NAME);
-const KINDS: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
+const name = z.string().min(1).max(MAX_NAME_LENGTH);
+const KIND_BY_SHAPE: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
 
-/** No more than this many fit into a request anyway. */
+/** A request has no room for more. */
 const MAX_NEEDS = 5000;
 
-const REF = /^run-\d{6,20}$/;
+const REF_PATTERN = /^run-\d{6,20}$/;
 
-const wireJob = z.object({
-  ref: z.string().regex(REF, "must look like run-000412"),
+const jobSchema = z.object({
+  ref: z.string().regex(REF_PATTERN, "must look like run-000412"),
   lane: name,
   desk: name,
   shape: z.enum(["sweep", "gang", "daemon"]),
@@ -60,16 +65,17 @@
   snapshotS: amount,
   flushS: amount,
   closeS: amount.nullish(),
-  waitsOn: z.array(z.string().regex(REF, "must look like run-000412")).max(MAX_NEEDS).nullish(),
+  waitsOn: z.array(z.string().regex(REF_PATTERN, "must look like run-000412")).max(MAX_NEEDS).nullish(),
 });
 
+/** Whether the text has the form of a job ID. */
 export function isRef(text: string): boolean {
-  return REF.test(text);
+  return REF_PATTERN.test(text);
 }
 
-/** A submission in our names, or what is wrong with it. */
+/** Decodes a submission, or returns a description of its first fault. */
 export function decodeJob(raw: unknown): { spec: JobSpec } | { fault: string } {
-  const parsed = wireJob.safeParse(raw);
+  const parsed = jobSchema.safeParse(raw);
   if (!parsed.success) {
     const issue = parsed.error.issues[0]!;
     return { fault: `${issue.path.join(".") || "body"}: ${issue.message}` };
@@ -81,7 +87,7 @@
       ref: wire.ref,
       klass: wire.lane,
       team: wire.desk,
-      kind: KINDS[wire.shape]!,
+      kind: KIND_BY_SHAPE[wire.shape]!,
       urgency: wire.urgency,
       tasks: wire.pieces,
       cpus: wire.cpus,
@@ -103,15 +109,15 @@
   };
 }
 
-const SHAPES: Record<JobKind, string> = { array: "sweep", gang: "gang", service: "daemon" };
+const SHAPE_BY_KIND: Record<JobKind, string> = { array: "sweep", gang: "gang", service: "daemon" };
 
-/** A job as users submit it. */
+/** Encodes a job in the format of users' submissions. */
 export function encodeJob(spec: JobSpec): Record<string, unknown> {
   return {
     ref: spec.ref,
     lane: spec.klass,
     desk: spec.team,
-    shape: SHAPES[spec.kind],
+    shape: SHAPE_BY_KIND[spec.kind],
     urgency: spec.urgency,
     pieces: spec.tasks,
     cpus: spec.cpus,
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -1,16 +1,28 @@
 import * as z from "zod";
 
+/** State of a task attempt on a worker. */
 export type TaskState = "fetching" | "gathering" | "running" | "saving" | "exited";
+/** Why a task attempt exited, or why a worker did not start it. */
 export type ExitCause = "done" | "stopped" | "mates_gone" | "alone" | "error" | "no_room" | "busy" | "no_such";
 
+/** One task attempt in a worker's report. */
 export interface ReportedTask {
+  /** ID of the task, such as run-000412/3. */
   piece: string;
   attempt: number;
   state: TaskState;
+  /** Null while the attempt has not exited. */
   cause: ExitCause | null;
+  /** Whether a checkpoint of the attempt was saved. */
   saved: boolean;
 }
 
+/**
+ * A worker's report. A new `session` begins when the worker starts or its lease runs out;
+ * `seq` numbers the reports within it. `token` is the newest ownership token that the
+ * worker has accepted. `noticeS` is the time in seconds until the cloud reclaims the
+ * machine, or null.
+ */
 export interface Report {
   host: string;
   addr: string;
@@ -24,53 +36,55 @@
   tasks: ReportedTask[];
 }
 
+/** A command to a worker. `graceS` is the time in seconds that a task has to stop. */
 export type Order =
   | { verb: "start"; piece: string; attempt: number }
   | { verb: "stop"; piece: string; attempt: number; graceS: number }
   | { verb: "clear"; piece: string; attempt: number };
 
-const STATES: ReadonlySet<unknown> = new Set<TaskState>(["fetching", "gathering", "running", "saving", "exited"]);
-const PIECE = /^.+\/\d+$/;
+const TASK_STATES: ReadonlySet<unknown> = new Set<TaskState>(["fetching", "gathering", "running", "saving", "exited"]);
+const TASK_ID_PATTERN = /^.+\/\d+$/;
 
-type Raw = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
-const isRecord = (raw: unknown): raw is Raw => typeof raw === "object" && raw !== null;
+const isRecord = (raw: unknown): raw is JsonObject => typeof raw === "object" && raw !== null;
 const isCount = (raw: unknown): raw is number => Number.isSafeInteger(raw) && (raw as number) >= 0;
-/** A field that may be null may equally be omitted. */
-const absent = (raw: unknown): raw is null | undefined => raw === null || raw === undefined;
-const text = (raw: unknown): string | null => (raw === undefined ? "" : typeof raw === "string" ? raw : null);
+/** Fields that may be null may also be omitted. */
+const isNullish = (raw: unknown): raw is null | undefined => raw === null || raw === undefined;
+const optionalText = (raw: unknown): string | null => (raw === undefined ? "" : typeof raw === "string" ? raw : null);
 
 function decodeTask(raw: unknown): ReportedTask | null {
   if (!isRecord(raw)) return null;
   const { piece, try: attempt, status, cause, kept } = raw;
-  if (typeof piece !== "string" || !PIECE.test(piece) || !isCount(attempt) || !STATES.has(status)) return null;
-  if (!absent(cause) && typeof cause !== "string") return null;
-  if (!absent(kept) && typeof kept !== "boolean") return null;
+  if (typeof piece !== "string" || !TASK_ID_PATTERN.test(piece) || !isCount(attempt) || !TASK_STATES.has(status)) return null;
+  if (!isNullish(cause) && typeof cause !== "string") return null;
+  if (!isNullish(kept) && typeof kept !== "boolean") return null;
   return { piece, attempt, state: status as TaskState, cause: (cause ?? null) as ExitCause | null, saved: kept ?? false };
 }
 
 /**
- * A worker's report in our names; null if it is not one. By hand, since hundreds come a second
- * and a general validator took most of what a report cost (docs/measured.md).
+ * Decodes a worker's report; returns null if it is invalid. The decoder is written by hand
+ * because hundreds of reports arrive per second and a general validator took most of the
+ * processing time of a report (docs/measured.md).
  */
 export function decodeReport(raw: unknown): Report | null {
   if (!isRecord(raw)) return null;
   const { host, loaner, shift, tick, baton, warningS, pieces } = raw;
-  const addr = text(raw["addr"]);
-  const type = text(raw["build"]);
-  const zone = text(raw["yard"]);
+  const addr = optionalText(raw["addr"]);
+  const type = optionalText(raw["build"]);
+  const zone = optionalText(raw["yard"]);
   if (typeof host !== "string" || host === "" || addr === null || type === null || zone === null) return null;
-  if (!absent(loaner) && typeof loaner !== "boolean") return null;
-  if (!isCount(shift) || !isCount(tick) || (!absent(baton) && !isCount(baton))) return null;
-  if (!absent(warningS) && !Number.isFinite(warningS)) return null;
-  if (!absent(pieces) && !Array.isArray(pieces)) return null;
+  if (!isNullish(loaner) && typeof loaner !== "boolean") return null;
+  if (!isCount(shift) || !isCount(tick) || (!isNullish(baton) && !isCount(baton))) return null;
+  if (!isNullish(warningS) && !Number.isFinite(warningS)) return null;
+  if (!isNullish(pieces) && !Array.isArray(pieces)) return null;
   const tasks: ReportedTask[] = [];
   for (const piece of pieces ?? []) {
     const task = decodeTask(piece);
     if (task === null) return null;
     tasks.push(task);
   }
-  if (listsTwice(tasks)) return null;
+  if (hasDuplicateAttempts(tasks)) return null;
   return {
     host,
     addr,
@@ -85,12 +99,13 @@
   };
 }
 
-/** Of an attempt that is listed in two states, neither can be believed. */
-function listsTwice(tasks: readonly ReportedTask[]): boolean {
+/** Whether an attempt is listed more than once. Such a report is invalid, because neither entry can be trusted. */
+function hasDuplicateAttempts(tasks: readonly ReportedTask[]): boolean {
   if (tasks.length < 2) return false;
   return new Set(tasks.map(({ piece, attempt }) => `${piece}#${attempt}`)).size < tasks.length;
 }
 
+/** Encodes commands in the worker protocol's format. */
 export function encodeOrders(orders: Order[]): Record<string, unknown>[] {
   return orders.map((order) =>
     order.verb === "stop"
@@ -99,22 +114,23 @@
   );
 }
 
+/** Answer to a report: commands, a redirect to the owner of the machine's partition (`boss`, if known), or no answer. */
 export type ReportAnswer =
   { kind: "orders"; token: number; orders: Order[] } | { kind: "elsewhere"; boss: string | null } | { kind: "silent" };
 
-/** `executed` false: the worker refused all of it and says how it stands. */
+/** A worker's answer to commands. If `executed` is false, it refused all of them; the report has its current state. */
 export interface CommandReply {
   executed: boolean;
   report: Report;
 }
 
-/** Commands sent straight to workers; scenarios stand in for it. */
+/** Interface for commands sent directly to workers; scenario tests replace it by a model. */
 export interface WorkerApi {
-  /** `limitMs`: given up after this long. */
+  /** `limitMs` is the timeout of the call. */
   command(addr: string, token: number, session: number, orders: Order[], limitMs?: number): Promise<CommandReply>;
 }
 
-/** A report as workers send it. */
+/** Encodes a report in the worker protocol's format. */
 export function encodeReport(report: Report): Record<string, unknown> {
   return {
     host: report.host,
@@ -138,7 +154,7 @@
 
 const count = z.number().int().min(0);
 
-const wireOrders = z.object({
+const ordersSchema = z.object({
   baton: count.nullish(),
   shift: count.nullish(),
   orders: z
@@ -153,9 +169,9 @@
     .nullish(),
 });
 
-/** Orders as they come to a worker, with token and session; null: not what the protocol says. */
+/** Decodes commands received by a worker, with token and session; returns null if they are invalid. */
 export function decodeOrders(raw: unknown): { token: number | null; session: number | null; orders: Order[] } | null {
-  const parsed = wireOrders.safeParse(raw);
+  const parsed = ordersSchema.safeParse(raw);
   if (!parsed.success) return null;
   const { baton, shift, orders } = parsed.data;
   return {
