--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -1,45 +1,48 @@
 import FlatQueue from "flatqueue";
 import { performance } from "node:perf_hooks";
-import { BOUNDS } from "../packages/graphs/src/admission.js";
+import { DEFAULT_LIMITS } from "../packages/graphs/src/admission.js";
 import { GraphMachine } from "../packages/graphs/src/machine.js";
-import type { Out, TaskAsked } from "../packages/graphs/src/model.js";
+import type { DecisionSink, TaskSpec } from "../packages/graphs/src/model.js";
 import { luckOf } from "../src/platform/luck.js";
 import { median, options, progress, report, Times } from "./harness.js";
 
 /**
- * The decisions of a graph's owner, without sockets: what a task costs it at three sizes, its
- * heap, and the makespan of published graph shapes in virtual time against the bound
- * max(critical path, work / width), beside the same executors fed one task at a time in the
- * order of arrival.
+ * Measures the task graph scheduler without network I/O: its CPU time per task for three graph
+ * sizes, its heap, and the makespan of published graph shapes in virtual time, relative to the
+ * lower bound max(critical path, work / width). The baseline is a FIFO scheduler that sends one
+ * task at a time to each free CPU.
  */
 const given = options({ repeats: 20, quickRepeats: 3 });
-/** One way between owner and executor, in ms. */
+/** One-way latency between the owner and an executor, in ms. */
 const LATENCY_MS = 2;
 const EXECUTORS = 8;
 const CPUS = 4;
-const AT_HAND_MS = Number(process.env["AT_HAND"] ?? 5) * LATENCY_MS;
+/** Backlog per executor in ms; the environment variable is a multiple of the one-way latency. */
+const TARGET_BACKLOG_MS = Number(process.env["AT_HAND"] ?? 5) * LATENCY_MS;
 
-interface Job {
-  asked: TaskAsked;
+/** A task with its true run time in ms. */
+interface TimedTask {
+  spec: TaskSpec;
   ms: number;
-  /** Submitted only when these have ended, for graphs that grow while they run. */
+  /** Keys of tasks that must end before this one is submitted, for graphs that grow at run time. */
   after?: string[];
 }
 
-const job = (key: string, ms: number, needs: string[] = [], fn = key.replace(/[\d,.]+/g, "")): Job => ({
-  asked: { key, fn, args: "", needs: needs.map((need) => `${need}:0`), returns: 1, cpus: 1, retries: 3, retryErrors: false },
+const timedTask = (key: string, ms: number, needs: string[] = [], fn = key.replace(/[\d,.]+/g, "")): TimedTask => ({
+  spec: { key, fn, args: "", needs: needs.map((need) => `${need}:0`), returns: 1, cpus: 1, retries: 3, retryErrors: false },
   ms,
 });
 
-type Shape = (vary: (ms: number) => number) => Job[];
+/** Generates the tasks of a graph; `vary` randomises a run time. */
+type Shape = (vary: (ms: number) => number) => TimedTask[];
 const range = (n: number): number[] => Array.from({ length: n }, (_, i) => i);
 
-/** Shapes as published for task graph benchmarks (tiled Cholesky, stencil, tree and map reduction, sweeps). */
+/** Graph shapes from published task graph benchmarks (tiled Cholesky, stencil, tree and map reduction, sweeps). */
 const SHAPES: Record<string, Shape> = {
   map_reduce: (vary) => {
-    const maps = range(400).map((i) => job(`map${i}`, vary(50)));
+    const maps = range(400).map((i) => timedTask(`map${i}`, vary(50)));
     const reduces = range(20).map((r) =>
-      job(
+      timedTask(
         `reduce${r}`,
         vary(80),
         range(400)
@@ -50,7 +53,7 @@
     return [
       ...maps,
       ...reduces,
-      job(
+      timedTask(
         "sum",
         vary(40),
         range(20).map((r) => `reduce${r}`),
@@ -58,85 +61,85 @@
     ];
   },
   tree_reduce: (vary) => {
-    const jobs = range(512).map((i) => job(`n0.${i}`, vary(30)));
+    const tasks = range(512).map((i) => timedTask(`n0.${i}`, vary(30)));
     for (let level = 1; level <= 9; level++)
       for (let i = 0; i < 512 >> level; i++)
-        jobs.push(job(`n${level}.${i}`, vary(20), [`n${level - 1}.${2 * i}`, `n${level - 1}.${2 * i + 1}`], `r${level}`));
-    return jobs;
+        tasks.push(timedTask(`n${level}.${i}`, vary(20), [`n${level - 1}.${2 * i}`, `n${level - 1}.${2 * i + 1}`], `r${level}`));
+    return tasks;
   },
   stencil: (vary) =>
     range(20).flatMap((t) =>
       range(64).map((x) =>
-        job(`s${t}.${x}`, vary(40), t === 0 ? [] : [x - 1, x, x + 1].filter((n) => n >= 0 && n < 64).map((n) => `s${t - 1}.${n}`)),
+        timedTask(`s${t}.${x}`, vary(40), t === 0 ? [] : [x - 1, x, x + 1].filter((n) => n >= 0 && n < 64).map((n) => `s${t - 1}.${n}`)),
       ),
     ),
   cholesky: (vary) => {
     const n = 14;
-    const jobs: Job[] = [];
-    // The newest version of each tile.
+    const tasks: TimedTask[] = [];
+    // Key of the task that wrote the latest version of each tile.
     const tile = new Map<string, string>();
-    const made = (at: string, key: string): void => void tile.set(at, key);
-    const of = (at: string): string[] => (tile.has(at) ? [tile.get(at)!] : []);
+    const setTile = (at: string, key: string): void => void tile.set(at, key);
+    const lastWriter = (at: string): string[] => (tile.has(at) ? [tile.get(at)!] : []);
     for (let k = 0; k < n; k++) {
-      jobs.push(job(`potrf${k}`, vary(20), of(`${k},${k}`)));
-      made(`${k},${k}`, `potrf${k}`);
+      tasks.push(timedTask(`potrf${k}`, vary(20), lastWriter(`${k},${k}`)));
+      setTile(`${k},${k}`, `potrf${k}`);
       for (let i = k + 1; i < n; i++) {
-        jobs.push(job(`trsm${k}.${i}`, vary(30), [`potrf${k}`, ...of(`${i},${k}`)], "trsm"));
-        made(`${i},${k}`, `trsm${k}.${i}`);
+        tasks.push(timedTask(`trsm${k}.${i}`, vary(30), [`potrf${k}`, ...lastWriter(`${i},${k}`)], "trsm"));
+        setTile(`${i},${k}`, `trsm${k}.${i}`);
       }
       for (let i = k + 1; i < n; i++)
         for (let j = k + 1; j <= i; j++) {
           const key = `gemm${k}.${i}.${j}`;
-          jobs.push(job(key, vary(35), [...new Set([`trsm${k}.${i}`, `trsm${k}.${j}`]), ...of(`${i},${j}`)], "gemm"));
-          made(`${i},${j}`, key);
+          tasks.push(timedTask(key, vary(35), [...new Set([`trsm${k}.${i}`, `trsm${k}.${j}`]), ...lastWriter(`${i},${j}`)], "gemm"));
+          setTile(`${i},${j}`, key);
         }
     }
-    return jobs;
+    return tasks;
   },
-  /** Trials of eight steps each; after every step the worse half ends, which only then is known. */
+  /** Successive halving: 256 trials of up to six steps. After each step half of the trials end; which ones is known only then. */
   sweep: (vary) => {
-    const jobs: Job[] = [];
+    const tasks: TimedTask[] = [];
     for (let step = 0; step < 6; step++)
       for (let trial = 0; trial < 256 >> step; trial++) {
-        const one = job(`step${step}.${trial}`, vary(60), step === 0 ? [] : [`step${step - 1}.${trial}`], "step");
+        const one = timedTask(`step${step}.${trial}`, vary(60), step === 0 ? [] : [`step${step - 1}.${trial}`], "step");
         if (step > 0) one.after = [`step${step - 1}.${trial}`, `step${step - 1}.${trial + (256 >> step)}`];
-        jobs.push(one);
+        tasks.push(one);
       }
-    return jobs;
+    return tasks;
   },
 };
 
-/** max(critical path, work / width), of the true run times. */
-function bound(jobs: readonly Job[]): number {
+/** Lower bound of the makespan in ms, from the true run times: max(critical path, work / width). */
+function lowerBound(tasks: readonly TimedTask[]): number {
   const ends = new Map<string, number>();
   let work = 0;
-  for (const { asked, ms, after = [] } of jobs) {
-    const from = Math.max(0, ...[...asked.needs.map((key) => key.slice(0, -2)), ...after].map((key) => ends.get(key)!));
-    ends.set(asked.key, from + ms);
+  for (const { spec, ms, after = [] } of tasks) {
+    const from = Math.max(0, ...[...spec.needs.map((key) => key.slice(0, -2)), ...after].map((key) => ends.get(key)!));
+    ends.set(spec.key, from + ms);
     work += ms;
   }
   return Math.max(...ends.values(), work / (EXECUTORS * CPUS));
 }
 
-/** Executors as the owner's protocol has them, in virtual time: so many tasks at a time, the rest in line. */
-class Simulation implements Out {
+/** Executors in virtual time: each runs tasks on its CPUs, one CPU per task, and queues the others by rank. */
+class Simulation implements DecisionSink {
   now = 0;
   private readonly events = new FlatQueue<() => void>();
-  private readonly line = new Map<string, { lease: number; key: string; rank: number }[]>();
-  private readonly busy = new Map<string, number>();
+  private readonly queues = new Map<string, { lease: number; key: string; rank: number }[]>();
+  private readonly busyCpus = new Map<string, number>();
   readonly finals = new Map<string, number>();
   readonly machine: GraphMachine;
 
   constructor(
     private readonly msOf: ReadonlyMap<string, number>,
-    atHandMs: number,
+    targetBacklogMs: number,
     private readonly onFinal: (key: string) => void,
   ) {
-    this.machine = new GraphMachine({ out: this, now: () => this.now, atHandMs, firstMs: 20 });
+    this.machine = new GraphMachine({ sink: this, now: () => this.now, targetBacklogMs, defaultRuntimeMs: 20 });
     this.machine.join("c");
     for (let i = 0; i < EXECUTORS; i++) {
-      this.line.set(`e${i}`, []);
-      this.busy.set(`e${i}`, 0);
+      this.queues.set(`e${i}`, []);
+      this.busyCpus.set(`e${i}`, 0);
       this.machine.attach(`e${i}`, CPUS);
     }
   }
@@ -145,24 +148,25 @@
     this.events.push(fn, this.now + ms);
   }
 
-  run(executor: string, lease: number, { key }: TaskAsked, _inputs: unknown, rank: number): void {
+  run(executor: string, lease: number, { key }: TaskSpec, _inputs: unknown, rank: number): void {
     this.after(LATENCY_MS, () => {
-      const line = this.line.get(executor)!;
-      const at = line.findIndex((other) => other.rank < rank);
-      line.splice(at < 0 ? line.length : at, 0, { lease, key, rank });
-      this.work(executor);
+      const queue = this.queues.get(executor)!;
+      const at = queue.findIndex((other) => other.rank < rank);
+      queue.splice(at < 0 ? queue.length : at, 0, { lease, key, rank });
+      this.startQueued(executor);
     });
   }
 
-  private work(executor: string): void {
-    const line = this.line.get(executor)!;
-    while (line.length > 0 && this.busy.get(executor)! < CPUS) {
-      const { lease, key } = line.shift()!;
-      this.busy.set(executor, this.busy.get(executor)! + 1);
+  /** Starts queued tasks while there are free CPUs. */
+  private startQueued(executor: string): void {
+    const queue = this.queues.get(executor)!;
+    while (queue.length > 0 && this.busyCpus.get(executor)! < CPUS) {
+      const { lease, key } = queue.shift()!;
+      this.busyCpus.set(executor, this.busyCpus.get(executor)! + 1);
       const ms = this.msOf.get(key)!;
       this.after(ms, () => {
-        this.busy.set(executor, this.busy.get(executor)! - 1);
-        this.work(executor);
+        this.busyCpus.set(executor, this.busyCpus.get(executor)! - 1);
+        this.startQueued(executor);
         this.after(LATENCY_MS, () => this.machine.done(executor, lease, [{ bytes: 10, inline: "v" }], ms));
       });
     }
@@ -170,10 +174,10 @@
 
   recall(executor: string, lease: number): void {
     this.after(LATENCY_MS, () => {
-      const line = this.line.get(executor)!;
-      const at = line.findIndex((one) => one.lease === lease);
+      const queue = this.queues.get(executor)!;
+      const at = queue.findIndex((one) => one.lease === lease);
       if (at < 0) return;
-      line.splice(at, 1);
+      queue.splice(at, 1);
       this.after(LATENCY_MS, () => this.machine.returned(executor, lease));
     });
   }
@@ -187,7 +191,8 @@
     this.onFinal(key);
   }
 
-  play(): void {
+  /** Runs all events in the order of their virtual times. */
+  runAll(): void {
     for (let fn = this.events.peek(); fn !== undefined; fn = this.events.peek()) {
       this.now = this.events.peekValue()!;
       this.events.pop();
@@ -196,22 +201,22 @@
   }
 }
 
-/** Order by arrival and one task to a free CPU: an owner that plans nothing. */
-function plain(jobs: readonly Job[]): number {
-  const left = new Map(
-    jobs.map(({ asked, after = [] }) => [asked.key, new Set([...asked.needs.map((key) => key.slice(0, -2)), ...after])]),
+/** Makespan in ms under the baseline: tasks in the order of arrival, one at a time to each free CPU. */
+function fifoMakespan(tasks: readonly TimedTask[]): number {
+  const predecessors = new Map(
+    tasks.map(({ spec, after = [] }) => [spec.key, new Set([...spec.needs.map((key) => key.slice(0, -2)), ...after])]),
   );
-  const waits = jobs.map((one) => one);
+  const waiting = tasks.map((one) => one);
   const events = new FlatQueue<string>();
-  const msOf = new Map(jobs.map(({ asked, ms }) => [asked.key, ms]));
+  const msOf = new Map(tasks.map(({ spec, ms }) => [spec.key, ms]));
   let free = EXECUTORS * CPUS;
   let now = 0;
   const done = new Set<string>();
   const start = (): void => {
-    for (let i = 0; i < waits.length && free > 0; i++) {
-      const key = waits[i]!.asked.key;
-      if ([...left.get(key)!].some((need) => !done.has(need))) continue;
-      waits.splice(i--, 1);
+    for (let i = 0; i < waiting.length && free > 0; i++) {
+      const key = waiting[i]!.spec.key;
+      if ([...predecessors.get(key)!].some((need) => !done.has(need))) continue;
+      waiting.splice(i--, 1);
       free--;
       events.push(key, now + 2 * LATENCY_MS + msOf.get(key)!);
     }
@@ -224,22 +229,23 @@
   return now;
 }
 
-function makespan(jobs: readonly Job[]): number {
-  const msOf = new Map(jobs.map(({ asked, ms }) => [asked.key, ms]));
-  const later = new Map<string, Job[]>();
-  const missing = new Map<Job, number>();
-  const submit = ({ asked }: Job): void => {
-    const refused = simulation.machine.submit("c", asked);
-    if (refused !== null) throw new Error(`${asked.key}: ${refused.detail}`);
+/** Makespan in ms under the graph scheduler. Throws if a task is rejected or gets no outcome. */
+function makespan(tasks: readonly TimedTask[]): number {
+  const msOf = new Map(tasks.map(({ spec, ms }) => [spec.key, ms]));
+  const later = new Map<string, TimedTask[]>();
+  const missing = new Map<TimedTask, number>();
+  const submit = ({ spec }: TimedTask): void => {
+    const rejection = simulation.machine.submit("c", spec);
+    if (rejection !== null) throw new Error(`${spec.key}: ${rejection.detail}`);
   };
-  const simulation = new Simulation(msOf, AT_HAND_MS, (key) => {
+  const simulation = new Simulation(msOf, TARGET_BACKLOG_MS, (key) => {
     for (const one of later.get(key) ?? []) {
       missing.set(one, missing.get(one)! - 1);
-      // The client hears of it, and submits: there and back.
+      // The client receives the outcome and submits the next task: one round trip.
       if (missing.get(one) === 0) simulation.after(2 * LATENCY_MS, () => (submit(one), simulation.machine.dispatch()));
     }
   });
-  for (const one of jobs) {
+  for (const one of tasks) {
     if (one.after === undefined) submit(one);
     else {
       missing.set(one, one.after.length);
@@ -247,51 +253,51 @@
     }
   }
   simulation.machine.dispatch();
-  simulation.play();
-  if (simulation.finals.size !== jobs.length) throw new Error(`${jobs.length - simulation.finals.size} tasks have no answer`);
+  simulation.runAll();
+  if (simulation.finals.size !== tasks.length) throw new Error(`${tasks.length - simulation.finals.size} tasks have no outcome`);
   return Math.max(...simulation.finals.values());
 }
 
 const figures: Record<string, number> = {};
 for (const [name, shape] of Object.entries(SHAPES)) {
   const ratios: number[] = [];
-  const plains: number[] = [];
+  const fifoRatios: number[] = [];
   for (let i = 0; i < given.repeats; i++) {
-    const luck = luckOf(given.seed + i);
-    const jobs = shape((ms) => ms * (0.8 + 0.4 * luck()));
-    const least = bound(jobs);
-    ratios.push(makespan(jobs) / least);
-    plains.push(plain(jobs) / least);
+    const random = luckOf(given.seed + i);
+    const tasks = shape((ms) => ms * (0.8 + 0.4 * random()));
+    const minMakespan = lowerBound(tasks);
+    ratios.push(makespan(tasks) / minMakespan);
+    fifoRatios.push(fifoMakespan(tasks) / minMakespan);
   }
   figures[`${name}_makespan_to_bound`] = median(ratios);
   figures[`${name}_makespan_to_bound_worst`] = Math.max(...ratios);
-  figures[`${name}_plain_to_bound`] = median(plains);
+  figures[`${name}_plain_to_bound`] = median(fifoRatios);
   progress(
-    `${name}: ${median(ratios).toFixed(3)} of the bound (worst ${Math.max(...ratios).toFixed(3)}), fed plainly ${median(plains).toFixed(3)}`,
+    `${name}: ${median(ratios).toFixed(3)} of the bound (worst ${Math.max(...ratios).toFixed(3)}), FIFO baseline ${median(fifoRatios).toFixed(3)}`,
   );
 }
 
-/** What a task costs the owner, submission to answer, in a graph of a fan-out, pairs and a reduction. */
+/** Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for a graph of n tasks in pairs. */
 function cost(n: number): { usEach: number; heapMb: number; decision: Times } {
-  const none = (): void => undefined;
-  const held: [string, number][] = [];
-  const out: Out = {
-    run: (executor, lease) => void held.push([executor, lease]),
-    recall: none,
-    stop: none,
-    drop: none,
-    final: none,
-    ready: none,
+  const ignore = (): void => undefined;
+  const leases: [string, number][] = [];
+  const out: DecisionSink = {
+    run: (executor, lease) => void leases.push([executor, lease]),
+    recall: ignore,
+    stop: ignore,
+    drop: ignore,
+    final: ignore,
+    ready: ignore,
   };
   const decision = new Times();
   globalThis.gc?.();
   const before = process.memoryUsage().heapUsed;
   const machine = new GraphMachine({
-    out,
+    sink: out,
     now: () => performance.now(),
-    atHandMs: 10,
-    firstMs: 1,
-    bounds: { ...BOUNDS, openPerClient: 2 * n, open: 2 * n },
+    targetBacklogMs: 10,
+    defaultRuntimeMs: 1,
+    limits: { ...DEFAULT_LIMITS, openPerClient: 2 * n, open: 2 * n },
   });
   machine.join("c");
   const from = performance.now();
@@ -299,20 +305,20 @@
     const needs = i % 2 === 0 ? [] : [`task-${i - 1}:0`];
     machine.submit("c", { key: `task-${i}`, fn: "f", args: "0123456789", needs, returns: 1, cpus: 1, retries: 3, retryErrors: false });
   }
-  let spent = performance.now() - from;
+  let elapsedMs = performance.now() - from;
   globalThis.gc?.();
   const heapMb = (process.memoryUsage().heapUsed - before) / 2 ** 20;
   const again = performance.now();
   for (let i = 0; i < 16; i++) machine.attach(`e${i}`, 4);
-  for (let i = 0; i < held.length; i++) {
-    const [executor, lease] = held[i]!;
+  for (let i = 0; i < leases.length; i++) {
+    const [executor, lease] = leases[i]!;
     const at = performance.now();
     machine.done(executor, lease, [{ bytes: 8, inline: "12345678" }], 1);
     decision.add(performance.now() - at);
   }
-  spent += performance.now() - again;
-  if (machine.counts.open > 0) throw new Error(`${machine.counts.open} tasks have no answer`);
-  return { usEach: (spent * 1000) / n, heapMb, decision };
+  elapsedMs += performance.now() - again;
+  if (machine.counts.open > 0) throw new Error(`${machine.counts.open} tasks have no outcome`);
+  return { usEach: (elapsedMs * 1000) / n, heapMb, decision };
 }
 
 cost(10_000);
@@ -320,7 +326,7 @@
 let heap = 0;
 for (let i = 0; i < Math.min(given.repeats, 5); i++)
   for (const n of [1000, 10_000, 100_000]) {
-    // Small graphs are over before the clock has ticked: several make one measurement.
+    // Small graphs finish within the resolution of the clock, so one measurement covers several runs.
     const rounds = Math.max(1, 20_000 / n);
     const costs = Array.from({ length: rounds }, () => cost(n));
     each.set(n, [...(each.get(n) ?? []), median(costs.map(({ usEach }) => usEach))]);
--- a/packages/graphs/src/admission.ts
+++ b/packages/graphs/src/admission.ts
@@ -1,20 +1,22 @@
-import type { Client, TaskAsked } from "./model.js";
+import type { Client, TaskSpec } from "./model.js";
 
-export interface Bounds {
-  /** Unfinished tasks of one client, and of all. */
+/** Limits for submitted tasks. */
+export interface AdmissionLimits {
+  /** Unfinished tasks of one client, and of all clients. */
   openPerClient: number;
   open: number;
-  /** Bytes of descriptions of unfinished tasks, of one client and of all. */
+  /** Bytes of the specs of unfinished tasks, of one client and of all clients. */
   bytesPerClient: number;
   bytes: number;
-  /** One task's description. */
+  /** Length of one task's `args`, in UTF-16 units. */
   taskBytes: number;
-  /** Objects a task takes, and makes. */
+  /** Objects that one task takes as input, and objects that it produces. */
   needs: number;
   returns: number;
 }
 
-export const BOUNDS: Bounds = {
+/** Limits in effect unless others are given. */
+export const DEFAULT_LIMITS: AdmissionLimits = {
   openPerClient: 120_000,
   open: 200_000,
   bytesPerClient: 16 * 2 ** 20,
@@ -24,82 +26,86 @@
   returns: 1000,
 };
 
-const LEAST_RETRY_MS = 100;
-const MOST_RETRY_MS = 30_000;
-/** How much the newest second weighs in the pace. */
-const NEWEST = 0.3;
+const MIN_RETRY_MS = 100;
+const MAX_RETRY_MS = 30_000;
+/** Weight of the newest interval (at least one second) in the smoothed completion rate. */
+const RATE_SMOOTHING = 0.3;
 
-/** Of a description, with so many objects it takes. */
-export const bytesOf = ({ key, fn, args }: TaskAsked, needs: number): number => key.length + fn.length + args.length + needs * 8;
+/** Approximate memory of a task spec with this number of distinct inputs, in bytes. */
+export const specBytes = ({ key, fn, args }: TaskSpec, needs: number): number => key.length + fn.length + args.length + needs * 8;
 
 /**
- * Who floods is stopped before memory is short, and told when there will be room: what is
- * too much, at the pace at which tasks have ended of late.
+ * Rejects submissions before memory runs short. A rejected client receives a retry delay: the
+ * excess over the limits divided by the recent rate at which tasks finished.
  */
 export class Admission {
-  private open = 0;
-  private bytes = 0;
-  private ended = 0;
-  private perMs = 0;
-  private at: number;
+  private openTasks = 0;
+  private openBytes = 0;
+  private closedSinceUpdate = 0;
+  private closedPerMs = 0;
+  private rateUpdatedAt: number;
 
   constructor(
-    private readonly bounds: Bounds,
+    private readonly limits: AdmissionLimits,
     now: number,
   ) {
-    this.at = now;
+    this.rateUpdatedAt = now;
   }
 
-  /** What is wrong with the task whoever submits it, or null. */
-  malformed({ key, fn, args, needs, returns, cpus, retries }: TaskAsked): string | null {
-    const { taskBytes, needs: mostNeeds, returns: mostReturns } = this.bounds;
+  /** Returns what is malformed in a task, regardless of its client, or null. */
+  validate({ key, fn, args, needs, returns, cpus, retries }: TaskSpec): string | null {
+    const { taskBytes, needs: maxNeeds, returns: maxReturns } = this.limits;
     if (key === "" || key.length > 200) return "key: expected 1 to 200 characters";
     if (fn === "" || fn.length > 200) return "fn: expected 1 to 200 characters";
     if (args.length > taskBytes) return `args: expected at most ${taskBytes} bytes`;
-    if (needs.length > mostNeeds) return `needs: expected at most ${mostNeeds}`;
-    if (!Number.isInteger(returns) || returns < 0 || returns > mostReturns) return `returns: expected 0 to ${mostReturns}`;
+    if (needs.length > maxNeeds) return `needs: expected at most ${maxNeeds}`;
+    if (!Number.isInteger(returns) || returns < 0 || returns > maxReturns) return `returns: expected 0 to ${maxReturns}`;
     if (!(cpus > 0) || !Number.isFinite(cpus)) return "cpus: expected more than 0";
     if (!Number.isInteger(retries) || retries < 0) return "retries: expected a whole number from 0";
     return null;
   }
 
-  /** When to come back, in ms; null: there is room now. */
-  wait(client: Client, bytes: number, now: number): number | null {
-    const { bounds } = this;
-    const tooMany = Math.max(client.open + 1 - bounds.openPerClient, this.open + 1 - bounds.open);
-    const tooLarge = Math.max(client.bytes + bytes - bounds.bytesPerClient, this.bytes + bytes - bounds.bytes);
-    if (tooMany <= 0 && tooLarge <= 0) return null;
-    this.pace(now);
-    const each = this.open === 0 ? 1 : this.bytes / this.open;
-    const excess = Math.max(tooMany, tooLarge / Math.max(1, each));
-    return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, this.perMs > 0 ? excess / this.perMs : MOST_RETRY_MS));
+  /** Returns the ms after which to retry, or null if the task is within the limits now. */
+  retryAfterMs(client: Client, size: number, now: number): number | null {
+    const { limits } = this;
+    const excessTasks = Math.max(client.openTasks + 1 - limits.openPerClient, this.openTasks + 1 - limits.open);
+    const excessBytes = Math.max(client.openBytes + size - limits.bytesPerClient, this.openBytes + size - limits.bytes);
+    if (excessTasks <= 0 && excessBytes <= 0) return null;
+    this.updateRate(now);
+    const meanBytes = this.openTasks === 0 ? 1 : this.openBytes / this.openTasks;
+    const excess = Math.max(excessTasks, excessBytes / Math.max(1, meanBytes));
+    return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, this.closedPerMs > 0 ? excess / this.closedPerMs : MAX_RETRY_MS));
   }
 
-  private pace(now: number): void {
-    if (now - this.at < 1000) return;
-    const newest = this.ended / (now - this.at);
-    this.perMs = this.perMs === 0 ? newest : this.perMs + NEWEST * (newest - this.perMs);
-    this.ended = 0;
-    this.at = now;
+  /** Updates the completion rate, at most once per second. */
+  private updateRate(now: number): void {
+    if (now - this.rateUpdatedAt < 1000) return;
+    const newest = this.closedSinceUpdate / (now - this.rateUpdatedAt);
+    this.closedPerMs = this.closedPerMs === 0 ? newest : this.closedPerMs + RATE_SMOOTHING * (newest - this.closedPerMs);
+    this.closedSinceUpdate = 0;
+    this.rateUpdatedAt = now;
   }
 
-  took(client: Client, bytes: number): void {
-    client.open++;
-    client.bytes += bytes;
-    this.open++;
-    this.bytes += bytes;
+  /** Counts a task that was admitted. */
+  taskOpened(client: Client, size: number): void {
+    client.openTasks++;
+    client.openBytes += size;
+    this.openTasks++;
+    this.openBytes += size;
   }
 
-  over(client: Client, bytes: number, now: number): void {
-    client.open--;
-    client.bytes -= bytes;
-    this.open--;
-    this.bytes -= bytes;
-    this.ended++;
-    this.pace(now);
+  /** Counts a task that reached its final outcome. */
+  taskClosed(client: Client, size: number, now: number): void {
+    client.openTasks--;
+    client.openBytes -= size;
+    this.openTasks--;
+    this.openBytes -= size;
+    this.closedSinceUpdate++;
+    this.updateRate(now);
   }
 
+  /** Number of unfinished tasks. */
   get unfinished(): number {
-    return this.open;
+    return this.openTasks;
   }
 }
--- a/packages/graphs/src/journal.ts
+++ b/packages/graphs/src/journal.ts
@@ -1,273 +1,297 @@
 import type { Condition, Op, Row } from "@thorntrail/protocol/state";
 
-/** How a task ended, as kept; 0 is for none. */
-export type Answer = "done" | "failed" | "cancelled";
-const CODES: Answer[] = ["done", "failed", "cancelled"];
+/** Recorded outcome of a task. */
+export type Outcome = "done" | "failed" | "cancelled";
+/** An outcome is stored as its index here plus 1; 0 means no outcome. */
+const CODES: Outcome[] = ["done", "failed", "cancelled"];
 
-/** Numbers of a client's tasks that share a record: with two bits each it fits the smallest values there are. */
-export const SPAN = 4096;
-const BITS = 2;
-const PER_BYTE = 8 / BITS;
-/** What stands around the packed answers in a record, in bytes, at most. */
-const ROUND = 200;
-/** How many answers are gathered for each record that is written; and how long one waits for others, in ms. */
-const GATHER = { answers: 250, ms: 30_000 };
+/** Sequence numbers of one client's tasks that share a record. At two bits each, the record fits the smallest permitted value size. */
+export const TASKS_PER_PAGE = 4096;
+const BITS_PER_OUTCOME = 2;
+const OUTCOMES_PER_BYTE = 8 / BITS_PER_OUTCOME;
+/** Maximum size of a record without its packed outcomes, in bytes. */
+const MAX_RECORD_OVERHEAD_BYTES = 200;
+/** A batch is due once it has this number of outcomes per record to write, or once its oldest outcome has waited this long, in ms. */
+const BATCHING = { outcomesPerRecord: 250, maxWaitMs: 30_000 };
 
+/** Where and under which limits a journal writes. */
 export interface JournalOptions {
   /** Prefix of the graph's own keys, such as `t/g/flow-7/`. */
   prefix: string;
-  /** The key whose stamp is the term of the part that owns the graph. */
+  /** Key whose stamp is the term of the partition that owns the graph. */
   ownerKey: string;
+  /** Term of the owner that writes; a transaction under an earlier term is rejected. */
   term: number;
+  /** Maximum size of a value, in KiB. */
   valueKb: number;
-  /** Changes in a transaction. */
+  /** Maximum number of changes in a transaction. */
   txnOps: number;
   now: () => number;
 }
 
+/** A transaction for the state service: conditions and the changes to apply if they hold. */
 export interface Draft {
   conditions: Condition[];
   apply: Op[];
 }
 
+/** Stored record of a page. */
 interface PageRecord {
-  /** Packed answers, two bits each, in base64. */
+  /** Packed outcomes, two bits each, in base64. */
   a: string;
 }
 
+/** Stored record of a client. */
 interface ClientRecord {
-  /** The client has heard the answers of all its tasks below. */
+  /** The client has acknowledged the outcomes of all its tasks below this sequence number. */
   base: number;
 }
 
+/** Outcomes of consecutive tasks of one client, and what of them is durable. */
 class Page {
-  readonly bytes = new Uint8Array(SPAN / PER_BYTE);
+  readonly bytes = new Uint8Array(TASKS_PER_PAGE / OUTCOMES_PER_BYTE);
+  /** Stamp of the stored record; 0 if there is none. */
   stamp = 0;
-  /** Answers that no record holds yet. */
-  fresh = 0;
-  /** While it is being written: what it held then. */
-  writing: number | null = null;
+  /** Number of outcomes that are in neither a stored record nor the batch in flight. */
+  unwritten = 0;
+  /** While the page is in the batch in batch: the number of outcomes written by it. */
+  inFlight: number | null = null;
 
-  get(at: number): Answer | null {
-    const code = (this.bytes[Math.floor(at / PER_BYTE)]! >> ((at % PER_BYTE) * BITS)) & 3;
+  get(index: number): Outcome | null {
+    const code = (this.bytes[Math.floor(index / OUTCOMES_PER_BYTE)]! >> ((index % OUTCOMES_PER_BYTE) * BITS_PER_OUTCOME)) & 3;
     return code === 0 ? null : CODES[code - 1]!;
   }
 
-  set(at: number, answer: Answer): void {
-    const i = Math.floor(at / PER_BYTE);
-    this.bytes[i] = this.bytes[i]! | ((CODES.indexOf(answer) + 1) << ((at % PER_BYTE) * BITS));
+  set(index: number, outcome: Outcome): void {
+    const i = Math.floor(index / OUTCOMES_PER_BYTE);
+    this.bytes[i] = this.bytes[i]! | ((CODES.indexOf(outcome) + 1) << ((index % OUTCOMES_PER_BYTE) * BITS_PER_OUTCOME));
   }
 }
 
-/** A batch under way. */
-interface Flight {
-  pages: { page: Page; client: string; no: number; drop: boolean }[];
-  bases: { kept: Kept; base: number }[];
+/** What a batch that was sent contains: pages written or removed, and bases written. */
+interface BatchInFlight {
+  pages: { page: Page; client: string; pageNo: number; drop: boolean }[];
+  bases: { state: ClientState; base: number }[];
 }
 
-interface Kept {
+/** What the journal holds for one client. */
+interface ClientState {
+  /** The client has acknowledged the outcomes of all its tasks below this sequence number. */
   base: number;
-  /** The base that is recorded, and its record's stamp. */
-  recorded: number;
+  /** Base in the stored record. */
+  durableBase: number;
+  /** Stamp of the stored record; 0 if there is none. */
   stamp: number;
   pages: Map<number, Page>;
 }
 
 /**
- * What of a graph outlives its owner: which tasks of which client have which final answer,
- * two bits each, in records of 4,096 numbers. Descriptions are not kept here: clients keep
- * them until they have heard the answer, and say them again to the next owner. Written in
- * batches, each conditional on the term and on the records it replaces; what clients have
- * heard is forgotten record by record.
+ * Durable state of a graph: the final outcome of each task of each client, two bits each, in
+ * records of 4,096 sequence numbers. Task specs are not stored: clients keep them until they
+ * have received the outcome, and submit them again to the next owner. Outcomes are written in
+ * batches, each conditional on the term and on the records it replaces; a
+ * record is removed once the client has acknowledged all its outcomes.
  *
- * Whoever tells an answer to somebody else than the task's own client asks `safe` first
- * (durable before told): the client itself can be told at once, since it will say so again.
+ * An outcome may be reported to the task's own client at once, because that client acknowledges
+ * it again to the next owner. Before an outcome is reported to anybody else, `checkDurable` must have
+ * returned true.
  */
 export class Journal {
-  private readonly clients = new Map<string, Kept>();
-  private pending = 0;
-  /** Records that have answers to be written. */
-  private dirty = 0;
-  private since = Infinity;
-  /** What the batch under way is about; there is one at a time. */
-  private flight: Flight | null = null;
-  readonly stats = { answers: 0, changes: 0, batches: 0 };
+  private readonly clients = new Map<string, ClientState>();
+  /** Outcomes that are not known to be durable, including those in flight. */
+  private pendingOutcomes = 0;
+  /** Number of pages with unwritten outcomes. */
+  private dirtyPages = 0;
+  /** Since when outcomes are pending, counted anew from each commit; -Infinity if a batch should be written at once. */
+  private pendingSince = Infinity;
+  /** The batch in flight; there is at most one. */
+  private inFlight: BatchInFlight | null = null;
+  readonly stats = { outcomes: 0, changes: 0, batches: 0 };
 
+  /** Throws if `valueKb` is too small for a record, or `txnOps` for a transaction. */
   constructor(private readonly options: JournalOptions) {
-    const room = Math.ceil(SPAN / PER_BYTE / 3) * 4 + ROUND;
-    if (room > options.valueKb * 1024) throw new Error(`value_kb ${options.valueKb}: a record of answers takes up to ${room} bytes`);
+    const recordBytes = Math.ceil(TASKS_PER_PAGE / OUTCOMES_PER_BYTE / 3) * 4 + MAX_RECORD_OVERHEAD_BYTES;
+    if (recordBytes > options.valueKb * 1024)
+      throw new Error(`value_kb ${options.valueKb}: a record of outcomes takes up to ${recordBytes} bytes`);
     if (options.txnOps < 2) throw new Error(`txn_ops ${options.txnOps}: expected at least 2`);
   }
 
-  /** From what the last owner left, under a term of this one's own. */
+  /** Restores a journal from the records of the previous owner. `options.term` is the new owner's term. */
   static restore(options: JournalOptions, rows: readonly Row[]): Journal {
     const journal = new Journal(options);
     for (const { k, v, stamp } of rows) {
       if (!k.startsWith(options.prefix)) continue;
-      const [client, no] = k.slice(options.prefix.length).split("/") as [string, string | undefined];
-      const kept = journal.kept(client);
-      if (no === undefined) Object.assign(kept, { base: (v as ClientRecord).base, recorded: (v as ClientRecord).base, stamp });
+      const [client, pageNo] = k.slice(options.prefix.length).split("/") as [string, string | undefined];
+      const state = journal.clientState(client);
+      if (pageNo === undefined) Object.assign(state, { base: (v as ClientRecord).base, durableBase: (v as ClientRecord).base, stamp });
       else {
         const page = new Page();
         page.bytes.set(Buffer.from((v as PageRecord).a, "base64"));
         page.stamp = stamp;
-        kept.pages.set(Number(no), page);
+        state.pages.set(Number(pageNo), page);
       }
     }
     return journal;
   }
 
-  private kept(client: string): Kept {
-    let kept = this.clients.get(client);
-    if (kept === undefined) this.clients.set(client, (kept = { base: 0, recorded: 0, stamp: 0, pages: new Map() }));
-    return kept;
+  private clientState(client: string): ClientState {
+    let state = this.clients.get(client);
+    if (state === undefined) this.clients.set(client, (state = { base: 0, durableBase: 0, stamp: 0, pages: new Map() }));
+    return state;
   }
 
-  /** The final answer of a client's task, once; a second one is not taken. */
-  record(client: string, seq: number, answer: Answer): boolean {
-    if (this.answer(client, seq) !== null) return false;
-    const { pages } = this.kept(client);
-    const no = Math.floor(seq / SPAN);
-    let page = pages.get(no);
-    if (page === undefined) pages.set(no, (page = new Page()));
-    page.set(seq % SPAN, answer);
-    if (page.fresh++ === 0) this.dirty++;
-    this.pending++;
-    this.since = Math.min(this.since, this.options.now());
-    this.stats.answers++;
+  /** Records the final outcome of a client's task. Returns false and changes nothing if the task has an outcome. */
+  record(client: string, seq: number, outcome: Outcome): boolean {
+    if (this.outcome(client, seq) !== null) return false;
+    const { pages } = this.clientState(client);
+    const pageNo = Math.floor(seq / TASKS_PER_PAGE);
+    let page = pages.get(pageNo);
+    if (page === undefined) pages.set(pageNo, (page = new Page()));
+    page.set(seq % TASKS_PER_PAGE, outcome);
+    if (page.unwritten++ === 0) this.dirtyPages++;
+    this.pendingOutcomes++;
+    this.pendingSince = Math.min(this.pendingSince, this.options.now());
+    this.stats.outcomes++;
     return true;
   }
 
-  /** Null: not answered yet. `heard`: so long ago that its client has said it heard it. */
-  answer(client: string, seq: number): Answer | "heard" | null {
-    const kept = this.clients.get(client);
-    if (kept === undefined) return null;
-    if (seq < kept.base) return "heard";
-    return kept.pages.get(Math.floor(seq / SPAN))?.get(seq % SPAN) ?? null;
+  /** Returns the outcome of a task, `acknowledged` if it is below the client's base, or null if there is none. */
+  outcome(client: string, seq: number): Outcome | "acknowledged" | null {
+    const state = this.clients.get(client);
+    if (state === undefined) return null;
+    if (seq < state.base) return "acknowledged";
+    return state.pages.get(Math.floor(seq / TASKS_PER_PAGE))?.get(seq % TASKS_PER_PAGE) ?? null;
   }
 
-  /** The client has heard the answers of all its tasks below this number. */
-  heard(client: string, below: number): void {
-    const kept = this.kept(client);
-    kept.base = Math.max(kept.base, below);
+  /** Records that the client has received the outcomes of all its tasks below this sequence number. */
+  acknowledge(client: string, below: number): void {
+    const state = this.clientState(client);
+    state.base = Math.max(state.base, below);
   }
 
-  /** Is the answer durable, so that others may be told? If not, it goes with the next batch, soon. */
-  safe(client: string, seq: number): boolean {
-    const kept = this.clients.get(client);
-    if (kept === undefined) return false;
-    const page = kept.pages.get(Math.floor(seq / SPAN));
-    if (seq < kept.recorded) return true;
-    if (page === undefined || page.get(seq % SPAN) === null) return false;
-    const durable = page.fresh === 0 && page.writing === null;
-    if (!durable) this.since = -Infinity;
+  /** Returns whether the outcome is durable and may be reported to others. If it is recorded but not durable, the next batch becomes due at once. */
+  checkDurable(client: string, seq: number): boolean {
+    const state = this.clients.get(client);
+    if (state === undefined) return false;
+    const page = state.pages.get(Math.floor(seq / TASKS_PER_PAGE));
+    if (seq < state.durableBase) return true;
+    if (page === undefined || page.get(seq % TASKS_PER_PAGE) === null) return false;
+    const durable = page.unwritten === 0 && page.inFlight === null;
+    if (!durable) this.pendingSince = -Infinity;
     return durable;
   }
 
-  /** Is a batch worth its changes, or has something waited long enough? */
-  due(): boolean {
-    if (this.flight !== null) return false;
-    return (this.pending > 0 && this.pending >= GATHER.answers * this.dirty) || this.options.now() - this.since >= GATHER.ms;
+  /** Whether enough outcomes are pending for the number of records to write, or one has waited long enough. False while a batch is in flight. */
+  isBatchDue(): boolean {
+    if (this.inFlight !== null) return false;
+    return (
+      (this.pendingOutcomes > 0 && this.pendingOutcomes >= BATCHING.outcomesPerRecord * this.dirtyPages) ||
+      this.options.now() - this.pendingSince >= BATCHING.maxWaitMs
+    );
   }
 
-  /** The next batch, within one transaction's limits; null: nothing to write, or one is under way. */
-  draft(): Draft | null {
-    if (this.flight !== null) return null;
+  /** Returns the next batch, within the limits of a transaction, or null if there is nothing to write or a batch is in flight. */
+  draftBatch(): Draft | null {
+    if (this.inFlight !== null) return null;
     const { prefix, ownerKey, term, txnOps } = this.options;
     const conditions: Condition[] = [{ k: ownerKey, stamp: term }];
     const apply: Op[] = [];
-    const flight: Flight = { pages: [], bases: [] };
-    for (const [client, kept] of this.clients) {
-      // What has been heard is forgotten, but only with the base that says so: else it would look unanswered.
-      const over = [...kept.pages].filter(([no]) => (no + 1) * SPAN <= kept.base);
-      if (over.length > 0 && apply.length + 2 <= txnOps) {
-        if (kept.base !== kept.recorded) {
-          conditions.push({ k: prefix + client, stamp: kept.stamp });
-          apply.push({ write: prefix + client, v: { base: kept.base } satisfies ClientRecord });
-          flight.bases.push({ kept, base: kept.base });
+    const batch: BatchInFlight = { pages: [], bases: [] };
+    for (const [client, state] of this.clients) {
+      // Acknowledged outcomes are removed only together with the write of the base: without it, their tasks would seem to have no outcome.
+      const acknowledged = [...state.pages].filter(([pageNo]) => (pageNo + 1) * TASKS_PER_PAGE <= state.base);
+      if (acknowledged.length > 0 && apply.length + 2 <= txnOps) {
+        if (state.base !== state.durableBase) {
+          conditions.push({ k: prefix + client, stamp: state.stamp });
+          apply.push({ write: prefix + client, v: { base: state.base } satisfies ClientRecord });
+          batch.bases.push({ state, base: state.base });
         }
-        for (const [no, page] of over.slice(0, txnOps - apply.length)) {
+        for (const [pageNo, page] of acknowledged.slice(0, txnOps - apply.length)) {
           if (page.stamp > 0) {
-            conditions.push({ k: `${prefix}${client}/${no}`, stamp: page.stamp });
-            apply.push({ remove: `${prefix}${client}/${no}` });
+            conditions.push({ k: `${prefix}${client}/${pageNo}`, stamp: page.stamp });
+            apply.push({ remove: `${prefix}${client}/${pageNo}` });
           }
-          flight.pages.push({ page, client, no, drop: true });
+          batch.pages.push({ page, client, pageNo, drop: true });
         }
       }
     }
-    // Those with most to say first: what comes to one record again and again must not keep the others waiting.
-    const fresh = [...this.clients].flatMap(([client, { base, pages }]) =>
-      [...pages].filter(([no, page]) => page.fresh > 0 && (no + 1) * SPAN > base).map(([no, page]) => ({ client, no, page })),
+    // Pages with the most unwritten outcomes come first, so that a page that receives single outcomes all the time doesn't starve the others.
+    const unwritten = [...this.clients].flatMap(([client, { base, pages }]) =>
+      [...pages]
+        .filter(([pageNo, page]) => page.unwritten > 0 && (pageNo + 1) * TASKS_PER_PAGE > base)
+        .map(([pageNo, page]) => ({ client, pageNo, page })),
     );
-    fresh.sort((a, b) => b.page.fresh - a.page.fresh);
-    for (const { client, no, page } of fresh.slice(0, txnOps - apply.length)) {
-      const k = `${prefix}${client}/${no}`;
+    unwritten.sort((a, b) => b.page.unwritten - a.page.unwritten);
+    for (const { client, pageNo, page } of unwritten.slice(0, txnOps - apply.length)) {
+      const k = `${prefix}${client}/${pageNo}`;
       conditions.push({ k, stamp: page.stamp });
       apply.push({ write: k, v: { a: Buffer.from(page.bytes).toString("base64") } satisfies PageRecord });
-      page.writing = page.fresh;
-      page.fresh = 0;
-      this.dirty--;
-      flight.pages.push({ page, client, no, drop: false });
+      page.inFlight = page.unwritten;
+      page.unwritten = 0;
+      this.dirtyPages--;
+      batch.pages.push({ page, client, pageNo, drop: false });
     }
     if (apply.length === 0) {
-      // Never written, and heard already: there is nothing to take back.
-      for (const one of flight.pages) this.forget(one);
+      // These pages were acknowledged before they were ever written, so there is no record to remove.
+      for (const entry of batch.pages) this.dropPage(entry);
       return null;
     }
-    this.flight = flight;
+    this.inFlight = batch;
     this.stats.changes += apply.length;
     this.stats.batches++;
     return { conditions, apply };
   }
 
-  private forget({ client, no, page }: Flight["pages"][number]): void {
-    this.pending -= page.fresh;
-    if (page.fresh > 0) this.dirty--;
-    this.clients.get(client)?.pages.delete(no);
+  /** Forgets a page whose record is removed or was never written. */
+  private dropPage({ client, pageNo, page }: BatchInFlight["pages"][number]): void {
+    this.pendingOutcomes -= page.unwritten;
+    if (page.unwritten > 0) this.dirtyPages--;
+    this.clients.get(client)?.pages.delete(pageNo);
   }
 
-  /** The batch is durable under this stamp. */
-  landed(stamp: number): void {
-    const { flight } = this;
-    if (flight === null) return;
-    this.flight = null;
-    for (const one of flight.pages) {
-      if (one.drop) {
-        this.forget(one);
+  /** Records that the batch in flight was committed under this stamp. */
+  batchCommitted(stamp: number): void {
+    const { inFlight: batch } = this;
+    if (batch === null) return;
+    this.inFlight = null;
+    for (const entry of batch.pages) {
+      if (entry.drop) {
+        this.dropPage(entry);
         continue;
       }
-      const { page } = one;
-      this.pending -= page.writing ?? 0;
-      page.writing = null;
+      const { page } = entry;
+      this.pendingOutcomes -= page.inFlight ?? 0;
+      page.inFlight = null;
       page.stamp = stamp;
     }
-    for (const { kept, base } of flight.bases) {
-      kept.recorded = base;
-      kept.stamp = stamp;
+    for (const { state, base } of batch.bases) {
+      state.durableBase = base;
+      state.stamp = stamp;
     }
-    this.since = this.pending > 0 ? this.options.now() : Infinity;
+    this.pendingSince = this.pendingOutcomes > 0 ? this.options.now() : Infinity;
   }
 
   /**
-   * Not applied, or nobody knows. `rows`: the graph's records as they are now, read after it was
-   * settled; what is in them is durable, the rest is drafted again on their stamps.
+   * Ends a batch that failed or whose outcome is unknown. `rows` are the graph's records, read after
+   * the transaction was settled. The next batches write the same pages again, conditional on the
+   * stamps of `rows`.
    */
-  unsettled(rows: readonly Row[]): void {
-    const { flight } = this;
-    if (flight === null) return;
-    this.flight = null;
+  reconcile(rows: readonly Row[]): void {
+    const { inFlight: batch } = this;
+    if (batch === null) return;
+    this.inFlight = null;
     const stamps = new Map(rows.map(({ k, stamp }) => [k, stamp]));
-    for (const { page } of flight.pages)
-      if (page.writing !== null) {
-        if (page.fresh === 0 && page.writing > 0) this.dirty++;
-        page.fresh += page.writing;
-        page.writing = null;
+    for (const { page } of batch.pages)
+      if (page.inFlight !== null) {
+        if (page.unwritten === 0 && page.inFlight > 0) this.dirtyPages++;
+        page.unwritten += page.inFlight;
+        page.inFlight = null;
       }
-    for (const [client, kept] of this.clients) {
-      kept.stamp = stamps.get(this.options.prefix + client) ?? 0;
+    for (const [client, state] of this.clients) {
+      state.stamp = stamps.get(this.options.prefix + client) ?? 0;
       const record = rows.find(({ k }) => k === this.options.prefix + client)?.v as ClientRecord | undefined;
-      kept.recorded = record?.base ?? 0;
-      for (const [no, page] of kept.pages) page.stamp = stamps.get(`${this.options.prefix}${client}/${no}`) ?? 0;
+      state.durableBase = record?.base ?? 0;
+      for (const [pageNo, page] of state.pages) page.stamp = stamps.get(`${this.options.prefix}${client}/${pageNo}`) ?? 0;
     }
   }
 }
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -1,735 +1,779 @@
 import FlatQueue from "flatqueue";
-import { Admission, BOUNDS, bytesOf, type Bounds } from "./admission.js";
+import { Admission, DEFAULT_LIMITS, specBytes, type AdmissionLimits } from "./admission.js";
 import {
-  added,
-  none,
+  append,
+  emptyList,
   Phase,
-  There,
+  Availability,
   type Client,
   type Executor,
-  type Final,
-  type Made,
-  type Out,
-  type Refusal,
+  type TaskOutcome,
+  type TaskOutput,
+  type DecisionSink,
+  type Rejection,
   type Task,
-  type TaskAsked,
-  type Thing,
+  type TaskSpec,
+  type GraphObject,
   type Watch,
 } from "./model.js";
-import { keyOf, Objects } from "./objects.js";
-import { Pool } from "./pool.js";
-import { Sizes } from "./sizes.js";
+import { objectKey, ObjectTable } from "./objects.js";
+import { ExecutorPool } from "./pool.js";
+import { RuntimeEstimator } from "./sizes.js";
 
+/** Collaborators and settings of a graph machine. */
 export interface MachineOptions {
-  out: Out;
-  /** Steady ms. */
+  sink: DecisionSink;
+  /** Monotonic clock, in ms. */
   now: () => number;
-  bounds?: Bounds;
-  /** What an executor should have at hand so that it never idles while word goes to and fro, in ms. */
-  atHandMs: number;
-  /** Of a function never seen. */
-  firstMs: number;
+  limits?: AdmissionLimits;
+  /** Queued work that each executor should have so that it doesn't idle during a round trip, in ms. */
+  targetBacklogMs: number;
+  /** Run time to expect of every function until the first run time is known, in ms. */
+  defaultRuntimeMs: number;
 }
 
-/** How far up a chain a longer tail is passed on at once; what is further up learns by the next. */
-const MOST_STEPS_UP = 64;
-const MOST_NAMES = 5000;
-/** Tasks that have come or ended, at least and as a share of the unfinished, after which all ranks are gone over again. */
-const LEAST_GROWTH = 16;
-const GROWTH = 1 / 8;
-/** How much of a rank, in ms, a place in the order of arrival is worth: less than any run time. */
-const FIRST_COME = 1e-6;
-/** Executors looked at for one that holds most of what a task takes. */
-const MOST_HOLDERS = 8;
-
-/** It is there, or never will be. */
-const settled = ({ there }: Thing): boolean => there === There.Yes || there === There.Failed;
-/** A task or a client waits for its value, or is about to take it. */
-const wanted = ({ uses, watches }: Thing): boolean => uses > 0 || watches.some((watch) => !watch.over);
+/** Maximum number of tasks visited to propagate a new rank; tasks further up are updated by the next full ranking. */
+const MAX_RANK_STEPS = 64;
+/** Interned function names; bounded because the names come from clients. */
+const MAX_INTERNED_NAMES = 5000;
+/** Submissions and successful ends after which all tasks are ranked again: at least this number, and at least this share of the unfinished tasks. */
+const MIN_RERANK_CHANGES = 16;
+const RERANK_FRACTION = 1 / 8;
+/** Part of the sort key per position in the order in which tasks became ready, in ms: less than any run time, so that it only breaks ties. */
+const ARRIVAL_TIE_BREAK_MS = 1e-6;
+/** Maximum number of holders checked for each input when an executor is chosen by data locality. */
+const MAX_HOLDERS_CHECKED = 8;
+
+/** Whether the object is available or will never be. */
+const isSettled = ({ availability }: GraphObject): boolean =>
+  availability === Availability.Available || availability === Availability.Failed;
+/** Whether an unfinished task takes the object or an open watch covers it. */
+const isNeeded = ({ pendingConsumers, watches }: GraphObject): boolean => pendingConsumers > 0 || watches.some((watch) => !watch.closed);
 
 /**
- * The owner of a graph, without its sockets: what is waited for, what runs where next, what
- * has to be made again, what nobody needs any more. A function of what it is told and when;
- * everything that follows goes to `out`. Its cost for each task does not grow with the graph.
+ * Scheduler of one task graph, without I/O. It tracks dependencies, chooses which task runs where
+ * next, recomputes lost objects, and deletes unused ones. It is deterministic in its calls and the
+ * clock; all decisions go to `sink`. The cost per task does not grow with the size of the graph.
  */
 export class GraphMachine {
   private readonly tasks = new Map<string, Task>();
-  private readonly things = new Objects(this.tasks);
+  private readonly objects = new ObjectTable(this.tasks);
   private readonly clients = new Map<string, Client>();
-  private readonly pool: Pool;
-  /** Clients with ready tasks, the least served first. */
-  private readonly hungry = new FlatQueue<Client>();
-  private readonly sizes: Sizes;
+  private readonly pool: ExecutorPool;
+  /** Clients with ready tasks, ordered by service received so far, lowest first. */
+  private readonly fairQueue = new FlatQueue<Client>();
+  private readonly runtimes: RuntimeEstimator;
   private readonly admission: Admission;
-  private leases = 0;
+  private lastLease = 0;
   private readyCount = 0;
-  private order = 0;
-  private readonly names = new Map<string, string>();
-  /** Unfinished tasks as they were submitted, among some that are over; how many came or ended since ranks were gone over. */
-  private line: Task[] = [];
-  private fresh = 0;
-  /** Of the client served last: newcomers begin there, and owe nothing for before. */
-  private served = 0;
-  readonly stats = { final: 0, ran: 0, again: 0, late: 0, recalled: 0, dropped: 0 };
+  private readySequence = 0;
+  private readonly functionNames = new Map<string, string>();
+  /** Tasks in the order of submission; finished ones are removed at the next full ranking. */
+  private submitted: Task[] = [];
+  /** Submissions and successful ends since the last full ranking. */
+  private changesSinceRanking = 0;
+  /** Service of the client served last: a client that joins or becomes active starts at this value, without credit for idle time. */
+  private currentServiceMs = 0;
+  readonly stats = { finished: 0, leased: 0, reruns: 0, staleReports: 0, returned: 0, dropped: 0 };
 
   constructor(private readonly options: MachineOptions) {
-    this.sizes = new Sizes(options.firstMs);
-    this.pool = new Pool(options.now, options.atHandMs);
-    this.admission = new Admission(options.bounds ?? BOUNDS, options.now());
+    this.runtimes = new RuntimeEstimator(options.defaultRuntimeMs);
+    this.pool = new ExecutorPool(options.now, options.targetBacklogMs);
+    this.admission = new Admission(options.limits ?? DEFAULT_LIMITS, options.now());
   }
 
-  // ---- clients
+  // ---- Clients
 
-  /** Also when it comes back: nothing is lost or begun anew. */
+  /** Adds a client. A client that reconnects keeps its state, and the call has no effect. */
   join(name: string, weight = 1): void {
     if (this.clients.has(name)) return;
     this.clients.set(name, {
       name,
       weight,
-      served: this.served,
-      queue: new FlatQueue(),
-      waits: false,
+      serviceMs: this.currentServiceMs,
+      readyQueue: new FlatQueue(),
+      inFairQueue: false,
       watches: new Map(),
-      open: 0,
-      bytes: 0,
+      openTasks: 0,
+      openBytes: 0,
     });
   }
 
-  /** Takes a task, or says why not; nothing is half taken. Its client holds a reference to each object it makes. */
-  submit(clientName: string, asked: TaskAsked): Refusal | null {
+  /**
+   * Accepts a task and returns null, or returns why it is rejected and changes nothing. The client
+   * receives a reference to each output. The client must have joined.
+   */
+  submit(clientName: string, spec: TaskSpec): Rejection | null {
     const client = this.clients.get(clientName)!;
-    const malformed = this.admission.malformed(asked);
+    const malformed = this.admission.validate(spec);
     if (malformed !== null) return { why: "malformed", detail: malformed };
-    if (this.tasks.has(asked.key) || !this.things.free(asked.key, asked.returns)) return { why: "known-key", detail: asked.key };
-    const needs: Thing[] = [];
-    for (const key of new Set(asked.needs)) {
-      const thing = this.things.find(key);
-      // What is not there yet can only come later: so no chain can close on itself.
-      if (thing === undefined) return { why: "unknown-object", detail: key };
-      needs.push(thing);
+    if (this.tasks.has(spec.key) || !this.objects.isKeyFree(spec.key, spec.returns)) return { why: "known-key", detail: spec.key };
+    const inputs: GraphObject[] = [];
+    for (const key of new Set(spec.needs)) {
+      const object = this.objects.find(key);
+      // A task can only take objects that exist already, so the graph can't contain a cycle.
+      if (object === undefined) return { why: "unknown-object", detail: key };
+      inputs.push(object);
     }
-    const bytes = bytesOf(asked, needs.length);
-    const retryAfterMs = this.admission.wait(client, bytes, this.options.now());
+    const bytes = specBytes(spec, inputs.length);
+    const retryAfterMs = this.admission.retryAfterMs(client, bytes, this.options.now());
     if (retryAfterMs !== null) return { why: "busy", detail: "too many unfinished tasks", retryAfterMs };
-    this.admission.took(client, bytes);
-    // Written out, each field once: objects put together from others take several times the room.
+    this.admission.taskOpened(client, bytes);
+    // Each field is written out: an object built by spreading others takes several times the memory.
     const task: Task = {
-      asked: {
-        key: asked.key,
-        fn: this.named(asked.fn),
-        args: asked.args,
-        // Kept as objects.
-        needs: none<string>(),
-        returns: asked.returns,
-        cpus: asked.cpus,
-        retries: asked.retries,
-        retryErrors: asked.retryErrors,
+      spec: {
+        key: spec.key,
+        fn: this.intern(spec.fn),
+        args: spec.args,
+        // The inputs are kept as objects in `inputs`.
+        needs: emptyList<string>(),
+        returns: spec.returns,
+        cpus: spec.cpus,
+        retries: spec.retries,
+        retryErrors: spec.retryErrors,
       },
       client,
-      needs: needs.length === 0 ? none<Thing>() : needs,
-      outs: none<Thing>(),
+      inputs: inputs.length === 0 ? emptyList<GraphObject>() : inputs,
+      outputs: emptyList<GraphObject>(),
       phase: Phase.Waiting,
-      missing: 0,
-      rank: this.sizes.meanMs(asked.fn),
+      missingInputs: 0,
+      rank: this.runtimes.meanMs(spec.fn),
       executor: null,
       lease: 0,
-      left: asked.retries,
-      final: null,
-      alive: asked.returns,
-      dueAt: 0,
+      retriesLeft: spec.retries,
+      outcome: null,
+      liveOutputs: spec.returns,
+      expectedEndMs: 0,
     };
-    // A list that is pushed to has room for seventeen.
-    if (asked.returns === 1) task.outs = [this.things.make(task, 0)];
-    else if (asked.returns > 1) task.outs = Array.from({ length: asked.returns }, (_, i) => this.things.make(task, i));
-    for (const thing of task.outs) this.hold(client, thing);
-    for (const thing of needs) thing.uses++;
-    this.tasks.set(asked.key, task);
-    this.line.push(task);
-    this.fresh++;
-    this.prepare(task);
-    this.raise(task);
+    // An array grown by push has capacity for seventeen elements, so literals and `Array.from` are used.
+    if (spec.returns === 1) task.outputs = [this.objects.create(task, 0)];
+    else if (spec.returns > 1) task.outputs = Array.from({ length: spec.returns }, (_, i) => this.objects.create(task, i));
+    for (const object of task.outputs) this.addReference(client, object);
+    for (const object of inputs) object.pendingConsumers++;
+    this.tasks.set(spec.key, task);
+    this.submitted.push(task);
+    this.changesSinceRanking++;
+    this.resolveInputs(task);
+    this.propagateRank(task);
     return null;
   }
 
-  private named(fn: string): string {
-    const known = this.names.get(fn);
-    if (known !== undefined) return known;
-    if (this.names.size >= MOST_NAMES) this.names.clear();
-    this.names.set(fn, fn);
+  /** Returns one shared string per function name. */
+  private intern(fn: string): string {
+    const interned = this.functionNames.get(fn);
+    if (interned !== undefined) return interned;
+    if (this.functionNames.size >= MAX_INTERNED_NAMES) this.functionNames.clear();
+    this.functionNames.set(fn, fn);
     return fn;
   }
 
-  /** A value of the client's own. It is kept here: large ones are refused by whoever speaks to clients. */
+  /**
+   * Stores a client's own value under its key and adds a reference. Returns false if the key is in
+   * use. The value is kept in memory here, so the caller must reject large ones.
+   */
   put(clientName: string, key: string, inline: string): boolean {
-    if (this.things.find(key) !== undefined || this.tasks.has(key.slice(0, Math.max(0, key.lastIndexOf(":"))))) return false;
-    const thing = this.things.make(null, key);
-    Object.assign(thing, { there: There.Yes, inline, bytes: inline.length });
-    this.hold(this.clients.get(clientName)!, thing);
+    if (this.objects.find(key) !== undefined || this.tasks.has(key.slice(0, Math.max(0, key.lastIndexOf(":"))))) return false;
+    const object = this.objects.create(null, key);
+    Object.assign(object, { availability: Availability.Available, inline, bytes: inline.length });
+    this.addReference(this.clients.get(clientName)!, object);
     return true;
   }
 
-  /** Counted by client, so that one that never comes back holds nothing for ever. False: there is no such object. */
-  refer(clientName: string, key: string): boolean {
-    const thing = this.things.find(key);
-    if (thing === undefined) return false;
-    this.hold(this.clients.get(clientName)!, thing);
+  /**
+   * Adds a reference of the client to an object. Returns false if the object is unknown. References
+   * are counted per client so that those of a client that never returns can be removed.
+   */
+  acquire(clientName: string, key: string): boolean {
+    const object = this.objects.find(key);
+    if (object === undefined) return false;
+    this.addReference(this.clients.get(clientName)!, object);
     return true;
   }
 
-  private hold(client: Client, thing: Thing): void {
-    const { holder } = thing;
-    if (holder === null) thing.holder = client;
-    else if (holder instanceof Map) holder.set(client, (holder.get(client) ?? 0) + 1);
-    else if (holder !== client)
-      thing.holder = new Map([
-        [holder, thing.refs],
+  private addReference(client: Client, object: GraphObject): void {
+    const { referencedBy } = object;
+    if (referencedBy === null) object.referencedBy = client;
+    else if (referencedBy instanceof Map) referencedBy.set(client, (referencedBy.get(client) ?? 0) + 1);
+    else if (referencedBy !== client)
+      object.referencedBy = new Map([
+        [referencedBy, object.refCount],
         [client, 1],
       ]);
-    thing.refs++;
+    object.refCount++;
   }
 
-  private heldBy(thing: Thing, client: Client): number {
-    const { holder } = thing;
-    if (holder instanceof Map) return holder.get(client) ?? 0;
-    return holder === client ? thing.refs : 0;
+  /** Number of references of the client to the object. */
+  private referencesOf(object: GraphObject, client: Client): number {
+    const { referencedBy } = object;
+    if (referencedBy instanceof Map) return referencedBy.get(client) ?? 0;
+    return referencedBy === client ? object.refCount : 0;
   }
 
-  private letGo(thing: Thing, client: Client, count: number): void {
-    const { holder } = thing;
-    const left = this.heldBy(thing, client) - count;
-    thing.refs -= count;
-    if (holder instanceof Map) {
-      if (left > 0) holder.set(client, left);
-      else holder.delete(client);
-    } else if (left === 0) thing.holder = null;
-    this.review(thing);
+  private removeReferences(object: GraphObject, client: Client, count: number): void {
+    const { referencedBy } = object;
+    const left = this.referencesOf(object, client) - count;
+    object.refCount -= count;
+    if (referencedBy instanceof Map) {
+      if (left > 0) referencedBy.set(client, left);
+      else referencedBy.delete(client);
+    } else if (left === 0) object.referencedBy = null;
+    this.collectUnused(object);
   }
 
+  /** Removes one reference. Returns false if the object is unknown or the client has no reference to it. */
   release(clientName: string, key: string): boolean {
     const client = this.clients.get(clientName)!;
-    const thing = this.things.find(key);
-    if (thing === undefined || this.heldBy(thing, client) === 0) return false;
-    this.letGo(thing, client, 1);
+    const object = this.objects.find(key);
+    if (object === undefined || this.referencesOf(object, client) === 0) return false;
+    this.removeReferences(object, client, 1);
     return true;
   }
 
   /**
-   * Tells once `wanted` of the objects are there, or will never be; at once if they are. What
-   * is gone is made again. False: one of them is unknown.
+   * Reports `ready` when `required` of the objects are available or failed, at once if they already
+   * are. Lost objects are recomputed. Returns false if one of the keys is unknown.
    */
-  watch(clientName: string, request: number, keys: readonly string[], wanted = keys.length): boolean {
-    const things = keys.map((key) => this.things.find(key));
-    if (things.some((thing) => thing === undefined)) return false;
-    const watch: Watch = { client: this.clients.get(clientName)!, request, things: things as Thing[], wanted, seen: 0, over: false };
-    for (const thing of watch.things) {
-      this.want(thing);
-      if (settled(thing)) watch.seen++;
-      else thing.watches = added(thing.watches, watch);
+  watch(clientName: string, request: number, keys: readonly string[], required = keys.length): boolean {
+    const objects = keys.map((key) => this.objects.find(key));
+    if (objects.some((object) => object === undefined)) return false;
+    const watch: Watch = {
+      client: this.clients.get(clientName)!,
+      request,
+      objects: objects as GraphObject[],
+      required,
+      settledCount: 0,
+      closed: false,
+    };
+    for (const object of watch.objects) {
+      this.ensureAvailable(object);
+      if (isSettled(object)) watch.settledCount++;
+      else object.watches = append(object.watches, watch);
     }
     watch.client.watches.set(request, watch);
-    if (watch.seen >= wanted) this.settle(watch);
+    if (watch.settledCount >= required) this.completeWatch(watch);
     return true;
   }
 
-  /** Its time is over: what is there by now is told. */
+  /** Ends a watch whose time limit has passed, and reports the objects that are settled by now. */
   expire(clientName: string, request: number): void {
     const watch = this.clients.get(clientName)?.watches.get(request);
-    if (watch !== undefined) this.settle(watch);
+    if (watch !== undefined) this.completeWatch(watch);
   }
 
-  private settle(watch: Watch): void {
-    if (!this.unwatch(watch)) return;
-    const there = watch.things.filter(settled).map(keyOf);
-    this.options.out.ready(watch.client.name, watch.request, there);
-    for (const thing of watch.things) {
-      // Polled again and again, what is not there yet would remember every time.
-      if (thing.watches.length > 0) thing.watches = thing.watches.filter((other) => !other.over);
-      this.review(thing);
+  private completeWatch(watch: Watch): void {
+    if (!this.closeWatch(watch)) return;
+    const settledKeys = watch.objects.filter(isSettled).map(objectKey);
+    this.options.sink.ready(watch.client.name, watch.request, settledKeys);
+    for (const object of watch.objects) {
+      // Without this, an object that is polled repeatedly before it is available would accumulate closed watches.
+      if (object.watches.length > 0) object.watches = object.watches.filter((other) => !other.closed);
+      this.collectUnused(object);
     }
   }
 
-  private unwatch(watch: Watch): boolean {
-    if (watch.over) return false;
-    watch.over = true;
+  /** Closes a watch without a report. Returns false if it was closed before. */
+  private closeWatch(watch: Watch): boolean {
+    if (watch.closed) return false;
+    watch.closed = true;
     watch.client.watches.delete(watch.request);
     return true;
   }
 
-  /** Whichever comes first, this or the task's end, is its answer. False: it is over, or unknown. */
+  /** Cancels a task; the first of cancellation and end decides its outcome. Returns false if the task is unknown or has an outcome. */
   cancel(key: string): boolean {
     const task = this.tasks.get(key);
-    if (task === undefined || task.final !== null) return false;
-    this.stop(task);
+    if (task === undefined || task.outcome !== null) return false;
+    this.stopLease(task);
     this.finish(task, { kind: "cancelled" }, true);
     return true;
   }
 
-  /** It has not come back in time: its unfinished tasks are cancelled, its references given back. */
+  /** Removes a client that did not reconnect in time: cancels its unfinished tasks and removes its references. */
   leave(name: string): void {
     const client = this.clients.get(name);
     if (client === undefined) return;
     for (const watch of [...client.watches.values()]) {
-      this.unwatch(watch);
-      for (const thing of watch.things) this.review(thing);
+      this.closeWatch(watch);
+      for (const object of watch.objects) this.collectUnused(object);
     }
-    for (const task of [...this.tasks.values()]) if (task.client === client && task.final === null) this.cancel(task.asked.key);
-    for (const thing of [...this.things.all()]) {
-      const held = this.heldBy(thing, client);
-      if (held > 0) this.letGo(thing, client, held);
+    for (const task of [...this.tasks.values()]) if (task.client === client && task.outcome === null) this.cancel(task.spec.key);
+    for (const object of [...this.objects.all()]) {
+      const count = this.referencesOf(object, client);
+      if (count > 0) this.removeReferences(object, client, count);
     }
     this.clients.delete(name);
   }
 
-  // ---- what is needed, and what is there
+  // ---- Dependencies and objects
 
-  /** Counts what the task still waits for; queues it if that is nothing. */
-  private prepare(task: Task): void {
+  /** Counts the missing inputs of a task. Queues the task if there are none; fails it if an input has failed. */
+  private resolveInputs(task: Task): void {
     task.phase = Phase.Waiting;
-    task.missing = 0;
-    let lost: Thing | null = null;
-    for (const thing of task.needs) {
-      this.want(thing);
-      if (thing.there === There.Yes) continue;
-      if (thing.there === There.Failed) lost = thing;
+    task.missingInputs = 0;
+    let failedInput: GraphObject | null = null;
+    for (const object of task.inputs) {
+      this.ensureAvailable(object);
+      if (object.availability === Availability.Available) continue;
+      if (object.availability === Availability.Failed) failedInput = object;
       else {
-        task.missing++;
-        thing.waiting = added(thing.waiting, task);
+        task.missingInputs++;
+        object.waitingTasks = append(object.waitingTasks, task);
       }
     }
-    if (lost !== null) this.finish(task, { kind: "failed", why: "needs-failed", message: keyOf(lost) }, true);
-    else if (task.missing === 0) this.queue(task);
+    if (failedInput !== null) this.finish(task, { kind: "failed", why: "needs-failed", message: objectKey(failedInput) }, true);
+    else if (task.missingInputs === 0) this.enqueue(task);
   }
 
-  /** Somebody needs its value: if every copy is gone, it is made again, and what that needs, and so on. */
-  private want(first: Thing): void {
+  /** Recomputes an object whose copies are all lost, and recursively the lost inputs of its producer. Marks as failed what cannot be recomputed. */
+  private ensureAvailable(first: GraphObject): void {
     const stack = [first];
-    for (let thing = stack.pop(); thing !== undefined; thing = stack.pop()) {
-      if (thing.there !== There.Gone) continue;
-      const { maker } = thing;
-      if (maker === null || maker.left <= 0) {
-        this.fail(thing);
+    for (let object = stack.pop(); object !== undefined; object = stack.pop()) {
+      if (object.availability !== Availability.Lost) continue;
+      const { producer } = object;
+      if (producer === null || producer.retriesLeft <= 0) {
+        this.markFailed(object);
         continue;
       }
-      if (maker.phase !== Phase.Over) {
-        thing.there = There.Not;
+      if (producer.phase !== Phase.Finished) {
+        object.availability = Availability.Pending;
         continue;
       }
-      this.stats.again++;
-      maker.left--;
-      for (const out of maker.outs) if (out.there === There.Gone) out.there = There.Not;
-      maker.phase = Phase.Waiting;
-      maker.missing = 0;
-      for (const need of maker.needs) {
-        need.pins--;
-        need.uses++;
-        if (need.there === There.Yes) continue;
-        maker.missing++;
-        need.waiting = added(need.waiting, maker);
-        if (need.there === There.Gone || need.there === There.Failed) stack.push(need);
+      this.stats.reruns++;
+      producer.retriesLeft--;
+      for (const output of producer.outputs) if (output.availability === Availability.Lost) output.availability = Availability.Pending;
+      producer.phase = Phase.Waiting;
+      producer.missingInputs = 0;
+      for (const input of producer.inputs) {
+        input.lineageRefs--;
+        input.pendingConsumers++;
+        if (input.availability === Availability.Available) continue;
+        producer.missingInputs++;
+        input.waitingTasks = append(input.waitingTasks, producer);
+        if (input.availability === Availability.Lost || input.availability === Availability.Failed) stack.push(input);
       }
-      if (maker.missing === 0) this.queue(maker);
+      if (producer.missingInputs === 0) this.enqueue(producer);
       else
-        for (const need of maker.needs)
-          if (need.there === There.Failed) {
-            this.finish(maker, { kind: "failed", why: "object-lost", message: keyOf(need) }, true);
+        for (const input of producer.inputs)
+          if (input.availability === Availability.Failed) {
+            this.finish(producer, { kind: "failed", why: "object-lost", message: objectKey(input) }, true);
             break;
           }
     }
   }
 
-  /** It will never be there. */
-  private fail(thing: Thing): void {
-    thing.there = There.Failed;
-    this.came(thing);
+  /** Marks an object as never available. */
+  private markFailed(object: GraphObject): void {
+    object.availability = Availability.Failed;
+    this.notifySettled(object);
   }
 
-  /** It is there, or never will be: whoever waits goes on. */
-  private came(thing: Thing): void {
-    const { waiting, watches } = thing;
-    thing.waiting = none();
-    thing.watches = none();
-    for (const task of waiting) {
+  /** Resumes the tasks and watches that wait for an object that became available or failed. */
+  private notifySettled(object: GraphObject): void {
+    const { waitingTasks, watches } = object;
+    object.waitingTasks = emptyList();
+    object.watches = emptyList();
+    for (const task of waitingTasks) {
       if (task.phase !== Phase.Waiting) continue;
-      if (thing.there === There.Failed) this.finish(task, { kind: "failed", why: "needs-failed", message: keyOf(thing) }, true);
-      else if (--task.missing === 0) this.queue(task);
+      if (object.availability === Availability.Failed)
+        this.finish(task, { kind: "failed", why: "needs-failed", message: objectKey(object) }, true);
+      else if (--task.missingInputs === 0) this.enqueue(task);
     }
-    for (const watch of watches) if (++watch.seen >= watch.wanted) this.settle(watch);
+    for (const watch of watches) if (++watch.settledCount >= watch.required) this.completeWatch(watch);
   }
 
-  /** Drops what nobody needs; with the last of what a task made, the task, and what it held for others to be made again. */
-  private review(first: Thing): void {
+  /**
+   * Deletes the object if it is unused. With the last output of a finished task, the task is removed
+   * too, and then those of its inputs that were kept only to recompute its outputs.
+   */
+  private collectUnused(first: GraphObject): void {
     const stack = [first];
-    for (let thing = stack.pop(); thing !== undefined; thing = stack.pop()) {
-      if (thing.refs > 0 || wanted(thing)) continue;
-      // Its maker runs: what comes will be dropped then.
-      if (thing.there === There.Not && thing.maker !== null && thing.maker.final === null) continue;
-      // What a client put cannot be made again: kept as long as something made of it may have to be.
-      if (thing.maker === null && thing.pins > 0) continue;
-      if (thing.there === There.Yes) this.drop(thing);
-      if (thing.pins > 0 || !this.things.forget(thing)) continue;
-      const { maker } = thing;
-      if (maker === null || --maker.alive > 0 || maker.phase !== Phase.Over) continue;
-      if (this.forget(maker)) for (const need of maker.needs) stack.push(need);
+    for (let object = stack.pop(); object !== undefined; object = stack.pop()) {
+      if (object.refCount > 0 || isNeeded(object)) continue;
+      // The producer has no outcome yet: the object is deleted when the producer finishes.
+      if (object.availability === Availability.Pending && object.producer !== null && object.producer.outcome === null) continue;
+      // A client's value cannot be recomputed: it is kept as long as an object derived from it may have to be recomputed.
+      if (object.producer === null && object.lineageRefs > 0) continue;
+      if (object.availability === Availability.Available) this.dropCopies(object);
+      if (object.lineageRefs > 0 || !this.objects.remove(object)) continue;
+      const { producer } = object;
+      if (producer === null || --producer.liveOutputs > 0 || producer.phase !== Phase.Finished) continue;
+      if (this.removeTask(producer)) for (const input of producer.inputs) stack.push(input);
     }
   }
 
-  /** Nothing it made can be asked for any more: what it took need not be kept for it. False: it was forgotten before. */
-  private forget(task: Task): boolean {
-    if (!this.tasks.delete(task.asked.key)) return false;
-    for (const need of task.needs) need.pins--;
+  /** Removes a task whose outputs can no longer be requested, and its references to its inputs. Returns false if it was removed before. */
+  private removeTask(task: Task): boolean {
+    if (!this.tasks.delete(task.spec.key)) return false;
+    for (const input of task.inputs) input.lineageRefs--;
     return true;
   }
 
-  private drop(thing: Thing): void {
-    thing.there = There.Gone;
-    thing.inline = null;
-    for (const executor of thing.at) {
-      executor.things.delete(thing);
-      this.options.out.drop(executor.name, [keyOf(thing)]);
+  /** Deletes all copies of an object. */
+  private dropCopies(object: GraphObject): void {
+    object.availability = Availability.Lost;
+    object.inline = null;
+    for (const executor of object.holders) {
+      executor.objects.delete(object);
+      this.options.sink.drop(executor.name, [objectKey(object)]);
     }
-    if (thing.at.length > 0) this.stats.dropped++;
-    thing.at = none();
+    if (object.holders.length > 0) this.stats.dropped++;
+    object.holders = emptyList();
   }
 
-  // ---- order
+  // ---- Order of tasks
 
   /**
-   * Ranks of all unfinished tasks, from the last submitted to the first: what a task needs was
-   * always submitted before it. Done once the graph has grown by a share, so that each task is
-   * gone over a bounded number of times however large the graph; between two such rounds a
-   * longer tail is passed on a few steps only.
+   * Computes the ranks of all unfinished tasks, from the last submitted to the first, because the
+   * producers of a task's inputs were always submitted before it. It runs once a share of the tasks
+   * has changed, so the number of visits per task is bounded regardless of the size of the graph.
+   * Between two full rankings, a higher rank is propagated a few steps only.
    */
   private rankAll(): void {
-    this.fresh = 0;
-    const open = this.line.filter((task) => task.phase !== Phase.Over);
-    this.line = open;
+    this.changesSinceRanking = 0;
+    const open = this.submitted.filter((task) => task.phase !== Phase.Finished);
+    this.submitted = open;
     const before = open.map(({ rank }) => rank);
-    for (const task of open) task.rank = this.sizes.meanMs(task.asked.fn);
+    for (const task of open) task.rank = this.runtimes.meanMs(task.spec.fn);
     for (let i = open.length - 1; i >= 0; i--) {
       const task = open[i]!;
-      for (const { maker } of task.needs) {
-        if (maker === null || maker.phase === Phase.Over) continue;
-        maker.rank = Math.max(maker.rank, this.sizes.meanMs(maker.asked.fn) + task.rank);
+      for (const { producer } of task.inputs) {
+        if (producer === null || producer.phase === Phase.Finished) continue;
+        producer.rank = Math.max(producer.rank, this.runtimes.meanMs(producer.spec.fn) + task.rank);
       }
     }
-    open.forEach((task, i) => task.phase === Phase.Ready && task.rank > before[i]! && this.queue(task, false));
+    open.forEach((task, i) => task.phase === Phase.Ready && task.rank > before[i]! && this.enqueue(task, false));
   }
 
-  /** What hangs on a task makes it urgent: a longer tail is passed on up the chains that lead to it. */
-  private raise(task: Task): void {
-    let steps = MOST_STEPS_UP;
+  /** Raises the ranks of the task's direct and indirect producers, up to a maximum number of steps. */
+  private propagateRank(task: Task): void {
+    let steps = MAX_RANK_STEPS;
     const stack = [task];
-    for (let one = stack.pop(); one !== undefined && steps-- > 0; one = stack.pop()) {
-      for (const { maker } of one.needs) {
-        if (maker === null || maker.phase === Phase.Over) continue;
-        const rank = this.sizes.meanMs(maker.asked.fn) + one.rank;
-        if (rank <= maker.rank) continue;
-        maker.rank = rank;
-        if (maker.phase === Phase.Ready) this.queue(maker, false);
-        stack.push(maker);
+    for (let current = stack.pop(); current !== undefined && steps-- > 0; current = stack.pop()) {
+      for (const { producer } of current.inputs) {
+        if (producer === null || producer.phase === Phase.Finished) continue;
+        const rank = this.runtimes.meanMs(producer.spec.fn) + current.rank;
+        if (rank <= producer.rank) continue;
+        producer.rank = rank;
+        if (producer.phase === Phase.Ready) this.enqueue(producer, false);
+        stack.push(producer);
       }
     }
   }
 
-  /** It may be in the queue already, at a lower rank: the higher comes up first, the other finds it gone. */
-  private queue(task: Task, fresh = true): void {
+  /**
+   * Queues a ready task. `fresh` is false if it is in the queue already, at a lower rank: the entry
+   * with the higher rank is taken first, and the other one is skipped as stale.
+   */
+  private enqueue(task: Task, fresh = true): void {
     task.phase = Phase.Ready;
     if (fresh) this.readyCount++;
     const { client } = task;
-    // Among equals, first come.
-    client.queue.push(task, -task.rank + ++this.order * FIRST_COME);
-    if (client.waits) return;
-    client.waits = true;
-    client.served = Math.max(client.served, this.served);
-    this.hungry.push(client, client.served);
+    // Among equal ranks, the task that was queued first runs first.
+    client.readyQueue.push(task, -task.rank + ++this.readySequence * ARRIVAL_TIE_BREAK_MS);
+    if (client.inFairQueue) return;
+    client.inFairQueue = true;
+    client.serviceMs = Math.max(client.serviceMs, this.currentServiceMs);
+    this.fairQueue.push(client, client.serviceMs);
   }
 
-  /** The next task of the client that was served least; undefined: nothing is ready. */
-  private next(): Task | undefined {
+  /** Returns the ready task with the highest rank of the client with the least service, or undefined. */
+  private peekNext(): Task | undefined {
     for (;;) {
-      const client = this.hungry.peek();
+      const client = this.fairQueue.peek();
       if (client === undefined) return undefined;
-      const task = client.queue.peek();
+      const task = client.readyQueue.peek();
       if (task === undefined) {
-        this.hungry.pop();
-        client.waits = false;
+        this.fairQueue.pop();
+        client.inFairQueue = false;
         continue;
       }
       if (task.phase === Phase.Ready) return task;
-      client.queue.pop();
+      client.readyQueue.pop();
     }
   }
 
-  /** `next` was handed out. */
-  private taken(task: Task): void {
+  /** Removes the task that `peekNext` returned, and charges its expected CPU time to its client. */
+  private dequeue(task: Task): void {
     const { client } = task;
-    client.queue.pop();
+    client.readyQueue.pop();
     this.readyCount--;
-    this.hungry.pop();
-    this.served = client.served;
-    client.served += (this.sizes.meanMs(task.asked.fn) * task.asked.cpus) / client.weight;
-    this.hungry.push(client, client.served);
+    this.fairQueue.pop();
+    this.currentServiceMs = client.serviceMs;
+    client.serviceMs += (this.runtimes.meanMs(task.spec.fn) * task.spec.cpus) / client.weight;
+    this.fairQueue.push(client, client.serviceMs);
   }
 
-  // ---- executors
+  // ---- Executors
 
-  /** Under a name that was never used before: one that comes back is another. */
+  /** Adds an executor. The name must never have been used before: an executor that reconnects gets a new one. */
   attach(name: string, cpus: number): void {
     this.pool.attach(name, cpus);
     this.dispatch();
   }
 
-  /** Takes no more; what it holds goes on. */
+  /** Stops sending tasks to an executor; its leased tasks continue. */
   drain(name: string): void {
     const executor = this.pool.get(name);
-    if (executor !== undefined) executor.leaving = true;
+    if (executor !== undefined) executor.draining = true;
   }
 
-  /** Proven gone with everything on it. */
+  /** Removes an executor that is proven to be lost, with its tasks and objects. */
   lost(name: string): void {
     const executor = this.pool.get(name);
     if (executor === undefined) return;
     this.pool.remove(executor);
-    const gone = new Set<Thing>();
-    for (const thing of executor.things) {
-      thing.at = thing.at.filter((other) => other !== executor);
-      if (thing.at.length > 0 || thing.inline !== null || thing.there !== There.Yes) continue;
-      thing.there = There.Gone;
-      gone.add(thing);
+    const lost = new Set<GraphObject>();
+    for (const object of executor.objects) {
+      object.holders = object.holders.filter((other) => other !== executor);
+      if (object.holders.length > 0 || object.inline !== null || object.availability !== Availability.Available) continue;
+      object.availability = Availability.Lost;
+      lost.add(object);
     }
-    if (gone.size > 0) this.missed(gone);
-    // Only what is needed is made again, and only after all that was lost is known to be.
-    for (const thing of gone) {
-      if (wanted(thing)) this.want(thing);
-      else this.review(thing);
+    if (lost.size > 0) this.markInputsMissing(lost);
+    // Recomputation starts only after all lost objects are marked, and only for objects that are needed.
+    for (const object of lost) {
+      if (isNeeded(object)) this.ensureAvailable(object);
+      else this.collectUnused(object);
     }
-    for (const task of [...executor.held.values()]) this.again(task, "executor-lost", name);
-    executor.held.clear();
+    for (const task of [...executor.leasedTasks.values()]) this.retry(task, "executor-lost", name);
+    executor.leasedTasks.clear();
     this.dispatch();
   }
 
-  /** Tasks that had all this, and lack it now, wait again: one look at them for all that was lost together. */
-  private missed(gone: ReadonlySet<Thing>): void {
+  /** Makes queued tasks wait again for inputs that were lost. One scan of the tasks covers all objects that were lost together. */
+  private markInputsMissing(lost: ReadonlySet<GraphObject>): void {
     for (const task of this.tasks.values()) {
       if (task.phase !== Phase.Ready && task.phase !== Phase.Waiting) continue;
-      for (const thing of task.needs) {
-        if (!gone.has(thing)) continue;
+      for (const object of task.inputs) {
+        if (!lost.has(object)) continue;
         if (task.phase === Phase.Ready) {
           task.phase = Phase.Waiting;
-          task.missing = 0;
+          task.missingInputs = 0;
           this.readyCount--;
         }
-        task.missing++;
-        thing.waiting = added(thing.waiting, task);
+        task.missingInputs++;
+        object.waitingTasks = append(object.waitingTasks, task);
       }
     }
   }
 
-  /** It has to run once more, if it may. */
-  private again(task: Task, why: "executor-lost" | "error", message: string): void {
+  /** Runs a task again, or fails it if no retries are left. A cancelled task is completed. */
+  private retry(task: Task, why: "executor-lost" | "error", message: string): void {
     task.executor = null;
     task.lease = 0;
-    if (task.final?.kind === "cancelled") return this.over(task);
-    if (task.left <= 0) return this.finish(task, { kind: "failed", why, message }, true);
-    task.left--;
-    this.stats.again++;
-    this.prepare(task);
+    if (task.outcome?.kind === "cancelled") return this.complete(task);
+    if (task.retriesLeft <= 0) return this.finish(task, { kind: "failed", why, message }, true);
+    task.retriesLeft--;
+    this.stats.reruns++;
+    this.resolveInputs(task);
   }
 
-  /** Hands out what is ready to whoever has room. To be called after each round of events. */
+  /** Sends ready tasks to executors with capacity. Must be called after each round of events. */
   dispatch(): void {
-    if (this.fresh >= Math.max(LEAST_GROWTH, this.admission.unfinished * GROWTH)) this.rankAll();
-    for (let task = this.next(); task !== undefined; task = this.next()) {
-      const executor = this.choose(task);
-      if (executor === null) return this.balance();
-      this.taken(task);
-      this.lease(task, executor);
+    if (this.changesSinceRanking >= Math.max(MIN_RERANK_CHANGES, this.admission.unfinished * RERANK_FRACTION)) this.rankAll();
+    for (let task = this.peekNext(); task !== undefined; task = this.peekNext()) {
+      const executor = this.chooseExecutor(task);
+      if (executor === null) return this.rebalance();
+      this.dequeue(task);
+      this.startLease(task, executor);
     }
-    this.balance();
+    this.rebalance();
   }
 
-  /** Where most of what it takes lies, if there is room; else whoever is through soonest. */
-  private choose(task: Task): Executor | null {
-    const { cpus, fn } = task.asked;
-    const meanMs = this.sizes.meanMs(fn);
+  /** Returns an executor with capacity that holds the largest possible input; without one, the first suitable executor in the pool's order, or null. */
+  private chooseExecutor(task: Task): Executor | null {
+    const { cpus, fn } = task.spec;
+    const meanMs = this.runtimes.meanMs(fn);
     let best: Executor | null = null;
-    let most = 0;
-    for (const thing of task.needs) {
-      if (thing.inline !== null) continue;
-      for (const executor of thing.at.slice(0, MOST_HOLDERS)) {
-        if (thing.bytes <= most || !this.pool.hasRoom(executor, cpus, meanMs, this.readyCount)) continue;
+    let maxBytes = 0;
+    for (const object of task.inputs) {
+      if (object.inline !== null) continue;
+      for (const executor of object.holders.slice(0, MAX_HOLDERS_CHECKED)) {
+        if (object.bytes <= maxBytes || !this.pool.hasCapacity(executor, cpus, meanMs, this.readyCount)) continue;
         best = executor;
-        most = thing.bytes;
+        maxBytes = object.bytes;
       }
     }
     return best ?? this.pool.pick(cpus, meanMs, this.readyCount);
   }
 
-  private lease(task: Task, executor: Executor): void {
+  private startLease(task: Task, executor: Executor): void {
     task.phase = Phase.Leased;
     task.executor = executor;
-    task.lease = ++this.leases;
-    this.pool.give(executor, task, this.sizes.meanMs(task.asked.fn));
-    this.stats.ran++;
-    const inputs = task.needs.map((thing) => ({ key: keyOf(thing), inline: thing.inline, at: thing.at.map(({ name }) => name) }));
-    this.options.out.run(executor.name, task.lease, task.asked, inputs, task.rank);
-  }
-
-  private unlease(executor: Executor, task: Task): void {
-    this.pool.take(executor, task, this.sizes.meanMs(task.asked.fn));
+    task.lease = ++this.lastLease;
+    this.pool.assign(executor, task, this.runtimes.meanMs(task.spec.fn));
+    this.stats.leased++;
+    const inputs = task.inputs.map((object) => ({
+      key: objectKey(object),
+      inline: object.inline,
+      at: object.holders.map(({ name }) => name),
+    }));
+    this.options.sink.run(executor.name, task.lease, task.spec, inputs, task.rank);
+  }
+
+  private endLease(executor: Executor, task: Task): void {
+    this.pool.unassign(executor, task, this.runtimes.meanMs(task.spec.fn));
     task.executor = null;
   }
 
-  private balance(): void {
-    const asked = this.readyCount > 0 ? null : this.pool.unbalanced();
-    if (asked !== null) for (const lease of asked.leases) this.options.out.recall(asked.executor.name, lease);
+  /** If no task is ready, recalls queued tasks for an idle executor. */
+  private rebalance(): void {
+    const recall = this.readyCount > 0 ? null : this.pool.chooseRecall();
+    if (recall !== null) for (const lease of recall.leases) this.options.sink.recall(recall.executor.name, lease);
   }
 
-  /** Not begun, and given back. */
+  /** Handles a task that an executor returned before it started. */
   returned(name: string, lease: number): void {
     const executor = this.pool.get(name);
-    const task = executor?.held.get(lease);
-    if (executor === undefined || task === undefined) return void this.stats.late++;
-    this.unlease(executor, task);
-    this.stats.recalled++;
+    const task = executor?.leasedTasks.get(lease);
+    if (executor === undefined || task === undefined) return void this.stats.staleReports++;
+    this.endLease(executor, task);
+    this.stats.returned++;
     task.lease = 0;
-    if (task.final?.kind === "cancelled") this.over(task);
-    else this.prepare(task);
+    if (task.outcome?.kind === "cancelled") this.complete(task);
+    else this.resolveInputs(task);
     this.dispatch();
   }
 
-  private stop(task: Task): void {
-    if (task.executor !== null) this.options.out.stop(task.executor.name, task.lease);
+  private stopLease(task: Task): void {
+    if (task.executor !== null) this.options.sink.stop(task.executor.name, task.lease);
   }
 
-  /** Under a lease that does not hold any more it changes nothing; what it made is dropped. */
-  done(name: string, lease: number, made: readonly Made[], ranMs: number): void {
-    const { executor, task } = this.held(name, lease);
+  /** Handles the successful end of a task. Ignored if the lease is no longer valid; the outputs of a cancelled task are deleted. */
+  done(name: string, lease: number, made: readonly TaskOutput[], ranMs: number): void {
+    const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
-    this.sizes.learn(task.asked.fn, ranMs);
-    this.fresh++;
-    if (task.final?.kind === "cancelled") {
-      this.options.out.drop(name, task.outs.filter((_, i) => made[i]?.inline === null).map(keyOf));
-      this.over(task);
+    this.runtimes.record(task.spec.fn, ranMs);
+    this.changesSinceRanking++;
+    if (task.outcome?.kind === "cancelled") {
+      this.options.sink.drop(name, task.outputs.filter((_, i) => made[i]?.inline === null).map(objectKey));
+      this.complete(task);
     } else {
-      task.outs.forEach((thing, i) => this.made(thing, made[i]!, executor));
+      task.outputs.forEach((object, i) => this.storeOutput(object, made[i]!, executor));
       this.finish(task, { kind: "done" }, false);
     }
     this.dispatch();
   }
 
-  private held(name: string, lease: number): { executor: Executor | null; task: Task | null } {
+  /** Ends a lease and returns its executor and task; counts a stale report if the lease is no longer valid. */
+  private takeLease(name: string, lease: number): { executor: Executor | null; task: Task | null } {
     const executor = this.pool.get(name) ?? null;
-    const task = executor?.held.get(lease) ?? null;
-    if (executor === null || task === null) this.stats.late++;
-    else this.unlease(executor, task);
+    const task = executor?.leasedTasks.get(lease) ?? null;
+    if (executor === null || task === null) this.stats.staleReports++;
+    else this.endLease(executor, task);
     return { executor, task };
   }
 
-  private made(thing: Thing, { bytes, inline }: Made, executor: Executor): void {
-    // Nobody wants it any more, or whoever did was told already that it will never be.
-    if (thing.forgotten || thing.there === There.Failed) {
-      if (inline === null) this.options.out.drop(executor.name, [keyOf(thing)]);
+  private storeOutput(object: GraphObject, { bytes, inline }: TaskOutput, executor: Executor): void {
+    // The object is unused, or its failure was already reported.
+    if (object.removed || object.availability === Availability.Failed) {
+      if (inline === null) this.options.sink.drop(executor.name, [objectKey(object)]);
       return;
     }
-    // Made again though one copy was still there: both are good.
-    thing.bytes = bytes;
-    if (inline !== null) thing.inline = inline;
-    else if (!thing.at.includes(executor)) {
-      thing.at = added(thing.at, executor);
-      executor.things.add(thing);
+    // The object may still have another copy if it was recomputed for a different output; both copies are valid.
+    object.bytes = bytes;
+    if (inline !== null) object.inline = inline;
+    else if (!object.holders.includes(executor)) {
+      object.holders = append(object.holders, executor);
+      executor.objects.add(object);
     }
-    const before = thing.there;
-    thing.there = There.Yes;
-    if (before !== There.Yes) this.came(thing);
+    const before = object.availability;
+    object.availability = Availability.Available;
+    if (before !== Availability.Available) this.notifySettled(object);
   }
 
+  /** Handles an error that a task raised. Ignored if the lease is no longer valid. */
   failed(name: string, lease: number, message: string, ranMs: number): void {
-    const { executor, task } = this.held(name, lease);
+    const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
-    this.sizes.learn(task.asked.fn, ranMs);
-    if (task.asked.retryErrors || task.final?.kind === "cancelled") this.again(task, "error", message);
+    this.runtimes.record(task.spec.fn, ranMs);
+    if (task.spec.retryErrors || task.outcome?.kind === "cancelled") this.retry(task, "error", message);
     else this.finish(task, { kind: "failed", why: "error", message }, true);
     this.dispatch();
   }
 
-  /** An executor has fetched a copy. */
+  /** Records that an executor has fetched a copy of an object; deletes the copy if the object is not available. */
   copied(name: string, key: string): void {
     const executor = this.pool.get(name);
-    const thing = this.things.find(key);
+    const object = this.objects.find(key);
     if (executor === undefined) return;
-    if (thing === undefined || thing.there !== There.Yes) return this.options.out.drop(name, [key]);
-    if (thing.at.includes(executor)) return;
-    thing.at = added(thing.at, executor);
-    executor.things.add(thing);
+    if (object === undefined || object.availability !== Availability.Available) return this.options.sink.drop(name, [key]);
+    if (object.holders.includes(executor)) return;
+    object.holders = append(object.holders, executor);
+    executor.objects.add(object);
   }
 
-  // ---- ends
+  // ---- Ends of tasks
 
   /**
-   * The task's answer, told once: a task that ran again for what it made keeps the one it has.
-   * `failing`: what it should have made, and is not there, will never be.
+   * Reports the outcome of a task, once: a task that ran again to recompute its outputs keeps its
+   * outcome. If `failing`, those of its outputs that are not available are marked as failed.
    */
-  private finish(task: Task, final: Final, failing: boolean): void {
+  private finish(task: Task, outcome: TaskOutcome, failing: boolean): void {
     const leased = task.phase === Phase.Leased && task.executor !== null;
     if (task.phase === Phase.Ready) this.readyCount--;
-    if (task.final === null) {
-      task.final = final;
-      this.stats.final++;
-      this.admission.over(task.client, bytesOf(task.asked, task.needs.length), this.options.now());
-      this.options.out.final(task.client.name, task.asked.key, final);
+    if (task.outcome === null) {
+      task.outcome = outcome;
+      this.stats.finished++;
+      this.admission.taskClosed(task.client, specBytes(task.spec, task.inputs.length), this.options.now());
+      this.options.sink.final(task.client.name, task.spec.key, outcome);
     }
-    if (failing) for (const thing of task.outs) if (thing.there !== There.Yes && !thing.forgotten) this.fail(thing);
-    // Cancelled while it runs: over only when the executor has let go of it.
+    if (failing)
+      for (const object of task.outputs) if (object.availability !== Availability.Available && !object.removed) this.markFailed(object);
+    // A task that is cancelled while it is leased is completed when its executor ends or returns it.
     if (leased) return;
-    this.over(task);
+    this.complete(task);
   }
 
   /**
-   * From one that takes its inputs to one that may have to take them again, in one step: between
-   * the two a look at an input would find that nobody needs it.
+   * Completes a task. All its inputs change from pending consumption to lineage in one step, before
+   * any check for unused objects: in between, an input would seem to be unused.
    */
-  private over(task: Task): void {
-    if (task.phase === Phase.Over) return;
-    task.phase = Phase.Over;
-    for (const thing of task.needs) {
-      thing.uses--;
-      thing.pins++;
+  private complete(task: Task): void {
+    if (task.phase === Phase.Finished) return;
+    task.phase = Phase.Finished;
+    for (const object of task.inputs) {
+      object.pendingConsumers--;
+      object.lineageRefs++;
     }
-    if (task.alive <= 0) this.forget(task);
-    for (const thing of task.outs) this.review(thing);
-    for (const thing of task.needs) this.review(thing);
+    if (task.liveOutputs <= 0) this.removeTask(task);
+    for (const object of task.outputs) this.collectUnused(object);
+    for (const object of task.inputs) this.collectUnused(object);
   }
 
-  // ---- how things stand
+  // ---- Status
 
-  get counts(): { tasks: number; things: number; ready: number; executors: number; open: number } {
+  /** Numbers of tasks, objects, ready tasks, executors and unfinished tasks. */
+  get counts(): { tasks: number; objects: number; ready: number; executors: number; open: number } {
     return {
       tasks: this.tasks.size,
-      things: this.things.size,
+      objects: this.objects.size,
       ready: this.readyCount,
       executors: this.pool.size,
       open: this.admission.unfinished,
     };
   }
 
-  /** Ready tasks, and the longest chain that is known to hang on one of them: what the pool of executors should follow. */
-  get width(): { ready: number; running: number; longestMs: number } {
+  /**
+   * Load by which the number of executors should be scaled: ready tasks, leased tasks, and the rank
+   * in ms of the task to be sent next (0 if there is none).
+   */
+  get demand(): { ready: number; running: number; longestMs: number } {
     let running = 0;
-    for (const executor of this.pool.all()) running += executor.held.size;
-    const first = this.next();
+    for (const executor of this.pool.all()) running += executor.leasedTasks.size;
+    const first = this.peekNext();
     return { ready: this.readyCount, running, longestMs: first?.rank ?? 0 };
   }
 
-  /** A key's object: there, and where. For `get`, and for checks. */
-  thing(key: string): { there: boolean; failed: boolean; inline: string | null; at: readonly string[] } | null {
-    const thing = this.things.find(key);
-    if (thing === undefined) return null;
+  /** Returns whether an object is available and which executors hold it, or null if the key is unknown. Used for `get` and for checks. */
+  objectStatus(key: string): { available: boolean; failed: boolean; inline: string | null; at: readonly string[] } | null {
+    const object = this.objects.find(key);
+    if (object === undefined) return null;
     return {
-      there: thing.there === There.Yes,
-      failed: thing.there === There.Failed,
-      inline: thing.inline,
-      at: thing.at.map(({ name }) => name),
+      available: object.availability === Availability.Available,
+      failed: object.availability === Availability.Failed,
+      inline: object.inline,
+      at: object.holders.map(({ name }) => name),
     };
   }
 }
--- a/packages/graphs/src/model.ts
+++ b/packages/graphs/src/model.ts
@@ -1,170 +1,192 @@
 import type FlatQueue from "flatqueue";
 
-/** A task as its client asks for it. Keys are chosen by the client and unique in the graph. */
-export interface TaskAsked {
+/** A task as submitted by its client. Keys are chosen by the client and unique in the graph. */
+export interface TaskSpec {
   key: string;
-  /** What is called; sizes are learned by it. */
+  /** Name of the function to call; run times are estimated per function. */
   fn: string;
-  /** Opaque to everybody but the executor. */
+  /** Encoded arguments; only the executor interprets them. */
   args: string;
-  /** Keys of objects whose values it takes. */
+  /** Keys of the objects that the task takes as input. */
   needs: readonly string[];
-  /** Objects it makes, named `KEY:0` and so on. */
+  /** Number of objects the task produces, under the keys `KEY:0`, `KEY:1` and so on. */
   returns: number;
   cpus: number;
-  /** How often it may run again after its executor was lost. */
+  /** How many times the task may run again after the loss of its executor or of its outputs. */
   retries: number;
-  /** Whether an exception of its own counts as a loss does. */
+  /** Whether the task is also retried after it raised an error, within the same limit. */
   retryErrors: boolean;
 }
 
-export type Final = { kind: "done" } | { kind: "failed"; why: Failure; message: string } | { kind: "cancelled" };
-export type Failure = "error" | "executor-lost" | "object-lost" | "needs-failed";
+/** Final outcome of a task. */
+export type TaskOutcome = { kind: "done" } | { kind: "failed"; why: FailureReason; message: string } | { kind: "cancelled" };
+/** Why a task failed. */
+export type FailureReason = "error" | "executor-lost" | "object-lost" | "needs-failed";
 
-/** What a task made. Small values travel inline; of large ones only where they lie is known here. */
-export interface Made {
+/** One output of a task run. Small values are sent inline; large values stay at the executor, and only their location is kept. */
+export interface TaskOutput {
   bytes: number;
-  /** Null: it lies at the executor. */
+  /** The value, or null if it is stored at the executor. */
   inline: string | null;
 }
 
-export type Refusal =
+/** Why a submission was rejected. */
+export type Rejection =
   { why: "malformed" | "unknown-object" | "known-key"; detail: string } | { why: "busy"; detail: string; retryAfterMs: number };
 
-/** What becomes of decisions; the service sends it on, tests record it. */
-export interface Out {
-  /** `rank`: among what waits at the executor, the highest goes first. */
-  run(executor: string, lease: number, task: TaskAsked, inputs: readonly Input[], rank: number): void;
-  /** Give back what has not begun; answered by `returned`, or by the task's end. */
+/** Receives the decisions of a graph: the service sends them to clients and executors, tests record them. */
+export interface DecisionSink {
+  /** Starts a task at an executor. Among the tasks queued there, the one with the highest `rank` runs first. */
+  run(executor: string, lease: number, task: TaskSpec, inputs: readonly TaskInput[], rank: number): void;
+  /** Asks for a task back if it has not started; answered by `returned`, or by the end of the task. */
   recall(executor: string, lease: number): void;
+  /** Stops a cancelled task. */
   stop(executor: string, lease: number): void;
-  /** Objects that nobody needs any more. */
+  /** Deletes objects that are no longer needed. */
   drop(executor: string, objects: readonly string[]): void;
-  /** The one final answer of a task. */
-  final(client: string, key: string, final: Final): void;
-  /** A `get` or `wait` is over: those that are there, in the order asked for. */
+  /** Reports the final outcome of a task; called once per task. */
+  final(client: string, key: string, final: TaskOutcome): void;
+  /** Completes a `get` or `wait` with the settled objects (available or failed), in the order requested. */
   ready(client: string, request: number, keys: readonly string[]): void;
 }
 
-export interface Input {
+/** An input object as sent to the executor that runs the task. */
+export interface TaskInput {
   key: string;
+  /** The value, or null if it has to be fetched from an executor. */
   inline: string | null;
-  /** Executors that hold it. */
+  /** Executors that hold a copy. */
   at: readonly string[];
 }
 
+/** Scheduling state of a task. */
 export const enum Phase {
-  /** For objects that are not there yet. */
+  /** At least one input is not available yet. */
   Waiting,
+  /** All inputs are available. */
   Ready,
-  /** At an executor, under a lease. */
+  /** Assigned to an executor under a lease. */
   Leased,
-  /** It has its final answer; kept as long as something it made may have to be made again. */
-  Over,
+  /** The task has its final outcome. It is kept as long as one of its outputs may have to be recomputed. */
+  Finished,
 }
 
+/** State of a task. */
 export interface Task {
-  asked: TaskAsked;
+  spec: TaskSpec;
   client: Client;
-  needs: readonly Thing[];
-  outs: Thing[];
+  inputs: readonly GraphObject[];
+  outputs: GraphObject[];
   phase: Phase;
-  /** Objects it still waits for. */
-  missing: number;
-  /** Expected ms from its start to the end of the longest chain known to hang on it. */
+  /** Number of inputs that are not available yet. */
+  missingInputs: number;
+  /** Expected ms from the start of the task to the end of the longest known chain of dependent tasks. */
   rank: number;
   executor: Executor | null;
   lease: number;
-  /** Repetitions left. */
-  left: number;
-  final: Final | null;
-  /** When it is reckoned to end, in steady ms; infinite: it waits at its executor. */
-  dueAt: number;
-  /** Objects it made that anybody may still want. */
-  alive: number;
+  /** Retries left. */
+  retriesLeft: number;
+  outcome: TaskOutcome | null;
+  /** Expected end in ms of the monotonic clock; infinite while the task is queued at its executor. */
+  expectedEndMs: number;
+  /** Number of outputs that may still be requested. */
+  liveOutputs: number;
 }
 
-export const enum There {
-  /** Being made. */
-  Not,
-  Yes,
-  /** Was there; every copy is gone, or was dropped for want of users. */
-  Gone,
-  /** Will never be. */
+/** Whether the value of an object exists. */
+export const enum Availability {
+  /** Not produced yet. */
+  Pending,
+  Available,
+  /** Was available, but every copy was lost or was deleted as unused. */
+  Lost,
+  /** Will never be available. */
   Failed,
 }
 
-/** An object. */
-export interface Thing {
-  /** Its place among what its maker makes; or its whole key, if a client put it. */
+/** An object: the output of a task, or a value that a client put. */
+export interface GraphObject {
+  /** Index among the producer's outputs, or the whole key of an object that a client put. */
   name: number | string;
-  /** Null: put by a client; it cannot be made again. */
-  maker: Task | null;
-  there: There;
+  /** Null for an object that a client put, which cannot be recomputed. */
+  producer: Task | null;
+  availability: Availability;
   inline: string | null;
   bytes: number;
-  at: Executor[];
-  /** Clients' references, in all, and whose they are: one client's mostly, or of several by count. */
-  refs: number;
-  holder: Client | Map<Client, number> | null;
-  /** Unfinished tasks that take it. */
-  uses: number;
-  /** Finished tasks that would take it again if what they made had to be made again. */
-  pins: number;
-  waiting: Task[];
+  /** Executors that hold a copy. */
+  holders: Executor[];
+  /** Number of references of all clients. */
+  refCount: number;
+  /** The only client with references, which is the usual case, or the number of references per client. */
+  referencedBy: Client | Map<Client, number> | null;
+  /** Number of unfinished tasks that take the object as input. */
+  pendingConsumers: number;
+  /** Number of finished tasks that would need the object again to recompute their outputs. */
+  lineageRefs: number;
+  /** Tasks to resume when the object is settled. */
+  waitingTasks: Task[];
   watches: Watch[];
-  /** Nobody can ask for it any more. */
-  forgotten: boolean;
+  /** The object is no longer in the index, so its key is unknown. */
+  removed: boolean;
 }
 
-/** A `get` or `wait` under way. */
+/** A pending `get` or `wait` request of a client. */
 export interface Watch {
   client: Client;
   request: number;
-  things: readonly Thing[];
-  /** How many have to be there. */
-  wanted: number;
-  seen: number;
-  over: boolean;
+  objects: readonly GraphObject[];
+  /** How many of the objects have to be settled. */
+  required: number;
+  settledCount: number;
+  /** Completed, expired or abandoned. */
+  closed: boolean;
 }
 
+/** A process that runs tasks. */
 export interface Executor {
   name: string;
-  /** Tasks it runs at a time, in CPUs. */
+  /** CPUs for tasks that run at the same time. */
   cpus: number;
-  busyCpus: number;
-  held: Map<number, Task>;
-  /** When it is reckoned to be through with all it holds, in steady ms. */
-  busyUntil: number;
-  /** Its place in the order of those that may be given work. */
-  key: number;
-  /** Objects that lie there, with their bytes. */
-  things: Set<Thing>;
-  /** Takes no more: it drains. */
-  leaving: boolean;
-  recalled: number;
+  /** CPUs of all leased tasks, running or queued; may exceed `cpus`. */
+  assignedCpus: number;
+  /** Running and queued tasks by lease. */
+  leasedTasks: Map<number, Task>;
+  /** Expected end of all its leased tasks, in ms of the monotonic clock. */
+  idleAtMs: number;
+  /** Current sort key in the pool's order. */
+  orderKey: number;
+  /** Objects of which the executor holds a copy. */
+  objects: Set<GraphObject>;
+  /** Accepts no more tasks. */
+  draining: boolean;
+  /** Recalled tasks that are still expected back. */
+  pendingRecalls: number;
 }
 
+/** A client of the graph, with its share of the executors and its limits. */
 export interface Client {
   name: string;
   weight: number;
-  /** Expected ms of work handed out for it, over its weight. */
-  served: number;
-  queue: FlatQueue<Task>;
-  /** Among those with ready tasks. */
-  waits: boolean;
+  /** Expected CPU-ms of work dispatched for the client, divided by its weight. */
+  serviceMs: number;
+  readyQueue: FlatQueue<Task>;
+  /** Whether the client is in the queue of clients with ready tasks. */
+  inFairQueue: boolean;
   watches: Map<number, Watch>;
-  open: number;
-  bytes: number;
+  /** Number of unfinished tasks. */
+  openTasks: number;
+  /** Bytes of the specs of unfinished tasks. */
+  openBytes: number;
 }
 
-/** An empty list that costs nothing: most objects wait for nobody and lie with the owner. */
-const NONE: never[] = [];
-export const none = <T>(): T[] => NONE;
+/** Shared empty list: most objects have no waiting tasks and no remote copies, so a list of their own would waste memory. */
+const EMPTY: never[] = [];
+/** Returns the shared empty list; extend it only with `append`. */
+export const emptyList = <T>(): T[] => EMPTY;
 
-/** The list with one more; never to be added to in place, as an empty one is everybody's. */
-export function added<T>(list: T[], one: T): T[] {
-  if (list.length === 0) return [one];
-  list.push(one);
+/** Returns the list with one more element. An empty list is replaced, not extended, because it is shared. */
+export function append<T>(list: T[], element: T): T[] {
+  if (list.length === 0) return [element];
+  list.push(element);
   return list;
 }
--- a/packages/graphs/src/objects.ts
+++ b/packages/graphs/src/objects.ts
@@ -1,73 +1,76 @@
-import { none, There, type Task, type Thing } from "./model.js";
+import { emptyList, Availability, type Task, type GraphObject } from "./model.js";
 
-/** The name by which clients and executors know an object. */
-export const keyOf = ({ maker, name }: Thing): string => (maker === null ? String(name) : `${maker.asked.key}:${name}`);
+/** Key under which clients and executors address an object: `TASK:INDEX` for a task's output, the client's own key otherwise. */
+export const objectKey = ({ producer, name }: GraphObject): string => (producer === null ? String(name) : `${producer.spec.key}:${name}`);
 
 /**
- * Objects, found by their keys. What a task makes is found through the task, and its key is
- * put together when it is asked for: a map and a key of its own for each would be a third of
- * what a graph takes.
+ * Index of the graph's objects by key. A task's outputs are found through the task, and their
+ * keys are built on demand: a map entry and a key string for each output would take a third of
+ * the memory of a graph.
  */
-export class Objects {
-  private readonly puts = new Map<string, Thing>();
+export class ObjectTable {
+  private readonly clientObjects = new Map<string, GraphObject>();
   private count = 0;
 
   constructor(private readonly tasks: ReadonlyMap<string, Task>) {}
 
+  /** Number of objects that were not removed. */
   get size(): number {
     return this.count;
   }
 
-  /** `name`: its place among what the task makes, or a client's own key. */
-  make(maker: Task | null, name: number | string): Thing {
-    const thing: Thing = {
+  /** Adds an object. `name` is the index among the producer's outputs, or the client's own key when `producer` is null. */
+  create(producer: Task | null, name: number | string): GraphObject {
+    const object: GraphObject = {
       name,
-      maker,
-      there: There.Not,
+      producer,
+      availability: Availability.Pending,
       inline: null,
       bytes: 0,
-      at: none(),
-      refs: 0,
-      holder: null,
-      uses: 0,
-      pins: 0,
-      waiting: none(),
-      watches: none(),
-      forgotten: false,
+      holders: emptyList(),
+      refCount: 0,
+      referencedBy: null,
+      pendingConsumers: 0,
+      lineageRefs: 0,
+      waitingTasks: emptyList(),
+      watches: emptyList(),
+      removed: false,
     };
-    if (maker === null) this.puts.set(String(name), thing);
+    if (producer === null) this.clientObjects.set(String(name), object);
     this.count++;
-    return thing;
+    return object;
   }
 
-  find(key: string): Thing | undefined {
-    const put = this.puts.get(key);
-    if (put !== undefined) return put;
+  /** Returns undefined for an unknown key and for an object that was removed. */
+  find(key: string): GraphObject | undefined {
+    const clientObject = this.clientObjects.get(key);
+    if (clientObject !== undefined) return clientObject;
     const colon = key.lastIndexOf(":");
     const index = key.slice(colon + 1);
     if (colon < 0 || !/^(0|[1-9]\d*)$/.test(index)) return undefined;
-    const thing = this.tasks.get(key.slice(0, colon))?.outs[Number(index)];
-    return thing === undefined || thing.forgotten ? undefined : thing;
+    const object = this.tasks.get(key.slice(0, colon))?.outputs[Number(index)];
+    return object === undefined || object.removed ? undefined : object;
   }
 
-  /** May a task of this key be submitted, or does one of its objects have the name of a client's own? */
-  free(key: string, returns: number): boolean {
-    if (this.puts.size === 0) return true;
-    for (let i = 0; i < returns; i++) if (this.puts.has(`${key}:${i}`)) return false;
+  /** Returns false if the key of an output of such a task equals the key of a client's object. */
+  isKeyFree(key: string, returns: number): boolean {
+    if (this.clientObjects.size === 0) return true;
+    for (let i = 0; i < returns; i++) if (this.clientObjects.has(`${key}:${i}`)) return false;
     return true;
   }
 
-  /** False: it was forgotten before. */
-  forget(thing: Thing): boolean {
-    if (thing.forgotten) return false;
-    thing.forgotten = true;
-    if (thing.maker === null) this.puts.delete(String(thing.name));
+  /** Removes an object. Returns false if it was removed before. */
+  remove(object: GraphObject): boolean {
+    if (object.removed) return false;
+    object.removed = true;
+    if (object.producer === null) this.clientObjects.delete(String(object.name));
     this.count--;
     return true;
   }
 
-  *all(): Iterable<Thing> {
-    yield* this.puts.values();
-    for (const { outs } of this.tasks.values()) for (const thing of outs) if (!thing.forgotten) yield thing;
+  /** Iterates over all objects that were not removed. */
+  *all(): Iterable<GraphObject> {
+    yield* this.clientObjects.values();
+    for (const { outputs } of this.tasks.values()) for (const object of outputs) if (!object.removed) yield object;
   }
 }
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -1,35 +1,37 @@
 import FlatQueue from "flatqueue";
 import type { Executor, Task } from "./model.js";
 
-/** Tasks that an executor holds at most, for each CPU, however small they are. */
-const MOST_HELD_PER_CPU = 64;
-/** Executors that are passed over, because they have room but not for this task, before it waits. */
-const MOST_ASIDE = 8;
-/** Of what an executor has at hand: with less than this to do, asking it back takes longer than it saves. */
-const LEAST_RECALLED = 1 / 10;
-/** A task is long if it takes this multiple of what is kept at hand. */
-const LONG = 2;
-/** Comes after every time: those without a free CPU are behind all that have one. */
-const FULL = 1e12;
-/** Entries of the order that may be out of date, for each executor, before it is made anew. */
-const MOST_STALE = 16;
+/** Maximum number of leases per CPU of an executor, however short the tasks are. */
+const MAX_LEASES_PER_CPU = 64;
+/** Executors skipped for lack of capacity for a task before the task has to wait. */
+const MAX_SKIPPED = 8;
+/** Fraction of the target backlog: with less work than this left, recalling a task takes longer than it saves. */
+const MIN_RECALL_FRACTION = 1 / 10;
+/** A task is long if its run time times this factor reaches the target backlog. */
+const LONG_TASK_FACTOR = 2;
+/** Larger than any time in ms: sorts executors without a free CPU after all that have one. */
+const NO_FREE_CPU_OFFSET = 1e12;
+/** Queue entries per executor, most of them stale, above which the order is rebuilt. */
+const MAX_ENTRIES_PER_EXECUTOR = 16;
 
 /**
- * Executors in the order in which they should be given work: those with a free CPU first,
- * then whoever is reckoned to be through soonest. An executor's place is found anew when it
- * changes; old entries stay until they come up, and are known by not being its newest.
+ * Keeps executors in the order in which they should receive tasks: those with a free CPU first,
+ * in each group by the time at which they are expected to be idle. An executor is queued again when its sort
+ * key changes; an old entry stays in the queue until it reaches the head, where it is recognised
+ * as stale because its key is not the executor's current one.
  */
-export class Pool {
+export class ExecutorPool {
   private readonly executors = new Map<string, Executor>();
   private order = new FlatQueue<Executor>();
   private cpus = 0;
 
   constructor(
     private readonly now: () => number,
-    /** What each should have waiting so that it never idles while word goes to and fro, in ms. */
-    private readonly atHandMs: number,
+    /** Queued work that each executor should have so that it doesn't idle during a round trip, in ms. */
+    private readonly targetBacklogMs: number,
   ) {}
 
+  /** Number of executors. */
   get size(): number {
     return this.executors.size;
   }
@@ -42,129 +44,143 @@
     return this.executors.values();
   }
 
+  /** Adds an executor with this number of CPUs. */
   attach(name: string, cpus: number): void {
     const executor: Executor = {
       name,
       cpus,
-      busyCpus: 0,
-      busyUntil: 0,
-      key: NaN,
-      held: new Map(),
-      things: new Set(),
-      leaving: false,
-      recalled: 0,
+      assignedCpus: 0,
+      idleAtMs: 0,
+      orderKey: NaN,
+      leasedTasks: new Map(),
+      objects: new Set(),
+      draining: false,
+      pendingRecalls: 0,
     };
     this.executors.set(name, executor);
     this.cpus += cpus;
-    this.place(executor);
+    this.updateOrder(executor);
   }
 
+  /** Removes an executor; its leases are left to the caller. */
   remove(executor: Executor): void {
     this.executors.delete(executor.name);
     this.cpus -= executor.cpus;
   }
 
-  private takes(executor: Executor): boolean {
-    return !executor.leaving && this.executors.get(executor.name) === executor;
+  /** Whether the executor is still in the pool and not draining. */
+  private acceptsTasks(executor: Executor): boolean {
+    return !executor.draining && this.executors.get(executor.name) === executor;
   }
 
-  private place(executor: Executor): void {
-    const key = (executor.busyCpus < executor.cpus ? 0 : FULL) + executor.busyUntil;
-    if (key === executor.key) return;
-    executor.key = key;
-    if (this.order.length > MOST_STALE * (this.executors.size + 1)) {
+  /** Queues the executor under its current sort key if that has changed. */
+  private updateOrder(executor: Executor): void {
+    const key = (executor.assignedCpus < executor.cpus ? 0 : NO_FREE_CPU_OFFSET) + executor.idleAtMs;
+    if (key === executor.orderKey) return;
+    executor.orderKey = key;
+    if (this.order.length > MAX_ENTRIES_PER_EXECUTOR * (this.executors.size + 1)) {
       this.order = new FlatQueue();
-      for (const one of this.executors.values()) if (one !== executor && !Number.isNaN(one.key)) this.order.push(one, one.key);
+      for (const other of this.executors.values())
+        if (other !== executor && !Number.isNaN(other.orderKey)) this.order.push(other, other.orderKey);
     }
     this.order.push(executor, key);
   }
 
+  /** The executor at the head of the order, after removal of stale entries. */
   private first(): Executor | undefined {
     for (;;) {
       const executor = this.order.peek();
       if (executor === undefined) return undefined;
-      if (this.order.peekValue() === executor.key && this.takes(executor)) return executor;
+      if (this.order.peekValue() === executor.orderKey && this.acceptsTasks(executor)) return executor;
       this.order.pop();
     }
   }
 
-  /** May it hold one more? Enough to never idle, and no more than its share of what is ready. */
-  hasRoom(executor: Executor, cpus: number, meanMs: number, ready: number): boolean {
-    if (!this.takes(executor) || cpus > executor.cpus) return false;
-    if (executor.busyCpus + cpus <= executor.cpus) return true;
-    const queued = Math.max(0, executor.busyCpus - executor.cpus);
-    if (executor.held.size >= executor.cpus * MOST_HELD_PER_CPU || (queued * meanMs) / executor.cpus >= this.atHandMs) return false;
+  /**
+   * Whether the executor may receive one more task: one that starts at once, or one to queue as
+   * long as the executor has less than the target backlog and than its share of the ready tasks.
+   */
+  hasCapacity(executor: Executor, cpus: number, meanMs: number, ready: number): boolean {
+    if (!this.acceptsTasks(executor) || cpus > executor.cpus) return false;
+    if (executor.assignedCpus + cpus <= executor.cpus) return true;
+    const queued = Math.max(0, executor.assignedCpus - executor.cpus);
+    if (executor.leasedTasks.size >= executor.cpus * MAX_LEASES_PER_CPU || (queued * meanMs) / executor.cpus >= this.targetBacklogMs)
+      return false;
     if (queued >= Math.ceil((ready * executor.cpus) / Math.max(1, this.cpus))) return false;
-    // Long tasks go out just before there is room: given earlier they wait behind whatever runs
-    // longer than was thought, while another executor comes free.
-    return meanMs * LONG < this.atHandMs || queued < this.endingSoon(executor);
+    // A long task is sent only shortly before a CPU becomes free: sent earlier, it could queue behind
+    // a task that overruns its estimate while another executor is idle.
+    return meanMs * LONG_TASK_FACTOR < this.targetBacklogMs || queued < this.cpusEndingSoon(executor);
   }
 
-  private endingSoon(executor: Executor): number {
-    const soon = this.now() + this.atHandMs;
-    let ending = 0;
-    for (const task of executor.held.values()) if (task.dueAt <= soon) ending += task.asked.cpus;
-    return ending;
+  /** CPUs of the tasks that are expected to end within the target backlog. */
+  private cpusEndingSoon(executor: Executor): number {
+    const soon = this.now() + this.targetBacklogMs;
+    let endingCpus = 0;
+    for (const task of executor.leasedTasks.values()) if (task.expectedEndMs <= soon) endingCpus += task.spec.cpus;
+    return endingCpus;
   }
 
-  /** The one to be given a task of this kind; null: none has room. */
+  /** Returns the first executor in the order with capacity for such a task, or null after too many without. */
   pick(cpus: number, meanMs: number, ready: number): Executor | null {
-    const aside: Executor[] = [];
+    const skipped: Executor[] = [];
     let found: Executor | null = null;
-    while (aside.length < MOST_ASIDE) {
+    while (skipped.length < MAX_SKIPPED) {
       const executor = this.first();
       if (executor === undefined) break;
-      if (this.hasRoom(executor, cpus, meanMs, ready)) {
+      if (this.hasCapacity(executor, cpus, meanMs, ready)) {
         found = executor;
         break;
       }
       this.order.pop();
-      aside.push(executor);
+      skipped.push(executor);
     }
-    for (const executor of aside) this.order.push(executor, executor.key);
+    for (const executor of skipped) this.order.push(executor, executor.orderKey);
     return found;
   }
 
-  /** The task is on its way there. */
-  give(executor: Executor, task: Task, meanMs: number): void {
-    executor.held.set(task.lease, task);
-    task.dueAt = executor.busyCpus < executor.cpus ? this.now() + meanMs : Infinity;
-    executor.busyCpus += task.asked.cpus;
-    executor.busyUntil = Math.max(this.now(), executor.busyUntil) + (meanMs * task.asked.cpus) / executor.cpus;
-    this.place(executor);
+  /** Records that the task was sent to the executor. `meanMs` is its expected run time. */
+  assign(executor: Executor, task: Task, meanMs: number): void {
+    executor.leasedTasks.set(task.lease, task);
+    task.expectedEndMs = executor.assignedCpus < executor.cpus ? this.now() + meanMs : Infinity;
+    executor.assignedCpus += task.spec.cpus;
+    executor.idleAtMs = Math.max(this.now(), executor.idleAtMs) + (meanMs * task.spec.cpus) / executor.cpus;
+    this.updateOrder(executor);
   }
 
-  /** It is over, or has come back. */
-  take(executor: Executor, task: Task, meanMs: number): void {
-    executor.held.delete(task.lease);
-    // One that waited there begins.
-    if (executor.busyCpus > executor.cpus)
-      for (const next of executor.held.values())
-        if (next.dueAt === Infinity) {
-          next.dueAt = this.now() + meanMs;
+  /** Records that the task ended or was returned. */
+  unassign(executor: Executor, task: Task, meanMs: number): void {
+    executor.leasedTasks.delete(task.lease);
+    // One of the tasks queued at the executor starts now.
+    if (executor.assignedCpus > executor.cpus)
+      for (const next of executor.leasedTasks.values())
+        if (next.expectedEndMs === Infinity) {
+          next.expectedEndMs = this.now() + meanMs;
           break;
         }
-    executor.busyCpus = executor.held.size === 0 ? 0 : executor.busyCpus - task.asked.cpus;
-    if (executor.held.size === 0) executor.busyUntil = this.now();
-    if (executor.recalled > 0) executor.recalled--;
-    this.place(executor);
+    executor.assignedCpus = executor.leasedTasks.size === 0 ? 0 : executor.assignedCpus - task.spec.cpus;
+    if (executor.leasedTasks.size === 0) executor.idleAtMs = this.now();
+    if (executor.pendingRecalls > 0) executor.pendingRecalls--;
+    this.updateOrder(executor);
   }
 
-  /** An idle executor beside one with a queue of its own: leases to be asked back there. */
-  unbalanced(): { executor: Executor; leases: number[] } | null {
+  /**
+   * If an executor is idle, returns the one with the longest backlog and those of its leases to
+   * recall, otherwise null. An executor with pending recalls is left out.
+   */
+  chooseRecall(): { executor: Executor; leases: number[] } | null {
     if (this.executors.size < 2) return null;
     const idle = this.first();
-    if (idle === undefined || idle.held.size > 0) return null;
-    let fullest: Executor | null = null;
-    let until = this.now() + this.atHandMs * LEAST_RECALLED;
+    if (idle === undefined || idle.leasedTasks.size > 0) return null;
+    let mostLoaded: Executor | null = null;
+    let latestIdleAt = this.now() + this.targetBacklogMs * MIN_RECALL_FRACTION;
     for (const executor of this.executors.values()) {
-      if (executor.busyCpus <= executor.cpus || executor.recalled > 0 || executor.busyUntil <= until) continue;
-      fullest = executor;
-      until = executor.busyUntil;
+      if (executor.assignedCpus <= executor.cpus || executor.pendingRecalls > 0 || executor.idleAtMs <= latestIdleAt) continue;
+      mostLoaded = executor;
+      latestIdleAt = executor.idleAtMs;
     }
-    if (fullest === null) return null;
-    const count = Math.max(1, Math.floor((fullest.held.size - fullest.cpus) / 2));
-    fullest.recalled = count;
-    return { executor: fullest, leases: [...fullest.held.keys()].slice(-count) };
+    if (mostLoaded === null) return null;
+    const count = Math.max(1, Math.floor((mostLoaded.leasedTasks.size - mostLoaded.cpus) / 2));
+    mostLoaded.pendingRecalls = count;
+    return { executor: mostLoaded, leases: [...mostLoaded.leasedTasks.keys()].slice(-count) };
   }
 }
--- a/packages/graphs/src/sizes.ts
+++ b/packages/graphs/src/sizes.ts
@@ -1,44 +1,47 @@
-/** How much a new run time weighs against what was learned before. */
-const NEWEST = 0.1;
-/** Functions that are remembered; names come from clients. */
-const MOST_FUNCTIONS = 5000;
+/** Minimum weight of a new run time against the earlier estimate. */
+const MIN_SAMPLE_WEIGHT = 0.1;
+/** Functions with an estimate; bounded because their names come from clients. */
+const MAX_FUNCTIONS = 5000;
 
-interface Learned {
+/** Estimate for one function, in ms. */
+interface RuntimeEstimate {
   mean: number;
   deviation: number;
   count: number;
 }
 
-/** Run times by function, in ms: a mean that forgets, and how far runs lie from it (after Jacobson's estimate of round trips). */
-export class Sizes {
-  private readonly known = new Map<string, Learned>();
-  private overall = 0;
+/** Estimates run times per function, in ms: an exponential moving average and the mean deviation from it (Jacobson's round-trip estimator). */
+export class RuntimeEstimator {
+  private readonly estimates = new Map<string, RuntimeEstimate>();
+  private overallMeanMs = 0;
 
-  /** What a function nobody has seen yet is taken to need, before anything was seen at all. */
-  constructor(private readonly firstMs: number) {}
+  /** `defaultMs` is the estimate for every function until the first run time is recorded. */
+  constructor(private readonly defaultMs: number) {}
 
-  learn(fn: string, ms: number): void {
-    this.overall = this.overall === 0 ? ms : this.overall + NEWEST * (ms - this.overall);
-    const one = this.known.get(fn);
-    if (one === undefined) {
-      if (this.known.size >= MOST_FUNCTIONS) this.known.delete(this.known.keys().next().value as string);
-      this.known.set(fn, { mean: ms, deviation: ms / 2, count: 1 });
+  /** Records the run time of one task. */
+  record(fn: string, ms: number): void {
+    this.overallMeanMs = this.overallMeanMs === 0 ? ms : this.overallMeanMs + MIN_SAMPLE_WEIGHT * (ms - this.overallMeanMs);
+    const estimate = this.estimates.get(fn);
+    if (estimate === undefined) {
+      if (this.estimates.size >= MAX_FUNCTIONS) this.estimates.delete(this.estimates.keys().next().value as string);
+      this.estimates.set(fn, { mean: ms, deviation: ms / 2, count: 1 });
       return;
     }
-    const off = ms - one.mean;
-    // The first few runs weigh as much as each other.
-    const share = Math.max(NEWEST, 1 / ++one.count);
-    one.mean += share * off;
-    one.deviation += share * (Math.abs(off) - one.deviation);
+    const error = ms - estimate.mean;
+    // The first runs have equal weight.
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / ++estimate.count);
+    estimate.mean += weight * error;
+    estimate.deviation += weight * (Math.abs(error) - estimate.deviation);
   }
 
+  /** Expected run time; for a function without an estimate, the average over all functions. */
   meanMs(fn: string): number {
-    return this.known.get(fn)?.mean ?? (this.overall > 0 ? this.overall : this.firstMs);
+    return this.estimates.get(fn)?.mean ?? (this.overallMeanMs > 0 ? this.overallMeanMs : this.defaultMs);
   }
 
-  /** A run this long is unusual. */
-  longMs(fn: string): number {
-    const one = this.known.get(fn);
-    return one === undefined || one.count < 3 ? Infinity : one.mean + 4 * one.deviation;
+  /** Run time above which a run is an outlier; infinite until the function has run three times. */
+  outlierMs(fn: string): number {
+    const estimate = this.estimates.get(fn);
+    return estimate === undefined || estimate.count < 3 ? Infinity : estimate.mean + 4 * estimate.deviation;
   }
 }
--- a/packages/graphs/test/cluster.ts
+++ b/packages/graphs/test/cluster.ts
@@ -1,33 +1,34 @@
-import type { Final, Input, Made, Out, TaskAsked } from "../src/model.js";
+import type { TaskOutcome, TaskInput, TaskOutput, DecisionSink, TaskSpec } from "../src/model.js";
 import { GraphMachine, type MachineOptions } from "../src/machine.js";
 
-interface Held {
+/** A task that an executor holds. */
+interface LeasedTask {
   executor: string;
   lease: number;
-  task: TaskAsked;
+  task: TaskSpec;
 }
 
-/** A value longer than this stays at its executor. */
-export const INLINE = 100;
+/** A larger output is stored at its executor. In bytes. */
+export const MAX_INLINE_BYTES = 100;
 
-/** Executors and clients around a machine, as plain sets, and what must hold of them at each step. */
-export class Cluster implements Out {
+/** Models the executors and clients of a machine, and records violations of its invariants. */
+export class Cluster implements DecisionSink {
   now = 0;
   readonly machine: GraphMachine;
   readonly alive = new Set<string>();
-  /** Objects that lie at each executor. */
+  /** Keys of the objects stored at each executor. */
   readonly stored = new Map<string, Set<string>>();
-  readonly held = new Map<number, Held>();
-  readonly finals = new Map<string, Final>();
+  readonly leases = new Map<number, LeasedTask>();
+  readonly finals = new Map<string, TaskOutcome>();
   readonly runs = new Map<string, number>();
-  readonly told = new Map<string, readonly string[]>();
-  readonly wrong: string[] = [];
+  readonly completedWatches = new Map<string, readonly string[]>();
+  readonly violations: string[] = [];
   readonly recalls: number[] = [];
   private readonly running = new Set<string>();
   private executors = 0;
 
   constructor(options: Partial<Omit<MachineOptions, "out" | "now">> = {}) {
-    this.machine = new GraphMachine({ atHandMs: 50, firstMs: 10, ...options, out: this, now: () => this.now });
+    this.machine = new GraphMachine({ targetBacklogMs: 50, defaultRuntimeMs: 10, ...options, sink: this, now: () => this.now });
   }
 
   attach(cpus = 2): string {
@@ -38,59 +39,62 @@
     return name;
   }
 
+  /** Loses an executor with its tasks and objects. */
   lose(name: string): void {
     if (!this.alive.delete(name)) return;
     this.stored.delete(name);
-    for (const [lease, { executor }] of this.held) if (executor === name) this.letGo(lease);
+    for (const [lease, { executor }] of this.leases) if (executor === name) this.endLease(lease);
     this.machine.lost(name);
   }
 
-  run(executor: string, lease: number, task: TaskAsked, inputs: readonly Input[]): void {
+  run(executor: string, lease: number, task: TaskSpec, inputs: readonly TaskInput[]): void {
     this.runs.set(task.key, (this.runs.get(task.key) ?? 0) + 1);
-    if (!this.alive.has(executor)) this.wrong.push(`${task.key} given to ${executor}, which is gone`);
-    if (this.running.has(task.key)) this.wrong.push(`${task.key} runs twice at once`);
+    if (!this.alive.has(executor)) this.violations.push(`${task.key} sent to ${executor}, which is lost`);
+    if (this.running.has(task.key)) this.violations.push(`${task.key} runs twice at once`);
     this.running.add(task.key);
     for (const { key, inline, at } of inputs)
       if (inline === null && !at.some((name) => this.stored.get(name)?.has(key) === true))
-        this.wrong.push(`${task.key} is given ${key}, which is nowhere`);
-    this.held.set(lease, { executor, lease, task });
+        this.violations.push(`${task.key} is sent with input ${key}, of which there is no copy`);
+    this.leases.set(lease, { executor, lease, task });
   }
 
-  private letGo(lease: number): Held | undefined {
-    const one = this.held.get(lease);
-    this.held.delete(lease);
-    if (one !== undefined) this.running.delete(one.task.key);
-    return one;
+  private endLease(lease: number): LeasedTask | undefined {
+    const leased = this.leases.get(lease);
+    this.leases.delete(lease);
+    if (leased !== undefined) this.running.delete(leased.task.key);
+    return leased;
   }
 
-  /** The task that has been held longest, or the one at this place, comes to an end. */
+  /** Ends a leased task successfully, with outputs of this size. */
   end(lease: number, bytes = 10, ranMs = 10): void {
-    const one = this.letGo(lease);
-    if (one === undefined) return;
-    const made: Made[] = Array.from({ length: one.task.returns }, (_, i) => ({
+    const leased = this.endLease(lease);
+    if (leased === undefined) return;
+    const made: TaskOutput[] = Array.from({ length: leased.task.returns }, (_, i) => ({
       bytes,
-      inline: bytes <= INLINE ? `${one.task.key}:${i}=${one.task.args}` : null,
+      inline: bytes <= MAX_INLINE_BYTES ? `${leased.task.key}:${i}=${leased.task.args}` : null,
     }));
-    made.forEach(({ inline }, i) => void (inline === null && this.stored.get(one.executor)?.add(`${one.task.key}:${i}`)));
-    this.machine.done(one.executor, lease, made, ranMs);
+    made.forEach(({ inline }, i) => void (inline === null && this.stored.get(leased.executor)?.add(`${leased.task.key}:${i}`)));
+    this.machine.done(leased.executor, lease, made, ranMs);
   }
 
+  /** Fails a leased task with an error of its own. */
   fail(lease: number): void {
-    const one = this.letGo(lease);
-    if (one === undefined) return;
-    this.machine.failed(one.executor, lease, "it raised", 10);
+    const leased = this.endLease(lease);
+    if (leased === undefined) return;
+    this.machine.failed(leased.executor, lease, "it raised", 10);
   }
 
-  giveBack(lease: number): void {
-    const one = this.letGo(lease);
-    if (one === undefined) return;
-    this.machine.returned(one.executor, lease);
+  /** Returns a leased task before it started. */
+  returnTask(lease: number): void {
+    const leased = this.endLease(lease);
+    if (leased === undefined) return;
+    this.machine.returned(leased.executor, lease);
   }
 
-  /** Lets everything that is held end well, until nothing is held any more. */
+  /** Ends all leased tasks successfully until none are left. */
   finishAll(bytes = 10): void {
     this.machine.dispatch();
-    while (this.held.size > 0) this.end(this.held.keys().next().value as number, bytes);
+    while (this.leases.size > 0) this.end(this.leases.keys().next().value as number, bytes);
   }
 
   recall(_executor: string, lease: number): void {
@@ -103,22 +107,23 @@
     for (const key of keys) this.stored.get(executor)?.delete(key);
   }
 
-  final(_client: string, key: string, final: Final): void {
-    if (this.finals.has(key)) this.wrong.push(`${key} has a second answer`);
+  final(_client: string, key: string, final: TaskOutcome): void {
+    if (this.finals.has(key)) this.violations.push(`${key} has a second outcome`);
     this.finals.set(key, final);
   }
 
   ready(client: string, request: number, keys: readonly string[]): void {
-    if (this.told.has(`${client}/${request}`)) this.wrong.push(`${client}/${request} is told twice`);
-    this.told.set(`${client}/${request}`, keys);
+    if (this.completedWatches.has(`${client}/${request}`)) this.violations.push(`${client}/${request} is completed twice`);
+    this.completedWatches.set(`${client}/${request}`, keys);
   }
 }
 
-export function task(key: string, needs: readonly string[] = [], more: Partial<TaskAsked> = {}): TaskAsked {
+/** Creates a task spec with defaults. */
+export function task(key: string, needs: readonly string[] = [], more: Partial<TaskSpec> = {}): TaskSpec {
   return { key, fn: "f", args: "x", needs, returns: 1, cpus: 1, retries: 3, retryErrors: false, ...more };
 }
 
-/** A cluster with one client, `c`. */
+/** Creates a cluster with one client, `c`. */
 export function withClient(options?: ConstructorParameters<typeof Cluster>[0]): { cluster: Cluster; machine: GraphMachine } {
   const cluster = new Cluster(options);
   cluster.machine.join("c");
--- a/packages/graphs/test/journal.test.ts
+++ b/packages/graphs/test/journal.test.ts
@@ -2,31 +2,31 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Row } from "@thorntrail/protocol/state";
-import { Journal, SPAN, type Answer, type Draft, type JournalOptions } from "../src/journal.js";
+import { Journal, TASKS_PER_PAGE, type Outcome, type Draft, type JournalOptions } from "../src/journal.js";
 
 const OWNER = "t/p/0";
 
-/** The records as a state service keeps them, with what it refuses. */
+/** Model of the state service: its records, conditions and limits. */
 class Service {
   readonly rows = new Map<string, { v: unknown; stamp: number }>();
   ledger = 10;
   changes = 0;
 
-  constructor(private readonly most: { ops: number; bytes: number }) {
+  constructor(private readonly limits: { ops: number; bytes: number }) {
     this.rows.set(OWNER, { v: {}, stamp: 10 });
   }
 
-  /** A new owner: the term is the stamp. */
-  take(): number {
+  /** A new owner takes over; its term is the stamp. */
+  takeOver(): number {
     this.rows.set(OWNER, { v: {}, stamp: ++this.ledger });
     return this.ledger;
   }
 
-  /** The stamp, or null: a condition failed. */
+  /** Returns the stamp, or null if a condition failed. */
   txn({ conditions, apply }: Draft): number | null {
-    assert.ok(apply.length <= this.most.ops, `${apply.length} changes`);
-    assert.ok(conditions.length <= this.most.ops * 4);
-    for (const op of apply) if ("write" in op) assert.ok(JSON.stringify(op.v).length <= this.most.bytes, "a value too large");
+    assert.ok(apply.length <= this.limits.ops, `${apply.length} changes`);
+    assert.ok(conditions.length <= this.limits.ops * 4);
+    for (const op of apply) if ("write" in op) assert.ok(JSON.stringify(op.v).length <= this.limits.bytes, "value too large");
     if (conditions.some(({ k, stamp }) => (this.rows.get(k)?.stamp ?? 0) !== stamp)) return null;
     this.ledger++;
     for (const op of apply) {
@@ -42,7 +42,8 @@
   }
 }
 
-function place(now: () => number = () => 0) {
+/** Creates a model service with small limits and the options for a journal on it. */
+function environment(now: () => number = () => 0) {
   const service = new Service({ ops: 5, bytes: 2048 });
   const options = (): JournalOptions => ({
     prefix: "t/g/flow/",
@@ -53,148 +54,148 @@
     now,
   });
   const flush = (journal: Journal): void => {
-    for (let draft = journal.draft(); draft !== null; draft = journal.draft()) journal.landed(service.txn(draft)!);
+    for (let draft = journal.draftBatch(); draft !== null; draft = journal.draftBatch()) journal.batchCommitted(service.txn(draft)!);
   };
   return { service, options, flush };
 }
 
-test("100,000 answers take under five changes for each thousand, and nothing once they have been heard", () => {
-  const { service, options } = place();
+test("100,000 outcomes take under five changes per thousand, and no records once they are acknowledged", () => {
+  const { service, options } = environment();
   const journal = new Journal(options());
   for (let seq = 0; seq < 100_000; seq++) {
-    // Tasks end out of order, some thousands apart.
+    // Tasks end out of order, thousands of sequence numbers apart.
     journal.record("c", (seq * 7919) % 100_000, seq % 50 === 0 ? "failed" : "done");
-    if (seq % 5000 === 4999) journal.heard("c", 0);
-    while (journal.due()) journal.landed(service.txn(journal.draft()!)!);
+    if (seq % 5000 === 4999) journal.acknowledge("c", 0);
+    while (journal.isBatchDue()) journal.batchCommitted(service.txn(journal.draftBatch()!)!);
   }
-  // Drawn all over the range, which is worse than any graph.
+  // The sequence numbers are spread over the whole range, which is worse than any graph.
   assert.ok(service.changes < 500, `${service.changes} changes`);
-  const near = place();
+  const near = environment();
   const other = new Journal(near.options());
   for (let seq = 0; seq < 100_000; seq++) {
     other.record("c", seq ^ 0x3ff, "done");
-    if (seq % 2000 === 1999) other.heard("c", seq - 1024);
-    if (other.due()) other.landed(near.service.txn(other.draft()!)!);
+    if (seq % 2000 === 1999) other.acknowledge("c", seq - 1024);
+    if (other.isBatchDue()) other.batchCommitted(near.service.txn(other.draftBatch()!)!);
   }
   assert.ok(near.service.changes < 500, `${near.service.changes} changes for 100,000 tasks`);
-  other.heard("c", 102_400);
+  other.acknowledge("c", 102_400);
   near.flush(other);
   assert.deepEqual(
     near.service.list().map(({ k }) => k),
     ["t/g/flow/c"],
   );
-  assert.equal(Journal.restore(near.options(), near.service.list()).answer("c", 5), "heard");
+  assert.equal(Journal.restore(near.options(), near.service.list()).outcome("c", 5), "acknowledged");
 });
 
-test("an answer is safe to tell others only once it is durable, and asking makes it so soon", () => {
+test("an outcome may be reported to others only once it is durable, and a check makes the next batch due", () => {
   const clock = { now: 0 };
-  const { service, options } = place(() => clock.now);
+  const { service, options } = environment(() => clock.now);
   const journal = new Journal(options());
   journal.record("c", 3, "done");
-  assert.equal(journal.due(), false);
-  assert.equal(journal.safe("c", 3), false);
-  assert.equal(journal.due(), true);
-  const draft = journal.draft()!;
-  assert.equal(journal.draft(), null, "one at a time");
-  assert.equal(journal.safe("c", 3), false, "on its way is not durable");
+  assert.equal(journal.isBatchDue(), false);
+  assert.equal(journal.checkDurable("c", 3), false);
+  assert.equal(journal.isBatchDue(), true);
+  const draft = journal.draftBatch()!;
+  assert.equal(journal.draftBatch(), null, "one batch at a time");
+  assert.equal(journal.checkDurable("c", 3), false, "an outcome in flight is not durable");
   journal.record("c", 4, "failed");
-  journal.landed(service.txn(draft)!);
-  assert.equal(journal.safe("c", 4), false);
-  assert.equal(journal.record("c", 4, "done"), false, "the first answer stands");
-  assert.equal(journal.answer("c", 4), "failed");
+  journal.batchCommitted(service.txn(draft)!);
+  assert.equal(journal.checkDurable("c", 4), false);
+  assert.equal(journal.record("c", 4, "done"), false, "the first outcome is kept");
+  assert.equal(journal.outcome("c", 4), "failed");
   clock.now += 60_000;
-  assert.equal(journal.due(), true, "nothing waits for ever for others");
+  assert.equal(journal.isBatchDue(), true, "no outcome waits indefinitely for others");
 });
 
-test("an owner that was deposed writes nothing, however late its transaction comes", () => {
-  const { service, options, flush } = place();
+test("a former owner writes nothing, however late its transaction arrives", () => {
+  const { service, options, flush } = environment();
   const old = new Journal(options());
   old.record("c", 1, "done");
   flush(old);
   old.record("c", 2, "cancelled");
-  const late = old.draft()!;
-  service.take();
+  const late = old.draftBatch()!;
+  service.takeOver();
   const next = Journal.restore(options(), service.list());
-  assert.equal(next.answer("c", 2), null);
+  assert.equal(next.outcome("c", 2), null);
   next.record("c", 2, "done");
   flush(next);
   assert.equal(service.txn(late), null);
-  assert.equal(Journal.restore(options(), service.list()).answer("c", 2), "done");
-  // Nor a record that nobody else has written.
-  next.record("c", 5 * SPAN, "done");
-  const further = next.draft()!;
-  service.take();
+  assert.equal(Journal.restore(options(), service.list()).outcome("c", 2), "done");
+  // This includes a record that no other owner has written.
+  next.record("c", 5 * TASKS_PER_PAGE, "done");
+  const further = next.draftBatch()!;
+  service.takeOver();
   assert.equal(service.txn(further), null);
 });
 
-test("settings that no record fits are refused at once", () => {
-  const { options } = place();
-  assert.throws(() => new Journal({ ...options(), valueKb: 1 }), /value_kb 1: a record of answers takes up to \d+ bytes/);
+test("settings too small for a record or a transaction are rejected by the constructor", () => {
+  const { options } = environment();
+  assert.throws(() => new Journal({ ...options(), valueKb: 1 }), /value_kb 1: a record of outcomes takes up to \d+ bytes/);
   assert.throws(() => new Journal({ ...options(), txnOps: 1 }), /txn_ops 1/);
 });
 
-test("whatever is drawn: what was called safe is there after any end, answers never change, heard ones never come back", () => {
+test("random sequences: an outcome reported as durable survives any failure, outcomes never change, acknowledged ones never reappear", () => {
   const step = fc.record({
-    what: fc.constantFrom("record", "record", "record", "record", "heard", "safe", "flush", "lost", "unanswered", "late", "end"),
+    what: fc.constantFrom("record", "record", "record", "record", "acknowledge", "check", "flush", "lost", "unanswered", "late", "end"),
     client: fc.constantFrom("c", "d"),
-    seq: fc.oneof(fc.nat(40), fc.nat(3 * SPAN)),
-    answer: fc.constantFrom<Answer>("done", "failed", "cancelled"),
+    seq: fc.oneof(fc.nat(40), fc.nat(3 * TASKS_PER_PAGE)),
+    answer: fc.constantFrom<Outcome>("done", "failed", "cancelled"),
   });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-      const { service, options, flush } = place();
+      const { service, options, flush } = environment();
       let journal = new Journal(options());
-      const told = new Map<string, Answer>();
-      const heard = new Map<string, number>();
+      const reported = new Map<string, Outcome>();
+      const acknowledged = new Map<string, number>();
       let held: Draft | null = null;
       const settle = (applied: boolean, draft: Draft): void => {
         if (applied) service.txn(draft);
-        journal.unsettled(service.list());
+        journal.reconcile(service.list());
       };
       for (const { what, client, seq, answer } of steps) {
         if (what === "record") journal.record(client, seq, answer);
-        else if (what === "heard") {
-          // Only what it was told of, all of it from the first.
-          let below = heard.get(client) ?? 0;
-          while (below < seq && journal.answer(client, below) !== null) below++;
-          journal.heard(client, below);
-          heard.set(client, below);
-        } else if (what === "safe") {
-          const said = journal.answer(client, seq);
-          if (journal.safe(client, seq) && said !== "heard") told.set(`${client}/${seq}`, said!);
+        else if (what === "acknowledge") {
+          // A client acknowledges only outcomes that exist, without gaps from the first.
+          let below = acknowledged.get(client) ?? 0;
+          while (below < seq && journal.outcome(client, below) !== null) below++;
+          journal.acknowledge(client, below);
+          acknowledged.set(client, below);
+        } else if (what === "check") {
+          const outcome = journal.outcome(client, seq);
+          if (journal.checkDurable(client, seq) && outcome !== "acknowledged") reported.set(`${client}/${seq}`, outcome!);
         } else if (what === "flush") flush(journal);
         else if (what === "lost" || what === "unanswered") {
-          const draft = journal.draft();
+          const draft = journal.draftBatch();
           if (draft !== null) settle(what === "unanswered", draft);
         } else if (what === "late") {
-          // Given up, settled by a read, drafted anew, and then the first copy comes.
-          held = journal.draft();
+          // The transaction is given up, settled by a read and drafted again; then its first copy arrives.
+          held = journal.draftBatch();
           if (held === null) continue;
           const { changes } = service;
-          journal.unsettled(service.list());
-          const again = journal.draft();
-          if (again !== null) journal.landed(service.txn(again)!);
+          journal.reconcile(service.list());
+          const again = journal.draftBatch();
+          if (again !== null) journal.batchCommitted(service.txn(again)!);
           assert.ok(service.changes > changes);
-          assert.equal(service.txn(held), null, "the copy that comes late finds other stamps");
+          assert.equal(service.txn(held), null, "the late copy finds other stamps");
         } else if (what === "end") {
-          service.take();
+          service.takeOver();
           journal = Journal.restore(options(), service.list());
           for (const name of ["c", "d"]) {
             let below = 0;
-            while (journal.answer(name, below) === "heard") below++;
-            // A base that was not recorded is said again by its client.
-            assert.ok(below <= (heard.get(name) ?? 0));
+            while (journal.outcome(name, below) === "acknowledged") below++;
+            // A client acknowledges again a base that was not durable.
+            assert.ok(below <= (acknowledged.get(name) ?? 0));
           }
-          for (const [name, below] of heard) journal.heard(name, below);
+          for (const [name, below] of acknowledged) journal.acknowledge(name, below);
         }
-        for (const [key, before] of told) {
+        for (const [key, before] of reported) {
           const [name, no] = key.split("/") as [string, string];
-          const now = journal.answer(name, Number(no));
-          assert.ok(now === before || now === "heard", `${key} was told as ${before} and is ${now}`);
+          const now = journal.outcome(name, Number(no));
+          assert.ok(now === before || now === "acknowledged", `${key} was reported as ${before} and is ${now}`);
         }
       }
       flush(journal);
-      assert.equal(journal.due(), false);
+      assert.equal(journal.isBatchDue(), false);
     }),
     { numRuns: Number(process.env["DRAWS"] ?? 400), seed: Number(process.env["SEED"] ?? 1) },
   );
