--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -55,7 +55,7 @@
   const needed = new Set<string>();
   const { now } = context;
   const candidateMachines = usableCandidates(partition, now, context.silentMs);
-  const usable = new Set(candidateMachines.map((slot) => slot.machine));
+  const usable = new Set(candidateMachines.map((candidate) => candidate.machine));
   for (const { machine, free } of candidateMachines) {
     for (const placement of machine.placements.values())
       if (context.remainingMs(placement) <= context.freeSoonMs) addCapacity(free, placement.taskSet.spec, 1);
@@ -96,7 +96,7 @@
           ? candidateMachines
           : candidateMachines.filter(({ machine }) => !failsRepeatedlyOn(taskSet, machine.host));
       const chosen = placeTasks(task, count, candidates, zonesInUse(partition, taskSet), NO_EXCLUSIONS, false);
-      for (const slot of chosen) needed.add(slot.machine.host);
+      for (const candidate of chosen) needed.add(candidate.machine.host);
       return chosen.length;
     };
     // A single-zone job goes to the zone that needs the fewest additional machines.
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -75,9 +75,9 @@
       isAvailable: (offer) => this.availability.isAvailable(offer),
       quotaShare: (team) => this.deps.quotaShares.grantedShare(partition.id, team),
       freeSoonMs: this.freeSoonMs(),
-      remainingMs: ({ taskSet: unit, runningAt }) => {
+      remainingMs: ({ taskSet, runningAt }) => {
         const { history } = this.deps.leader;
-        return 1000 * history.remainingRunS(unit.spec, runningAt === null ? 0 : (now - runningAt) / 1000);
+        return 1000 * history.remainingRunS(taskSet.spec, runningAt === null ? 0 : (now - runningAt) / 1000);
       },
       migrationGraceMs:
         this.deps.settings.operators.exchange.mode === "off"
@@ -100,11 +100,11 @@
   }
 
   /** Records a rental under a new name, then executes it. */
-  private async beginRental(partition: Partition, offer: Offer, count: number): Promise<void> {
+  private async beginRental(partition: Partition, offering: Offer, count: number): Promise<void> {
     const name = `${partition.id}.${partition.term}.${++this.rentalCount}`;
     const value: RentalRecord = {
       part: partition.id,
-      ...offer,
+      ...offering,
       count: Math.min(count, MAX_RENTAL_COUNT),
       at: this.deps.scope.clock.wall(),
     };
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -186,7 +186,7 @@
     if (needs === undefined) return { spec, part: partition, hi, done: "", at };
     const outcomes = needs.map((ref) => this.deps.needs.outcome(ref));
     if (outcomes.includes("withdrawn")) return { spec: plain, part: partition, hi, done: "", at, end: "withdrawn" };
-    if (outcomes.every((fate) => fate === "done")) return { spec: plain, part: partition, hi, done: "", at };
+    if (outcomes.every((outcome) => outcome === "done")) return { spec: plain, part: partition, hi, done: "", at };
     const { inline, name, lists } = this.splitNeeds(spec);
     return {
       ...waitingAssignment(partition),
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -168,7 +168,7 @@
   needList: (ref: string, name: string, i: number) => `t/n/${ref}/${name}/${i}`,
   /** `index` above 0 is for further records of a rental that does not fit into one. */
   rental: (name: string, index = 0) => `t/m/${name}${index > 0 ? `/${index}` : ""}`,
-  owner: (part: number) => `t/o/${part}`,
+  owner: (partition: number) => `t/o/${partition}`,
   presenceOf: (node: string) => `t/l/${node}`,
   suspicion: (node: string) => `t/x/${node}`,
   /** Team names may contain any character; keys must not contain spaces. */
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -42,23 +42,23 @@
   }
 
   /** Number of machines in the partition. */
-  count(part: number): number {
-    return this.counts.get(part) ?? 0;
+  count(partition: number): number {
+    return this.counts.get(partition) ?? 0;
   }
 
   /** Rentals for the partition, by this or a former owner, whose machines are not recorded yet. */
-  pendingRentals(part: number): [key: string, record: RentalRecord][] {
+  pendingRentals(partition: number): [key: string, record: RentalRecord][] {
     const list: [string, RentalRecord][] = [];
     for (const key of this.pending) {
       const record = this.replica.get<RentalRecord>(key)?.v;
-      if (record?.part === part) list.push([key, record]);
+      if (record?.part === partition) list.push([key, record]);
     }
     return list;
   }
 
   /** Changes the partition's machine count by `by`. */
-  private adjustCount(part: number, by: number): void {
-    this.counts.set(part, this.count(part) + by);
+  private adjustCount(partition: number, by: number): void {
+    this.counts.set(partition, this.count(partition) + by);
   }
 
   /** All recorded machines. */
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -165,7 +165,7 @@
       };
     };
     // A transaction of its own: the stamp becomes the term, and two partitions claimed in one transaction would share
-    // a term, with attempt numbers and tokens that cannot be told apart.
+    // a term, with attempt numbers and tokens that cannot be distinguished.
     void this.dependencies.committer
       .commit("claim", draft, { priority: "now", exclusive: true, shedAfterMs: this.dependencies.settings.timing.presenceMs })
       .then((outcome) => {
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -75,14 +75,14 @@
     return ordersFor(machine, "report", {
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
-      isClearable: (task) => this.clearable(task),
+      isClearable: (task) => this.isClearable(task),
       onStartRefused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
       max: MAX_ORDERS,
     });
   }
 
   /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
-  private clearable(task: ReportedTask): boolean {
+  private isClearable(task: ReportedTask): boolean {
     return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
   }
 
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -126,7 +126,7 @@
         silentMs: this.context.settings.timing.silentMs,
         order,
         backfill,
-        allotment: (team: string) => this.quotaShares.grantedShare(partition.id, team),
+        quotaShare: (team: string) => this.quotaShares.grantedShare(partition.id, team),
         expectS: (taskSet: TaskSet) => this.context.history.expectedRunS(taskSet.spec),
         leftS: (taskSet: TaskSet, ranS: number) => this.context.history.remainingRunS(taskSet.spec, ranS),
         bootMs: (machine: Machine) => this.bootMs(machine),
--- a/src/pipelines/job-dependencies.ts
+++ b/src/pipelines/job-dependencies.ts
@@ -76,8 +76,8 @@
   eligibleSinceWall(job: JobRecord): number {
     let since = job.at;
     for (const ref of this.nodes.get(job.spec.ref)?.dependencies ?? []) {
-      const need = this.record(ref);
-      if (need !== undefined) since = Math.max(since, need.endedAt ?? need.at);
+      const dependency = this.record(ref);
+      if (dependency !== undefined) since = Math.max(since, dependency.endedAt ?? dependency.at);
     }
     return since;
   }
@@ -105,10 +105,10 @@
     const record = this.replica.get<JobRecord>(key)?.v;
     if (record === undefined) return;
     const { ref, needs, urgency } = record.spec;
-    const known = this.nodes.get(ref);
-    if (known === undefined && needs === undefined) return;
-    const node = known ?? this.node(ref);
-    if (known === undefined || node.ownUrgency === null) {
+    const existing = this.nodes.get(ref);
+    if (existing === undefined && needs === undefined) return;
+    const node = existing ?? this.node(ref);
+    if (existing === undefined || node.ownUrgency === null) {
       node.ownUrgency = urgency;
       const all = this.allDependencies(record);
       // Some of its dependency lists have not been received: an entry for the job itself keeps it waiting until they
@@ -135,19 +135,19 @@
     return all;
   }
 
-  private completeDependencies(node: JobNode, needs: string[]): void {
-    this.addDependencies(node, needs);
+  private completeDependencies(node: JobNode, dependencies: string[]): void {
+    this.addDependencies(node, dependencies);
     node.pending.delete(node.ref);
-    this.updateUrgencies(needs);
+    this.updateUrgencies(dependencies);
     if (node.pending.size === 0 && node.outcome === undefined) this.ready$.next(node.ref);
   }
 
-  private addDependencies(node: JobNode, needs: string[]): void {
-    node.dependencies = needs;
-    for (const ref of needs) {
-      const need = this.node(ref);
-      need.dependants.add(node.ref);
-      if (need.outcome !== "done") node.pending.add(ref);
+  private addDependencies(node: JobNode, dependencies: string[]): void {
+    node.dependencies = dependencies;
+    for (const ref of dependencies) {
+      const dependency = this.node(ref);
+      dependency.dependants.add(node.ref);
+      if (dependency.outcome !== "done") node.pending.add(ref);
     }
   }
 
@@ -159,12 +159,12 @@
     const ready: string[] = [];
     for (const node of ended) {
       for (const ref of node.dependants) {
-        const after = this.node(ref);
-        if (after.outcome !== undefined) continue;
+        const dependant = this.node(ref);
+        if (dependant.outcome !== undefined) continue;
         if (outcome === "withdrawn") {
-          after.outcome = outcome;
-          ended.push(after);
-        } else if (after.pending.delete(node.ref) && after.pending.size === 0) ready.push(ref);
+          dependant.outcome = outcome;
+          ended.push(dependant);
+        } else if (dependant.pending.delete(node.ref) && dependant.pending.size === 0) ready.push(ref);
       }
     }
     this.updateUrgencies(ended.flatMap((node) => node.dependencies));
@@ -178,14 +178,14 @@
       due.delete(ref);
       const node = this.node(ref);
       let urgency = node.ownUrgency ?? "low";
-      for (const later of node.dependants) {
-        const after = this.node(later);
-        if (after.outcome === undefined && rank(after.urgency) < rank(urgency)) urgency = after.urgency;
+      for (const dependantRef of node.dependants) {
+        const dependant = this.node(dependantRef);
+        if (dependant.outcome === undefined && rank(dependant.urgency) < rank(urgency)) urgency = dependant.urgency;
       }
       if (urgency === node.urgency) continue;
       node.urgency = urgency;
       this.urgencyChanged$.next(ref);
-      for (const need of node.dependencies) due.add(need);
+      for (const dependencyRef of node.dependencies) due.add(dependencyRef);
     }
   }
 }
--- a/src/queue/capacity.ts
+++ b/src/queue/capacity.ts
@@ -1,6 +1,6 @@
 import type { Capacity, Machine } from "../workers/machine.js";
 
-/** Adds `by`, multiplied by `times`, to the capacity `room` in place. */
+/** Adds `by`, multiplied by `times`, to `capacity` in place. */
 export function addCapacity(capacity: Capacity, by: Capacity, times: number): void {
   capacity.cpus += by.cpus * times;
   capacity.gpus += by.gpus * times;
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -98,7 +98,7 @@
 
 /**
  * True if another team runs the task beyond that team's guarantee, so that it may be stopped to give the team of
- * `unit` its guarantee. Excludes work of higher priority: it comes first in the queue, so it would take back the
+ * `taskSet` its guarantee. Excludes work of higher priority: it comes first in the queue, so it would take back the
  * capacity that it was stopped for, over and over.
  */
 export function isBeyondGuarantee(placement: Placement, taskSet: TaskSet, excess: ReadonlyMap<string, Usage>): boolean {
@@ -140,7 +140,7 @@
 /** Where a job's tasks would go: free capacity, and capacity made by stopping other tasks. */
 interface PreemptionPlan {
   placed: CandidateMachine[];
-  preempted: { slot: CandidateMachine; victims: Placement[]; cost: number }[];
+  preempted: { candidate: CandidateMachine; victims: Placement[]; cost: number }[];
 }
 
 /**
@@ -196,7 +196,7 @@
   for (const taskSet of sortTaskSets(waiting, context.order)) {
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const allotment = context.allotment(spec.team);
+    const allotment = context.quotaShare(spec.team);
     const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
     const isGang = spec.kind === "gang";
     const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.maxStarts(taskSet));
@@ -216,7 +216,7 @@
       // Stopping tasks for a job that spreads over zones would need the zones' balance as well; such jobs wait for
       // their turn.
       for (let missing = wanted - placed.length; missing > 0 && !spec.spread; missing--) {
-        let best: { slot: CandidateMachine; victims: Placement[]; cost: number } | null = null;
+        let best: { candidate: CandidateMachine; victims: Placement[]; cost: number } | null = null;
         for (const candidate of candidateMachines) {
           if (!isAllowed(task, candidate.machine) || taskSet.failedOn.has(candidate.machine.host)) continue;
           const victims = victimsOn(candidate, taskSet, taken, stopOrder, mayStop);
@@ -224,21 +224,21 @@
           const cost =
             victims.reduce((sum, p) => sum + 1 + lostWorkS(p, now) + delayS(p, context.expectS), 0) +
             (candidate.machine.images.has(spec.image) ? 0 : spec.guessS);
-          if (best === null || cost < best.cost) best = { slot: candidate, victims, cost };
+          if (best === null || cost < best.cost) best = { candidate, victims, cost };
         }
         if (best === null) break;
         for (const victim of best.victims) {
           taken.add(victim);
           deductExcess(victim, 1);
-          occupy(best.slot, victim.taskSet.spec, -1);
+          occupy(best.candidate, victim.taskSet.spec, -1);
         }
-        occupy(best.slot, spec);
+        occupy(best.candidate, spec);
         preempted.push(best);
       }
       return { placed, preempted };
     };
     const undo = ({ placed, preempted }: PreemptionPlan): void => {
-      for (const { slot: candidate, victims } of preempted) {
+      for (const { candidate, victims } of preempted) {
         occupy(candidate, spec, -1);
         for (const victim of victims) {
           taken.delete(victim);
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -19,7 +19,7 @@
 
 /** Machines reserved for a gang. Jobs that end before `until` may still use them. */
 export interface Reservation {
-  slots: ReadonlySet<CandidateMachine>;
+  candidates: ReadonlySet<CandidateMachine>;
   until: number;
 }
 
@@ -111,7 +111,7 @@
       held += gain.tasks;
       until = gain.at;
     }
-    if (held >= taskSet.waiting.length && (best === null || until < best.until)) best = { slots: new Set(freeMachines), until };
+    if (held >= taskSet.waiting.length && (best === null || until < best.until)) best = { candidates: new Set(freeMachines), until };
   }
   return best;
 }
@@ -127,5 +127,5 @@
   const binding = reservations.filter((reservation) => end > reservation.until);
   return binding.length === 0
     ? candidates
-    : candidates.filter((candidate) => !binding.some((reservation) => reservation.slots.has(candidate)));
+    : candidates.filter((candidate) => !binding.some((reservation) => reservation.candidates.has(candidate)));
 }
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -12,7 +12,7 @@
   order: QueueOrder;
   backfill: boolean;
   /** The quota share of a team that this partition holds at present. */
-  allotment: (team: string) => Usage;
+  quotaShare: (team: string) => Usage;
 }
 
 /** Outcome of a scheduling cycle. */
@@ -125,8 +125,8 @@
     const { spec } = taskSet;
     const shape = `${spec.kind === "gang" ? taskSet.waiting.length : 1}|${taskSet.shape}`;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const allotment = context.allotment(spec.team);
-    const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaShare = context.quotaShare(spec.team);
+    const quotaTasks = tasksThatFit(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus });
     const wanted = Math.min(startableTasks(taskSet), context.order.maxStarts(taskSet));
     const withinQuota = Math.min(wanted, quotaTasks);
     if (withinQuota < wanted) {
--- a/src/served/class-shares.ts
+++ b/src/served/class-shares.ts
@@ -48,7 +48,7 @@
   /** Jobs done by class, one map per bucket of the window, newest first. */
   private done: Map<string, number>[] = [new Map()];
   private bucketStartedAt = 0;
-  private last: { at: number; set: Set<string> } = { at: -Infinity, set: new Set() };
+  private cached: { at: number; classes: Set<string> } = { at: -Infinity, classes: new Set() };
 
   constructor(
     private readonly settings: Settings,
@@ -59,15 +59,15 @@
   start(): void {
     this.bucketStartedAt = this.scope.clock.now();
     this.scope.listen(this.replica.changes$, (key) => {
-      if (key.startsWith(keys.jobs)) this.note(key);
+      if (key.startsWith(keys.jobs)) this.applyRecord(key);
     });
   }
 
-  private note(key: string): void {
+  private applyRecord(key: string): void {
     const job = this.replica.get<JobRecord>(key)?.v;
     if (job === undefined) return;
     if (job.end === undefined) this.open.add(key);
-    else if (this.open.delete(key) || this.endedLately(job)) {
+    else if (this.open.delete(key) || this.endedWithinWindow(job)) {
       if (job.end !== "done") return;
       const bucket = this.done[0]!;
       bucket.set(job.spec.klass, (bucket.get(job.spec.klass) ?? 0) + 1);
@@ -77,7 +77,7 @@
   /**
    * True for a job that ended within the window and is read for the first time by a controller that has just started.
    */
-  private endedLately({ endedAt }: JobRecord): boolean {
+  private endedWithinWindow({ endedAt }: JobRecord): boolean {
     return !this.replica.loaded && endedAt !== undefined && this.scope.clock.wall() - endedAt < this.windowMs();
   }
 
@@ -88,7 +88,7 @@
   /** Classes whose work currently comes before the rest of its priority. */
   underserved(): Set<string> {
     const now = this.scope.clock.now();
-    if (now - this.last.at < this.settings.timing.reportMs) return this.last.set;
+    if (now - this.cached.at < this.settings.timing.reportMs) return this.cached.classes;
     for (; now - this.bucketStartedAt >= this.windowMs() / BUCKETS; this.bucketStartedAt += this.windowMs() / BUCKETS) {
       this.done.unshift(new Map());
       this.done.length = Math.min(this.done.length, BUCKETS);
@@ -104,7 +104,7 @@
         const count = counts.get(klass);
         if (count !== undefined) count.done += n;
       }
-    this.last = { at: now, set: underservedClasses(counts) };
-    return this.last.set;
+    this.cached = { at: now, classes: underservedClasses(counts) };
+    return this.cached.classes;
   }
 }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -64,12 +64,12 @@
       machine.unresolvedStarts.add(key);
       machine.placements.get(key)!.directStart = "flying";
     }
-    const resolveStarts = (direct: "none" | "unresolved" | "answered"): void => {
+    const resolveStarts = (resolution: "none" | "unresolved" | "answered"): void => {
       if (machine.session !== session) return; // a new session has begun, so the command can no longer take effect
       for (const key of startKeys) {
-        if (direct !== "unresolved") machine.unresolvedStarts.delete(key);
+        if (resolution !== "unresolved") machine.unresolvedStarts.delete(key);
         const placement = machine.placements.get(key);
-        if (placement !== undefined && placement.directStart === "flying") placement.directStart = direct;
+        if (placement !== undefined && placement.directStart === "flying") placement.directStart = resolution;
       }
     };
     let retryNow = false;
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -17,8 +17,8 @@
 
 /**
  * Returns whether a start and a stop are sent together to resolve a direct start that got no reply. Such a start may
- * arrive for as long as the session lasts: possibly after the user was told that the task will not start, and until
- * then the attempt occupies capacity and its team's limit. After a start and a stop in one answer to a report, the
+ * arrive for as long as the session lasts: possibly after the user received the answer that the task will not
+ * start, and until then the attempt occupies capacity and its team's limit. After a start and a stop in one answer to a report, the
  * worker has the attempt registered and ignores a start that arrives later. This is done only while the order is
  * younger than a lease. If the job was cancelled meanwhile without this controller's knowledge, the deadline for a
  * cancellation has then not passed: an answer is given at most one silence period after the cancellation, and silence
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -35,10 +35,10 @@
 export const REPORT_TOO_LARGE = jsonResponse(400, { error: "a report has at most 64 KiB" });
 
 /** Decodes the body of a request to the report path, has the report applied and returns the response. */
-export function answerReport(door: ReportEndpointDependencies, body: Buffer): ReportResponse {
-  return door.costs.charge("report", () => {
+export function answerReport(dependencies: ReportEndpointDependencies, body: Buffer): ReportResponse {
+  return dependencies.costs.charge("report", () => {
     const refuse = (error: string): ReportResponse => {
-      door.onInvalidReport(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
+      dependencies.onInvalidReport(error, body.toString("utf8", 0, MAX_LOGGED_BYTES));
       return jsonResponse(400, { error });
     };
     let raw: unknown;
@@ -49,7 +49,7 @@
     }
     const report = decodeReport(raw);
     if (report === null) return refuse("not a report");
-    const answer = door.onReport(report);
+    const answer = dependencies.onReport(report);
     if (answer.kind === "silent") return { ...jsonResponse(503, { error: "not entitled to lead" }), retryAfterS: 1 };
     if (answer.kind === "elsewhere") return jsonResponse(421, answer.boss === null ? {} : { boss: answer.boss });
     return jsonResponse(200, { baton: answer.token, orders: encodeOrders(answer.orders) });
@@ -57,13 +57,13 @@
 }
 
 function send(
-  door: ReportEndpointDependencies,
+  dependencies: ReportEndpointDependencies,
   res: ServerResponse,
   { status, text, retryAfterS }: ReportResponse,
   headers: Record<string, string> = {},
 ): void {
   if (res.headersSent) return;
-  door.countResponse(status);
+  dependencies.countResponse(status);
   const retry = retryAfterS === undefined ? {} : { "retry-after": String(retryAfterS) };
   res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(text), ...retry, ...headers });
   res.end(text);
@@ -74,7 +74,7 @@
  * reports leaves all requests that are not in the plain form. Express is bypassed because
  * its routing and body parsing cost more processor time than the report itself.
  */
-export function handleReportRequest(door: ReportEndpointDependencies, req: IncomingMessage, res: ServerResponse): void {
+export function handleReportRequest(dependencies: ReportEndpointDependencies, req: IncomingMessage, res: ServerResponse): void {
   const chunks: Buffer[] = [];
   let size = 0;
   req.on("data", (chunk: Buffer) => {
@@ -83,13 +83,13 @@
     else {
       chunks.length = 0;
       // The rest of the body is not read, because no worker sends a report of this size.
-      send(door, res, REPORT_TOO_LARGE, { connection: "close" });
+      send(dependencies, res, REPORT_TOO_LARGE, { connection: "close" });
       req.removeAllListeners("data").resume();
       res.on("finish", () => req.destroy());
     }
   });
   req.on("error", () => undefined);
   req.on("end", () => {
-    if (!res.headersSent) send(door, res, answerReport(door, chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
+    if (!res.headersSent) send(dependencies, res, answerReport(dependencies, chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
   });
 }
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -86,14 +86,20 @@
  * invalid, the attempt remains registered and is reported in `findings.unproven`.
  */
 function dropAttempt({ partition, machine, now, findings }: DropContext, key: string, placement: Placement, ending: ProvenEnd): void {
-  const { taskSet, runningAt, timesReliable: timed, attempt, host } = placement;
+  const { taskSet, runningAt, timesReliable, attempt, host } = placement;
   const { proof, end, kept = false } = ending;
   const flaw = proofFlaw(proof, partition.term);
   if (flaw !== null) {
     findings.unproven.push({ placement, proof, flaw });
     return;
   }
-  findings.ended.push({ placement, end, proof, kept, ranS: runningAt === null || !timed ? 0 : Math.max(0, now - runningAt) / 1000 });
+  findings.ended.push({
+    placement,
+    end,
+    proof,
+    kept,
+    ranS: runningAt === null || !timesReliable ? 0 : Math.max(0, now - runningAt) / 1000,
+  });
   removeAttempt(machine, key);
   releasePlacement(taskSet, placement);
   recordGoneAttempt(taskSet, placement.task, { attempt, host, by: proof.by });
--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -53,7 +53,7 @@
   silentMs: 5000,
   order,
   backfill: true,
-  allotment: unlimited,
+  quotaShare: unlimited,
   expectS: (unit) => unit.spec.guessS,
   leftS: (unit, ranS) => Math.max(1, unit.spec.guessS - ranS),
   bootMs: () => 10_000,
