--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -276,7 +276,7 @@
     this.stats.failures++;
     this.storageError = error;
     const { group } = this;
-    this.onStorageFault("write failed; requests are refused until the data have been reopened", error);
+    this.onStorageFault("a write failed; nothing is taken until the data have been read again", error);
     for (const { fail } of this.waiting.splice(0)) fail(new NoReply("refused", `storage: ${error.message}`));
     let pauseMs = REOPEN_BACKOFF_MS.initial;
     for (let first = true; !this.closed; first = false) {
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -85,7 +85,7 @@
     machine.draining = true;
     this.context.scope.log.info(
       { part: partition.id, host, factor: Math.exp(machine.runTimeRatios.sum / machine.runTimeRatios.count) },
-      "machine drained: its tasks run slower than expected",
+      "machine set aside: slow",
     );
   }
 
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -121,7 +121,7 @@
     const wasDraining = machine.draining;
     const newer = applyReport(partition, machine, report, context, findings);
     if (!wasDraining && machine.draining)
-      this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine drained: it failed tasks of several jobs");
+      this.context.scope.log.info({ part: partition.id, host: machine.host }, "machine set aside: it failed tasks of several jobs");
     this.effects.apply(partition, findings);
     if (newer && partition.phase === "fencing") this.leaseWatch.checkFence(partition);
     return newer;
