--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -1,7 +1,7 @@
 import { VirtualClock } from "../packages/emulator/src/virtual/clock.js";
-import { NoReply } from "../packages/protocol/src/errors.js";
-import { Rate } from "../packages/protocol/src/rate.js";
-import { OverRate } from "../packages/protocol/src/state.js";
+import { CallError } from "../packages/protocol/src/errors.js";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
+import { RateLimitError } from "../packages/protocol/src/state.js";
 import { Calls } from "../src/calls/calls.js";
 import { callPolicies, type Operation } from "../src/calls/policy.js";
 import { seededRandom } from "../src/platform/seeded-random.js";
@@ -35,7 +35,7 @@
 async function play(seed: number, kind: "policy" | "fixed"): Promise<Outcome> {
   const clock = new VirtualClock();
   const luck = seededRandom(seed);
-  const served = new Rate(clock, SERVICE_RPS);
+  const served = new TokenBucket(clock, SERVICE_RPS);
   const downAt = 2000 + luck() * 1000;
   const upAt = downAt + OUTAGE_MS;
   const arrivals: number[] = [];
@@ -44,8 +44,8 @@
     const now = clock.now();
     if (now < upAt) outcome.asked++;
     else arrivals.push(now);
-    if (now < upAt) return Promise.reject(new NoReply("refused", "503"));
-    return served.take() ? Promise.resolve() : Promise.reject(new OverRate());
+    if (now < upAt) return Promise.reject(new CallError("refused", "503"));
+    return served.take() ? Promise.resolve() : Promise.reject(new RateLimitError());
   };
   for (let c = 0; c < CONTROLLERS; c++) {
     const calls = new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), seededRandom(seed * 100 + c));
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -2,7 +2,7 @@
 import { createServer as createHttpServer } from "node:http";
 import { VirtualClock } from "../packages/emulator/src/virtual/clock.js";
 import { VirtualState } from "../packages/emulator/src/virtual/service-links.js";
-import { Rate } from "../packages/protocol/src/rate.js";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
 import { StateReplica } from "../src/ledger/state-replica.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
@@ -57,7 +57,13 @@
 export function mirrorHere(): StateReplica {
   const clock = new VirtualClock();
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
-  const mirror = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+  const mirror = new StateReplica(
+    client,
+    clock,
+    new TokenBucket(clock, 1000),
+    { readGapMs: 0, blockMs: 1000 },
+    callsFor(clock).of("state.read"),
+  );
   new RentalIndex(mirror);
   new JobDependencies(mirror);
   return mirror;
--- a/measure/store.ts
+++ b/measure/store.ts
@@ -209,7 +209,7 @@
   await stop(child);
   const large = await LevelEngine.open(join(dir, "db"));
   for (let n = 0; n < keys; n += 1000)
-    await large.fill(
+    await large.putEntries(
       Array.from({ length: 1000 }, (_, i) => [
         `k!t/j/run-${String(n + i).padStart(9, "0")}`,
         `1 - {"part":${(n + i) % 5},"text":"${VALUE.slice(0, 150)}"}`,
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -1,4 +1,4 @@
-import type { ListedMachine, MachineType, Offer } from "@thorntrail/protocol/cloud";
+import type { ListedMachine, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import type { CapacityChange } from "./faults.js";
 import type { WrongForm } from "./links.js";
 
@@ -22,7 +22,7 @@
 
 interface RentedMachine {
   host: string;
-  offer: Offer;
+  offer: MachineOffering;
   createdAt: number;
   upAt: number | null;
   goneAt: number | null;
@@ -41,7 +41,7 @@
 const STALE_LIST_EXTRA_LAG_MS = 20_000;
 const DELETED_MACHINES_LISTED = 3;
 
-const offeringKey = ({ type, zone, spot }: Offer): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
+const offeringKey = ({ type, zone, spot }: MachineOffering): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
 /**
  * The cloud as PROTOCOL describes it: limited capacity, boot times, varying prices, a list that lags and may be older
@@ -54,7 +54,7 @@
   readonly machines = new Map<string, RentedMachine>();
   private costOfRemoved = 0;
   private currentSpotFactor = 1;
-  onBoot: (host: string, offer: Offer) => void = () => undefined;
+  onBoot: (host: string, offer: MachineOffering) => void = () => undefined;
   onGone: (host: string) => void = () => undefined;
   /** Returns the address on which a machine's worker listens once it is up. */
   addrOf: (host: string) => string = (host) => host;
@@ -116,9 +116,9 @@
   }
 
   /** Rents up to `count` machines (at most 50); null if none are available. A repeated request name returns the first response. */
-  hire(name: string, { type: of, zone, spot }: Offer, count: number): string[] | null {
+  hire(name: string, { type: of, zone, spot }: MachineOffering, count: number): string[] | null {
     // Copies only the fields of an offering: in virtual time, callers pass records with further fields.
-    const offering: Offer = { type: of, zone, spot };
+    const offering: MachineOffering = { type: of, zone, spot };
     const earlier = this.hostsByRequest.get(name);
     if (earlier !== undefined) return earlier;
     const key = offeringKey(offering);
--- a/packages/emulator/src/real/services.ts
+++ b/packages/emulator/src/real/services.ts
@@ -1,5 +1,5 @@
-import { encodeListed, encodeType, type Offer } from "@thorntrail/protocol/cloud";
-import { Rate } from "@thorntrail/protocol/rate";
+import { encodeListed, encodeType, type MachineOffering } from "@thorntrail/protocol/cloud";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { CloudModel } from "../cloud-model.js";
 import type { WrongForm } from "../links.js";
 import type { ProxiedRequest } from "./fault-proxy.js";
@@ -26,7 +26,7 @@
 
 /** HTTP stub of the cloud provider's API, backed by the cloud model. Enforces the request rate. */
 export class CloudFace {
-  private readonly rate: Rate;
+  private readonly rate: TokenBucket;
   /** While true, every request is answered 503. */
   down = false;
 
@@ -35,7 +35,7 @@
     clock: { now(): number },
     rps: number,
   ) {
-    this.rate = new Rate(clock, rps, rps * 2);
+    this.rate = new TokenBucket(clock, rps, rps * 2);
   }
 
   /** Name of the operation, as used in fault rules. */
@@ -64,7 +64,7 @@
       if (typeof hire !== "string" || typeof build !== "string" || typeof yard !== "string" || !Number.isInteger(count))
         return jsonResponse(400, { error: "expected hire, build, yard, loaner and a whole count" });
       if (Number(count) < 1 || Number(count) > MAX_RENTED) return jsonResponse(400, { error: `count: expected 1 to ${MAX_RENTED}` });
-      const offer: Offer = { type: build, zone: yard, spot: loaner === true };
+      const offer: MachineOffering = { type: build, zone: yard, spot: loaner === true };
       const hosts = this.model.hire(hire, offer, Number(count));
       return hosts === null ? jsonResponse(503, { error: "no capacity" }) : jsonResponse(200, { hosts });
     }
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -1,9 +1,17 @@
 import type { CloudApi } from "@thorntrail/protocol/cloud";
-import { NoReply } from "@thorntrail/protocol/errors";
-import { LostPermit, OverRate, TooLarge, type FollowResult, type Op, type StateApi, type StateEvent } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import {
+  LeaseLostError,
+  RateLimitError,
+  RequestTooLargeError,
+  type FollowResult,
+  type Op,
+  type StateApi,
+  type StateEvent,
+} from "@thorntrail/protocol/state";
 import type { Change } from "@thorntrail/store/core";
 import { MemoryEngine } from "@thorntrail/store/memory-engine";
-import { Store, Unfit, type StoreLimits } from "@thorntrail/store/store";
+import { Store, LimitExceededError, type StoreLimits } from "@thorntrail/store/store";
 import type { StoredEvent } from "@thorntrail/store/engine";
 import type { CloudModel, MonotonicClock } from "../cloud-model.js";
 import { Links, type WrongForm } from "../links.js";
@@ -44,12 +52,12 @@
   const executeAndDiscard = (): void => void execute().catch(() => undefined);
   return new Promise<T>((resolve, reject) => {
     const fail = (error: Error): void => runInProcess(() => reject(error));
-    const failAfterTimeout = (why: string): void => void clock.after(request.timeoutMs, () => fail(new NoReply("unanswered", why)));
+    const failAfterTimeout = (why: string): void => void clock.after(request.timeoutMs, () => fail(new CallError("unanswered", why)));
     clock.after(latencyMs() + links.delayMs(call), () => {
       if (links.hold(call, executeAndDiscard)) return failAfterTimeout("cut");
       if (links.loses(call)) return failAfterTimeout("lost");
       const effect = links.judge(call);
-      if (isDown() || effect?.kind === "refuse") return void clock.after(latencyMs(), () => fail(new NoReply("refused", "503")));
+      if (isDown() || effect?.kind === "refuse") return void clock.after(latencyMs(), () => fail(new CallError("refused", "503")));
       if (effect?.kind === "late") {
         clock.after(effect.ms, executeAndDiscard);
         return failAfterTimeout("held");
@@ -63,7 +71,7 @@
             response = request.wrongResponse?.(answer, effect.form);
             if (response === undefined)
               return void clock.after(latencyMs(), () =>
-                fail(new NoReply("unanswered", effect.form === "error-after" ? "answered 500" : "reply cut short")),
+                fail(new CallError("unanswered", effect.form === "error-after" ? "answered 500" : "reply cut short")),
               );
           }
           clock.after(latencyMs(), () => {
@@ -111,11 +119,11 @@
             if (answer.kind === "applied") return { ok: true, ledger: answer.ledger };
             if (answer.kind === "conflict") return { ok: false, failed: answer.failed, ledger: answer.ledger };
           } catch (error) {
-            if (!(error instanceof Unfit)) throw error;
+            if (!(error instanceof LimitExceededError)) throw error;
             tooLarge(error.message);
-            throw new TooLarge(error.message);
+            throw new RequestTooLargeError(error.message);
           }
-          throw new LostPermit("no such lease");
+          throw new LeaseLostError("no such lease");
         },
         limitMs,
       ),
@@ -149,7 +157,7 @@
 
 /**
  * Returns the API of the cloud as used by a controller. The cloud limits the machines per request and the calls per
- * second, with bursts worth two seconds; calls that `admit` does not allow are rejected with OverRate.
+ * second, with bursts worth two seconds; calls that `admit` does not allow are rejected with RateLimitError.
  */
 export function connectCloud(model: CloudModel, connection: ServiceConnection, admit: () => boolean, timeoutMs = 5000): CloudApi {
   const call = <T>(what: string, run: () => T, wrongResponse?: ServiceCall<T>["wrongResponse"]): Promise<T> =>
@@ -158,14 +166,14 @@
       what,
       timeoutMs,
       run: () => {
-        if (!admit()) throw new OverRate();
+        if (!admit()) throw new RateLimitError();
         return run();
       },
       ...(wrongResponse === undefined ? {} : { wrongResponse }),
     });
   return {
     types: () => call("types", () => model.types()),
-    hire: (name, offer, count) =>
+    rent: (name, offer, count) =>
       call(
         "hire",
         () => {
@@ -202,20 +210,20 @@
     private limits: StoreLimits,
     readonly links = new Links(),
   ) {
-    this.store = Store.fresh(this.engine, clock, limits);
+    this.store = Store.createEmpty(this.engine, clock, limits);
   }
 
   /** Changes the limits without notice. */
   limit(limits: Partial<StoreLimits>): void {
-    this.limits = this.store.limit(limits);
+    this.limits = this.store.setLimits(limits);
   }
 
   set outage(on: boolean) {
-    this.store.suspend(on);
+    this.store.setSuspended(on);
   }
 
   endOutage(): void {
-    this.store.suspend(false);
+    this.store.setSuspended(false);
   }
 
   /**
@@ -223,7 +231,7 @@
    * during a restart, the later end counts: two stores on the same data would end each other's leases.
    */
   restart(downMs: number): void {
-    this.store.abandon();
+    this.store.simulateCrash();
     this.isDown = true;
     this.restartEndsAt = Math.max(this.restartEndsAt, this.clock.now() + downMs);
     this.clock.after(downMs, () => {
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -1,7 +1,7 @@
-import type { CloudApi, MachineType, Offer } from "@thorntrail/protocol/cloud";
-import { NoReply } from "@thorntrail/protocol/errors";
+import type { CloudApi, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { Rate } from "@thorntrail/protocol/rate";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { StateApi } from "@thorntrail/protocol/state";
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
 import type { StoreLimits } from "@thorntrail/store/store";
@@ -252,7 +252,7 @@
       else if (!lostSince.has(to)) lostSince.set(to, this.clock.now());
       return lostSince.get(to) ?? null;
     };
-    const cloudRate = new Rate(this.clock, 5, 10);
+    const cloudRate = new TokenBucket(this.clock, 5, 10);
     node.controller = this.spawn({
       platform: this.settingsOf(name),
       clock,
@@ -328,7 +328,7 @@
 
   private command(node: string, host: string, act: (worker: Worker) => CommandReply, runInProcess: RunInProcess): Promise<CommandReply> {
     return new Promise((resolve, reject) => {
-      const cancelTimeout = this.clock.after(2000, () => runInProcess(() => reject(new NoReply("unanswered", "timeout"))));
+      const cancelTimeout = this.clock.after(2000, () => runInProcess(() => reject(new CallError("unanswered", "timeout"))));
       const execute = (): void => {
         const worker = this.workers.get(host);
         if (worker === undefined || worker.hanging) return;
@@ -379,7 +379,7 @@
     this.onEvent(event);
   }
 
-  private bootMachine(host: string, offer: Offer): void {
+  private bootMachine(host: string, offer: MachineOffering): void {
     const type = this.plan.types.find((t) => t.name === offer.type)!;
     const dependencies: WorkerWorld = {
       clock: this.clock,
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -1,4 +1,4 @@
-import type { Offer } from "@thorntrail/protocol/cloud";
+import type { MachineOffering } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Order, Report, ReportAnswer, ReportedTask } from "@thorntrail/protocol/worker";
 import type { MonotonicClock } from "./cloud-model.js";
@@ -74,7 +74,7 @@
 
   constructor(
     readonly host: string,
-    readonly offer: Offer,
+    readonly offer: MachineOffering,
     private readonly capacity: { cpus: number; gpus: number; ram: number },
     private readonly dependencies: WorkerWorld,
   ) {
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -30,7 +30,7 @@
 }
 
 /** A machine offering: a type in a zone, spot or on demand. */
-export interface Offer {
+export interface MachineOffering {
   type: string;
   zone: string;
   spot: boolean;
@@ -46,7 +46,7 @@
    * Rents up to `count` machines and returns their hosts; null if there is no capacity for
    * the offering. `name` identifies the request: repeating it returns the same machines.
    */
-  hire(name: string, offer: Offer, count: number, limitMs?: number): Promise<string[] | null>;
+  rent(name: string, offer: MachineOffering, count: number, limitMs?: number): Promise<string[] | null>;
   remove(hosts: string[], limitMs?: number): Promise<void>;
   /** Lists rented machines after the host `from`; `more` is true if further ones follow. */
   list(from: string | undefined, limit: number, limitMs?: number): Promise<{ machines: ListedMachine[]; more: boolean }>;
--- a/packages/protocol/src/errors.ts
+++ b/packages/protocol/src/errors.ts
@@ -3,7 +3,7 @@
  * `unanswered` that it may have been executed or may still be, so callers must read back
  * the state and make retries conditional.
  */
-export class NoReply extends Error {
+export class CallError extends Error {
   constructor(
     readonly kind: "refused" | "unanswered",
     message: string,
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -69,7 +69,7 @@
 });
 
 /** Whether the text has the form of a job ID. */
-export function isRef(text: string): boolean {
+export function isJobRef(text: string): boolean {
   return REF_PATTERN.test(text);
 }
 
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "./errors.js";
+import { CallError } from "./errors.js";
 
 /** A condition of a transaction: key `k` was last changed at revision `stamp`; 0 means that it does not exist. */
 export interface Condition {
@@ -35,18 +35,18 @@
 }
 
 /** The rate limit shared by all controllers is exceeded (429). */
-export class OverRate extends NoReply {
+export class RateLimitError extends CallError {
   constructor() {
     super("refused", "over the rate");
   }
 }
 
 /** A value is too large or a transaction has too many changes for the current limits (400). */
-export class TooLarge extends NoReply {
+export class RequestTooLargeError extends CallError {
   constructor(message: string) {
     super("refused", message);
   }
 }
 
 /** The lease that a change refers to has ended. */
-export class LostPermit extends Error {}
+export class LeaseLostError extends Error {}
--- a/packages/protocol/src/rate.ts
+++ b/packages/protocol/src/token-bucket.ts
@@ -4,7 +4,7 @@
 }
 
 /** A token bucket rate limiter. Its default burst is one second's worth of tokens. */
-export class Rate {
+export class TokenBucket {
   private tokens: number;
   private refilledAt: number;
 
@@ -48,7 +48,7 @@
   }
 
   /** Returns tokens that were taken but not used. */
-  give(count: number): void {
+  refund(count: number): void {
     this.refill();
     this.tokens = Math.min(this.burst, this.tokens + count);
   }
--- a/packages/store/src/admin.ts
+++ b/packages/store/src/admin.ts
@@ -62,7 +62,7 @@
   app.get("/metrics", async (_req, res) => void res.type("text/plain").send(await registry.metrics()));
   app.put("/limits", (req, res) => {
     const parsed = limitsSchema.safeParse(req.body);
-    if (parsed.success) res.json(store.limit(parsed.data as Partial<StoreLimits>));
+    if (parsed.success) res.json(store.setLimits(parsed.data as Partial<StoreLimits>));
     else res.status(400).json({ error: parsed.error.issues.map((i) => `${i.path.join(".") || "body"}: ${i.message}`).join("; ") });
   });
   app.post("/snapshot", async (req, res) => {
--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -191,7 +191,7 @@
   }
 
   /** Writes records as returned by `allEntries`. */
-  async fill(entries: [string, string][], sync: boolean): Promise<void> {
+  async putEntries(entries: [string, string][], sync: boolean): Promise<void> {
     await this.db.batch(
       entries.map(([key, text]) => ({ type: "put" as const, key, value: addChecksum(key, text) })),
       { sync },
--- a/packages/store/src/server.ts
+++ b/packages/store/src/server.ts
@@ -1,10 +1,10 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
-import { NoReply } from "@thorntrail/protocol/errors";
-import { OverRate } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import { RateLimitError } from "@thorntrail/protocol/state";
 import { decodeGrant, decodeTxn, keyFault, STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import type { Change } from "./core.js";
 import { CorruptDataError, type StoredEvent } from "./engine.js";
-import { Unfit, type Store } from "./store.js";
+import { LimitExceededError, type Store } from "./store.js";
 
 /** The request does not conform to the protocol. Answered with 400. */
 class BadRequestError extends Error {}
@@ -118,14 +118,14 @@
   }
 
   private sendError(error: Error, req: IncomingMessage, res: ServerResponse): void {
-    if (error instanceof BadRequestError || error instanceof Unfit) {
+    if (error instanceof BadRequestError || error instanceof LimitExceededError) {
       // The connection is closed, so the rest of an oversized body is not read.
       send(res, 400, errorBody(error.message), { connection: "close" });
       res.once("finish", () => req.destroy());
-    } else if (error instanceof OverRate) send(res, 429, errorBody("over the rate"), { "retry-after": "1" });
-    else if (error instanceof NoReply && error.kind === "refused") send(res, 503, errorBody(error.message), { "retry-after": "1" });
+    } else if (error instanceof RateLimitError) send(res, 429, errorBody("over the rate"), { "retry-after": "1" });
+    else if (error instanceof CallError && error.kind === "refused") send(res, 503, errorBody(error.message), { "retry-after": "1" });
     // The outcome is unknown, and every status code would imply one, so the connection is closed without an answer.
-    else if (error instanceof NoReply) req.destroy();
+    else if (error instanceof CallError) req.destroy();
     else {
       if (!req.destroyed) this.options.onUnexpectedError(error);
       send(res, 503, errorBody(error instanceof CorruptDataError ? `storage: ${error.message}` : "internal fault"), { "retry-after": "1" });
@@ -160,7 +160,7 @@
   /** Refuses a request that needs disk space while there is a shortage. */
   private requireDiskSpace(): void {
     const shortage = this.options.diskShortage();
-    if (shortage !== null) throw new NoReply("refused", shortage);
+    if (shortage !== null) throw new CallError("refused", shortage);
   }
 
   private async txn(req: IncomingMessage, res: ServerResponse): Promise<void> {
--- a/packages/store/src/snapshot-file.ts
+++ b/packages/store/src/snapshot-file.ts
@@ -108,7 +108,7 @@
         pendingEntries.push(value as [string, string]);
       } else if (value !== null && typeof value === "object" && "sha256" in value) trailer = value as { entries: number; sha256: string };
       else throw invalidFile("expected a name and a text");
-      if (pendingEntries.length >= RESTORE_BATCH_ENTRIES) await engine.fill(pendingEntries.splice(0), false);
+      if (pendingEntries.length >= RESTORE_BATCH_ENTRIES) await engine.putEntries(pendingEntries.splice(0), false);
       if (trailer === null) entryCount++;
     }
   } catch (error) {
@@ -118,6 +118,6 @@
   if (trailer === null) throw invalidFile("the file is cut short");
   if (trailer.entries !== entryCount || trailer.sha256 !== digest.digest("hex"))
     throw invalidFile("the digest does not match what stands before");
-  await engine.fill(pendingEntries, true);
+  await engine.putEntries(pendingEntries, true);
   return entryCount;
 }
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,6 +1,6 @@
-import { NoReply } from "@thorntrail/protocol/errors";
-import { Rate } from "@thorntrail/protocol/rate";
-import { OverRate, type Condition } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
+import { RateLimitError, type Condition } from "@thorntrail/protocol/state";
 import { STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import { Core, type Change, type TxnAnswer } from "./core.js";
 import { CorruptDataError, type Batch, type Engine, type EngineMeta, type Page, type StoredValue, type StoredEvent } from "./engine.js";
@@ -37,7 +37,7 @@
 }
 
 /** The request exceeds a limit and fails again for as long as the limits stay the same. Answered with 400. */
-export class Unfit extends Error {}
+export class LimitExceededError extends Error {}
 
 /** Interval between checks for expired leases, short enough that none outlives its time by more than the protocol allows. */
 const LEASE_CHECK_INTERVAL_MS = STATE_BOUNDS.maxExpiryDelayMs / 2;
@@ -54,15 +54,15 @@
  * durable by group commit: while one group is being written, the next one accumulates. No
  * answer is sent before everything that it depends on is durable.
  *
- * Requests fail with `OverRate`, `Unfit` (a limit is exceeded), `CorruptDataError` (a read
- * failed an integrity check) or `NoReply`: `refused` if the request was not executed,
+ * Requests fail with `RateLimitError`, `LimitExceededError` (a limit is exceeded), `CorruptDataError` (a read
+ * failed an integrity check) or `CallError`: `refused` if the request was not executed,
  * `unanswered` if its outcome is unknown.
  */
 export class Store {
   private core: Core;
   private readonly keyMetadata: KeyMetadataCache;
-  private requests: Rate;
-  private writes: Rate;
+  private requests: TokenBucket;
+  private writes: TokenBucket;
   private waiting: { decide: () => void; fail: (error: Error) => void }[] = [];
   private writing = false;
   private storageError: Error | null = null;
@@ -88,8 +88,8 @@
     this.core = this.createCore(meta);
     this.durableRevision = meta.ledger;
     this.floor = meta.floor;
-    this.requests = new Rate(clock, limits.rps);
-    this.writes = new Rate(clock, limits.writeRps);
+    this.requests = new TokenBucket(clock, limits.rps);
+    this.writes = new TokenBucket(clock, limits.writeRps);
     this.leasesCheckedAt = clock.now();
     this.checkLeases();
   }
@@ -105,7 +105,7 @@
   }
 
   /** Creates a store on an empty engine. */
-  static fresh(engine: Engine, clock: StoreClock, limits: StoreLimits): Store {
+  static createEmpty(engine: Engine, clock: StoreClock, limits: StoreLimits): Store {
     const emptyMeta = { ledger: 0, floor: 0, permitCount: 0, leases: [], revisions: [] };
     return new Store(engine, clock, limits, emptyMeta);
   }
@@ -114,13 +114,13 @@
    * Suspends or resumes the service. While suspended, requests are refused with 503 and
    * open watches stay open; leases get their full time to live again afterwards.
    */
-  suspend(on: boolean): void {
+  setSuspended(on: boolean): void {
     this.suspended = on;
     this.core.refreshLeases(this.clock.now());
   }
 
   /** Simulates a crash of the process: nothing is answered any more, and decisions that are not durable are lost. */
-  abandon(): void {
+  simulateCrash(): void {
     this.closed = true;
     this.waiting = [];
     this.group = [];
@@ -143,30 +143,31 @@
   }
 
   /** Changes the given limits at once and returns the limits in force. */
-  limit(limits: Partial<StoreLimits>): StoreLimits {
+  setLimits(limits: Partial<StoreLimits>): StoreLimits {
     this.limits = { ...this.limits, ...limits };
-    this.requests = new Rate(this.clock, this.limits.rps);
-    this.writes = new Rate(this.clock, this.limits.writeRps);
+    this.requests = new TokenBucket(this.clock, this.limits.rps);
+    this.writes = new TokenBucket(this.clock, this.limits.writeRps);
     return this.limits;
   }
 
   /** Throws if the service cannot take a request now or the rate limits are exceeded. */
   private admit(changes = 0): void {
-    if (this.closed) throw new NoReply("refused", "the service is ending");
-    if (this.suspended) throw new NoReply("refused", "the service is suspended");
-    if (!this.requests.take() || !this.writes.take(changes)) throw new OverRate();
-    if (this.storageError !== null) throw new NoReply("refused", `storage: ${this.storageError.message}`);
+    if (this.closed) throw new CallError("refused", "the service is ending");
+    if (this.suspended) throw new CallError("refused", "the service is suspended");
+    if (!this.requests.take() || !this.writes.take(changes)) throw new RateLimitError();
+    if (this.storageError !== null) throw new CallError("refused", `storage: ${this.storageError.message}`);
   }
 
-  /** Throws `Unfit` if a transaction exceeds the limits. */
+  /** Throws `LimitExceededError` if a transaction exceeds the limits. */
   private checkLimits(conditions: readonly Condition[], changes: readonly Change[]): void {
     const { txnOps, valueKb } = this.limits;
-    if (changes.length > txnOps) throw new Unfit(`${changes.length} changes, at most ${txnOps} in a transaction`);
+    if (changes.length > txnOps) throw new LimitExceededError(`${changes.length} changes, at most ${txnOps} in a transaction`);
     const maxConditions = txnOps * STATE_BOUNDS.conditionsPerChange;
-    if (conditions.length > maxConditions) throw new Unfit(`${conditions.length} conditions, at most ${maxConditions} in a transaction`);
+    if (conditions.length > maxConditions)
+      throw new LimitExceededError(`${conditions.length} conditions, at most ${maxConditions} in a transaction`);
     for (const change of changes) {
       if ("write" in change && Buffer.byteLength(change.text) > valueKb * 1024)
-        throw new Unfit(`the value of ${change.write} has more than ${valueKb} KiB`);
+        throw new LimitExceededError(`the value of ${change.write} has more than ${valueKb} KiB`);
     }
   }
 
@@ -204,7 +205,7 @@
       try {
         this.admit(changes);
         check();
-        if (this.waiting.length >= MAX_WAITING_REQUESTS) throw new NoReply("refused", "too many wait for the disk");
+        if (this.waiting.length >= MAX_WAITING_REQUESTS) throw new CallError("refused", "too many wait for the disk");
       } catch (error) {
         this.stats.refused++;
         return reject(error as Error);
@@ -277,7 +278,7 @@
     this.storageError = error;
     const { group } = this;
     this.onStorageFault("write failed; requests are refused until the data have been reopened", error);
-    for (const { fail } of this.waiting.splice(0)) fail(new NoReply("refused", `storage: ${error.message}`));
+    for (const { fail } of this.waiting.splice(0)) fail(new CallError("refused", `storage: ${error.message}`));
     let pauseMs = REOPEN_BACKOFF_MS.initial;
     for (let first = true; !this.closed; first = false) {
       try {
@@ -288,7 +289,7 @@
         if (first) {
           for (const { respond, fail } of group) {
             if (stored) respond();
-            else fail(new NoReply("refused", `storage: ${error.message}`));
+            else fail(new CallError("refused", `storage: ${error.message}`));
           }
         }
         this.keyMetadata.clear();
@@ -302,7 +303,7 @@
         );
         return;
       } catch (reopenError) {
-        if (first) for (const { fail } of group) fail(new NoReply("unanswered", error.message));
+        if (first) for (const { fail } of group) fail(new CallError("unanswered", error.message));
         if (reopenError instanceof CorruptDataError)
           this.onStorageFault("the data fail an integrity check; requests are still refused", reopenError);
         await new Promise<void>((resolve) => this.clock.after(pauseMs, resolve));
@@ -347,7 +348,7 @@
       if (ledger === this.durableRevision) break;
     }
     if (blockMs <= 0) return { ledger: this.durableRevision, events: [] };
-    if (this.watches.size >= MAX_WATCHES) throw new NoReply("refused", "too many watches");
+    if (this.watches.size >= MAX_WATCHES) throw new CallError("refused", "too many watches");
     return new Promise((resolve) => {
       const settle = (events: StoredEvent[]): void => {
         cancel();
--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -1,5 +1,5 @@
-import { NoReply } from "@thorntrail/protocol/errors";
-import { OverRate, TooLarge } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import { RateLimitError, RequestTooLargeError } from "@thorntrail/protocol/state";
 import { Subject, take } from "rxjs";
 import type { Clock } from "../platform/clock.js";
 import { backoffMs, RetryBudget } from "./backoff.js";
@@ -72,13 +72,13 @@
 
   /**
    * Makes one call. `act` receives its time limit in ms: the policy's limit, or the time left until `deadline`
-   * (steady ms) if that is less. Past the deadline nothing is sent, and the call throws NoReply as refused.
+   * (steady ms) if that is less. Past the deadline nothing is sent, and the call throws CallError as refused.
    */
   async call<T>(act: (limitMs: number) => Promise<T>, deadline = Infinity): Promise<T> {
     const limitMs = Math.min(this.policy.limitMs, deadline - this.clock.now());
     if (limitMs <= 0) {
       this.stats.expired++;
-      throw new NoReply("refused", `${this.operation}: deadline passed before the call was sent`);
+      throw new CallError("refused", `${this.operation}: deadline passed before the call was sent`);
     }
     this.stats.asked++;
     try {
@@ -86,8 +86,8 @@
       this.answered();
       return answer;
     } catch (error) {
-      // TooLarge is a definite answer: a retry would get the same one.
-      if (!(error instanceof NoReply) || error instanceof TooLarge) this.answered();
+      // RequestTooLargeError is a definite answer: a retry would get the same one.
+      if (!(error instanceof CallError) || error instanceof RequestTooLargeError) this.answered();
       else this.failed(error);
       throw error;
     }
@@ -100,15 +100,15 @@
     this.condition.answered();
   }
 
-  private failed(error: NoReply): void {
+  private failed(error: CallError): void {
     this.stats[error.kind]++;
     this.failures++;
-    // OverRate shows that the target answers, but it must not shorten any pauses.
-    if (!(error instanceof OverRate)) this.condition.failed();
+    // RateLimitError shows that the target answers, but it must not shorten any pauses.
+    if (!(error instanceof RateLimitError)) this.condition.failed();
   }
 
   /** Whether a call that failed with this error may have had an effect, or may still have one. */
-  mayHaveActed({ kind }: NoReply): boolean {
+  mayHaveActed({ kind }: CallError): boolean {
     return kind === "unanswered" && this.policy.unanswered !== "nothing";
   }
 
--- a/src/calls/policy-clients.ts
+++ b/src/calls/policy-clients.ts
@@ -25,7 +25,7 @@
   return {
     types: () => read.call((ms) => cloud.types(ms)),
     list: (from, limit) => read.call((ms) => cloud.list(from, limit, ms)),
-    hire: (name, offer, count) => calls.of("cloud.hire").call((ms) => cloud.hire(name, offer, count, ms)),
+    rent: (name, offer, count) => calls.of("cloud.hire").call((ms) => cloud.rent(name, offer, count, ms)),
     remove: (hosts) => calls.of("cloud.delete").call((ms) => cloud.remove(hosts, ms)),
   };
 }
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { readFileSync } from "node:fs";
 import { HttpClient, type Reply } from "../platform/http.js";
 
@@ -12,7 +12,7 @@
   try {
     return await new HttpClient(1).call(node, method, path, body, TIMEOUT_MS);
   } catch (error) {
-    if (error instanceof NoReply) throw new CommandFailed(`${node} does not answer (${error.message}): try another node`);
+    if (error instanceof CallError) throw new CommandFailed(`${node} does not answer (${error.message}): try another node`);
     throw error;
   }
 }
--- a/src/configuration/store.ts
+++ b/src/configuration/store.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from "node:crypto";
 import { isDeepStrictEqual } from "node:util";
-import { NoReply } from "@thorntrail/protocol/errors";
-import { OverRate, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import { RateLimitError, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
 import {
   keys,
   recordBytes,
@@ -148,7 +148,7 @@
         const result = await this.state.txn(conditions, apply, REQUEST_TIMEOUT_MS);
         if (result.ok) return result.ledger;
       } catch (error) {
-        if (!(error instanceof NoReply) && !(error instanceof OverRate)) throw error;
+        if (!(error instanceof CallError) && !(error instanceof RateLimitError)) throw error;
         await this.sleep(RETRY_MS * (1 + Math.random()));
         continue;
       }
@@ -173,7 +173,7 @@
         if (!page.more) return rows;
         from = page.rows.at(-1)!.k;
       } catch (error) {
-        if (!(error instanceof NoReply) && !(error instanceof OverRate)) throw error;
+        if (!(error instanceof CallError) && !(error instanceof RateLimitError)) throw error;
         i++;
         await this.sleep(RETRY_MS * (1 + Math.random()));
       }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -12,7 +12,7 @@
 import type { Calls } from "./calls/calls.js";
 import { cloudWithPolicies, stateWithPolicies, workersWithPolicy } from "./calls/policy-clients.js";
 import type { CloudApi } from "@thorntrail/protocol/cloud";
-import { Rate } from "@thorntrail/protocol/rate";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { StateApi } from "@thorntrail/protocol/state";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import { Exchange } from "./exchange/exchange.js";
@@ -79,8 +79,8 @@
     const { cloud } = settings.platform.deployment;
     const { state } = settings;
     const share = 1 / settings.nodes.length;
-    const requests = new Rate(clock, state.rps * share);
-    const writes = new Rate(clock, state.writeRps * share, Math.max(state.txnOps, state.writeRps * share));
+    const requests = new TokenBucket(clock, state.rps * share);
+    const writes = new TokenBucket(clock, state.writeRps * share, Math.max(state.txnOps, state.writeRps * share));
     const { timing } = settings;
     // A blocking read proves contact only at the time it began, so two in a row must take much
     // less than the age at which this node counts as cut off.
@@ -179,7 +179,7 @@
       replica,
       rentals,
       committer,
-      rate: new Rate(clock, cloud.rps * share, Math.max(1, cloud.rps * share * 2)),
+      rate: new TokenBucket(clock, cloud.rps * share, Math.max(1, cloud.rps * share * 2)),
       calls,
       peers,
       overload: this.overload,
--- a/src/fleet/cloud-client.ts
+++ b/src/fleet/cloud-client.ts
@@ -1,11 +1,11 @@
-import type { CloudApi, ListedMachine, MachineType, Offer } from "@thorntrail/protocol/cloud";
-import { NoReply } from "@thorntrail/protocol/errors";
-import { OverRate } from "@thorntrail/protocol/state";
+import type { CloudApi, ListedMachine, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
+import { CallError } from "@thorntrail/protocol/errors";
+import { RateLimitError } from "@thorntrail/protocol/state";
 import { HttpClient, type Reply } from "../platform/http.js";
 
 type JsonObject = Record<string, unknown>;
 
-/** Client of the cloud's HTTP API. Throws NoReply if a call fails, and OverRate if the cloud answers 429. */
+/** Client of the cloud's HTTP API. Throws CallError if a call fails, and RateLimitError if the cloud answers 429. */
 export class HttpCloud implements CloudApi {
   private readonly http = new HttpClient(4);
 
@@ -16,13 +16,13 @@
 
   private async call(method: string, path: string, body: unknown, limitMs = this.timeoutMs): Promise<Reply> {
     const reply = await this.http.call(this.addr, method, path, body, limitMs);
-    if (reply.status === 429) throw new OverRate();
+    if (reply.status === 429) throw new RateLimitError();
     return reply;
   }
 
   async types(limitMs?: number): Promise<MachineType[]> {
     const reply = await this.call("GET", "/machine_types", undefined, limitMs);
-    if (reply.status !== 200) throw new NoReply("refused", `types answered ${reply.status}`);
+    if (reply.status !== 200) throw new CallError("refused", `types answered ${reply.status}`);
     return (reply.body["builds"] as JsonObject[]).map((raw) => ({
       name: String(raw["label"]),
       cpus: Number(raw["cpus"] ?? 0),
@@ -37,22 +37,22 @@
     }));
   }
 
-  async hire(name: string, offer: Offer, count: number, limitMs?: number): Promise<string[] | null> {
+  async rent(name: string, offer: MachineOffering, count: number, limitMs?: number): Promise<string[] | null> {
     const body = { hire: name, build: offer.type, yard: offer.zone, loaner: offer.spot, count };
     const reply = await this.call("POST", "/hosts", body, limitMs);
     if (reply.status === 200) return (reply.body["hosts"] as unknown[]).map(String);
     if (reply.status === 503 && reply.body["error"] === "no capacity") return null;
-    throw new NoReply(reply.status === 503 ? "refused" : "unanswered", `hire answered ${reply.status}`);
+    throw new CallError(reply.status === 503 ? "refused" : "unanswered", `hire answered ${reply.status}`);
   }
 
   async remove(hosts: string[], limitMs?: number): Promise<void> {
     const reply = await this.call("POST", "/hosts/delete", { hosts }, limitMs);
-    if (reply.status !== 200) throw new NoReply("unanswered", `delete answered ${reply.status}`);
+    if (reply.status !== 200) throw new CallError("unanswered", `delete answered ${reply.status}`);
   }
 
   async list(from: string | undefined, limit: number, limitMs?: number): Promise<{ machines: ListedMachine[]; more: boolean }> {
     const reply = await this.call("GET", `/hosts?limit=${limit}${from === undefined ? "" : `&from=${from}`}`, undefined, limitMs);
-    if (reply.status !== 200) throw new NoReply("refused", `list answered ${reply.status}`);
+    if (reply.status !== 200) throw new CallError("refused", `list answered ${reply.status}`);
     const machines = (reply.body["hosts"] as JsonObject[]).map((raw) => ({
       host: String(raw["ref"]),
       addr: String(raw["addr"]),
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -1,5 +1,5 @@
 import type { CloudApi } from "@thorntrail/protocol/cloud";
-import type { Rate } from "@thorntrail/protocol/rate";
+import type { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { Calls } from "../calls/calls.js";
 import type { GroupCommitter } from "../ledger/group-committer.js";
 import type { StateReplica } from "../ledger/state-replica.js";
@@ -23,7 +23,7 @@
   rentals: RentalIndex;
   committer: GroupCommitter;
   /** This node's share of the rate limit for calls to the cloud. */
-  rate: Rate;
+  rate: TokenBucket;
   calls: Calls;
   peers: PeerApi;
   overload: OverloadMonitor;
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { waitForRate, type FleetDependencies, type FleetStats } from "./dependencies.js";
 import { OfferingAvailability } from "./offering-availability.js";
 import { Reconciler } from "./reconciling.js";
@@ -48,7 +48,7 @@
       await waitForRate(this.deps);
       this.deps.leader.setTypes(await this.deps.cloud.types());
     } catch (error) {
-      if (!(error instanceof NoReply)) throw error;
+      if (!(error instanceof CallError)) throw error;
     }
   }
 }
--- a/src/fleet/offering-availability.ts
+++ b/src/fleet/offering-availability.ts
@@ -1,4 +1,4 @@
-import type { Offer } from "@thorntrail/protocol/cloud";
+import type { MachineOffering } from "@thorntrail/protocol/cloud";
 import type { FleetDependencies } from "./dependencies.js";
 import { offeringKey } from "./plan.js";
 
@@ -27,23 +27,23 @@
   }
 
   /** Whether the offering is not in a pause after a refusal. */
-  isAvailable(offering: Offer): boolean {
+  isAvailable(offering: MachineOffering): boolean {
     const refusal = this.refused.get(offeringKey(offering));
     return refusal === undefined || refusal.until <= this.deps.scope.clock.now();
   }
 
   /** Ends the pause of an offering after a rental that was granted in full. */
-  recordGrant(offering: Offer): void {
+  recordGrant(offering: MachineOffering): void {
     this.refused.delete(offeringKey(offering));
   }
 
   /** Whether work in another partition waits for a machine of this offering while the cloud has none to rent. */
-  isSoughtByPeer(offering: Offer): boolean {
+  isSoughtByPeer(offering: MachineOffering): boolean {
     return this.deps.scope.clock.now() < (this.soughtUntil.get(offeringKey(offering)) ?? -Infinity);
   }
 
   /** Pauses rentals of an offering after a refusal. Each further refusal doubles the pause, up to half a lease. */
-  recordRefusal(offering: Offer): void {
+  recordRefusal(offering: MachineOffering): void {
     this.deps.stats.refused++;
     const name = offeringKey(offering);
     const { reportMs, leaseMs } = this.deps.settings.timing;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,4 +1,4 @@
-import type { MachineType, Offer } from "@thorntrail/protocol/cloud";
+import type { MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
 import { isReady, usableCandidates, zonesInUse } from "../queue/scheduling-cycle.js";
@@ -16,7 +16,7 @@
   order: QueueOrder;
   types: MachineType[];
   /** False for an offering that the cloud refused recently. */
-  isAvailable: (offer: Offer) => boolean;
+  isAvailable: (offer: MachineOffering) => boolean;
   quotaShare: (team: string) => Usage;
   /** Time in ms after its arrival in which nothing is rented for a job that may still migrate to another partition. */
   migrationGraceMs: number;
@@ -27,7 +27,7 @@
 }
 
 /** Returns the key of a machine offering: type, zone, and spot or on-demand. */
-export function offeringKey(offer: Offer): string {
+export function offeringKey(offer: MachineOffering): string {
   return `${offer.type}/${offer.zone}/${offer.spot ? "spot" : "ordinary"}`;
 }
 
@@ -40,7 +40,7 @@
 
 /** Machines to rent for a partition's queue, and machines that must be kept for it. */
 export interface RentalPlan {
-  toRent: Map<string, { offer: Offer; count: number }>;
+  toRent: Map<string, { offer: MachineOffering; count: number }>;
   /** Machines, idle or booting, on which waiting tasks will be placed. */
   needed: Set<string>;
 }
@@ -51,7 +51,7 @@
  * task, and later tasks use the capacity that is left on those.
  */
 export function planRentals(partition: Partition, context: PlanContext): RentalPlan {
-  const toRent = new Map<string, { offer: Offer; count: number }>();
+  const toRent = new Map<string, { offer: MachineOffering; count: number }>();
   const needed = new Set<string>();
   const { now } = context;
   const candidateMachines = usableCandidates(partition, now, context.silentMs);
@@ -179,7 +179,7 @@
 
 interface PricedOffering {
   type: MachineType;
-  offer: Offer;
+  offer: MachineOffering;
   /** Tasks per machine. */
   tasksPerMachine: number;
   cost: number;
@@ -191,7 +191,7 @@
   task: JobSpec,
   left: number,
   context: PlanContext,
-  accepts: (offer: Offer) => boolean = () => true,
+  accepts: (offer: MachineOffering) => boolean = () => true,
 ): PricedOffering | null {
   let best: PricedOffering | null = null;
   for (const type of context.types) {
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { Partition } from "../parts/partition.js";
 import type { Machine } from "../workers/machine.js";
 import { MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
@@ -90,7 +90,7 @@
         this.deps.scope.log.info({ hosts: toDelete }, "unregistered machines deleted");
       }
     } catch (error) {
-      if (!(error instanceof NoReply)) throw error;
+      if (!(error instanceof CallError)) throw error;
     }
   }
 }
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -1,5 +1,5 @@
-import type { Offer } from "@thorntrail/protocol/cloud";
-import { NoReply } from "@thorntrail/protocol/errors";
+import type { MachineOffering } from "@thorntrail/protocol/cloud";
+import { CallError } from "@thorntrail/protocol/errors";
 import { keys, rentalRecords, type RentalRecord } from "../ledger/records.js";
 import type { Partition } from "../parts/partition.js";
 import { ownsPartition, waitForRate, type FleetDependencies } from "./dependencies.js";
@@ -100,7 +100,7 @@
   }
 
   /** Records a rental under a new name, then executes it. */
-  private async beginRental(partition: Partition, offering: Offer, count: number): Promise<void> {
+  private async beginRental(partition: Partition, offering: MachineOffering, count: number): Promise<void> {
     const name = `${partition.id}.${partition.term}.${++this.rentalCount}`;
     const value: RentalRecord = {
       part: partition.id,
@@ -136,8 +136,8 @@
       if (!ownsPartition(this.deps, partition)) return;
       // A late copy of an earlier write restored the record of a rental that is already completed.
       if (this.completed.has(name)) return await this.recordRental(partition, name, rental, []);
-      const hosts = await this.deps.cloud.hire(name, rental, rental.count);
-      const offer: Offer = { type: rental.type, zone: rental.zone, spot: rental.spot };
+      const hosts = await this.deps.cloud.rent(name, rental, rental.count);
+      const offer: MachineOffering = { type: rental.type, zone: rental.zone, spot: rental.spot };
       if (hosts === null || hosts.length < rental.count) this.availability.recordRefusal(offer);
       else this.availability.recordGrant(offer);
       await this.recordRental(partition, name, rental, hosts ?? []);
@@ -146,7 +146,7 @@
         this.deps.scope.log.info({ part: partition.id, hire: name, ...offer, asked: rental.count, got: hosts.length }, "machines rented");
       } else this.deps.scope.log.info({ part: partition.id, ...offer, asked: rental.count }, "no capacity");
     } catch (error) {
-      if (!(error instanceof NoReply)) throw error;
+      if (!(error instanceof CallError)) throw error;
       this.deps.scope.log.debug({ hire: name, err: error.message }, "rental not answered; retrying under the same name");
       await this.deps.calls.of("cloud.hire").backOff();
     } finally {
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { type RentalRecord } from "../ledger/records.js";
 import type { Partition } from "../parts/partition.js";
 import { sleep } from "../platform/clock.js";
@@ -183,7 +183,7 @@
         }
         await sleep(this.deps.scope.clock, this.deps.settings.timing.reportMs);
       } catch (error) {
-        if (!(error instanceof NoReply)) throw error;
+        if (!(error instanceof CallError)) throw error;
         await this.deps.calls.of("cloud.delete").backOff(++failures);
       }
     }
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -8,7 +8,7 @@
 import { rank } from "../queue/queue-order.js";
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
-import { type JobSpec, decodeJob, isRef } from "@thorntrail/protocol/jobs";
+import { type JobSpec, decodeJob, isJobRef } from "@thorntrail/protocol/jobs";
 import type { Submissions } from "./submissions.js";
 
 /** Response to a user's request, independent of the transport. */
@@ -138,7 +138,7 @@
 
   /** Returns the status of a job. `patienceMs`: time after which the requester no longer waits. */
   async poll(ref: string, patienceMs = Infinity): Promise<Response> {
-    if (!isRef(ref)) return { status: 404, body: { error: "no such job" } };
+    if (!isJobRef(ref)) return { status: 404, body: { error: "no such job" } };
     // A terminal state never changes; any other may have been changed by another controller.
     if (!this.isTerminal(ref) && !(this.stateReachable() && (await this.refreshReplica(patienceMs))))
       return this.unavailable("the state service does not answer");
@@ -148,7 +148,7 @@
   /** Records the cancellation of a job. `patienceMs`: time after which the requester no longer waits. */
   async cancel(ref: string, patienceMs = Infinity): Promise<Response> {
     const key = keys.job(ref);
-    if (!isRef(ref)) return { status: 404, body: { error: "no such job" } };
+    if (!isJobRef(ref)) return { status: 404, body: { error: "no such job" } };
     if (this.isTerminal(ref)) return this.statusResponse(ref);
     if (!this.stateReachable()) return this.unavailable("the state service does not answer");
     if (this.replica.get(key) === undefined) {
--- a/src/ledger/group-committer.ts
+++ b/src/ledger/group-committer.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "../platform/clock.js";
 import { sleep } from "../platform/clock.js";
 import type { Caller } from "../calls/calls.js";
-import { NoReply } from "@thorntrail/protocol/errors";
-import type { Rate } from "@thorntrail/protocol/rate";
-import { OverRate, TooLarge, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import type { TokenBucket } from "@thorntrail/protocol/token-bucket";
+import { RateLimitError, RequestTooLargeError, type Condition, type Op, type StateApi } from "@thorntrail/protocol/state";
 import { CpuAccounting } from "../platform/cpu-accounting.js";
 import type { Log } from "../platform/log.js";
 import type { StateReplica } from "./state-replica.js";
@@ -78,8 +78,8 @@
     private readonly state: StateApi,
     private readonly replica: StateReplica,
     private readonly clock: Clock,
-    private readonly requests: Rate,
-    private readonly writes: Rate,
+    private readonly requests: TokenBucket,
+    private readonly writes: TokenBucket,
     /** Backoff between repeated transactions. */
     private readonly calls: Caller,
     /** Maximum number of changes in one transaction, and the time in flight (ms) after which a transaction no longer holds back the next one. */
@@ -220,15 +220,15 @@
       this.log.debug({ failed: result.failed }, "transaction conflicts; reading again");
       await this.readBack();
     } catch (error) {
-      if (error instanceof OverRate) {
+      if (error instanceof RateLimitError) {
         this.writes.drain();
         await this.calls.backOff();
         return pendingWrites;
       }
-      if (!(error instanceof NoReply)) throw error;
-      if (error instanceof TooLarge) return this.splitOversized(pendingWrites, error);
+      if (!(error instanceof CallError)) throw error;
+      if (error instanceof RequestTooLargeError) return this.splitOversized(pendingWrites, error);
       // A refused transaction was not executed, so its tokens are returned; otherwise no write tokens would be left when an outage ends.
-      if (error.kind === "refused") this.writes.give(apply.length);
+      if (error.kind === "refused") this.writes.refund(apply.length);
       if (this.calls.mayHaveActed(error)) {
         this.stats.unanswered++;
         for (const pendingWrite of pendingWrites) pendingWrite.outcomeUnknown = true;
@@ -243,7 +243,7 @@
    * Handles a transaction that is permanently refused for its size. Sent again unchanged, it would block
    * everything behind it for ever, so each write is sent alone, and one that is refused alone is given up.
    */
-  private async splitOversized(pendingWrites: PendingWrite[], error: TooLarge): Promise<PendingWrite[]> {
+  private async splitOversized(pendingWrites: PendingWrite[], error: RequestTooLargeError): Promise<PendingWrite[]> {
     for (const pendingWrite of pendingWrites) pendingWrite.exclusive = true;
     const [only] = pendingWrites;
     if (pendingWrites.length > 1 || only === undefined) return pendingWrites;
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -2,10 +2,10 @@
 import type { Clock } from "../platform/clock.js";
 import { sleep } from "../platform/clock.js";
 import { CpuAccounting } from "../platform/cpu-accounting.js";
-import type { Rate } from "@thorntrail/protocol/rate";
+import type { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { StateApi, StateEvent } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { Scope } from "../platform/scope.js";
 import { keys, type JobRecord, type SliceRecord } from "./records.js";
 
@@ -47,7 +47,7 @@
   constructor(
     private readonly state: StateApi,
     private readonly clock: Clock,
-    private readonly rate: Rate,
+    private readonly rate: TokenBucket,
     private readonly pace: { readGapMs: number; blockMs: number },
     /** Backoff after a failed read. */
     private readonly calls: Caller,
@@ -65,7 +65,7 @@
           else await this.read(this.pace.blockMs);
         } catch (error) {
           const line = { err: (error as Error).message };
-          if (error instanceof NoReply) scope.log.debug(line, "replica read failed");
+          if (error instanceof CallError) scope.log.debug(line, "replica read failed");
           else scope.log.warn(line, "the state service's answer could not be read");
           await this.calls.backOff();
         }
@@ -104,11 +104,11 @@
     while (!this.rate.take()) await sleep(this.clock, this.rate.waitMs());
   }
 
-  /** Applies the changes since the last read. `deadline` is in steady ms; throws NoReply once it has passed. */
+  /** Applies the changes since the last read. `deadline` is in steady ms; throws CallError once it has passed. */
   private async read(blockMs: number, deadline = Infinity): Promise<void> {
     await this.acquireRequest();
     const startedAt = this.clock.now();
-    if (startedAt >= deadline) throw new NoReply("refused", "the deadline of this read has passed");
+    if (startedAt >= deadline) throw new CallError("refused", "the deadline of this read has passed");
     this.lastReadAt = startedAt;
     const result = await this.state.follow(keys.root, this.revision, blockMs, deadline - startedAt);
     if (result === "too-old") {
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -1,7 +1,7 @@
 import { isDeepStrictEqual } from "node:util";
-import { NoReply } from "@thorntrail/protocol/errors";
-import type { Rate } from "@thorntrail/protocol/rate";
-import { LostPermit, type StateApi } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import type { TokenBucket } from "@thorntrail/protocol/token-bucket";
+import { LeaseLostError, type StateApi } from "@thorntrail/protocol/state";
 import type { Caller } from "../calls/calls.js";
 import type { StateReplica } from "../ledger/state-replica.js";
 import { keys, type PresenceRecord, type SuspicionRecord } from "../ledger/records.js";
@@ -17,7 +17,7 @@
   incarnation: string;
   state: StateApi;
   replica: StateReplica;
-  rate: Rate;
+  rate: TokenBucket;
   /** Backoff of repeated renewals. */
   calls: Caller;
   scope: Scope;
@@ -93,8 +93,8 @@
       this.scheduleRenewal();
     } catch (error) {
       scope.log.debug({ err: (error as Error).message }, "presence not renewed");
-      if (error instanceof LostPermit) this.leaseId = null;
-      else if (!(error instanceof NoReply)) return;
+      if (error instanceof LeaseLostError) this.leaseId = null;
+      else if (!(error instanceof CallError)) return;
       this.scheduleRenewal();
     } finally {
       this.renewing = false;
--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -2,7 +2,7 @@
  * The audit log records why a start, a stop or a restart was allowed. It has one line per event with the same field names
  * everywhere, so that the history of one task can be assembled from the logs of all controllers (docs/operations.md).
  */
-import { Rate, type SteadyClock } from "@thorntrail/protocol/rate";
+import { TokenBucket, type SteadyClock } from "@thorntrail/protocol/token-bucket";
 import type { Log } from "../platform/log.js";
 import { taskId, type Placement } from "../queue/task-set.js";
 import type { EndedAttempt } from "../served/class-accounting.js";
@@ -17,7 +17,7 @@
 export class Audit {
   /** Number of tasks that were started again under stale proof of ownership. */
   staleRestarts = 0;
-  private readonly staleStartLines: Rate;
+  private readonly staleStartLines: TokenBucket;
 
   constructor(
     clock: SteadyClock,
@@ -27,7 +27,7 @@
     /** Age above which a proof of ownership is stale, in ms. */
     private readonly maxFreshMs: number,
   ) {
-    this.staleStartLines = new Rate(clock, STALE_START_LINES_PER_SECOND, STALE_START_LINES_BURST);
+    this.staleStartLines = new TokenBucket(clock, STALE_START_LINES_PER_SECOND, STALE_START_LINES_BURST);
   }
 
   /** Returns the fields that identify the attempt and the term under which it is handled. */
--- a/src/parts/fitness.ts
+++ b/src/parts/fitness.ts
@@ -1,6 +1,6 @@
 /** Detects that this node is cut off from its workers while other controllers reach theirs. */
 import type { RentalIndex } from "../ledger/rentals.js";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { Report, WorkerApi } from "@thorntrail/protocol/worker";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
@@ -138,7 +138,7 @@
             return true;
           },
           (error: unknown) => {
-            if (!(error instanceof NoReply)) throw error;
+            if (!(error instanceof CallError)) throw error;
             return false;
           },
         ),
--- a/src/parts/leader-context.ts
+++ b/src/parts/leader-context.ts
@@ -46,7 +46,7 @@
   readonly now: number;
   /** Start of the newest read of the state service that confirmed the terms of the owned partitions, in ms of the steady clock. */
   readonly provenAt: number;
-  /** Reads the state service, so that `provenAt` is no older than this call. Rejects with `NoReply`. */
+  /** Reads the state service, so that `provenAt` is no older than this call. Rejects with `CallError`. */
   proveOwnership(): Promise<void>;
   /** Returns whether workers must not be answered because cancellations or takeovers may be unknown here. */
   isSilent(): boolean;
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -1,5 +1,5 @@
 /** Time-driven checks of the owned partitions: expired leases, termination notices and the end of fencing. */
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { Machine } from "../workers/machine.js";
 import { isBrokenGang } from "../queue/task-set.js";
 import { fence } from "../workers/fence.js";
@@ -66,7 +66,7 @@
     try {
       await this.context.proveOwnership();
     } catch (error) {
-      if (!(error instanceof NoReply)) throw error;
+      if (!(error instanceof CallError)) throw error;
       return;
     } finally {
       this.proving = false;
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from "node:net";
 import { performance } from "node:perf_hooks";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { ResponseParser } from "./http-response-parser.js";
 
 /** Response of an HTTP server; a body that is not a JSON object becomes an empty one. */
@@ -20,7 +20,7 @@
   /** Whether bytes of it may have reached the server. */
   written: boolean;
   connection: Connection | null;
-  settle: (outcome: Reply | NoReply) => void;
+  settle: (outcome: Reply | CallError) => void;
 }
 
 /** A connection, which carries one request at a time. */
@@ -56,7 +56,7 @@
   ) {}
 
   /**
-   * Sends a request. Rejects with NoReply: "refused" if no byte of it left this process, so that it cannot have taken
+   * Sends a request. Rejects with CallError: "refused" if no byte of it left this process, so that it cannot have taken
    * effect; "unanswered" if it may have.
    */
   call(addr: string, method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
@@ -64,7 +64,7 @@
       const payload = body === undefined ? "" : JSON.stringify(body);
       // Addresses come from other processes and must not be able to inject headers into the request.
       if (!/^[\x21-\x7e]+:\d{1,5}$/.test(addr) || !/^[\x21-\x7e]+$/.test(path)) {
-        reject(new NoReply("refused", "invalid address or path"));
+        reject(new CallError("refused", "invalid address or path"));
         return;
       }
       const content = body === undefined ? "" : `content-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n`;
@@ -75,7 +75,7 @@
         connection: null,
         settle: (outcome) => {
           clearTimeout(timer);
-          if (outcome instanceof NoReply) reject(outcome);
+          if (outcome instanceof CallError) reject(outcome);
           else resolve(outcome);
         },
       };
@@ -94,7 +94,7 @@
     const { connection } = request;
     const host = this.hosts.get(addr);
     if (host !== undefined) host.waiting = host.waiting.filter((one) => one !== request);
-    request.settle(new NoReply(request.written ? "unanswered" : "refused", "timeout"));
+    request.settle(new CallError(request.written ? "unanswered" : "refused", "timeout"));
     if (connection === null) return;
     connection.request = null;
     // The server may still answer the request, so the connection must not be reused.
@@ -122,7 +122,7 @@
   private open(host: Host, request: PendingRequest): void {
     const colon = host.addr.lastIndexOf(":");
     const port = Number(host.addr.slice(colon + 1));
-    if (port > 65535) return request.settle(new NoReply("refused", "port out of range"));
+    if (port > 65535) return request.settle(new CallError("refused", "port out of range"));
     const socket = connect({ host: host.addr.slice(0, colon), port, noDelay: true });
     const connection: Connection = { socket, host, connected: false, request, parser: null };
     request.connection = connection;
@@ -146,7 +146,7 @@
     // valid and must not be sent, even if this event is handled before the timeout's timer.
     if (performance.now() >= request.deadline) {
       connection.request = null;
-      request.settle(new NoReply("refused", "connected too late"));
+      request.settle(new CallError("refused", "connected too late"));
       return this.release(connection);
     }
     connection.parser = new ResponseParser(MAX_REPLY_BYTES);
@@ -187,14 +187,14 @@
       const body = parsed !== null && typeof parsed === "object" ? (parsed as Record<string, unknown>) : {};
       request.settle({ status: parser.status, body });
     } catch {
-      request.settle(new NoReply("unanswered", "reply is not JSON"));
+      request.settle(new CallError("unanswered", "reply is not JSON"));
     }
   }
 
   private fail(connection: Connection, message: string): void {
     const { request } = connection;
     connection.request = null;
-    request?.settle(new NoReply(request.written ? "unanswered" : "refused", message));
+    request?.settle(new CallError(request.written ? "unanswered" : "refused", message));
   }
 
   private release(connection: Connection): void {
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,7 +1,7 @@
 /** Direct commands from a partition's owner to its workers. */
 import type { Leader } from "../parts/leader.js";
 import type { Partition } from "../parts/partition.js";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
 import { workersWithPolicy } from "../calls/policy-clients.js";
@@ -84,7 +84,7 @@
       if (fencing && reply.executed && machine.answeredAt > now) machine.answeredAt = this.scope.clock.now();
       this.leader.onCommandReply(partition, machine, reply.report);
     } catch (error) {
-      if (!(error instanceof NoReply)) throw error;
+      if (!(error instanceof CallError)) throw error;
       resolveStarts(caller.mayHaveActed(error) ? "unresolved" : "none");
       recordFailure(error.message);
     } finally {
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,7 +1,7 @@
 /** HTTP client for the workers' command interface. */
 import { performance } from "node:perf_hooks";
 import { mergeMap, Subject } from "rxjs";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { HttpClient } from "../platform/http.js";
 import { decodeReport, encodeOrders, type CommandReply, type Order, type WorkerApi } from "@thorntrail/protocol/worker";
 
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Sends orders to a worker. `limitMs` includes the time spent waiting for other commands. Rejects with `NoReply` if the
+   * Sends orders to a worker. `limitMs` includes the time spent waiting for other commands. Rejects with `CallError` if the
    * command was not sent or got no valid reply.
    */
   command(addr: string, token: number, session: number, orders: Order[], limitMs = this.timeoutMs): Promise<CommandReply> {
@@ -34,7 +34,7 @@
       this.calls$.next(async () => {
         // The time limit runs from the call of `command`, so the time spent waiting is deducted.
         const remainingMs = deadline - performance.now();
-        if (remainingMs <= 0) return reject(new NoReply("refused", "no turn in time"));
+        if (remainingMs <= 0) return reject(new CallError("refused", "no turn in time"));
         await this.call(addr, token, session, orders, remainingMs).then(resolve, reject);
       });
     });
@@ -44,7 +44,7 @@
     const reply = await this.http.call(addr, "POST", "/commands", { baton: token, shift: session, orders: encodeOrders(orders) }, limitMs);
     const report = decodeReport(reply.body);
     if ((reply.status !== 200 && reply.status !== 409) || report === null)
-      throw new NoReply("unanswered", `worker answered ${reply.status}`);
+      throw new CallError("unanswered", `worker answered ${reply.status}`);
     return { executed: reply.status === 200, report };
   }
 }
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -1,8 +1,8 @@
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
-import { NoReply } from "@thorntrail/protocol/errors";
-import { Rate } from "@thorntrail/protocol/rate";
-import { OverRate, TooLarge } from "@thorntrail/protocol/state";
+import { CallError } from "@thorntrail/protocol/errors";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
+import { RateLimitError, RequestTooLargeError } from "@thorntrail/protocol/state";
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -13,7 +13,7 @@
 import { callsFor, TIMING } from "./world/calls.js";
 
 const policies = callPolicies({ timing: TIMING, writeRps: 25 });
-const refuse = (): Promise<never> => Promise.reject(new NoReply("refused", "503"));
+const refuse = (): Promise<never> => Promise.reject(new CallError("refused", "503"));
 
 test("pauses grow, are randomised in their upper half, and never exceed the maximum", () => {
   fc.assert(
@@ -106,11 +106,11 @@
   assert.ok(tries <= 20_000 / (policies["state.txn"].initialMs / 2), `${tries}`);
 });
 
-test("OverRate and TooLarge count as answers: they end no pauses and are no sign of an outage", async () => {
+test("RateLimitError and RequestTooLargeError count as answers: they end no pauses and are no sign of an outage", async () => {
   const clock = new VirtualClock();
   const calls = callsFor(clock);
   const txn = calls.of("state.txn");
-  for (const error of [new OverRate(), new TooLarge("400")]) {
+  for (const error of [new RateLimitError(), new RequestTooLargeError("400")]) {
     await assert.rejects(
       txn.call(() => Promise.reject(error)),
       (seen) => seen === error,
@@ -129,12 +129,12 @@
 
 test("whether an unanswered call may have had an effect depends on its operation", () => {
   const calls = callsFor(new VirtualClock());
-  const silent = new NoReply("unanswered", "timeout");
+  const silent = new CallError("unanswered", "timeout");
   const acted = (["state.read", "state.txn", "cloud.hire", "worker.order", "worker.probe"] as const).filter((one) =>
     calls.of(one).mayHaveActed(silent),
   );
   assert.deepEqual(acted, ["state.txn", "cloud.hire", "worker.order"]);
-  assert.equal(calls.of("state.txn").mayHaveActed(new NoReply("refused", "503")), false);
+  assert.equal(calls.of("state.txn").mayHaveActed(new CallError("refused", "503")), false);
 });
 
 test("a call gets the time left until its deadline, and past the deadline nothing is sent", async () => {
@@ -144,7 +144,7 @@
   const act = (limitMs: number): Promise<void> => Promise.resolve(void given.push(limitMs));
   await read.call(act);
   await read.call(act, clock.now() + 300);
-  await assert.rejects(read.call(act, clock.now()), (error: unknown) => error instanceof NoReply && error.kind === "refused");
+  await assert.rejects(read.call(act, clock.now()), (error: unknown) => error instanceof CallError && error.kind === "refused");
   assert.deepEqual(given, [policies["state.read"].limitMs, 300]);
   assert.equal(read.stats.expired, 1);
 });
@@ -155,7 +155,13 @@
   const client = service.client("n", (fn) => fn());
   const calls = callsFor(clock);
   const callClient = stateWithPolicies(client, calls, clock);
-  const replica = new StateReplica(callClient, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, calls.of("state.read"));
+  const replica = new StateReplica(
+    callClient,
+    clock,
+    new TokenBucket(clock, 1000),
+    { readGapMs: 0, blockMs: 1000 },
+    calls.of("state.read"),
+  );
   void replica.refresh();
   await clock.run(100);
   // One answer is lost: without a deadline the read would last until the policy's limit.
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { StateApi } from "@thorntrail/protocol/state";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
@@ -135,7 +135,7 @@
       copies.push(() => state.txn(conditions, apply));
       if (copies.length > 1) return state.txn(conditions, apply);
       await state.txn(conditions, apply);
-      throw new NoReply("unanswered", "lost");
+      throw new CallError("unanswered", "lost");
     },
   }));
   assert.deepEqual(await settled(store.set({ set: [{ ...ops, cpus_max: 60 }], remove: [] })), { version: 1, changed: true });
--- a/test/connection-limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { InboundConnections } from "../src/platform/inbound-connections.js";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { HttpWorkerClient } from "../src/workers/worker-client.js";
 
 async function listen(server: Server): Promise<number> {
@@ -62,7 +62,7 @@
   const before = served;
   const impatient = new HttpWorkerClient(45, 1, "n");
   const settled = await Promise.allSettled(ports.map((port) => impatient.command(`127.0.0.1:${port}`, 1, 1, [])));
-  const refused = settled.filter((one) => one.status === "rejected" && one.reason instanceof NoReply && one.reason.kind === "refused");
+  const refused = settled.filter((one) => one.status === "rejected" && one.reason instanceof CallError && one.reason.kind === "refused");
   assert.ok(refused.length >= 2, String(refused.length));
   assert.ok(served - before < ports.length);
   servers.forEach(closeServer);
--- a/test/group-committer.test.ts
+++ b/test/group-committer.test.ts
@@ -3,7 +3,7 @@
 import { GroupCommitter } from "../src/ledger/group-committer.js";
 import { Links } from "@thorntrail/emulator/links";
 import { StateReplica } from "../src/ledger/state-replica.js";
-import { Rate } from "@thorntrail/protocol/rate";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { Scope } from "../src/platform/scope.js";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
@@ -19,14 +19,14 @@
   const service = new VirtualState(clock, () => latency.ms, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }, links);
   const latency = { ms: 2 };
   const client = service.client("n", (fn) => fn());
-  const rate = new Rate(clock, 100);
+  const rate = new TokenBucket(clock, 100);
   const calls = callsFor(clock);
   const callClient = stateWithPolicies(client, calls, clock);
   const replica = new StateReplica(callClient, clock, rate, { readGapMs: 10, blockMs: 500 }, calls.of("state.read"));
   const scope = new Scope(clock, quiet);
   replica.start(scope);
   await clock.run(100);
-  const writes = new Rate(clock, 5, 16);
+  const writes = new TokenBucket(clock, 5, 16);
   const committer = new GroupCommitter(
     callClient,
     replica,
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -2,7 +2,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from "node:net";
 import { test } from "node:test";
 import fc from "fast-check";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import { HttpClient } from "../src/platform/http.js";
 import { ResponseParser } from "../src/platform/http-response-parser.js";
 
@@ -73,7 +73,7 @@
 const kindOf = (promise: Promise<unknown>): Promise<string> =>
   promise.then(
     () => "answered",
-    (error: unknown) => (error instanceof NoReply ? error.kind : String(error)),
+    (error: unknown) => (error instanceof CallError ? error.kind : String(error)),
   );
 
 test("connections are reused; no more than the maximum are open per host, and further calls wait", async () => {
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -3,7 +3,7 @@
 import { loadPlan, playVirtual, type RehearsalPlan, type Spawned } from "@thorntrail/emulator/entry";
 import { drawnPlan } from "@thorntrail/emulator/drawn";
 import { seeded } from "@thorntrail/emulator/luck";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { Condition, Op, StateApi } from "@thorntrail/protocol/state";
 import { keys, type QuotaShareRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
@@ -53,13 +53,13 @@
           this.lateTransactions++;
           clock.after(delayMs(), () => void applyTransaction());
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
-          throw new NoReply("unanswered", "held");
+          throw new CallError("unanswered", "held");
         }
         const answer = await state.txn(conditions, apply, limitMs);
         if (answer.ok && this.random() < (this.fractions.lost ?? 0)) {
           for (const op of apply) this.lostAnswers.add(tableWrite(op));
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
-          throw new NoReply("unanswered", "the answer was lost");
+          throw new CallError("unanswered", "the answer was lost");
         }
         if (answer.ok && this.random() < this.fractions.copied)
           clock.after(
@@ -185,14 +185,14 @@
           removedCount += removed.length;
           for (const name of removed) endedNames.add(name);
           await new Promise<void>((resolve) => clock.after(limitMs ?? 2000, resolve));
-          throw new NoReply("unanswered", "the answer was lost");
+          throw new CallError("unanswered", "the answer was lost");
         },
       },
       cloud: {
         ...cloud,
-        hire: (name, offer, count) => {
+        rent: (name, offer, count) => {
           if (endedNames.has(name)) requestedAgain.push(name);
-          return cloud.hire(name, offer, count);
+          return cloud.rent(name, offer, count);
         },
       },
     });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -4,7 +4,7 @@
 import { drawnPlan } from "@thorntrail/emulator/drawn";
 import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
 import { decodeFault, type Fault } from "@thorntrail/emulator/faults";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import fc from "fast-check";
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
@@ -236,7 +236,7 @@
       // Direct commands never arrive, so the machine learns the new term only from answers to its reports.
       const command = async (): Promise<never> => {
         await new Promise<void>((resolve) => asked.clock.after(2000, resolve));
-        throw new NoReply("unanswered", "lost");
+        throw new CallError("unanswered", "lost");
       };
       const controller = spawnController(seed % 2 === 0 ? asked : { ...asked, workers: { command } });
       const { onReport } = controller;
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -1,4 +1,4 @@
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -66,7 +66,7 @@
   // With no time left, on an idle connection and on a new one.
   for (const one of [client, new HttpClient(1)]) {
     const late = one.call(addr, "POST", "/", {}, 0);
-    await assert.rejects(late, (error: unknown) => error instanceof NoReply);
+    await assert.rejects(late, (error: unknown) => error instanceof CallError);
   }
   assert.equal(served, 1);
   server.close();
--- a/test/state-replica.test.ts
+++ b/test/state-replica.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { StateReplica } from "../src/ledger/state-replica.js";
-import { Rate } from "@thorntrail/protocol/rate";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { callsFor } from "./world/calls.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
@@ -11,7 +11,13 @@
   const clock = new VirtualClock();
   const service = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = service.client("n", (fn) => fn());
-  const replica = new StateReplica(client, clock, new Rate(clock, 1000), { readGapMs: 0, blockMs: 1000 }, callsFor(clock).of("state.read"));
+  const replica = new StateReplica(
+    client,
+    clock,
+    new TokenBucket(clock, 1000),
+    { readGapMs: 0, blockMs: 1000 },
+    callsFor(clock).of("state.read"),
+  );
   void replica.refresh();
   await clock.run(100);
   for (let i = 1; i <= 3; i++) {
@@ -38,7 +44,7 @@
       const replica = new StateReplica(
         client,
         clock,
-        new Rate(clock, 1000),
+        new TokenBucket(clock, 1000),
         { readGapMs: 0, blockMs: 1000 },
         callsFor(clock).of("state.read"),
       );
--- a/test/world/mirror.ts
+++ b/test/world/mirror.ts
@@ -1,6 +1,6 @@
 import { callsFor } from "./calls.js";
 import { StateReplica } from "../../src/ledger/state-replica.js";
-import { Rate } from "@thorntrail/protocol/rate";
+import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
@@ -9,5 +9,5 @@
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 2, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = state.client("n", (fn) => fn());
-  return new StateReplica(client, clock, new Rate(clock, 100), { readGapMs: 10, blockMs: 500 }, callsFor(clock).of("state.read"));
+  return new StateReplica(client, clock, new TokenBucket(clock, 100), { readGapMs: 10, blockMs: 500 }, callsFor(clock).of("state.read"));
 }
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -3,7 +3,7 @@
 import { seeded } from "@thorntrail/emulator/luck";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { Worker, type WorkerWorld } from "@thorntrail/emulator/worker-model";
-import { NoReply } from "@thorntrail/protocol/errors";
+import { CallError } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
 import type { StateReplica } from "../../src/ledger/state-replica.js";
@@ -251,7 +251,7 @@
         };
         clock.after(
           ANSWER_LIMIT_MS,
-          heard(() => reject(new NoReply("unanswered", "timeout"))),
+          heard(() => reject(new CallError("unanswered", "timeout"))),
         );
         if (random() < LOST) return;
         clock.after(latenessMs(random, slow.has(addr)), () => {
