--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -1,4 +1,4 @@
-import { loadPlan, playVirtual, Spread, type RehearsalPlan } from "../packages/emulator/src/entry.js";
+import { loadPlan, playVirtual, DurationHistogram, type RehearsalPlan } from "../packages/emulator/src/entry.js";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { options, progress, report } from "./harness.js";
@@ -35,7 +35,12 @@
 let broken = 0;
 let unfinished = 0;
 for (const [loss, fault] of Object.entries(LOSSES)) {
-  const spreads = { claimed: new Spread(), fenced: new Spread(), back: new Spread(), done: new Spread() };
+  const spreads = {
+    claimed: new DurationHistogram(),
+    fenced: new DurationHistogram(),
+    back: new DurationHistogram(),
+    done: new DurationHistogram(),
+  };
   for (let i = 0; i < given.repeats; i++) {
     const played = await playVirtual({
       plan: { ...base, name: loss, fault },
@@ -56,12 +61,12 @@
     if (close?.done_p99_s != null) spreads.done.add(close.done_p99_s * 1000);
   }
   for (const [phase, spread] of Object.entries(spreads)) {
-    figures[`${loss}_${phase}_p50_s`] = spread.at(50) ?? NaN;
-    figures[`${loss}_${phase}_p99_s`] = spread.at(99) ?? NaN;
-    figures[`${loss}_${phase}_worst_s`] = spread.worst ?? NaN;
+    figures[`${loss}_${phase}_p50_s`] = spread.percentileS(50) ?? NaN;
+    figures[`${loss}_${phase}_p99_s`] = spread.percentileS(99) ?? NaN;
+    figures[`${loss}_${phase}_worst_s`] = spread.maxS ?? NaN;
   }
   progress(
-    `${loss}: claimed ${spreads.claimed.at(50)} s, fenced p50 ${spreads.fenced.at(50)} p99 ${spreads.fenced.at(99)} s, back p50 ${spreads.back.at(50)} p99 ${spreads.back.at(99)} s, edition close done p99 ${spreads.done.at(99)} s`,
+    `${loss}: claimed ${spreads.claimed.percentileS(50)} s, fenced p50 ${spreads.fenced.percentileS(50)} p99 ${spreads.fenced.percentileS(99)} s, back p50 ${spreads.back.percentileS(50)} p99 ${spreads.back.percentileS(99)} s, edition close done p99 ${spreads.done.percentileS(99)} s`,
   );
 }
 report("recovery", given, { rehearsals, broken_rules: broken, unfinished_jobs: unfinished, ...figures });
--- a/measure/scale/cell.ts
+++ b/measure/scale/cell.ts
@@ -9,9 +9,9 @@
 import { CloudModel } from "../../packages/emulator/src/cloud-model.js";
 import type { RuleAsked } from "../../packages/emulator/src/links.js";
 import { isTakeover } from "../../packages/emulator/src/recovery.js";
-import { ask, objectOf, readBody, send } from "../../packages/emulator/src/real/http.js";
+import { sendRequest, parseObject, readBody, sendResponse } from "../../packages/emulator/src/real/http.js";
 import { Processes } from "../../packages/emulator/src/real/processes.js";
-import { CloudFace } from "../../packages/emulator/src/real/services.js";
+import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
 import type { MachineType } from "../../packages/protocol/src/cloud.js";
 import type { TeamSettings } from "../../src/settings/platform-file.js";
 import { runOf } from "../start.js";
@@ -222,21 +222,21 @@
       true,
     );
     this.pids.set("store", this.processes.pid("store")!);
-    return String(objectOf(line)["listening"]);
+    return String(parseObject(line)["listening"]);
   }
 
   /** Each controller has a door of its own to the cloud. */
   private async openCloud(port: number): Promise<void> {
-    const face = new CloudFace(this.cloud, { now: steadyMs }, this.plan.cloudRps);
+    const face = new CloudStub(this.cloud, { now: steadyMs }, this.plan.cloudRps);
     const server = createServer((req, res) => {
       void readBody(req).then(async (body) => {
         const passing = { method: req.method ?? "GET", path: req.url ?? "/", body };
         const answer = await face.execute(passing);
-        const hosts = objectOf(answer.text)["hosts"];
+        const hosts = parseObject(answer.text)["hosts"];
         // Gangs find each other within a process: machines of a partition share one.
-        if (face.what(passing) === "hire" && answer.status === 200)
-          for (const host of hosts as string[]) this.assign(host, String(objectOf(body)["hire"]));
-        send(res, answer);
+        if (face.operationOf(passing) === "hire" && answer.status === 200)
+          for (const host of hosts as string[]) this.assign(host, String(parseObject(body)["hire"]));
+        sendResponse(res, answer);
       });
     });
     this.servers.push(server);
@@ -317,7 +317,7 @@
   private async allHealthy(): Promise<void> {
     const until = steadyMs() + START_LIMIT_MS;
     for (;;) {
-      const answers = await Promise.all(this.fronts.map((front) => ask(false, front, "GET", "/up", undefined, 1000)));
+      const answers = await Promise.all(this.fronts.map((front) => sendRequest(false, front, "GET", "/up", undefined, 1000)));
       const healthy = answers.filter((answer) => answer?.status === 200).length;
       if (healthy === this.fronts.length) return;
       if (steadyMs() > until || this.ended.length > 0)
@@ -340,7 +340,7 @@
   }
 
   private async stateCounters(): Promise<StateCounters> {
-    const answer = await ask(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
+    const answer = await sendRequest(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
     const metrics = metricsOf(answer?.text ?? "", "thorntrail_store_");
     const read = (name: string): number => metrics.get(name) ?? NaN;
     return {
@@ -354,7 +354,7 @@
 
   /** The sum over all controllers of a figure of theirs. */
   async controllerFigure(name: string): Promise<number> {
-    const answers = await Promise.all(this.fronts.map((front) => ask(false, front, "GET", "/metrics", undefined, 5000)));
+    const answers = await Promise.all(this.fronts.map((front) => sendRequest(false, front, "GET", "/metrics", undefined, 5000)));
     return answers.reduce((sum, answer) => sum + (metricsOf(answer?.text ?? "", "thorntrail_").get(name) ?? 0), 0);
   }
 
--- a/measure/scale/clients.ts
+++ b/measure/scale/clients.ts
@@ -1,6 +1,6 @@
 import { monitorEventLoopDelay } from "node:perf_hooks";
 import { encodeJob } from "../../packages/protocol/src/jobs.js";
-import { agentOf, ask, objectOf, type Raw } from "../../packages/emulator/src/real/http.js";
+import { createAgent, sendRequest, parseObject, type RawResponse } from "../../packages/emulator/src/real/http.js";
 import { seeded } from "../../packages/emulator/src/luck.js";
 import { Times } from "../harness.js";
 import { steadyMs, type ClientsSeen, type FromClients, type PlannedJob, type ToClients } from "./messages.js";
@@ -25,7 +25,7 @@
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 class Clients {
-  private readonly agent = agentOf(MOST_CONNECTIONS);
+  private readonly agent = createAgent(MOST_CONNECTIONS);
   private readonly random: () => number;
   private readonly submitTimes = new Times();
   private readonly pollTimes = new Times();
@@ -51,10 +51,10 @@
   }
 
   /** Null: no answer within the time. */
-  private async request(method: string, path: string, body: string | undefined, patienceMs: number): Promise<Raw | null> {
+  private async request(method: string, path: string, body: string | undefined, patienceMs: number): Promise<RawResponse | null> {
     for (let tried = 1; ; tried++) {
       const asked = steadyMs();
-      const answer = await ask(this.agent, this.front(), method, path, body, patienceMs);
+      const answer = await sendRequest(this.agent, this.front(), method, path, body, patienceMs);
       if (answer === null && tried < NODES_TRIED && steadyMs() - asked < CONNECT_LIMIT_MS) continue;
       const status = answer?.status ?? 0;
       this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
@@ -88,7 +88,7 @@
     this.polls++;
     if (answer?.status !== 200) return "";
     this.pollTimes.add(steadyMs() - asked);
-    return String(objectOf(answer.text)["status"]);
+    return String(parseObject(answer.text)["status"]);
   }
 
   private async follow(job: PlannedJob): Promise<void> {
--- a/measure/scale/hollow-workers.ts
+++ b/measure/scale/hollow-workers.ts
@@ -130,7 +130,7 @@
   const boot = async (asked: Extract<ToWorkers, { kind: "boot" }>): Promise<void> => {
     const { type, zone, spot, room } = asked;
     const address = await host!.boot(asked.host, { type, zone, spot }, room);
-    if (ended.has(asked.host)) host!.end(asked.host);
+    if (ended.has(asked.host)) host!.removeMachine(asked.host);
     else say({ kind: "booted", host: asked.host, address });
   };
   process.on("disconnect", () => process.exit(0));
@@ -141,11 +141,11 @@
     } else if (message.kind === "boot") void boot(message);
     else if (message.kind === "end") {
       ended.add(message.host);
-      host!.end(message.host);
+      host!.removeMachine(message.host);
     } else if (message.kind === "rule") {
       const end = links.add(message.rule);
       setTimeout(end, message.forMs);
-    } else if (message.kind === "taken") host?.deliverKept();
+    } else if (message.kind === "taken") host?.deliverKeptReports();
     else {
       tell();
       const { reports, late, unanswered } = host!.stats;
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -1,4 +1,4 @@
-import { playVirtual, Spread, loadPlan } from "../../packages/emulator/src/entry.js";
+import { playVirtual, DurationHistogram, loadPlan } from "../../packages/emulator/src/entry.js";
 import { injectionPointOf } from "../../src/rehearsal/injection-points.js";
 import { spawnController } from "../../src/rehearsal/spawn-controller.js";
 import type { Point } from "./line.js";
@@ -23,7 +23,7 @@
       work: base.work.map((one) => ({ ...one, jobs: Math.ceil(one.jobs * factor), every: one.every / factor })),
       fault: [{ at: LOST_AT_S, fault: { kind: "restart" as const, target: "leader", for: AWAY_S } }],
     };
-    const spreads = { fenced: new Spread(), back: new Spread() };
+    const spreads = { fenced: new DurationHistogram(), back: new DurationHistogram() };
     for (const seed of SEEDS) {
       const { recoveries } = await playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
       for (const span of recoveries) {
@@ -31,8 +31,8 @@
         if (span.back !== null) spreads.back.add(span.back);
       }
     }
-    fenced.push({ x: count, y: spreads.fenced.worst ?? NaN });
-    back.push({ x: count, y: spreads.back.worst ?? NaN });
+    fenced.push({ x: count, y: spreads.fenced.maxS ?? NaN });
+    back.push({ x: count, y: spreads.back.maxS ?? NaN });
   }
   return [
     slopeOf("recovery_fenced", "s, worst", "machine of the plan", fenced),
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -1,6 +1,6 @@
 import { encodeJob } from "../packages/protocol/src/jobs.js";
 import { plainPlan, World, type Spawned } from "../packages/emulator/src/entry.js";
-import { Spread } from "../packages/emulator/src/report.js";
+import { DurationHistogram } from "../packages/emulator/src/report.js";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "../test/world/parts.js";
 import { options, progress, report } from "./harness.js";
@@ -73,11 +73,11 @@
 
 const figures: Record<string, number> = {};
 for (const diedBeforeS of DIED_BEFORE_S) {
-  const spread = new Spread();
+  const spread = new DurationHistogram();
   for (let i = 0; i < given.repeats; i++) for (const seconds of await play(given.seed + i, diedBeforeS)) spread.add(seconds * 1000);
   const name = diedBeforeS < 0 ? `died_${-diedBeforeS}_s_after` : `died_${diedBeforeS}_s_before`;
-  figures[`${name}_again_p50_s`] = spread.at(50) ?? NaN;
-  figures[`${name}_again_worst_s`] = spread.worst ?? NaN;
-  progress(`${name}: ${spread.count} tasks run again, p50 ${spread.at(50)} s, worst ${spread.worst} s`);
+  figures[`${name}_again_p50_s`] = spread.percentileS(50) ?? NaN;
+  figures[`${name}_again_worst_s`] = spread.maxS ?? NaN;
+  progress(`${name}: ${spread.count} tasks run again, p50 ${spread.percentileS(50)} s, worst ${spread.maxS} s`);
 }
 report("state-outage", given, { outage_s: OUTAGE_S, ...figures });
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -10,10 +10,10 @@
 import { loadPlan, type RehearsalPlan } from "./plan.js";
 import { decodeFault } from "./faults.js";
 import { serveAdmin } from "./real/admin.js";
-import { ask, objectOf } from "./real/http.js";
+import { sendRequest, parseObject } from "./real/http.js";
 import { playReal } from "./real/play.js";
 import { TestEnvironment } from "./real/test-environment.js";
-import { metSplitWhileRefused, formatTable, type Report } from "./report.js";
+import { hadSplitWhileRefused, formatTable, type Report } from "./report.js";
 import { shrink } from "./shrink.js";
 import { playVirtual, type VirtualOptions } from "./virtual/play.js";
 import type { ControllerPort } from "./virtual/world.js";
@@ -32,7 +32,7 @@
     seed: options.seed,
     momentOf: options.momentOf,
     progress: showProgress,
-    patienceMs: 20_000,
+    settleMs: 20_000,
     stop: stop.signal,
   });
   endProgress();
@@ -58,7 +58,7 @@
   report: string | undefined;
   momentOf: MomentOf;
   /** Runs a plan in virtual time, to minimise one that broke a rule. */
-  virtually: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
+  runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const { showProgress, endProgress } = progressLine();
@@ -71,12 +71,12 @@
     seed,
     momentOf: options.momentOf,
     progress: showProgress,
-    patienceMs: plan.settle * 1000,
+    settleMs: plan.settle * 1000,
     stop: stop.signal,
   });
   endProgress();
   if (stop.signal.aborted) throw new CommandFailed("interrupted; nothing was left behind");
-  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.virtually(one, seed), showProgress, endProgress);
+  if (report.broken.length > 0) await reportMinimisedPlan(plan, report, (one) => options.runVirtual(one, seed), showProgress, endProgress);
   finishRehearsal(report, options.report);
 }
 
@@ -116,7 +116,7 @@
 }
 
 /** Options of a rehearsal in virtual time. */
-export interface RehearseVirtual<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
+export interface RehearseVirtualOptions<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
   plan: string;
   seed: number | undefined;
   report: string | undefined;
@@ -140,7 +140,7 @@
  * `thorntrail rehearse --virtual`: runs the plan once, with each case of a campaign, or with generated faults. Prints the broken rules and
  * the minimised plan that still breaks them; a campaign's cases are not minimised.
  */
-export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtual<C>): Promise<void> {
+export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtualOptions<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
   const seed = options.seed ?? plan.seed;
   const { spawn, momentOf } = options;
@@ -255,7 +255,7 @@
     result.played.push({
       seed,
       met: report.faults.filter(({ met }) => met.length > 0).length,
-      splitWhileRefused: metSplitWhileRefused(report.faults, USUAL.leaseMs / 1000),
+      splitWhileRefused: hadSplitWhileRefused(report.faults, USUAL.leaseMs / 1000),
     });
     if (broken.length + trouble.length + jobs.unfinished.length === 0) continue;
     const fails = async (one: RehearsalPlan): Promise<boolean> => {
@@ -383,8 +383,8 @@
   // Validated here first, so that a mistake is reported without a running emulator.
   const decoded = decodeFault(request);
   if ("wrong" in decoded) throw new CommandFailed(`fault ${options.kind}: ${decoded.wrong}`);
-  const answer = await ask(false, options.emulator, "POST", "/faults", JSON.stringify(request), 5000);
+  const answer = await sendRequest(false, options.emulator, "POST", "/faults", JSON.stringify(request), 5000);
   if (answer === null) throw new CommandFailed(`${options.emulator} does not answer: start 'thorntrail emulator serve' first`);
-  if (answer.status !== 200) throw new CommandFailed(String(objectOf(answer.text)["error"] ?? `status ${answer.status}`));
-  return objectOf(answer.text);
+  if (answer.status !== 200) throw new CommandFailed(String(parseObject(answer.text)["error"] ?? `status ${answer.status}`));
+  return parseObject(answer.text);
 }
--- a/packages/emulator/src/conductor.ts
+++ b/packages/emulator/src/conductor.ts
@@ -2,8 +2,8 @@
 import { carryOut, durationMs, type SimulatedUserControl, type Fault, type Stage } from "./faults.js";
 import { seeded } from "./luck.js";
 import { plannedSubmissions, type Moment, type Planned, type TimedFault, type RehearsalPlan } from "./plan.js";
-import { Recoveries, tookOver } from "./recovery.js";
-import { classFigures, type Report } from "./report.js";
+import { RecoveryTracker, isTakeoverAfterLoss } from "./recovery.js";
+import { classStatistics, type Report } from "./report.js";
 
 /** A log line, service request or event that can mark an injection point. `at` in ms. */
 export interface Observation {
@@ -62,7 +62,7 @@
  */
 export class Conductor {
   readonly planned: Planned[];
-  readonly recoveries = new Recoveries();
+  readonly recoveries = new RecoveryTracker();
   readonly faults: Report["faults"] = [];
   readonly faultsAtPoints: MetMoment[] = [];
   takeovers = 0;
@@ -124,8 +124,8 @@
 
   /** Receives log lines and service requests. */
   hear(seen: Observation): void {
-    this.recoveries.hear(seen);
-    if (tookOver(seen.what, seen.detail)) this.takeovers++;
+    this.recoveries.processLogLine(seen);
+    if (isTakeoverAfterLoss(seen.what, seen.detail)) this.takeovers++;
     const injectionPoint = this.options.momentOf(seen);
     if (injectionPoint !== null) this.reachInjectionPoint(injectionPoint);
   }
@@ -158,7 +158,7 @@
       this.lastFaultEndMs = Math.max(this.lastFaultEndMs, clock.now() + durationMs(fault));
       this.faults.push({ at: Math.round(this.elapsedMs) / 1000, kind: fault.kind, met, fault });
       if (fault.kind === "restart" || fault.kind === "freeze" || fault.kind === "cut")
-        for (const node of met) this.recoveries.lost(node, clock.now());
+        for (const node of met) this.recoveries.recordLoss(node, clock.now());
       say?.(`fault: ${fault.kind} affected ${met.join(", ") || "nothing"}`);
       then(met);
     };
@@ -209,7 +209,7 @@
       takeovers: this.takeovers,
       recoveries: this.recoveries.all,
       started_cancelled: countStartsAfterWithdrawal(this.options.history()),
-      classes: classFigures(this.options.history(), new Map(this.planned.map((one) => [one.spec.ref, one]))),
+      classes: classStatistics(this.options.history(), new Map(this.planned.map((one) => [one.spec.ref, one]))),
       ...rest,
     };
   }
--- a/packages/emulator/src/real/balancer.ts
+++ b/packages/emulator/src/real/balancer.ts
@@ -1,5 +1,5 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
-import { ask } from "./http.js";
+import { sendRequest } from "./http.js";
 
 /** Interval and timeout of the health probes. All times in this file are in ms. */
 const PROBE_INTERVAL_MS = 1000;
@@ -78,7 +78,7 @@
   }
 
   private async probe(node: Node): Promise<void> {
-    const answer = await ask(false, node.addr, "GET", "/up", undefined, PROBE_INTERVAL_MS);
+    const answer = await sendRequest(false, node.addr, "GET", "/up", undefined, PROBE_INTERVAL_MS);
     const good = answer?.status === 200;
     const now = Date.now();
     node.recentProbes = [...node.recentProbes.slice(-5), good];
--- a/packages/emulator/src/real/fault-proxy.ts
+++ b/packages/emulator/src/real/fault-proxy.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { Links, WrongForm } from "../links.js";
-import { readBody, send, type Raw } from "./http.js";
+import { readBody, sendResponse, type RawResponse } from "./http.js";
 
 /** A request from a controller to a service. */
 export interface ProxiedRequest {
@@ -21,9 +21,9 @@
   /** Name of the operation, as used in fault rules (`Call.what`). */
   operationOf: (passing: ProxiedRequest) => string;
   /** Executes the request at the service; null if no answer was received. */
-  forward: (passing: ProxiedRequest) => Promise<Raw | null>;
+  forward: (passing: ProxiedRequest) => Promise<RawResponse | null>;
   /** Builds an incorrect answer specific to this service; undefined if it has none for this form. */
-  wrongAnswer?: (passing: ProxiedRequest, form: WrongForm) => Raw | undefined;
+  wrongAnswer?: (passing: ProxiedRequest, form: WrongForm) => RawResponse | undefined;
 }
 
 const wait = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
@@ -38,16 +38,16 @@
   if (links.hold(call, () => void options.forward(request))) return;
   if (links.loses(call)) return;
   const effect = links.judge(call);
-  if (effect?.kind === "refuse") return send(res, { status: 503, text: '{"error":"trouble"}', retryAfter: "1" });
+  if (effect?.kind === "refuse") return sendResponse(res, { status: 503, text: '{"error":"trouble"}', retryAfter: "1" });
   if (effect?.kind === "late") return void setTimeout(() => void options.forward(request), effect.ms);
   const answer = await options.forward(request);
   if (effect?.kind === "twice") await options.forward(request);
   if (effect?.kind === "drop" || links.blocked(call)) return;
   if (answer === null) return void req.destroy();
-  if (effect?.kind !== "wrong") return send(res, answer);
-  if (effect.form === "error-after") return send(res, { status: 500, text: '{"error":"internal"}', retryAfter: undefined });
+  if (effect?.kind !== "wrong") return sendResponse(res, answer);
+  if (effect.form === "error-after") return sendResponse(res, { status: 500, text: '{"error":"internal"}', retryAfter: undefined });
   const wrong = options.wrongAnswer?.(request, effect.form);
-  if (wrong !== undefined) return send(res, wrong);
+  if (wrong !== undefined) return sendResponse(res, wrong);
   // Truncated answer: the header declares the full length, but only half of the body is sent.
   res.writeHead(answer.status, { "content-type": "application/json", "content-length": Buffer.byteLength(answer.text) });
   res.write(answer.text.slice(0, Math.floor(answer.text.length / 2)), () => req.destroy());
--- a/packages/emulator/src/real/http.ts
+++ b/packages/emulator/src/real/http.ts
@@ -1,7 +1,7 @@
 import { Agent, request, type IncomingMessage, type ServerResponse } from "node:http";
 
 /** An HTTP response with an undecoded body, so that it can be forwarded, truncated or withheld. */
-export interface Raw {
+export interface RawResponse {
   status: number;
   text: string;
   retryAfter: string | undefined;
@@ -10,17 +10,17 @@
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 /** Creates an agent with persistent connections, at most `maxSockets` per host. */
-export const agentOf = (maxSockets: number): Agent => new Agent({ keepAlive: true, maxSockets, scheduling: "lifo" });
+export const createAgent = (maxSockets: number): Agent => new Agent({ keepAlive: true, maxSockets, scheduling: "lifo" });
 
 /** Sends a request; resolves with null if there is no complete answer within `timeoutMs` or the connection fails. Never rejects. */
-export function ask(
+export function sendRequest(
   agent: Agent | false,
   addr: string,
   method: string,
   path: string,
   body: string | undefined,
   timeoutMs: number,
-): Promise<Raw | null> {
+): Promise<RawResponse | null> {
   return new Promise((resolve) => {
     const colon = addr.lastIndexOf(":");
     const headers = body === undefined ? {} : { "content-type": "application/json", "content-length": Buffer.byteLength(body) };
@@ -63,7 +63,7 @@
 }
 
 /** Sends a response, unless one was sent already or the connection is closed. */
-export function send(res: ServerResponse, { status, text, retryAfter }: Raw): void {
+export function sendResponse(res: ServerResponse, { status, text, retryAfter }: RawResponse): void {
   if (res.headersSent || res.destroyed) return;
   res.writeHead(status, {
     "content-type": "application/json",
@@ -74,7 +74,7 @@
 }
 
 /** Parses a JSON object; returns an empty object if the text is not valid JSON or not an object. */
-export function objectOf(text: string): Record<string, unknown> {
+export function parseObject(text: string): Record<string, unknown> {
   try {
     const value = JSON.parse(text) as unknown;
     return value !== null && typeof value === "object" ? (value as Record<string, unknown>) : {};
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -16,7 +16,7 @@
   /** Receives a progress message at the start, once a second, and at each fault. */
   progress?: (text: string) => void;
   /** How long to wait for unfinished jobs after the plan's own duration, in ms. */
-  patienceMs: number;
+  settleMs: number;
   stop?: AbortSignal;
   /** Receives each log line of the store and the controllers. */
   onLogLine?: (node: string, entry: Record<string, unknown>) => void;
@@ -60,7 +60,7 @@
     await environment.start();
     driver.begin();
     const began = environment.clock.now();
-    const limitMs = plan.seconds * 1000 + options.patienceMs;
+    const limitMs = plan.seconds * 1000 + options.settleMs;
     while (!driver.allOver && environment.clock.now() - began < limitMs && options.stop?.aborted !== true) {
       await new Promise((resolve) => setTimeout(resolve, 1000));
       const seconds = Math.round((environment.clock.now() - began) / 1000);
--- a/packages/emulator/src/real/services.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -3,9 +3,9 @@
 import type { CloudModel } from "../cloud-model.js";
 import type { WrongForm } from "../links.js";
 import type { ProxiedRequest } from "./fault-proxy.js";
-import { agentOf, ask, objectOf, type Raw } from "./http.js";
+import { createAgent, sendRequest, parseObject, type RawResponse } from "./http.js";
 
-const jsonResponse = (status: number, value: unknown): Raw => ({
+const jsonResponse = (status: number, value: unknown): RawResponse => ({
   status,
   text: JSON.stringify(value),
   retryAfter: status >= 429 ? "1" : undefined,
@@ -25,7 +25,7 @@
 }
 
 /** HTTP stub of the cloud provider's API, backed by the cloud model. Enforces the request rate. */
-export class CloudFace {
+export class CloudStub {
   private readonly rate: TokenBucket;
   /** While true, every request is answered 503. */
   down = false;
@@ -39,7 +39,7 @@
   }
 
   /** Name of the operation, as used in fault rules. */
-  what(request: ProxiedRequest): string {
+  operationOf(request: ProxiedRequest): string {
     const { path } = parsePath(request);
     if (path === "/machine_types") return "types";
     if (path === "/hosts/delete") return "remove";
@@ -47,18 +47,18 @@
   }
 
   /** Executes a request against the model. */
-  execute(request: ProxiedRequest): Promise<Raw> {
+  execute(request: ProxiedRequest): Promise<RawResponse> {
     return Promise.resolve(this.handle(request));
   }
 
-  private handle(request: ProxiedRequest): Raw {
+  private handle(request: ProxiedRequest): RawResponse {
     if (this.down) return jsonResponse(503, { error: "trouble" });
     if (!this.rate.take()) return jsonResponse(429, { error: "over the rate" });
     const { path, query } = parsePath(request);
     const route = `${request.method} ${path}`;
     if (route === "GET /machine_types") return jsonResponse(200, { builds: this.model.types().map(encodeType) });
     if (route === "GET /hosts") return this.list(query)!;
-    const body = objectOf(request.body);
+    const body = parseObject(request.body);
     if (route === "POST /hosts") {
       const { hire, build, yard, loaner, count } = body;
       if (typeof hire !== "string" || typeof build !== "string" || typeof yard !== "string" || !Number.isInteger(count))
@@ -78,7 +78,7 @@
     return jsonResponse(404, { error: "no such path" });
   }
 
-  private list(query: URLSearchParams, form?: WrongForm): Raw | undefined {
+  private list(query: URLSearchParams, form?: WrongForm): RawResponse | undefined {
     const limit = Math.min(MAX_LISTED, Number(query.get("limit") ?? MAX_LISTED));
     const from = query.get("from") ?? undefined;
     const listed = form === undefined ? this.model.list(from, limit) : this.model.wrongList(form, from, limit);
@@ -86,8 +86,8 @@
   }
 
   /** Builds an incorrect answer of the given form; undefined if there is none for this request. */
-  wrongAnswer(request: ProxiedRequest, form: WrongForm): Raw | undefined {
-    const operation = this.what(request);
+  wrongAnswer(request: ProxiedRequest, form: WrongForm): RawResponse | undefined {
+    const operation = this.operationOf(request);
     if (operation === "list") return this.list(parsePath(request).query, form);
     if (form === "other") return jsonResponse(200, { hosts: [] });
     return undefined;
@@ -96,7 +96,7 @@
 
 /** Forwards requests to the process of the state service. */
 export class StateForwarder {
-  private readonly agent = agentOf(64);
+  private readonly agent = createAgent(64);
   /** While true, every request is answered 503. */
   down = false;
 
@@ -112,10 +112,10 @@
   }
 
   /** Forwards a request; null if the store is not running or does not answer within 70 s. */
-  forward({ method, path, body }: ProxiedRequest): Promise<Raw | null> {
+  forward({ method, path, body }: ProxiedRequest): Promise<RawResponse | null> {
     const addr = this.addr();
     if (this.down) return Promise.resolve(jsonResponse(503, { error: "trouble" }));
     if (addr === null) return Promise.resolve(null);
-    return ask(this.agent, addr, method, path, body === "" ? undefined : body, 70_000);
+    return sendRequest(this.agent, addr, method, path, body === "" ? undefined : body, 70_000);
   }
 }
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -12,15 +12,15 @@
 import { seeded } from "../luck.js";
 import { platformOf, type Timing } from "../place.js";
 import type { Planned, RehearsalPlan } from "../plan.js";
-import { isTakeover, tookOver } from "../recovery.js";
+import { isTakeover, isTakeoverAfterLoss } from "../recovery.js";
 import { startTwice } from "../worker-model.js";
 import { Balancer } from "./balancer.js";
 import { startFaultProxy } from "./fault-proxy.js";
-import { ask, objectOf } from "./http.js";
+import { sendRequest, parseObject } from "./http.js";
 import { startPeerProxy } from "./peer-proxy.js";
 import { PortAllocator } from "./ports.js";
 import { Processes } from "./processes.js";
-import { CloudFace, StateForwarder } from "./services.js";
+import { CloudStub, StateForwarder } from "./stub-servers.js";
 import { Users } from "./users.js";
 import { WorkerHost } from "./worker-host.js";
 
@@ -68,7 +68,7 @@
   private readonly closers: (() => void)[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
   private hosts!: WorkerHost;
-  private cloudStub!: CloudFace;
+  private cloudStub!: CloudStub;
   private stateForwarder!: StateForwarder;
   private storeAddr: string | null = null;
   private adminPort = 0;
@@ -137,8 +137,8 @@
       entry = { msg: line };
     }
     const what = String(entry["msg"]);
-    if (tookOver(what, entry)) this.takeovers++;
-    if (isTakeover(what)) this.clock.after(MAX_KEPT_REPORT_DELAY_MS * this.random(), () => this.hosts.deliverKept());
+    if (isTakeoverAfterLoss(what, entry)) this.takeovers++;
+    if (isTakeover(what)) this.clock.after(MAX_KEPT_REPORT_DELAY_MS * this.random(), () => this.hosts.deliverKeptReports());
     this.options.onLog?.(node, entry);
   }
 
@@ -159,7 +159,7 @@
       `limits {\n requests_per_second = ${plan.state.rps}\n changes_per_second = ${plan.state.writes}\n value_kb = ${plan.state.value_kb}\n changes_per_transaction = ${plan.state.changes}\n}\n`,
     );
     await this.startStore();
-    this.cloudStub = new CloudFace(this.cloud, this.clock, timing.cloudRps);
+    this.cloudStub = new CloudStub(this.cloud, this.clock, timing.cloudRps);
     this.stateForwarder = new StateForwarder(() => this.storeAddr);
     this.hosts = new WorkerHost(this.links, this.fronts, {
       clock: this.clock,
@@ -179,13 +179,13 @@
       off: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
     });
     this.cloud.addrOf = (host) => this.addrs.get(host) ?? "127.0.0.1:1";
-    this.cloud.onGone = (host) => this.hosts.end(host);
+    this.cloud.onGone = (host) => this.hosts.removeMachine(host);
     this.cloud.onBoot = (host, offer) => {
       const type = this.cloud.types().find((one) => one.name === offer.type)!;
       void this.hosts.boot(host, offer, type).then((addr) => {
         this.addrs.set(host, addr);
         // The machine may have been removed while its listener was being opened.
-        if (this.cloud.machines.get(host)?.goneAt !== null) this.hosts.end(host);
+        if (this.cloud.machines.get(host)?.goneAt !== null) this.hosts.removeMachine(host);
       });
     };
     for (const name of names) await this.startProxies(name, names, ports);
@@ -219,7 +219,7 @@
       { LOG_LEVEL: "info" },
       true,
     );
-    this.storeAddr = String(objectOf(line)["listening"]);
+    this.storeAddr = String(parseObject(line)["listening"]);
   }
 
   /** Starts the controller's own proxies to the services and to its peers, and writes its settings file. */
@@ -230,7 +230,7 @@
       to: "state",
       operationOf: (request) => this.stateForwarder.operationOf(request),
       forward: (request) => {
-        if (this.stateForwarder.operationOf(request) === "txn") this.options.onCall?.(name, "txn", objectOf(request.body));
+        if (this.stateForwarder.operationOf(request) === "txn") this.options.onCall?.(name, "txn", parseObject(request.body));
         return this.stateForwarder.forward(request);
       },
     });
@@ -238,9 +238,9 @@
       links: this.links,
       from: name,
       to: "cloud",
-      operationOf: (request) => this.cloudStub.what(request),
+      operationOf: (request) => this.cloudStub.operationOf(request),
       forward: (request) => {
-        if (this.cloudStub.what(request) === "hire") this.options.onCall?.(name, "hire", objectOf(request.body));
+        if (this.cloudStub.operationOf(request) === "hire") this.options.onCall?.(name, "hire", parseObject(request.body));
         return this.cloudStub.execute(request);
       },
       wrongAnswer: (request, form) => this.cloudStub.wrongAnswer(request, form),
@@ -359,8 +359,8 @@
   /** Asks the controllers in turn for `/cluster` until one names the controller that owns the most machines. Keeps the last result if none does. */
   async findLargestOwner(): Promise<string> {
     for (const front of this.fronts.values()) {
-      const answer = await ask(false, front, "GET", "/cluster", undefined, 1000);
-      const partitions = answer?.status === 200 ? (objectOf(answer.text)["parts"] as { owner: string | null; machines: number }[]) : [];
+      const answer = await sendRequest(false, front, "GET", "/cluster", undefined, 1000);
+      const partitions = answer?.status === 200 ? (parseObject(answer.text)["parts"] as { owner: string | null; machines: number }[]) : [];
       const counts = new Map<string, number>();
       for (const { owner, machines } of partitions) if (owner !== null) counts.set(owner, (counts.get(owner) ?? 0) + machines);
       const [largest] = [...counts].sort((a, b) => b[1] - a[1]);
@@ -415,7 +415,7 @@
   }
 
   limits(limits: { writeRps?: number; valueKb?: number; txnOps?: number }): void {
-    void ask(false, `127.0.0.1:${this.adminPort}`, "PUT", "/limits", JSON.stringify(limits), 1000);
+    void sendRequest(false, `127.0.0.1:${this.adminPort}`, "PUT", "/limits", JSON.stringify(limits), 1000);
   }
 
   lose(machine: string): void {
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -1,7 +1,7 @@
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { toldBy, type Happening } from "../checker.js";
 import type { Planned } from "../plan.js";
-import { agentOf, ask, objectOf, type Raw } from "./http.js";
+import { createAgent, sendRequest, parseObject, type RawResponse } from "./http.js";
 
 /** How long a user waits for an answer, before it repeats the request. */
 const TIMEOUT_MS = { submit: 5000, poll: 2000 };
@@ -18,7 +18,7 @@
 
 /** Simulated users that follow the protocol: they submit through the load balancer, repeat unanswered requests, poll and cancel. */
 export class Users {
-  private readonly agent = agentOf(64);
+  private readonly agent = createAgent(64);
   readonly jobs = new Map<string, TrackedJob>();
   private closed = false;
 
@@ -34,18 +34,18 @@
   }
 
   /** Records the job state that an answer contains; `sentAt` is the time at which the request was sent. */
-  private recordAnswer(ref: string, sentAt: number, answer: Raw | null): void {
+  private recordAnswer(ref: string, sentAt: number, answer: RawResponse | null): void {
     if (answer === null) return;
-    const what = toldBy(answer.status, objectOf(answer.text));
+    const what = toldBy(answer.status, parseObject(answer.text));
     if (what !== null) this.recordEvent({ at: this.now(), kind: "told", ref, asked: sentAt, what });
   }
 
   /** Repeats a POST until it is answered with a status below 429; null after `RETRY_LIMIT_MS` or once closed. */
-  private async postUntilAnswered(path: string, ref: string, body: string | undefined, addr = this.addr): Promise<Raw | null> {
+  private async postUntilAnswered(path: string, ref: string, body: string | undefined, addr = this.addr): Promise<RawResponse | null> {
     const until = this.now() + RETRY_LIMIT_MS;
     while (!this.closed && this.now() < until) {
       const sentAt = this.now();
-      const answer = await ask(this.agent, addr, "POST", path, body, TIMEOUT_MS.submit);
+      const answer = await sendRequest(this.agent, addr, "POST", path, body, TIMEOUT_MS.submit);
       this.recordAnswer(ref, sentAt, answer);
       if (answer !== null && answer.status < 429) return answer;
       await this.wait(Math.max(1000, Number(answer?.retryAfter ?? 0) * 1000));
@@ -68,10 +68,10 @@
   /** Returns the job's state as answered; an empty string if the answer contains none. */
   async poll(ref: string, addr = this.addr): Promise<string> {
     const sentAt = this.now();
-    const answer = await ask(this.agent, addr, "GET", `/v2/runs/${ref}`, undefined, TIMEOUT_MS.poll);
+    const answer = await sendRequest(this.agent, addr, "GET", `/v2/runs/${ref}`, undefined, TIMEOUT_MS.poll);
     this.recordAnswer(ref, sentAt, answer);
     if (answer?.status !== 200 && answer?.status !== 404) this.recordEvent({ at: this.now(), kind: "unanswered", ref });
-    const status = answer?.status === 200 ? objectOf(answer.text)["status"] : undefined;
+    const status = answer?.status === 200 ? parseObject(answer.text)["status"] : undefined;
     const job = this.jobs.get(ref);
     if (job !== undefined && (status === "done" || status === "withdrawn")) job.terminalState = status;
     return typeof status === "string" ? status : "";
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -3,7 +3,7 @@
 import { decodeOrders, encodeReport, type Report, type ReportAnswer } from "@thorntrail/protocol/worker";
 import type { Links } from "../links.js";
 import { Worker, type WorkerWorld } from "../worker-model.js";
-import { agentOf, ask, objectOf, readBody, send, type Raw } from "./http.js";
+import { createAgent, sendRequest, parseObject, readBody, sendResponse, type RawResponse } from "./http.js";
 
 const RESPONSE_TIMEOUT_MS = 4000;
 const MAX_ANSWER_LENGTH = 64 * 1024;
@@ -11,9 +11,9 @@
 const MAX_KEPT_REPORTS = 2000;
 
 /** Decodes a controller's answer to a report as a worker does; null if there is none or it is too long. */
-function decodeAnswer(raw: Raw | null): ReportAnswer | null {
+function decodeAnswer(raw: RawResponse | null): ReportAnswer | null {
   if (raw === null || raw.text.length > MAX_ANSWER_LENGTH) return null;
-  const body = objectOf(raw.text);
+  const body = parseObject(raw.text);
   if (raw.status === 421) return { kind: "elsewhere", boss: typeof body["boss"] === "string" ? body["boss"] : null };
   if (raw.status !== 200) return { kind: "silent" };
   const decoded = decodeOrders(body);
@@ -40,7 +40,7 @@
   /** Machines that are up, by name. */
   readonly workers = new Map<string, Worker>();
   private readonly servers = new Map<string, Server>();
-  private readonly agent = agentOf(2000);
+  private readonly agent = createAgent(2000);
   /** Counts of reports: sent, without an answer, sent late, and kept copies that were delivered. */
   readonly stats = { reports: 0, unanswered: 0, late: 0, kept: 0 };
   private readonly reportedAt = new Map<string, number>();
@@ -126,8 +126,8 @@
     const call = { from: host, to: node, what: "report" };
     const body = JSON.stringify(encodeReport(report));
     if (this.links.keeps(call)) this.keepCopy(body);
-    const post = (): Promise<Raw | null> =>
-      front === undefined ? Promise.resolve(null) : ask(this.agent, front, "POST", "/v1/report", body, RESPONSE_TIMEOUT_MS);
+    const post = (): Promise<RawResponse | null> =>
+      front === undefined ? Promise.resolve(null) : sendRequest(this.agent, front, "POST", "/v1/report", body, RESPONSE_TIMEOUT_MS);
     if (this.links.hold(call, () => void post()))
       return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
     const delayMs = this.links.delayMs(call);
@@ -148,11 +148,11 @@
   }
 
   /** Sends the kept copies of old reports to all controllers, after one has taken over a partition. Their answers are ignored. */
-  deliverKept(): void {
+  deliverKeptReports(): void {
     for (const report of this.keptReports.splice(0)) {
       for (const front of this.fronts.values()) {
         this.stats.kept++;
-        void ask(this.agent, front, "POST", "/v1/report", report, RESPONSE_TIMEOUT_MS);
+        void sendRequest(this.agent, front, "POST", "/v1/report", report, RESPONSE_TIMEOUT_MS);
       }
     }
   }
@@ -164,13 +164,13 @@
     // A machine that hangs or has been removed does not answer.
     if (worker === undefined || worker.hanging) return;
     if (req.method === "GET" && req.url === "/show")
-      return send(res, { status: 200, text: JSON.stringify(encodeReport(worker.snapshot())), retryAfter: undefined });
-    const decoded = decodeOrders(objectOf(body));
+      return sendResponse(res, { status: 200, text: JSON.stringify(encodeReport(worker.snapshot())), retryAfter: undefined });
+    const decoded = decodeOrders(parseObject(body));
     if (req.method !== "POST" || req.url !== "/commands" || decoded === null || decoded.token === null || decoded.session === null)
-      return send(res, { status: 400, text: '{"error":"expected baton, shift and orders"}', retryAfter: undefined });
+      return sendResponse(res, { status: 400, text: '{"error":"expected baton, shift and orders"}', retryAfter: undefined });
     const { token, session, orders } = decoded;
     const call = { from: senderOf(req), to: host, what: "command" };
-    const run = (): Raw => {
+    const run = (): RawResponse => {
       const { executed, report } = worker.command(token, session, orders);
       return { status: executed ? 200 : 409, text: JSON.stringify(encodeReport(report)), retryAfter: undefined };
     };
@@ -184,11 +184,11 @@
     const answer = run();
     // The command is executed, but its answer may be lost.
     const response = { from: host, to: call.from, what: "answer" };
-    if (!this.links.blocked(response) && !this.links.loses(response)) send(res, answer);
+    if (!this.links.blocked(response) && !this.links.loses(response)) sendResponse(res, answer);
   }
 
   /** Removes a machine: stops its worker and closes its listener. */
-  end(host: string): void {
+  removeMachine(host: string): void {
     this.workers.get(host)?.die();
     this.workers.delete(host);
     this.reportedAt.delete(host);
@@ -200,7 +200,7 @@
 
   /** Removes all machines and closes the connections to the controllers. */
   close(): void {
-    for (const host of [...this.servers.keys()]) this.end(host);
+    for (const host of [...this.servers.keys()]) this.removeMachine(host);
     this.agent.destroy();
   }
 }
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -24,7 +24,7 @@
 }
 
 /** Whether a log line reports that a controller took over a partition because its owner was lost. */
-export function tookOver(what: string, detail: Record<string, unknown>): boolean {
+export function isTakeoverAfterLoss(what: string, detail: Record<string, unknown>): boolean {
   return isTakeover(what) && String(detail["reason"]).startsWith("owner");
 }
 
@@ -36,20 +36,20 @@
 }
 
 /** Collects the recoveries of a rehearsal from log lines. */
-export class Recoveries {
+export class RecoveryTracker {
   readonly all: Recovery[] = [];
   private readonly unfinished = new Map<number, Recovery>();
   private lostAt = new Map<string, number>();
   private silentSince = new Map<string, number>();
 
   /** Records the time at which a controller was ended, stopped or cut off. */
-  lost(node: string, at: number): void {
+  recordLoss(node: string, at: number): void {
     this.lostAt.set(node, at);
     this.silentSince.delete(node);
   }
 
   /** Processes one log line. */
-  hear({ at, what, detail }: LogLine): void {
+  processLogLine({ at, what, detail }: LogLine): void {
     if (what === "controller is silent" || what === "controller is suspected") {
       const peer = String(detail["peer"]);
       if (!this.silentSince.has(peer)) this.silentSince.set(peer, at);
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -16,7 +16,7 @@
  * Whether a split affected machines of a controller while the state service refused just that controller for longer than a lease
  * (`leaseS`, in seconds). Only in this case can a new owner answer machines that the former owner considers lost.
  */
-export function metSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
+export function hadSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
   const refusals = faults.filter(({ fault }) => fault.kind === "refuse" && fault.by === "state" && fault.for > leaseS);
   return faults.some(({ at, met, fault }) => {
     if (fault.kind !== "split" || met.length === 0) return false;
@@ -65,7 +65,7 @@
 }
 
 /** Collects durations in ms and returns percentiles in seconds with three significant digits; null if there are none. */
-export class Spread {
+export class DurationHistogram {
   private readonly histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 86_400_000, numberOfSignificantValueDigits: 3 });
 
   /** Adds a duration in ms; those below 1 ms count as 1 ms. */
@@ -79,18 +79,18 @@
   }
 
   /** Returns the given percentile (0 to 100) in seconds. */
-  at(percentile: number): number | null {
+  percentileS(percentile: number): number | null {
     return this.count === 0 ? null : this.histogram.getValueAtPercentile(percentile) / 1000;
   }
 
   /** The longest duration, in seconds. */
-  get worst(): number | null {
+  get maxS(): number | null {
     return this.count === 0 ? null : this.histogram.maxValue / 1000;
   }
 }
 
 /** Computes the figures of each class from the events. Durations count from the first attempt to submit the job. */
-export function classFigures(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
+export function classStatistics(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
   const submitted = new Map<string, number>();
   const firstStart = new Map<string, number>();
   const done = new Map<string, number>();
@@ -101,12 +101,13 @@
       if (!firstStart.has(ref)) firstStart.set(ref, event.at);
     } else if (event.kind === "told" && event.what === "done" && !done.has(event.ref)) done.set(event.ref, event.at);
   }
-  const classes = new Map<string, { jobs: number; done: number; late: number; starts: Spread; ends: Spread }>();
+  const classes = new Map<string, { jobs: number; done: number; late: number; starts: DurationHistogram; ends: DurationHistogram }>();
   for (const [ref, at] of submitted) {
     const spec = planned.get(ref)?.spec;
     if (spec === undefined) continue;
     let one = classes.get(spec.klass);
-    if (one === undefined) classes.set(spec.klass, (one = { jobs: 0, done: 0, late: 0, starts: new Spread(), ends: new Spread() }));
+    if (one === undefined)
+      classes.set(spec.klass, (one = { jobs: 0, done: 0, late: 0, starts: new DurationHistogram(), ends: new DurationHistogram() }));
     one.jobs++;
     const started = firstStart.get(ref);
     const ended = done.get(ref);
@@ -121,10 +122,10 @@
     name,
     jobs: one.jobs,
     done: one.done,
-    start_p50_s: one.starts.at(50),
-    start_p99_s: one.starts.at(99),
-    done_p50_s: one.ends.at(50),
-    done_p99_s: one.ends.at(99),
+    start_p50_s: one.starts.percentileS(50),
+    start_p99_s: one.starts.percentileS(99),
+    done_p50_s: one.ends.percentileS(50),
+    done_p99_s: one.ends.percentileS(99),
     late: one.late,
   }));
 }
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -12,7 +12,7 @@
 import { soakPlan } from "./drawn.js";
 import type { Timing } from "./place.js";
 import type { RehearsalPlan } from "./plan.js";
-import { metSplitWhileRefused } from "./report.js";
+import { hadSplitWhileRefused } from "./report.js";
 import { playReal } from "./real/play.js";
 
 /** The result of one seed. */
@@ -73,7 +73,7 @@
     timing,
     seed,
     momentOf,
-    patienceMs: plan.settle * 1000,
+    settleMs: plan.settle * 1000,
     onLogLine: (node, entry) => {
       lines.push(JSON.stringify({ node, ...entry }));
       if (lines.length > MAX_LOG_LINES) lines.shift();
@@ -86,7 +86,7 @@
     seed,
     seconds: report.seconds,
     faults: report.faults.filter(({ met }) => met.length > 0).map(({ kind }) => kind),
-    splitWhileRefused: metSplitWhileRefused(report.faults, timing.leaseMs / 1000),
+    splitWhileRefused: hadSplitWhileRefused(report.faults, timing.leaseMs / 1000),
     takeovers: report.takeovers,
     started: history.filter(({ kind }) => kind === "on").length,
     jobs: { submitted, over: done + withdrawn },
--- a/src/commands.ts
+++ b/src/commands.ts
@@ -206,7 +206,7 @@
           turn,
           momentOf: await loadInjectionPoints(),
         });
-      await rehearseReal({ plan, program, seed, report, momentOf: await loadInjectionPoints(), virtually: playVirtually });
+      await rehearseReal({ plan, program, seed, report, momentOf: await loadInjectionPoints(), runVirtual: playVirtually });
     });
 
   program
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -21,7 +21,7 @@
   seed: 1,
   momentOf: injectionPointOf,
   progress: () => undefined,
-  patienceMs: 1000,
+  settleMs: 1000,
   stop: AbortSignal.timeout(30_000),
 });
 process.exit(report.jobs.submitted > 0 ? 0 : 1);
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -1,4 +1,4 @@
-import type { playVirtual, RehearsalPlan, RehearseVirtual } from "@thorntrail/emulator/entry";
+import type { playVirtual, RehearsalPlan, RehearseVirtualOptions } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "./injection-points.js";
 import { spawnController, type RehearsedController } from "./spawn-controller.js";
 
@@ -8,6 +8,6 @@
 }
 
 /** Rehearses this build's controller in virtual time. */
-export async function rehearseVirtual(options: Omit<RehearseVirtual<RehearsedController>, "spawn" | "momentOf">): Promise<void> {
+export async function rehearseVirtual(options: Omit<RehearseVirtualOptions<RehearsedController>, "spawn" | "momentOf">): Promise<void> {
   await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, momentOf: injectionPointOf });
 }
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
 import { soakPlan } from "@thorntrail/emulator/drawn";
-import { metSplitWhileRefused } from "@thorntrail/emulator/report";
+import { hadSplitWhileRefused } from "@thorntrail/emulator/report";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { playScenario } from "./world/scenario.js";
@@ -22,7 +22,7 @@
   for (let seed = FIRST; seed < FIRST + SEEDS; seed++) {
     const report = await playVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
-    if (metSplitWhileRefused(report.faults, LEASE_S)) splits++;
+    if (hadSplitWhileRefused(report.faults, LEASE_S)) splits++;
   }
   assert.ok(splits >= SEEDS / 6, `${splits} of ${SEEDS} seeds met a split while refused`);
 });
