--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -18,7 +18,7 @@
 } from "./model.js";
 import { objectKey, ObjectTable } from "./objects.js";
 import { ExecutorPool } from "./pool.js";
-import { RuntimeEstimator } from "./sizes.js";
+import { RuntimeEstimator } from "./runtimes.js";
 
 /** Collaborators and settings of a graph machine. */
 export interface MachineOptions {
