--- a/test/world/parts.ts
+++ b/test/world/parts.ts
@@ -71,8 +71,8 @@
  * evaluation of a machine as a candidate.
  */
 export function partOf(n: number, capacity: Capacity): { part: Partition; looks: () => number } {
-  const part = newPartition(0, 5, 0);
-  part.phase = "serving";
+  const partition = newPartition(0, 5, 0);
+  partition.phase = "serving";
   let looks = 0;
   for (let i = 0; i < n; i++) {
     const machine: Machine = newMachine(`i-${i}`, "m", "a", false, capacity, 0);
@@ -84,9 +84,9 @@
         return images;
       },
     });
-    addMachine(part, machine);
+    addMachine(partition, machine);
   }
-  return { part, looks: () => looks };
+  return { part: partition, looks: () => looks };
 }
 
 /** Adds a task set with all tasks of the job to the partition's queue. */
