--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -94,7 +94,7 @@
 type Trouble = (cluster: Cluster) => void;
 const TROUBLES: Record<string, Trouble> = {
   quiet: () => undefined,
-  crash: ({ world }) => world.killNode("nest-2"),
+  crash: ({ world }) => world.killController("nest-2"),
   slow_state: ({ world }) => void world.links.add({ from: "controllers", to: "state", effect: { kind: "delay", ms: 400 } }),
   refused_one: ({ world }) => void world.links.add({ from: "nest-1", to: "state", effect: { kind: "refuse" } }),
   cut_one: ({ world }) => {
--- a/measure/emulator.ts
+++ b/measure/emulator.ts
@@ -3,9 +3,9 @@
 import type { AddressInfo } from "node:net";
 import { monitorEventLoopDelay, performance } from "node:perf_hooks";
 import { fileURLToPath } from "node:url";
-import { Links } from "../packages/emulator/src/links.js";
-import { seeded } from "../packages/emulator/src/luck.js";
-import { USUAL } from "../packages/emulator/src/place.js";
+import { NetworkRules } from "@thorntrail/emulator/network-rules";
+import { seededRandom } from "@thorntrail/emulator/random";
+import { DEFAULT_TIMING } from "@thorntrail/emulator/environment";
 import { WorkerHost } from "../packages/emulator/src/real/worker-host.js";
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
 import { options, progress, report } from "./harness.js";
@@ -44,7 +44,7 @@
 async function carry(count: number, front: string, lengthMs: number): Promise<void> {
   const began = performance.now();
   const seen = { started: 0 };
-  const host = new WorkerHost(new Links(), new Map([["nest-0", front]]), {
+  const host = new WorkerHost(new NetworkRules(), new Map([["nest-0", front]]), {
     clock: {
       now: () => performance.now() - began,
       after: (ms, fn) => {
@@ -52,17 +52,17 @@
         return () => clearTimeout(timer);
       },
     },
-    ...USUAL,
-    luck: seeded(1),
+    ...DEFAULT_TIMING,
+    random: seededRandom(1),
     nodes: ["nest-0"],
     spec: () => SPEC,
     runMs: () => RUN_MS,
     fetchMs: () => 500,
-    slowness: () => 1,
-    sick: () => false,
-    saved: new Map(),
-    on: () => void seen.started++,
-    off: () => undefined,
+    slowdown: () => 1,
+    failsTasks: () => false,
+    savedProgress: new Map(),
+    onTaskStarted: () => void seen.started++,
+    onTaskEnded: () => undefined,
   });
   const room = { cpus: TASKS, gpus: 0, ram: TASKS };
   for (let i = 0; i < count; i++) await host.boot(`i-${String(i).padStart(6, "0")}`, { type: "m", zone: "a", spot: false }, room);
@@ -185,7 +185,7 @@
     figures[`starts_${count}`] = seen.started;
   }
   close();
-  report("emulator", given, { report_interval_s: USUAL.reportMs / 1000, workers_on_time: most, ...figures });
+  report("emulator", given, { report_interval_s: DEFAULT_TIMING.reportMs / 1000, workers_on_time: most, ...figures });
 }
 
 const count = process.env[COUNT];
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -1,4 +1,4 @@
-import { loadPlan, playVirtual, DurationHistogram, type RehearsalPlan } from "../packages/emulator/src/entry.js";
+import { loadPlan, runVirtual, DurationHistogram, type RehearsalPlan } from "../packages/emulator/src/entry.js";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { options, progress, report } from "./harness.js";
@@ -42,7 +42,7 @@
     done: new DurationHistogram(),
   };
   for (let i = 0; i < given.repeats; i++) {
-    const played = await playVirtual({
+    const played = await runVirtual({
       plan: { ...base, name: loss, fault },
       seed: given.seed + i,
       spawn: spawnController,
--- a/measure/scale/cell.ts
+++ b/measure/scale/cell.ts
@@ -5,9 +5,9 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { stringify } from "smol-toml";
-import type { Happening } from "../../packages/emulator/src/checker.js";
+import type { HistoryEvent } from "../../packages/emulator/src/checker.js";
 import { CloudModel } from "../../packages/emulator/src/cloud-model.js";
-import type { RuleAsked } from "../../packages/emulator/src/links.js";
+import type { NetworkRule } from "@thorntrail/emulator/network-rules";
 import { isTakeover } from "../../packages/emulator/src/recovery.js";
 import { sendRequest, parseObject, readBody, sendResponse } from "../../packages/emulator/src/real/http.js";
 import { Processes } from "../../packages/emulator/src/real/processes.js";
@@ -103,7 +103,7 @@
 }
 
 /** Offers do not matter to what is judged here: that no task is on two machines. */
-function happeningOf([at, piece, host, cause]: TaskEvent): Happening {
+function happeningOf([at, piece, host, cause]: TaskEvent): HistoryEvent {
   if (cause !== null) return { at, kind: "off", piece, host, cause };
   return { at, kind: "on", piece, host, type: "", zone: "", spot: false };
 }
@@ -123,7 +123,7 @@
   /** Log lines by their message. */
   readonly lines = new Map<string, number>();
   /** What happened to tasks on the hollow workers' machines. */
-  readonly happenings: Happening[] = [];
+  readonly happenings: HistoryEvent[] = [];
   /** From a claim until all machines of the partition were accounted for, in ms, and how many machines. */
   readonly fences: { ms: number; machines: number }[] = [];
   private readonly dir = mkdtempSync(join(tmpdir(), "thorntrail-scale-"));
@@ -157,7 +157,7 @@
     };
     this.cloud = new CloudModel(clock, { types: plan.types, capacity: plan.capacity, lagMs: TIMING.listLagMs });
     this.cloud.addrOf = (host) => this.addresses.get(host) ?? "127.0.0.1:1";
-    this.cloud.onGone = (host) => this.toWorkers(host, { kind: "end", host });
+    this.cloud.onRemoved = (host) => this.toWorkers(host, { kind: "end", host });
     this.cloud.onBoot = (host, { type, zone, spot }) => {
       const { cpus, gpus, ram } = plan.types.find((one) => one.name === type)!;
       this.toWorkers(host, { kind: "boot", host, type, zone, spot, room: { cpus, gpus, ram } });
@@ -310,7 +310,7 @@
   }
 
   /** What goes wrong between all hollow workers and the controllers, for so long. */
-  addRule(rule: RuleAsked, forMs: number): void {
+  addRule(rule: NetworkRule, forMs: number): void {
     for (const [name, child] of this.forks) if (name.startsWith("workers-")) child.send({ kind: "rule", rule, forMs } satisfies ToWorkers);
   }
 
@@ -364,7 +364,7 @@
     const state = await this.stateCounters();
     const processorMs = new Map([...this.pids].map(([name, pid]) => [name, processorMsOf(pid)]));
     processorMs.set("cloud", processorMsOf(process.pid));
-    const machines = { machinesRented: this.cloud.machines.size, machinesGone: this.cloud.machines.size - this.cloud.rented };
+    const machines = { machinesRented: this.cloud.machines.size, machinesGone: this.cloud.machines.size - this.cloud.rentedCount };
     return { at: steadyMs(), processorMs, traffic: loopbackTraffic(), state, ...machines, workers, clients };
   }
 
@@ -390,7 +390,7 @@
   /** Machines that are up, by zone. */
   machinesIn(zone: string): string[] {
     return [...this.cloud.machines.values()]
-      .filter((machine) => machine.goneAt === null && machine.upAt !== null && machine.offer.zone === zone)
+      .filter((machine) => machine.removedAt === null && machine.bootedAt !== null && machine.offer.zone === zone)
       .map(({ host }) => host);
   }
 
--- a/measure/scale/clients.ts
+++ b/measure/scale/clients.ts
@@ -1,7 +1,7 @@
 import { monitorEventLoopDelay } from "node:perf_hooks";
 import { encodeJob } from "../../packages/protocol/src/jobs.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "../../packages/emulator/src/real/http.js";
-import { seeded } from "../../packages/emulator/src/luck.js";
+import { seededRandom } from "@thorntrail/emulator/random";
 import { Times } from "../harness.js";
 import { steadyMs, type ClientsSeen, type FromClients, type PlannedJob, type ToClients } from "./messages.js";
 
@@ -36,7 +36,7 @@
   private polls = 0;
 
   constructor(private readonly asked: Extract<ToClients, { kind: "init" }>) {
-    this.random = seeded(asked.seed);
+    this.random = seededRandom(asked.seed);
   }
 
   start(): void {
--- a/measure/scale/fault-run.ts
+++ b/measure/scale/fault-run.ts
@@ -1,5 +1,5 @@
 /** Carries out the faults of a scale run, and says what the checker and the controllers' own figures make of it. */
-import { brokenRules } from "../../packages/emulator/src/checker.js";
+import { findViolations } from "../../packages/emulator/src/checker.js";
 import { progress, Times } from "../harness.js";
 import type { Cell } from "./cell.js";
 import type { ScaleFault } from "./faults.js";
@@ -38,7 +38,7 @@
 /** What the checker and the controllers' own figures say of a run with faults. */
 export async function faultFigures(cell: Cell): Promise<Record<string, number | string>> {
   const history = [...cell.happenings].sort((a, b) => a.at - b.at);
-  const broken = brokenRules(history, { cancelMs: Infinity, teams: new Map() });
+  const broken = findViolations(history, { cancelMs: Infinity, teams: new Map() });
   const fences = new Times();
   for (const { ms } of cell.fences) fences.add(ms);
   const figures: Record<string, number | string> = {
--- a/measure/scale/faults.ts
+++ b/measure/scale/faults.ts
@@ -1,16 +1,16 @@
-import type { RuleAsked } from "../../packages/emulator/src/links.js";
-import { seeded } from "../../packages/emulator/src/luck.js";
+import type { NetworkRule } from "@thorntrail/emulator/network-rules";
+import { seededRandom } from "@thorntrail/emulator/random";
 
 /** Faults of a scale run: controllers end, stand still, and lose their workers, at moments drawn by seed. */
 export type ScaleFault =
   | { atMs: number; kind: "restart" | "pause"; controller: string; forMs: number }
   /** Carried out where the hollow workers are. */
-  | { atMs: number; kind: "rule"; what: string; rule: RuleAsked; forMs: number };
+  | { atMs: number; kind: "rule"; what: string; rule: NetworkRule; forMs: number };
 
 const KINDS = ["restart", "back at once", "pause", "cut", "late commands", "late reports", "kept reports", "split"] as const;
 
 export function drawFaults(seed: number, count: number, controllers: number, fromMs: number, toMs: number): ScaleFault[] {
-  const random = seeded(seed);
+  const random = seededRandom(seed);
   const between = (least: number, most: number): number => least + random() * (most - least);
   return Array.from({ length: count }, (_, i): ScaleFault => {
     const atMs = between(fromMs, toMs);
@@ -47,6 +47,6 @@
   });
 }
 
-function ruleFault(atMs: number, what: string, rule: RuleAsked, forMs: number): ScaleFault {
+function ruleFault(atMs: number, what: string, rule: NetworkRule, forMs: number): ScaleFault {
   return { atMs, kind: "rule", what, rule, forMs };
 }
--- a/measure/scale/hollow-workers.ts
+++ b/measure/scale/hollow-workers.ts
@@ -1,8 +1,8 @@
 import diagnostics from "node:diagnostics_channel";
 import type { Socket } from "node:net";
 import { monitorEventLoopDelay } from "node:perf_hooks";
-import { Links } from "../../packages/emulator/src/links.js";
-import { seeded } from "../../packages/emulator/src/luck.js";
+import { NetworkRules } from "@thorntrail/emulator/network-rules";
+import { seededRandom } from "@thorntrail/emulator/random";
 import { WorkerHost } from "../../packages/emulator/src/real/worker-host.js";
 import { steadyMs, type FromWorkers, type PlannedJob, type TaskEvent, type ToWorkers, type WorkersSeen } from "./messages.js";
 
@@ -88,7 +88,7 @@
   }
 }
 
-function openHost({ fronts, jobs, timing, seed }: Extract<ToWorkers, { kind: "init" }>, tally: Tally, links: Links): WorkerHost {
+function openHost({ fronts, jobs, timing, seed }: Extract<ToWorkers, { kind: "init" }>, tally: Tally, links: NetworkRules): WorkerHost {
   const began = steadyMs();
   const planned = new Map<string, PlannedJob>(jobs.map((job) => [job.spec.ref, job]));
   return new WorkerHost(links, new Map(fronts), {
@@ -100,16 +100,16 @@
       },
     },
     ...timing,
-    luck: seeded(seed),
+    random: seededRandom(seed),
     nodes: fronts.map(([name]) => name),
     spec: (ref) => planned.get(ref)?.spec,
     runMs: (ref) => planned.get(ref)?.runMs ?? 0,
     fetchMs: (ref) => planned.get(ref)?.fetchMs ?? 0,
-    slowness: () => 1,
-    sick: () => false,
-    saved: new Map(),
-    on: ({ host }, piece) => tally.on(piece, host),
-    off: ({ host }, piece, cause) => tally.off(piece, host, cause),
+    slowdown: () => 1,
+    failsTasks: () => false,
+    savedProgress: new Map(),
+    onTaskStarted: ({ host }, piece) => tally.on(piece, host),
+    onTaskEnded: ({ host }, piece, cause) => tally.off(piece, host, cause),
   });
 }
 
@@ -119,7 +119,7 @@
   const bytes = new ConnectionBytes();
   const loop = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
   loop.enable();
-  const links = new Links();
+  const links = new NetworkRules();
   let host: WorkerHost | null = null;
   const tell = (): void => {
     const events = tally.newEvents();
--- a/measure/scale/messages.ts
+++ b/measure/scale/messages.ts
@@ -1,4 +1,4 @@
-import type { RuleAsked } from "../../packages/emulator/src/links.js";
+import type { NetworkRule } from "@thorntrail/emulator/network-rules";
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
 
 /**
@@ -27,7 +27,7 @@
   | { kind: "boot"; host: string; type: string; zone: string; spot: boolean; room: { cpus: number; gpus: number; ram: number } }
   | { kind: "end"; host: string }
   /** What goes wrong on the way between these workers and the controllers, for so long. */
-  | { kind: "rule"; rule: RuleAsked; forMs: number }
+  | { kind: "rule"; rule: NetworkRule; forMs: number }
   /** A controller has taken a partition: reports that were kept for it come now. */
   | { kind: "taken" }
   | { kind: "look" };
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -1,4 +1,4 @@
-import { playVirtual, DurationHistogram, loadPlan } from "../../packages/emulator/src/entry.js";
+import { runVirtual, DurationHistogram, loadPlan } from "../../packages/emulator/src/entry.js";
 import { injectionPointOf } from "../../src/rehearsal/injection-points.js";
 import { spawnController } from "../../src/rehearsal/spawn-controller.js";
 import type { Point } from "./line.js";
@@ -25,7 +25,7 @@
     };
     const spreads = { fenced: new DurationHistogram(), back: new DurationHistogram() };
     for (const seed of SEEDS) {
-      const { recoveries } = await playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+      const { recoveries } = await runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
       for (const span of recoveries) {
         if (span.fenced !== null) spreads.fenced.add(span.fenced);
         if (span.back !== null) spreads.back.add(span.back);
--- a/measure/start.ts
+++ b/measure/start.ts
@@ -5,7 +5,7 @@
 import { join, resolve } from "node:path";
 import { performance } from "node:perf_hooks";
 import { parse, stringify } from "smol-toml";
-import { platformOf, USUAL } from "../packages/emulator/src/place.js";
+import { buildPlatform, DEFAULT_TIMING } from "@thorntrail/emulator/environment";
 import { loadPlan } from "../packages/emulator/src/entry.js";
 import { median } from "./harness.js";
 
@@ -49,7 +49,7 @@
 /** Settings of one controller of two whose peer and cloud refuse; `quota`: beside the usual one. */
 export async function settingsFile(place: string, state: string, quota: Record<string, number> = {}): Promise<string> {
   const config = join(place, "settings.toml");
-  const { deployment } = platformOf(await loadPlan("deploy/rehearsal.hcl"), USUAL);
+  const { deployment } = buildPlatform(await loadPlan("deploy/rehearsal.hcl"), DEFAULT_TIMING);
   const known = [{ host_name: "nest-1", area: "a", peer_addr: "127.0.0.1:1" }];
   const endpoints = { cloud: "127.0.0.1:1", state };
   const settings = { host_name: "nest-0", area: "a", front: `127.0.0.1:${PORT}`, peer_listen: `127.0.0.1:${PORT + 1}`, known, endpoints };
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -1,5 +1,5 @@
 import { encodeJob } from "../packages/protocol/src/jobs.js";
-import { plainPlan, World, type Spawned } from "../packages/emulator/src/entry.js";
+import { defaultWorldOptions, VirtualWorld, type ControllerDependencies } from "../packages/emulator/src/entry.js";
 import { DurationHistogram } from "../packages/emulator/src/report.js";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "../test/world/parts.js";
@@ -18,11 +18,11 @@
 const TASKS = "run-000001";
 const ROOMY = "run-000002";
 
-function place(seed: number): World<RehearsedController> {
+function place(seed: number): VirtualWorld<RehearsedController> {
   const type = { gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] };
-  return new World<RehearsedController>(
+  return new VirtualWorld<RehearsedController>(
     {
-      ...plainPlan(),
+      ...defaultWorldOptions(),
       seed,
       teams: [{ name: "ops", cpus: 0, cpus_max: 400, gpus: 0, gpus_max: 0 }],
       types: [
@@ -34,7 +34,7 @@
         ["large/a/ordinary", 1],
       ]),
     },
-    (asked: Spawned) => spawnController(asked),
+    (asked: ControllerDependencies) => spawnController(asked),
   );
 }
 
@@ -43,12 +43,12 @@
   const world = place(seed);
   const submit = (ref: string, tasks: number, types: string[], runS: number): void => {
     const spec = specOf({ ref, tasks, cpus: 8, types });
-    world.runs.set(ref, runS * 1000);
+    world.runTimesMs.set(ref, runS * 1000);
     void world.submit(encodeJob(spec), spec, "nest-1");
   };
-  for (const name of world.nodes.keys()) world.startNode(name);
+  for (const name of world.nodes.keys()) world.startController(name);
   // The large machine comes once the small ones are full, and has room for all that is lost.
-  const { restore } = world.cloud.limit("large", "*", 0, 0);
+  const { restore } = world.cloud.setCapacity("large", "*", 0, 0);
   await world.clock.run(5000);
   submit(TASKS, 8, ["small", "large"], 300);
   await world.clock.run(20_000);
@@ -63,7 +63,7 @@
   world.clock.after(OUTAGE_AT_S * 1000 - world.clock.now(), () => (world.state.outage = true));
   world.clock.after((OUTAGE_AT_S + OUTAGE_S) * 1000 - world.clock.now(), () => world.state.endOutage());
   await world.clock.run(200_000);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
   const lost = world.history.flatMap((one) => (one.kind === "on" && one.host === died ? [one.piece] : []));
   return lost.flatMap((piece) => {
     const again = world.history.find((one) => one.kind === "on" && one.piece === piece && one.at > diesAt);
--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -1,6 +1,6 @@
 import { make, sorters } from "covertable";
 import { decodeFault, type Fault } from "./faults.js";
-import { INJECTION_POINTS, type Moment, type RehearsalPlan } from "./plan.js";
+import { INJECTION_POINTS, type InjectionPoint, type RehearsalPlan } from "./plan.js";
 
 /**
  * Pairwise coverage: every pair of fault, injection point, duration and second fault occurs in some rehearsal, without
@@ -43,9 +43,9 @@
 };
 
 /** One combination of a fault, an injection point, a duration and a second fault. */
-export interface Case {
+export interface CoverageCase {
   fault: string;
-  moment: Moment;
+  moment: InjectionPoint;
   length: DurationName;
   /** A second fault injected during the run, or `none`. */
   beside: string;
@@ -57,7 +57,7 @@
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
 
 /** Returns cases that cover every pair of values of two factors; the seed selects among such lists. */
-export function cases(seed: number): Case[] {
+export function pairwiseCases(seed: number): CoverageCase[] {
   const factors = {
     fault: Object.keys(FAULTS_BY_NAME),
     moment: [...INJECTION_POINTS],
@@ -65,7 +65,7 @@
     beside: SECOND_FAULTS,
   };
   const rows = make(factors, { length: 2, sorter: sorters.hash, seed });
-  return rows as unknown as Case[];
+  return rows as unknown as CoverageCase[];
 }
 
 function buildFault(name: string, length: DurationName): Fault {
@@ -75,7 +75,7 @@
 }
 
 /** Replaces the plan's faults by those of one case. The injection points of a takeover need a restart that causes one. */
-export function planOf(base: RehearsalPlan, one: Case): RehearsalPlan {
+export function planForCase(base: RehearsalPlan, one: CoverageCase): RehearsalPlan {
   const fault: RehearsalPlan["fault"] = [
     { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARMUP_S, fault: buildFault(one.fault, one.length) },
   ];
@@ -87,9 +87,9 @@
 }
 
 /** The result of the rehearsal of one case. */
-export interface Covered {
+export interface CaseResult {
   fault: string;
-  moment: Moment;
+  moment: InjectionPoint;
   /** The injection point occurred and the fault affected something. */
   seen: boolean;
   broken: number;
@@ -97,7 +97,7 @@
 }
 
 /** Formats a table of faults by injection points: `+` covered, `.` not reached, `!` a rule was broken, blank: not run. */
-export function coverageTable(results: readonly Covered[]): string {
+export function formatCoverageTable(results: readonly CaseResult[]): string {
   const width = Math.max(...Object.keys(FAULTS_BY_NAME).map((name) => name.length));
   const lines = INJECTION_POINTS.map((moment, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${moment}`);
   for (const fault of Object.keys(FAULTS_BY_NAME)) {
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -7,14 +7,14 @@
  * Returns the job status that the response to a submission, poll or cancellation reports, or null if it reports none
  * and the user retries.
  */
-export function toldBy(status: number, body: Record<string, unknown>): ReportedStatus | null {
+export function statusFromResponse(status: number, body: Record<string, unknown>): ReportedStatus | null {
   if (status === 200 || status === 201) return (body["status"] as ReportedStatus | undefined) ?? "queued";
   if (status === 404) return "unknown";
   return status === 400 || status === 422 ? "refused" : null;
 }
 
 /** An event of a run as observed outside the controllers. Times (`at`, `asked`) are in ms. */
-export type Happening =
+export type HistoryEvent =
   /** `never`: the reason why the job must not be accepted. */
   | { at: number; kind: "submitted"; spec: JobSpec; never?: string }
   /** A response received at `at`; `asked` is when the poll, submission or cancellation it answers was sent. */
@@ -29,7 +29,7 @@
   | { at: number; kind: "gone"; host: string };
 
 /** What a history is checked against. All times are in ms. */
-export interface Limits {
+export interface CheckLimits {
   cancelMs: number;
   teams: Map<string, { cpus: number; gpus: number }>;
   /** When the last injected fault has ended. Without it, unanswered polls and idle capacity are not checked. */
@@ -47,7 +47,7 @@
 const jobRefOf = (taskId: string): string => taskId.slice(0, taskId.lastIndexOf("/"));
 
 /** Checks a complete history against the rules of the protocol and returns one line for each violation. */
-export function brokenRules(history: Happening[], limits: Limits): string[] {
+export function findViolations(history: HistoryEvent[], limits: CheckLimits): string[] {
   const violations: string[] = [];
   const specs = new Map<string, JobSpec>();
   /** When a response first confirmed to a user that the job is accepted. */
@@ -216,7 +216,7 @@
  * Counts task starts after a user received confirmation that the job is withdrawn. The rule `ran_cancelled` is broken
  * only after `cancelMs`.
  */
-export function countStartsAfterWithdrawal(history: readonly Happening[]): number {
+export function countStartsAfterWithdrawal(history: readonly HistoryEvent[]): number {
   const withdrawn = new Set<string>();
   let count = 0;
   for (const event of history) {
@@ -226,7 +226,7 @@
   return count;
 }
 
-type MachineUp = Extract<Happening, { kind: "up" }>;
+type MachineUp = Extract<HistoryEvent, { kind: "up" }>;
 
 /** Detects, once the faults have ended, jobs that wait although a machine has continuously had free capacity for one of their tasks. */
 class IdleCapacityMonitor {
@@ -235,7 +235,7 @@
   private nextCheckAt: number;
 
   constructor(
-    private readonly limits: Limits,
+    private readonly limits: CheckLimits,
     private readonly report: (at: number, detail: string) => void,
   ) {
     this.nextCheckAt = limits.faultsEndAt ?? Infinity;
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -1,6 +1,6 @@
 import type { ListedMachine, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
-import type { CapacityChange } from "./faults.js";
-import type { WrongForm } from "./links.js";
+import type { CapacityOverride } from "./faults.js";
+import type { WrongResponseForm } from "./network-rules.js";
 
 /** Monotonic clock for the models, in ms; virtual or real. `after` returns a function that cancels the timer. */
 export interface MonotonicClock {
@@ -15,7 +15,7 @@
   capacity: Map<string, number>;
   lagMs: number;
   /** Random source. Without it, every machine boots in its nominal time, and prices and the lag of lists are constant. */
-  luck?: () => number;
+  random?: () => number;
   /** Shares of machines that never boot, take two to five times as long, or are up within two seconds. */
   boots?: { never: number; slow: number; early: number };
 }
@@ -24,8 +24,8 @@
   host: string;
   offer: MachineOffering;
   createdAt: number;
-  upAt: number | null;
-  goneAt: number | null;
+  bootedAt: number | null;
+  removedAt: number | null;
   failed: boolean;
   /** The cost up to `chargedUntil`, at the prices in force during that time. */
   chargedCost: number;
@@ -55,7 +55,7 @@
   private costOfRemoved = 0;
   private currentSpotFactor = 1;
   onBoot: (host: string, offer: MachineOffering) => void = () => undefined;
-  onGone: (host: string) => void = () => undefined;
+  onRemoved: (host: string) => void = () => undefined;
   /** Returns the address on which a machine's worker listens once it is up. */
   addrOf: (host: string) => string = (host) => host;
 
@@ -65,9 +65,9 @@
   ) {}
 
   types(): MachineType[] {
-    const { luck } = this.options;
-    if (luck === undefined && this.currentSpotFactor === 1) return this.options.types;
-    const swing = luck === undefined ? 0 : Math.sin(this.clock.now() / SPOT_PRICE_TIMESCALE_MS);
+    const { random } = this.options;
+    if (random === undefined && this.currentSpotFactor === 1) return this.options.types;
+    const swing = random === undefined ? 0 : Math.sin(this.clock.now() / SPOT_PRICE_TIMESCALE_MS);
     return this.options.types.map((type) => ({
       ...type,
       spotPrice: type.spotPrice * this.currentSpotFactor * (1 + SPOT_PRICE_SWING * swing),
@@ -78,7 +78,7 @@
    * Sets the available capacity of a type in a zone (`*`: all); undefined leaves it unchanged. Rented machines stay,
    * even above the new capacity.
    */
-  limit(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange {
+  setCapacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityOverride {
     const previous = new Map<string, number>();
     for (const { name, zones } of this.options.types.filter((one) => type === "*" || type === one.name))
       for (const one of zones.filter((of) => zone === "*" || zone === of))
@@ -99,7 +99,7 @@
   /** Sets the factor on spot prices. Usage up to now is charged at the previous prices. */
   set spotFactor(factor: number) {
     for (const machine of this.machines.values()) {
-      if (machine.goneAt !== null || !machine.offer.spot) continue;
+      if (machine.removedAt !== null || !machine.offer.spot) continue;
       machine.chargedCost += this.hourlyPrice(machine) * this.hoursSince(machine, machine.chargedUntil);
       machine.chargedUntil = this.clock.now();
     }
@@ -112,11 +112,11 @@
   }
 
   private hoursSince(machine: RentedMachine, from: number): number {
-    return Math.max(0, (machine.goneAt ?? this.clock.now()) - from) / 3_600_000;
+    return Math.max(0, (machine.removedAt ?? this.clock.now()) - from) / 3_600_000;
   }
 
   /** Rents up to `count` machines (at most 50); null if none are available. A repeated request name returns the first response. */
-  hire(name: string, { type: of, zone, spot }: MachineOffering, count: number): string[] | null {
+  rent(name: string, { type: of, zone, spot }: MachineOffering, count: number): string[] | null {
     // Copies only the fields of an offering: in virtual time, callers pass records with further fields.
     const offering: MachineOffering = { type: of, zone, spot };
     const earlier = this.hostsByRequest.get(name);
@@ -133,8 +133,8 @@
         host,
         offer: offering,
         createdAt: now,
-        upAt: null,
-        goneAt: null,
+        bootedAt: null,
+        removedAt: null,
         failed: false,
         chargedCost: 0,
         chargedUntil: now,
@@ -143,8 +143,8 @@
       const bootMs = this.bootMs(type.bootS * 1000);
       if (bootMs !== null)
         this.clock.after(bootMs, () => {
-          if (machine.goneAt !== null || machine.failed) return;
-          machine.upAt = this.clock.now();
+          if (machine.removedAt !== null || machine.failed) return;
+          machine.bootedAt = this.clock.now();
           this.onBoot(host, offering);
         });
       hosts.push(host);
@@ -156,32 +156,32 @@
 
   /** Boot time in ms; null if the machine never boots. */
   private bootMs(nominal: number): number | null {
-    const { luck, boots } = this.options;
-    if (luck === undefined) return nominal;
-    const roll = luck();
+    const { random, boots } = this.options;
+    if (random === undefined) return nominal;
+    const roll = random();
     const { never = 0, slow = 0, early = 0 } = boots ?? {};
     if (roll < never) return null;
-    if (roll < never + slow) return nominal * (2 + luck() * 3);
-    if (roll < never + slow + early) return 1000 + luck() * 1000;
-    return nominal * (0.6 + luck() * 0.9);
+    if (roll < never + slow) return nominal * (2 + random() * 3);
+    if (roll < never + slow + early) return 1000 + random() * 1000;
+    return nominal * (0.6 + random() * 0.9);
   }
 
   /** Removes the machine and everything on it, because it was deleted or reclaimed by the cloud. */
   remove(host: string): void {
     const machine = this.machines.get(host);
-    if (machine === undefined || machine.goneAt !== null) return;
-    machine.goneAt = this.clock.now();
+    if (machine === undefined || machine.removedAt !== null) return;
+    machine.removedAt = this.clock.now();
     this.rentedByOffering.set(offeringKey(machine.offer), (this.rentedByOffering.get(offeringKey(machine.offer)) ?? 1) - 1);
     this.costOfRemoved += this.costOf(machine);
-    this.onGone(host);
+    this.onRemoved(host);
   }
 
   /** The machine fails by itself and is listed as failed until it is deleted. */
   fail(host: string): void {
     const machine = this.machines.get(host);
-    if (machine === undefined || machine.goneAt !== null || machine.failed) return;
+    if (machine === undefined || machine.removedAt !== null || machine.failed) return;
     machine.failed = true;
-    this.onGone(host);
+    this.onRemoved(host);
   }
 
   private costOf(machine: RentedMachine): number {
@@ -193,13 +193,13 @@
   /** Total cost so far, in the currency of the prices. */
   get cost(): number {
     let sum = this.costOfRemoved;
-    for (const machine of this.machines.values()) if (machine.goneAt === null) sum += this.costOf(machine);
+    for (const machine of this.machines.values()) if (machine.removedAt === null) sum += this.costOf(machine);
     return sum;
   }
 
-  get rented(): number {
+  get rentedCount(): number {
     let n = 0;
-    for (const machine of this.machines.values()) if (machine.goneAt === null) n++;
+    for (const machine of this.machines.values()) if (machine.removedAt === null) n++;
     return n;
   }
 
@@ -208,27 +208,31 @@
    * `olderMs` adds to it.
    */
   list(from: string | undefined, maxMachines: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
-    const { lagMs, luck } = this.options;
-    const asOf = this.clock.now() - lagMs * (luck === undefined || luck() < 0.8 ? 1 : 1 + luck()) - olderMs;
+    const { lagMs, random } = this.options;
+    const asOf = this.clock.now() - lagMs * (random === undefined || random() < 0.8 ? 1 : 1 + random()) - olderMs;
     const machines: ListedMachine[] = [];
     // Host names are assigned in ascending order, so the map is in the order of the list.
     for (const m of this.machines.values()) {
-      if (m.createdAt > asOf || (m.goneAt !== null && m.goneAt <= asOf) || (from !== undefined && m.host <= from)) continue;
+      if (m.createdAt > asOf || (m.removedAt !== null && m.removedAt <= asOf) || (from !== undefined && m.host <= from)) continue;
       if (machines.length >= maxMachines) return { machines, more: true };
-      const state = m.failed ? "failed" : m.upAt !== null && m.upAt <= asOf ? "running" : "booting";
+      const state = m.failed ? "failed" : m.bootedAt !== null && m.bootedAt <= asOf ? "running" : "booting";
       machines.push({ host: m.host, addr: this.addrOf(m.host), ...m.offer, state, ageS: (asOf - m.createdAt) / 1000 });
     }
     return { machines, more: false };
   }
 
   /** Returns an invalid list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
-  wrongList(form: WrongForm, from: string | undefined, maxMachines: number): { machines: ListedMachine[]; more: boolean } | undefined {
+  invalidList(
+    form: WrongResponseForm,
+    from: string | undefined,
+    maxMachines: number,
+  ): { machines: ListedMachine[]; more: boolean } | undefined {
     if (form === "older") return this.list(from, maxMachines, STALE_LIST_EXTRA_LAG_MS);
     if (form === "other") return { machines: [], more: false };
     if (form !== "ghost") return undefined;
     const { machines, more } = this.list(from, maxMachines);
     const gone = [...this.machines.values()]
-      .filter((m) => m.goneAt !== null && (from === undefined || m.host > from))
+      .filter((m) => m.removedAt !== null && (from === undefined || m.host > from))
       .slice(0, DELETED_MACHINES_LISTED);
     const ghosts = gone.map((m) => ({ host: m.host, addr: this.addrOf(m.host), ...m.offer, state: "running", ageS: 60 }));
     return { machines: [...machines, ...ghosts].sort((a, b) => (a.host < b.host ? -1 : 1)), more };
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -3,10 +3,10 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { CommandFailed, selectTurn, abortOnSignal, progressLine } from "./cli.js";
-import { BRISK, USUAL } from "./place.js";
-import type { MomentOf } from "./conductor.js";
-import { cases, coverageTable, planOf, type Case, type Covered } from "./campaign.js";
-import { drawnPlan, soakPlan } from "./drawn.js";
+import { FAST_TIMING, DEFAULT_TIMING } from "./environment.js";
+import type { InjectionPointOf } from "./scenario-driver.js";
+import { pairwiseCases, formatCoverageTable, planForCase, type CoverageCase, type CaseResult } from "./campaign.js";
+import { randomPlan, soakPlan } from "./random-plans.js";
 import { loadPlan, type RehearsalPlan } from "./plan.js";
 import { decodeFault } from "./faults.js";
 import { serveAdmin } from "./real/admin.js";
@@ -14,21 +14,21 @@
 import { playReal } from "./real/play.js";
 import { TestEnvironment } from "./real/test-environment.js";
 import { hadSplitWhileRefused, formatTable, type Report } from "./report.js";
-import { shrink } from "./shrink.js";
-import { playVirtual, type VirtualOptions } from "./virtual/play.js";
+import { minimisePlan } from "./minimise-plan.js";
+import { runVirtual, type VirtualRunOptions } from "./virtual/play.js";
 import type { ControllerPort } from "./virtual/world.js";
 
 const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
 /** `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if it did not go as planned. */
-export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: MomentOf }): Promise<void> {
+export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: InjectionPointOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const { showProgress, endProgress } = progressLine();
   const stop = abortOnSignal();
   const report = await playReal({
     program: options.program,
     plan,
-    timing: BRISK,
+    timing: FAST_TIMING,
     seed: options.seed,
     momentOf: options.momentOf,
     progress: showProgress,
@@ -56,9 +56,9 @@
   program: string[];
   seed: number | undefined;
   report: string | undefined;
-  momentOf: MomentOf;
+  momentOf: InjectionPointOf;
   /** Runs a plan in virtual time, to minimise one that broke a rule. */
-  runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>;
+  runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof runVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const { showProgress, endProgress } = progressLine();
@@ -67,7 +67,7 @@
   const report = await playReal({
     program: options.program,
     plan,
-    timing: USUAL,
+    timing: DEFAULT_TIMING,
     seed,
     momentOf: options.momentOf,
     progress: showProgress,
@@ -84,7 +84,7 @@
 async function reportMinimisedPlan(
   plan: RehearsalPlan,
   report: Report,
-  play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
+  play: (one: RehearsalPlan) => ReturnType<typeof runVirtual>,
   showProgress: (text: string) => void,
   endProgress: () => void,
 ): Promise<void> {
@@ -95,7 +95,7 @@
     process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat it on real processes\n");
     return;
   }
-  const found = await shrink(plan, breaks, MAX_MINIMISE_RUNS);
+  const found = await minimisePlan(plan, breaks, MAX_MINIMISE_RUNS);
   Object.assign(report, { shortest: found.plan, shrinkRuns: found.runs });
   endProgress();
   process.stdout.write(
@@ -116,7 +116,7 @@
 }
 
 /** Options of a rehearsal in virtual time. */
-export interface RehearseVirtualOptions<C extends ControllerPort> extends Pick<VirtualOptions<C>, "spawn" | "momentOf"> {
+export interface RehearseVirtualOptions<C extends ControllerPort> extends Pick<VirtualRunOptions<C>, "spawn" | "momentOf"> {
   plan: string;
   seed: number | undefined;
   report: string | undefined;
@@ -144,11 +144,11 @@
   const plan = await loadPlan(options.plan);
   const seed = options.seed ?? plan.seed;
   const { spawn, momentOf } = options;
-  const play = (one: RehearsalPlan): ReturnType<typeof playVirtual> => playVirtual({ plan: one, seed, spawn, momentOf });
+  const play = (one: RehearsalPlan): ReturnType<typeof runVirtual> => runVirtual({ plan: one, seed, spawn, momentOf });
   const { showProgress, endProgress } = progressLine();
   const seedCount = options.drawn ?? options.soak;
   if (seedCount !== undefined) {
-    const planOfSeed = options.soak === undefined ? drawnPlan : soakPlan;
+    const planOfSeed = options.soak === undefined ? randomPlan : soakPlan;
     const seeds = selectTurn(
       Array.from({ length: seedCount }, (_, i) => seed + i),
       options.turn,
@@ -165,7 +165,7 @@
             plan,
             planOfSeed,
             seeds,
-            (one, caseSeed) => playVirtual({ plan: one, seed: caseSeed, spawn, momentOf }),
+            (one, caseSeed) => runVirtual({ plan: one, seed: caseSeed, spawn, momentOf }),
             showProgress,
           ),
         ];
@@ -182,7 +182,7 @@
     if (report.broken.length > 0) await reportMinimisedPlan(plan, report, play, showProgress, endProgress);
     return finishRehearsal(report, options.report);
   }
-  const chosen = selectTurn(cases(seed).slice(0, options.campaign), options.turn);
+  const chosen = selectTurn(pairwiseCases(seed).slice(0, options.campaign), options.turn);
   const { processes = 1, program } = options;
   const played =
     processes > 1 && program !== undefined
@@ -198,20 +198,20 @@
 }
 
 interface CampaignResult {
-  covered: Covered[];
+  covered: CaseResult[];
   bad: { name: string; broken: string[]; unfinished: string[]; trouble: string[] }[];
 }
 
 async function runCampaign(
   plan: RehearsalPlan,
-  chosen: Case[],
-  play: (one: RehearsalPlan) => ReturnType<typeof playVirtual>,
+  chosen: CoverageCase[],
+  play: (one: RehearsalPlan) => ReturnType<typeof runVirtual>,
   showProgress: (text: string) => void,
 ): Promise<CampaignResult> {
-  const covered: Covered[] = [];
+  const covered: CaseResult[] = [];
   const bad: CampaignResult["bad"] = [];
   for (const [i, one] of chosen.entries()) {
-    const rehearsal = planOf(plan, one);
+    const rehearsal = planForCase(plan, one);
     showProgress(`${i + 1} of ${chosen.length}: ${rehearsal.name}`);
     const report = await play(rehearsal);
     const met = report.moments.some(({ moment, met: targets }) => moment === one.moment && targets.length > 0);
@@ -243,7 +243,7 @@
   base: RehearsalPlan,
   planOfSeed: (base: RehearsalPlan, seed: number) => RehearsalPlan,
   seeds: number[],
-  play: (one: RehearsalPlan, seed: number) => ReturnType<typeof playVirtual>,
+  play: (one: RehearsalPlan, seed: number) => ReturnType<typeof runVirtual>,
   showProgress: (text: string) => void,
 ): Promise<RandomisedResult> {
   const result: RandomisedResult = { played: [], bad: [] };
@@ -255,14 +255,14 @@
     result.played.push({
       seed,
       met: report.faults.filter(({ met }) => met.length > 0).length,
-      splitWhileRefused: hadSplitWhileRefused(report.faults, USUAL.leaseMs / 1000),
+      splitWhileRefused: hadSplitWhileRefused(report.faults, DEFAULT_TIMING.leaseMs / 1000),
     });
     if (broken.length + trouble.length + jobs.unfinished.length === 0) continue;
     const fails = async (one: RehearsalPlan): Promise<boolean> => {
       const again = await play(one, seed);
       return broken.length > 0 ? again.broken.length > 0 : again.jobs.unfinished.length + again.trouble.length > 0;
     };
-    const { plan: shortest } = await shrink(plan, fails, MAX_MINIMISE_RUNS / 3);
+    const { plan: shortest } = await minimisePlan(plan, fails, MAX_MINIMISE_RUNS / 3);
     const minimised = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
     result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: minimised });
   }
@@ -335,7 +335,7 @@
 
 function printCampaignSummary(plan: RehearsalPlan, seed: number, { covered, bad }: CampaignResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, covered, bad }, null, 2)}\n`);
-  process.stdout.write(`${coverageTable(covered)}\n`);
+  process.stdout.write(`${formatCoverageTable(covered)}\n`);
   for (const { name, broken, unfinished } of bad)
     process.stdout.write(`${name}: ${broken.join("; ") || `unfinished: ${unfinished.join(", ")}`}\n`);
   const met = covered.filter(({ seen }) => seen).length;
@@ -357,7 +357,7 @@
   const plan = await loadPlan(options.plan);
   const [host, port] = parseAddress(options.admin, "--admin");
   const stop = abortOnSignal();
-  const environment = new TestEnvironment({ program: options.program, plan, timing: USUAL, seed: options.seed ?? plan.seed });
+  const environment = new TestEnvironment({ program: options.program, plan, timing: DEFAULT_TIMING, seed: options.seed ?? plan.seed });
   try {
     await environment.start();
     const { server, addr } = await serveAdmin(environment, host, port);
--- a/packages/emulator/src/place.ts
+++ b/packages/emulator/src/environment.ts
@@ -13,7 +13,7 @@
 }
 
 /** Times as at users' sites. */
-export const USUAL: Timing = {
+export const DEFAULT_TIMING: Timing = {
   reportMs: 2500,
   leaseMs: 18_000,
   gangWaitMs: 35_000,
@@ -24,8 +24,8 @@
 };
 
 /** Shorter times, for a demonstration that a user waits for. */
-export const BRISK: Timing = {
-  ...USUAL,
+export const FAST_TIMING: Timing = {
+  ...DEFAULT_TIMING,
   reportMs: 1000,
   leaseMs: 6000,
   gangWaitMs: 12_000,
@@ -36,7 +36,7 @@
 };
 
 /** Converts a plan to the settings of the platform and to the machine types and capacity of the cloud model. */
-export function platformOf(
+export function buildPlatform(
   plan: RehearsalPlan,
   timing: Timing,
 ): { deployment: Record<string, unknown>; types: MachineType[]; capacity: Map<string, number> } {
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
-import type { RuleAsked } from "./links.js";
-import { isInSample, type MachineSample } from "./party.js";
+import type { NetworkRule } from "./network-rules.js";
+import { isInSample, type MachineSample } from "./endpoint-selector.js";
 
 /**
  * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
@@ -186,13 +186,13 @@
 export type UserBehaviour = "cancel-at-end" | "odd-requests" | "close-looks";
 
 /** The offerings whose capacity was changed, and a function that restores it. */
-export interface CapacityChange {
+export interface CapacityOverride {
   affected: string[];
   restore: () => void;
 }
 
 /** The environment that faults are injected into: the virtual world or real processes. Times in ms. */
-export interface Stage {
+export interface FaultEnvironment {
   /** Collects the current state of the environment; has to complete before a fault is injected. */
   prepare?(): Promise<void>;
   after(ms: number, fn: () => void): void;
@@ -209,7 +209,7 @@
   /** `on` false ends the outage; leases then get their full duration again. */
   outage(of: "state" | "cloud", on: boolean): void;
   /** Adds a network rule and returns the function that removes it. */
-  rule(asked: RuleAsked): () => void;
+  rule(asked: NetworkRule): () => void;
   limits(limits: { writeRps?: number; valueKb?: number; txnOps?: number }): void;
   lose(machine: string): void;
   warn(machine: string, seconds: number): void;
@@ -220,7 +220,7 @@
   /** Starts some running task on a second machine. Returns the task's id, or null if there is none to start. */
   startTwice(): string | null;
   /** Sets the number of available machines of a type (`*`: all) in a zone (`*`: all); undefined leaves it unchanged. */
-  capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange;
+  capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityOverride;
   /** Sets the factor on the usual spot prices. */
   prices(factor: number): void;
 }
@@ -249,12 +249,12 @@
   return heldMs + ("ms" in fault ? fault.ms : 0) + ("notice" in fault ? fault.notice * 1000 : 0);
 }
 
-function resolveControllers(stage: Stage, target: string): string[] {
+function resolveControllers(stage: FaultEnvironment, target: string): string[] {
   if (target === "all") return stage.controllers();
   return [target === "leader" ? stage.leader() : target];
 }
 
-function resolveMachines(stage: Stage, target: string, max = 1): string[] {
+function resolveMachines(stage: FaultEnvironment, target: string, max = 1): string[] {
   const up = stage.machines();
   if (target === "busiest" || target === "any") return up.slice(0, max);
   return up.filter((name) => name === target);
@@ -266,7 +266,11 @@
  * Splits a share of the machines from the target, or from every other controller. `affected`: those of them that currently
  * report to the target.
  */
-function injectSplit(stage: Stage, { share, reaches, way }: SplitFault, target: string): { affected: string[]; end: () => void } {
+function injectSplit(
+  stage: FaultEnvironment,
+  { share, reaches, way }: SplitFault,
+  target: string,
+): { affected: string[]; end: () => void } {
   const onlyTarget = reaches === "only-target";
   const machines: MachineSample = onlyTarget ? { least: 0, most: share } : { least: 1 - share, most: 1 };
   const separatedFrom = onlyTarget ? stage.controllers().filter((name) => name !== target) : [target];
@@ -280,7 +284,7 @@
 }
 
 /** Injects the fault and returns the names of what it affected; empty if there was nothing to affect. */
-export function carryOut(stage: Stage, fault: Fault, users: SimulatedUserControl): string[] {
+export function injectFault(stage: FaultEnvironment, fault: Fault, users: SimulatedUserControl): string[] {
   const endAfter = (seconds: number, end: () => void): void => stage.after(seconds * 1000, end);
   const each = (names: string[], act: (name: string) => void): string[] => {
     for (const name of names) act(name);
--- a/packages/emulator/src/shrink.ts
+++ b/packages/emulator/src/minimise-plan.ts
@@ -4,7 +4,7 @@
  * Minimises a plan that breaks a rule: removes faults in halves, quarters and one by one, then work, as long as the
  * remaining plan still breaks. `tries` limits the number of runs.
  */
-export async function shrink(
+export async function minimisePlan(
   plan: RehearsalPlan,
   breaks: (plan: RehearsalPlan) => Promise<boolean>,
   tries: number,
--- a/packages/emulator/src/links.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -3,10 +3,10 @@
  * to, for how long or how many times, and its effect on them. Endpoints are names of controllers and machines, `state`
  * and `cloud`.
  */
-import { matchesEndpoint, type EndpointSelector } from "./party.js";
+import { matchesEndpoint, type EndpointSelector } from "./endpoint-selector.js";
 
 /** The ways in which a response can be wrong. */
-export type WrongForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
+export type WrongResponseForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
 /** The effect of a rule on a call. */
 export type RuleEffect =
@@ -28,7 +28,7 @@
   /** For this share of the messages, a copy is stored and delivered when a controller takes over a partition. */
   | { kind: "keep"; share: number }
   /** Executed, but the response is wrong. */
-  | { kind: "wrong"; form: WrongForm };
+  | { kind: "wrong"; form: WrongResponseForm };
 
 /** Effects on a call that has arrived. */
 type ArrivalEffect = Exclude<RuleEffect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
@@ -42,7 +42,7 @@
 }
 
 /** A rule to add, as plain data. */
-export interface RuleAsked {
+export interface NetworkRule {
   from: EndpointSelector;
   to: EndpointSelector;
   what?: string;
@@ -53,7 +53,7 @@
   share?: number;
 }
 
-interface ActiveRule extends Required<RuleAsked> {
+interface ActiveRule extends Required<NetworkRule> {
   id: number;
   held: (() => void)[];
 }
@@ -64,14 +64,14 @@
 const MIN_COPY_DELAY_MS = 2000;
 
 /** The active network rules and the decisions that follow from them. */
-export class Links {
+export class NetworkRules {
   private rules: ActiveRule[] = [];
   private lastRuleId = 0;
 
   constructor(private readonly random: () => number = Math.random) {}
 
   /** Adds a rule and returns the function that removes it; removal delivers the messages that the rule holds. */
-  add(requested: RuleAsked): () => void {
+  add(requested: NetworkRule): () => void {
     const rule: ActiveRule = { what: "*", count: Infinity, share: 1, ...requested, id: ++this.lastRuleId, held: [] };
     this.rules.push(rule);
     return () => {
@@ -93,14 +93,14 @@
   }
 
   /** Holds the call if a cut applies to it, and returns whether it does. */
-  hold(call: NetworkCall, deliver: () => void): boolean {
+  holdIfCut(call: NetworkCall, deliver: () => void): boolean {
     const rule = this.find(call, ({ kind }) => kind === "cut");
     rule?.held.push(deliver);
     return rule !== undefined;
   }
 
   /** Whether a cut applies to the call. Messages that cannot be held, such as the response to a caller that has given up, are lost. */
-  blocked(call: NetworkCall): boolean {
+  isCut(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
 
@@ -115,25 +115,25 @@
   }
 
   /** Whether the message is lost. */
-  loses(call: NetworkCall): boolean {
+  isLost(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "lose") !== undefined;
   }
 
   /** Delay in ms after which a copy of the message arrives again, or null for none. */
-  againMs(call: NetworkCall, random: () => number): number | null {
+  copyDelayMs(call: NetworkCall, random: () => number): number | null {
     const effect = this.find(call, ({ kind }) => kind === "again")?.effect;
     if (effect?.kind !== "again" || random() >= effect.share) return null;
     return MIN_COPY_DELAY_MS + random() * Math.max(0, effect.mostMs - MIN_COPY_DELAY_MS);
   }
 
   /** Whether a copy of the message is stored for the next takeover of a partition. */
-  keeps(call: NetworkCall): boolean {
+  shouldStoreCopy(call: NetworkCall): boolean {
     const effect = this.find(call, ({ kind }) => kind === "keep")?.effect;
     return effect?.kind === "keep" && this.random() < effect.share;
   }
 
   /** Returns the effect on a call that has arrived, and counts it against rules with a limited number of calls. */
-  judge(call: NetworkCall): ArrivalEffect | null {
+  takeEffect(call: NetworkCall): ArrivalEffect | null {
     const rule = this.find(call, ({ kind }) => !IN_TRANSIT_EFFECTS.has(kind));
     if (rule === undefined || (rule.share < 1 && this.random() >= rule.share)) return null;
     rule.count--;
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -22,7 +22,7 @@
   "pipeline-release",
 ] as const;
 /** The name of an injection point. */
-export type Moment = (typeof INJECTION_POINTS)[number];
+export type InjectionPoint = (typeof INJECTION_POINTS)[number];
 
 const machineSchema = z.strictObject({
   name,
@@ -162,7 +162,7 @@
 }
 
 /** One submission of a plan: its time, its job and the actual run time of the job's tasks. */
-export interface Planned {
+export interface PlannedSubmission {
   atMs: number;
   spec: JobSpec;
   runMs: number;
@@ -170,8 +170,8 @@
 }
 
 /** Returns all submissions of a plan in order of time. Actual run times vary at random by up to 20 % around the planned ones. */
-export function plannedSubmissions(plan: RehearsalPlan, random: () => number): Planned[] {
-  const result: Planned[] = [];
+export function plannedSubmissions(plan: RehearsalPlan, random: () => number): PlannedSubmission[] {
+  const result: PlannedSubmission[] = [];
   const refs = new Map<string, string>();
   let count = 0;
   const arrivals = plan.work.flatMap((one) =>
--- a/packages/emulator/src/drawn.ts
+++ b/packages/emulator/src/random-plans.ts
@@ -1,5 +1,5 @@
 import { decodeFault } from "./faults.js";
-import { seeded } from "./luck.js";
+import { seededRandom } from "./random.js";
 import { INJECTION_POINTS, type TimedFault, type RehearsalPlan } from "./plan.js";
 
 /**
@@ -229,21 +229,21 @@
 
 /** Adds faults at random times to the plan's own; the same seed generates the same plan. */
 export function soakPlan(base: RehearsalPlan, seed: number): RehearsalPlan {
-  const random = new RandomSource(seeded(seed));
+  const random = new RandomSource(seededRandom(seed));
   const count = Math.max(1, Math.round((base.seconds - WARMUP_S) / SOAK_FAULT_INTERVAL_S));
   const fault = Array.from({ length: count }, (): TimedFault => {
     const at = random.decimal(Math.min(WARMUP_S, base.seconds / 2), base.seconds);
     return { at, fault: parseFault(random.pick(SOAK_FAULT_GENERATORS)(random)) };
   });
-  const splitRandom = new RandomSource(seeded(Math.imul(seed + 1, REFUSED_SPLIT_SEED_FACTOR)));
+  const splitRandom = new RandomSource(seededRandom(Math.imul(seed + 1, REFUSED_SPLIT_SEED_FACTOR)));
   if (splitRandom.decimal(0, 1) < REFUSED_SPLIT_SHARE)
     fault.push(...refusedWhileSplitFaults(splitRandom, splitRandom.decimal(WARMUP_S + 1, Math.max(WARMUP_S + 1, base.seconds - 30))));
   return { ...base, name: `${base.name}, seed ${seed}`, fault: [...base.fault, ...fault] };
 }
 
 /** Replaces the plan's faults by randomly generated ones; the same seed generates the same plan. */
-export function drawnPlan(base: RehearsalPlan, seed: number): RehearsalPlan {
-  const random = new RandomSource(seeded(seed));
+export function randomPlan(base: RehearsalPlan, seed: number): RehearsalPlan {
+  const random = new RandomSource(seededRandom(seed));
   const name = `${base.name}, drawn ${seed}`;
   if (random.decimal(0, 1) < DUAL_OWNER_SHARE)
     return { ...base, name, fault: dualOwnerFaults(random, random.decimal(WARMUP_S, Math.max(WARMUP_S, base.seconds * 0.5))) };
--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 import express from "express";
 import { decodeJob } from "@thorntrail/protocol/jobs";
-import { carryOut, decodeFault } from "../faults.js";
+import { injectFault, decodeFault } from "../faults.js";
 import type { TestEnvironment } from "./test-environment.js";
 
 const MAX_BODY = "64kb";
@@ -22,7 +22,7 @@
     const decoded = decodeFault(req.body);
     if ("wrong" in decoded) return void res.status(400).json({ error: decoded.wrong });
     await environment.findLargestOwner();
-    res.json({ kind: decoded.fault.kind, met: carryOut(environment, decoded.fault, environment.crowd) });
+    res.json({ kind: decoded.fault.kind, met: injectFault(environment, decoded.fault, environment.crowd) });
   });
   app.post("/jobs", (req, res) => {
     const decoded = decodeJob(req.body);
--- a/packages/emulator/src/real/fault-proxy.ts
+++ b/packages/emulator/src/real/fault-proxy.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import type { Links, WrongForm } from "../links.js";
+import type { NetworkRules, WrongResponseForm } from "../network-rules.js";
 import { readBody, sendResponse, type RawResponse } from "./http.js";
 
 /** A request from a controller to a service. */
@@ -15,7 +15,7 @@
  * Requests are subject to the same fault rules as in virtual time.
  */
 export interface FaultProxyOptions {
-  links: Links;
+  links: NetworkRules;
   from: string;
   to: "state" | "cloud";
   /** Name of the operation, as used in fault rules (`Call.what`). */
@@ -23,7 +23,7 @@
   /** Executes the request at the service; null if no answer was received. */
   forward: (passing: ProxiedRequest) => Promise<RawResponse | null>;
   /** Builds an incorrect answer specific to this service; undefined if it has none for this form. */
-  wrongAnswer?: (passing: ProxiedRequest, form: WrongForm) => RawResponse | undefined;
+  wrongAnswer?: (passing: ProxiedRequest, form: WrongResponseForm) => RawResponse | undefined;
 }
 
 const wait = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
@@ -35,14 +35,14 @@
   const delayMs = links.delayMs(call);
   if (delayMs > 0) await wait(delayMs);
   // Held and lost requests get no answer: the caller waits for its own timeout.
-  if (links.hold(call, () => void options.forward(request))) return;
-  if (links.loses(call)) return;
-  const effect = links.judge(call);
+  if (links.holdIfCut(call, () => void options.forward(request))) return;
+  if (links.isLost(call)) return;
+  const effect = links.takeEffect(call);
   if (effect?.kind === "refuse") return sendResponse(res, { status: 503, text: '{"error":"trouble"}', retryAfter: "1" });
   if (effect?.kind === "late") return void setTimeout(() => void options.forward(request), effect.ms);
   const answer = await options.forward(request);
   if (effect?.kind === "twice") await options.forward(request);
-  if (effect?.kind === "drop" || links.blocked(call)) return;
+  if (effect?.kind === "drop" || links.isCut(call)) return;
   if (answer === null) return void req.destroy();
   if (effect?.kind !== "wrong") return sendResponse(res, answer);
   if (effect.form === "error-after") return sendResponse(res, { status: 500, text: '{"error":"internal"}', retryAfter: undefined });
--- a/packages/emulator/src/real/peer-proxy.ts
+++ b/packages/emulator/src/real/peer-proxy.ts
@@ -1,12 +1,12 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
-import type { Links } from "../links.js";
+import type { NetworkRules } from "../network-rules.js";
 
 /**
  * Starts a TCP proxy for the peer connections that controller `from` opens to controller `to`. Chunks held by a cut are delivered
  * when the cut ends.
  */
 export async function startPeerProxy(
-  links: Links,
+  links: NetworkRules,
   from: string,
   to: string,
   target: () => string,
@@ -19,9 +19,9 @@
     const upstream = connect(Number(addr.slice(colon + 1)), addr.slice(0, colon));
     const forward = (into: Socket) => (chunk: Buffer) => {
       // Losing part of a stream breaks the connection. Only the direction from the client to the target is subject to loss rules.
-      if (into === upstream && links.loses(call)) return void socket.destroy();
+      if (into === upstream && links.isLost(call)) return void socket.destroy();
       const write = (): void => void (into.destroyed || into.write(chunk));
-      if (!links.hold(call, write)) write();
+      if (!links.holdIfCut(call, write)) write();
     };
     for (const [one, other] of [
       [socket, upstream],
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -1,6 +1,6 @@
-import { Conductor, type MetMoment, type MomentOf } from "../conductor.js";
-import type { Happening } from "../checker.js";
-import type { Timing } from "../place.js";
+import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
+import type { HistoryEvent } from "../checker.js";
+import type { Timing } from "../environment.js";
 import type { RehearsalPlan } from "../plan.js";
 import type { Report } from "../report.js";
 import { TestEnvironment } from "./test-environment.js";
@@ -12,7 +12,7 @@
   plan: RehearsalPlan;
   timing: Timing;
   seed: number;
-  momentOf: MomentOf;
+  momentOf: InjectionPointOf;
   /** Receives a progress message at the start, once a second, and at each fault. */
   progress?: (text: string) => void;
   /** How long to wait for unfinished jobs after the plan's own duration, in ms. */
@@ -21,51 +21,51 @@
   /** Receives each log line of the store and the controllers. */
   onLogLine?: (node: string, entry: Record<string, unknown>) => void;
   /** Receives, at the end, all events that workers and users observed. */
-  onHistory?: (history: readonly Happening[]) => void;
+  onHistory?: (history: readonly HistoryEvent[]) => void;
 }
 
 /**
  * Runs a plan on real processes and returns its report. All processes and temporary folders are removed, also after an error or an abort.
  * Rejects if the environment cannot be started.
  */
-export async function playReal(options: PlayOptions): Promise<Report & { moments: MetMoment[] }> {
+export async function playReal(options: PlayOptions): Promise<Report & { moments: InjectedAtPoint[] }> {
   const { plan, seed, progress } = options;
   const errors: string[] = [];
   const environment: TestEnvironment = new TestEnvironment({
     ...options,
     onLog: (node, entry) => {
       options.onLogLine?.(node, entry);
-      driver.hear({ at: environment.clock.now(), node, what: String(entry["msg"] ?? ""), detail: entry });
+      driver.observe({ at: environment.clock.now(), node, what: String(entry["msg"] ?? ""), detail: entry });
       if (entry["level"] === "error" || entry["level"] === 50) errors.push(`${node}: ${JSON.stringify(entry).slice(0, 300)}`);
     },
-    onCall: (node, what, detail) => driver.hear({ at: environment.clock.now(), node, what, detail }),
-    onEvent: (event) => driver.happened(event),
+    onCall: (node, what, detail) => driver.observe({ at: environment.clock.now(), node, what, detail }),
+    onEvent: (event) => driver.recordEvent(event),
   });
-  const driver: Conductor = new Conductor({
+  const driver: ScenarioDriver = new ScenarioDriver({
     plan,
     seed,
-    stage: environment,
+    environment,
     users: environment.userPort,
-    crowd: environment.crowd,
+    simulatedUsers: environment.crowd,
     clock: environment.clock,
-    momentOf: options.momentOf,
+    injectionPointOf: options.momentOf,
     pollMs: () => environment.pollMs(),
     history: () => environment.history,
-    ...(progress === undefined ? {} : { say: progress }),
+    ...(progress === undefined ? {} : { log: progress }),
   });
   const stop = (): void => environment.close();
   options.stop?.addEventListener("abort", stop);
   try {
     progress?.("starting store, cloud and controllers");
     await environment.start();
-    driver.begin();
+    driver.start();
     const began = environment.clock.now();
     const limitMs = plan.seconds * 1000 + options.settleMs;
-    while (!driver.allOver && environment.clock.now() - began < limitMs && options.stop?.aborted !== true) {
+    while (!driver.allFinished && environment.clock.now() - began < limitMs && options.stop?.aborted !== true) {
       await new Promise((resolve) => setTimeout(resolve, 1000));
       const seconds = Math.round((environment.clock.now() - began) / 1000);
-      const finished = `${driver.countOver} of ${driver.planned.length} jobs over`;
-      progress?.(`${seconds} s: ${finished}, ${environment.cloud.rented} machines, ${driver.takeovers} takeovers`);
+      const finished = `${driver.finishedCount} of ${driver.submissions.length} jobs over`;
+      progress?.(`${seconds} s: ${finished}, ${environment.cloud.rentedCount} machines, ${driver.takeovers} takeovers`);
     }
     driver.stop();
     options.onHistory?.(environment.history);
--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -1,7 +1,7 @@
 import { encodeListed, encodeType, type MachineOffering } from "@thorntrail/protocol/cloud";
 import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { CloudModel } from "../cloud-model.js";
-import type { WrongForm } from "../links.js";
+import type { WrongResponseForm } from "../network-rules.js";
 import type { ProxiedRequest } from "./fault-proxy.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "./http.js";
 
@@ -65,7 +65,7 @@
         return jsonResponse(400, { error: "expected hire, build, yard, loaner and a whole count" });
       if (Number(count) < 1 || Number(count) > MAX_RENTED) return jsonResponse(400, { error: `count: expected 1 to ${MAX_RENTED}` });
       const offer: MachineOffering = { type: build, zone: yard, spot: loaner === true };
-      const hosts = this.model.hire(hire, offer, Number(count));
+      const hosts = this.model.rent(hire, offer, Number(count));
       return hosts === null ? jsonResponse(503, { error: "no capacity" }) : jsonResponse(200, { hosts });
     }
     if (route === "POST /hosts/delete") {
@@ -78,15 +78,15 @@
     return jsonResponse(404, { error: "no such path" });
   }
 
-  private list(query: URLSearchParams, form?: WrongForm): RawResponse | undefined {
+  private list(query: URLSearchParams, form?: WrongResponseForm): RawResponse | undefined {
     const limit = Math.min(MAX_LISTED, Number(query.get("limit") ?? MAX_LISTED));
     const from = query.get("from") ?? undefined;
-    const listed = form === undefined ? this.model.list(from, limit) : this.model.wrongList(form, from, limit);
+    const listed = form === undefined ? this.model.list(from, limit) : this.model.invalidList(form, from, limit);
     return listed === undefined ? undefined : jsonResponse(200, { hosts: listed.machines.map(encodeListed), truncated: listed.more });
   }
 
   /** Builds an incorrect answer of the given form; undefined if there is none for this request. */
-  wrongAnswer(request: ProxiedRequest, form: WrongForm): RawResponse | undefined {
+  wrongAnswer(request: ProxiedRequest, form: WrongResponseForm): RawResponse | undefined {
     const operation = this.operationOf(request);
     if (operation === "list") return this.list(parsePath(request).query, form);
     if (form === "other") return jsonResponse(200, { hosts: [] });
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -3,17 +3,17 @@
 import { join } from "node:path";
 import { performance } from "node:perf_hooks";
 import { stringify } from "smol-toml";
-import { brokenRules, type Happening, type Limits } from "../checker.js";
+import { findViolations, type HistoryEvent, type CheckLimits } from "../checker.js";
 import { CloudModel } from "../cloud-model.js";
-import type { UserPort } from "../conductor.js";
-import { HabitualUsers } from "../crowd.js";
-import type { CapacityChange, Stage } from "../faults.js";
-import { Links } from "../links.js";
-import { seeded } from "../luck.js";
-import { platformOf, type Timing } from "../place.js";
-import type { Planned, RehearsalPlan } from "../plan.js";
+import type { UserClient } from "../scenario-driver.js";
+import { SimulatedUsers } from "../simulated-users.js";
+import type { CapacityOverride, FaultEnvironment } from "../faults.js";
+import { NetworkRules } from "../network-rules.js";
+import { seededRandom } from "../random.js";
+import { buildPlatform, type Timing } from "../environment.js";
+import type { PlannedSubmission, RehearsalPlan } from "../plan.js";
 import { isTakeover, isTakeoverAfterLoss } from "../recovery.js";
-import { startTwice } from "../worker-model.js";
+import { startDuplicate } from "../worker-model.js";
 import { Balancer } from "./balancer.js";
 import { startFaultProxy } from "./fault-proxy.js";
 import { sendRequest, parseObject } from "./http.js";
@@ -40,25 +40,25 @@
   /** Receives the transactions (`txn`) and rentals (`hire`) that controllers send to the services. */
   onCall?: (node: string, what: string, detail: Record<string, unknown>) => void;
   /** Receives each event that workers and users observe. */
-  onEvent?: (event: Happening) => void;
+  onEvent?: (event: HistoryEvent) => void;
 }
 
 /** Runs a whole cluster on this machine: the store and the controllers as child processes; cloud, workers and users in this process. */
-export class TestEnvironment implements Stage {
-  readonly history: Happening[] = [];
-  readonly links = new Links(() => this.random());
+export class TestEnvironment implements FaultEnvironment {
+  readonly history: HistoryEvent[] = [];
+  readonly links = new NetworkRules(() => this.random());
   readonly dir = mkdtempSync(join(tmpdir(), "thorntrail-"));
   readonly cloud: CloudModel;
   /** Processes that exited on their own or could not be restarted, with the reason. */
   readonly unexpectedExits: string[] = [];
   /** Simulated users whose behaviour is set by faults; they call the controllers directly, not through the load balancer. */
-  readonly crowd: HabitualUsers;
+  readonly crowd: SimulatedUsers;
   takeovers = 0;
   /** Controllers that were killed and are not restarted yet. */
   private readonly down = new Set<string>();
   private readonly random: () => number;
   /** Submitted jobs with their true run times, by ref. */
-  private readonly specs = new Map<string, Planned>();
+  private readonly specs = new Map<string, PlannedSubmission>();
   private readonly processes: Processes;
   private readonly portAllocator = new PortAllocator();
   private readonly fronts = new Map<string, string>();
@@ -81,16 +81,16 @@
   private closing = false;
 
   constructor(private readonly options: TestEnvironmentOptions) {
-    this.random = seeded(options.seed);
-    const { types, capacity } = platformOf(options.plan, options.timing);
+    this.random = seededRandom(options.seed);
+    const { types, capacity } = buildPlatform(options.plan, options.timing);
     this.cloud = new CloudModel(this.clock, {
       types,
       capacity,
       lagMs: options.timing.listLagMs,
-      ...(options.plan.boots === undefined ? {} : { luck: this.random, boots: options.plan.boots }),
+      ...(options.plan.boots === undefined ? {} : { random: this.random, boots: options.plan.boots }),
     });
     const frontOf = (node: string): string => this.fronts.get(node) ?? this.balancerAddr;
-    this.crowd = new HabitualUsers(
+    this.crowd = new SimulatedUsers(
       {
         controllers: () => this.controllers(),
         submit: (wire, spec, node, never) => this.users.submitRaw(wire, spec, frontOf(node), never),
@@ -123,9 +123,9 @@
     },
   };
 
-  private recordEvent(event: Happening): void {
+  private recordEvent(event: HistoryEvent): void {
     this.history.push(event);
-    this.crowd.hear(event);
+    this.crowd.observe(event);
     this.options.onEvent?.(event);
   }
 
@@ -167,25 +167,25 @@
       leaseMs: timing.leaseMs,
       gangPeerMs: timing.gangPeerMs,
       gangWaitMs: timing.gangWaitMs,
-      luck: this.random,
+      random: this.random,
       nodes: names,
       spec: (ref) => this.specs.get(ref)?.spec,
       runMs: (ref) => this.specs.get(ref)?.runMs ?? 10_000,
       fetchMs: (ref) => (this.specs.get(ref)?.spec.imageGb ?? 1) * 1000,
-      slowness: (host) => this.slowness.get(host) ?? 1,
-      sick: (host) => this.failingHosts.has(host),
-      saved: new Map(),
-      on: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      off: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      slowdown: (host) => this.slowness.get(host) ?? 1,
+      failsTasks: (host) => this.failingHosts.has(host),
+      savedProgress: new Map(),
+      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
     });
     this.cloud.addrOf = (host) => this.addrs.get(host) ?? "127.0.0.1:1";
-    this.cloud.onGone = (host) => this.hosts.removeMachine(host);
+    this.cloud.onRemoved = (host) => this.hosts.removeMachine(host);
     this.cloud.onBoot = (host, offer) => {
       const type = this.cloud.types().find((one) => one.name === offer.type)!;
       void this.hosts.boot(host, offer, type).then((addr) => {
         this.addrs.set(host, addr);
         // The machine may have been removed while its listener was being opened.
-        if (this.cloud.machines.get(host)?.goneAt !== null) this.hosts.removeMachine(host);
+        if (this.cloud.machines.get(host)?.removedAt !== null) this.hosts.removeMachine(host);
       });
     };
     for (const name of names) await this.startProxies(name, names, ports);
@@ -265,7 +265,7 @@
       peer_listen: `127.0.0.1:${peer}`,
       known,
       endpoints: { cloud: cloud.addr, state: state.addr },
-      deployment: platformOf(this.options.plan, this.options.timing).deployment,
+      deployment: buildPlatform(this.options.plan, this.options.timing).deployment,
     };
     writeFileSync(join(this.dir, `${name}.toml`), stringify(settings));
   }
@@ -280,13 +280,13 @@
   }
 
   /** Submits a job and polls it until it is done or withdrawn. */
-  submit(planned: Planned): Promise<void> {
+  submit(planned: PlannedSubmission): Promise<void> {
     this.specs.set(planned.spec.ref, planned);
     return this.users.follow(planned);
   }
 
   /** The users' operations, as the driver of a rehearsal calls them. */
-  get userPort(): UserPort {
+  get userPort(): UserClient {
     return {
       submit: (one) => {
         this.specs.set(one.spec.ref, one);
@@ -315,7 +315,7 @@
       balancer: this.balancerAddr,
       controllers: Object.fromEntries(this.fronts),
       healthy: this.balancer.healthy,
-      machines: this.cloud.rented,
+      machines: this.cloud.rentedCount,
       jobs: this.jobs.size,
       over: finished,
       takeovers: this.takeovers,
@@ -332,11 +332,11 @@
 
   /** Describes each rule that the events so far break. */
   broken(): string[] {
-    const teams: Limits["teams"] = new Map(this.options.plan.team.map((t) => [t.name, { cpus: t.most_cpus, gpus: t.most_gpus }]));
-    return brokenRules(this.history, { cancelMs: this.options.timing.cancelMs, teams });
+    const teams: CheckLimits["teams"] = new Map(this.options.plan.team.map((t) => [t.name, { cpus: t.most_cpus, gpus: t.most_gpus }]));
+    return findViolations(this.history, { cancelMs: this.options.timing.cancelMs, teams });
   }
 
-  // ---- Operations that faults call (`Stage`)
+  // ---- Operations that faults call (`FaultEnvironment`)
 
   after(ms: number, fn: () => void): void {
     this.clock.after(ms, fn);
@@ -410,7 +410,7 @@
     else this.stateForwarder.down = on;
   }
 
-  rule(rule: Parameters<Links["add"]>[0]): () => void {
+  rule(rule: Parameters<NetworkRules["add"]>[0]): () => void {
     return this.links.add(rule);
   }
 
@@ -423,7 +423,7 @@
   }
 
   warn(machine: string, seconds: number): void {
-    this.hosts.workers.get(machine)?.warn(seconds);
+    this.hosts.workers.get(machine)?.announceRemoval(seconds);
   }
 
   fail(machine: string): void {
@@ -437,7 +437,7 @@
 
   slow(machine: string, factor: number): void {
     this.slowness.set(machine, factor);
-    this.hosts.workers.get(machine)?.look();
+    this.hosts.workers.get(machine)?.update();
   }
 
   sicken(machine: string): void {
@@ -445,11 +445,11 @@
   }
 
   startTwice(): string | null {
-    return startTwice(this.hosts.workers.values());
+    return startDuplicate(this.hosts.workers.values());
   }
 
-  capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityChange {
-    return this.cloud.limit(type, zone, ordinary, spot);
+  capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityOverride {
+    return this.cloud.setCapacity(type, zone, ordinary, spot);
   }
 
   prices(factor: number): void {
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -1,6 +1,6 @@
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
-import { toldBy, type Happening } from "../checker.js";
-import type { Planned } from "../plan.js";
+import { statusFromResponse, type HistoryEvent } from "../checker.js";
+import type { PlannedSubmission } from "../plan.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "./http.js";
 
 /** How long a user waits for an answer, before it repeats the request. */
@@ -11,7 +11,7 @@
 
 /** A submitted job as its user sees it. */
 export interface TrackedJob {
-  planned: Planned;
+  planned: PlannedSubmission;
   acceptedMs: number | null;
   terminalState: "done" | "withdrawn" | null;
 }
@@ -25,7 +25,7 @@
   constructor(
     private readonly addr: string,
     private readonly now: () => number,
-    private readonly recordEvent: (event: Happening) => void,
+    private readonly recordEvent: (event: HistoryEvent) => void,
     private readonly random: () => number,
   ) {}
 
@@ -36,7 +36,7 @@
   /** Records the job state that an answer contains; `sentAt` is the time at which the request was sent. */
   private recordAnswer(ref: string, sentAt: number, answer: RawResponse | null): void {
     if (answer === null) return;
-    const what = toldBy(answer.status, parseObject(answer.text));
+    const what = statusFromResponse(answer.status, parseObject(answer.text));
     if (what !== null) this.recordEvent({ at: this.now(), kind: "told", ref, asked: sentAt, what });
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Submits one job; false if it was refused or never answered. */
-  async submit(planned: Planned): Promise<boolean> {
+  async submit(planned: PlannedSubmission): Promise<boolean> {
     const { spec } = planned;
     const job: TrackedJob = { planned, acceptedMs: null, terminalState: null };
     this.jobs.set(spec.ref, job);
@@ -83,7 +83,7 @@
   }
 
   /** Submits one job and polls it until it is done or withdrawn. */
-  async follow(planned: Planned): Promise<void> {
+  async follow(planned: PlannedSubmission): Promise<void> {
     const { spec, cancelMs } = planned;
     if (!(await this.submit(planned))) return;
     if (cancelMs !== null) setTimeout(() => void this.cancel(spec.ref), cancelMs);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -1,8 +1,8 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { decodeOrders, encodeReport, type Report, type ReportAnswer } from "@thorntrail/protocol/worker";
-import type { Links } from "../links.js";
-import { Worker, type WorkerWorld } from "../worker-model.js";
+import type { NetworkRules } from "../network-rules.js";
+import { Worker, type WorkerDependencies } from "../worker-model.js";
 import { createAgent, sendRequest, parseObject, readBody, sendResponse, type RawResponse } from "./http.js";
 
 const RESPONSE_TIMEOUT_MS = 4000;
@@ -26,7 +26,7 @@
   return /\(([^()]+)\)/.exec(req.headers["user-agent"] ?? "")?.[1] ?? "controllers";
 }
 
-type GangMember = ReturnType<WorkerWorld["mates"]>[number];
+type GangMember = ReturnType<WorkerDependencies["mates"]>[number];
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
@@ -50,9 +50,9 @@
   private readonly gangs = new Map<string, GangMember[]>();
 
   constructor(
-    private readonly links: Links,
+    private readonly links: NetworkRules,
     private readonly fronts: ReadonlyMap<string, string>,
-    private readonly world: Omit<WorkerWorld, "report" | "mates">,
+    private readonly world: Omit<WorkerDependencies, "report" | "mates">,
   ) {}
 
   /** Starts a machine with its worker and its listener; resolves with the listening address. */
@@ -73,9 +73,9 @@
       ...this.world,
       report: (node, from, report) => this.sendReport(node, from, report),
       mates: (ref, attempt) => this.registeredMembers(ref, attempt),
-      on: (startedOn, taskId) => {
+      onTaskStarted: (startedOn, taskId) => {
         this.joinGang(startedOn, taskId);
-        this.world.on(startedOn, taskId);
+        this.world.onTaskStarted(startedOn, taskId);
       },
     });
     worker.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -125,20 +125,20 @@
     const front = this.fronts.get(node);
     const call = { from: host, to: node, what: "report" };
     const body = JSON.stringify(encodeReport(report));
-    if (this.links.keeps(call)) this.keepCopy(body);
+    if (this.links.shouldStoreCopy(call)) this.keepCopy(body);
     const post = (): Promise<RawResponse | null> =>
       front === undefined ? Promise.resolve(null) : sendRequest(this.agent, front, "POST", "/v1/report", body, RESPONSE_TIMEOUT_MS);
-    if (this.links.hold(call, () => void post()))
+    if (this.links.holdIfCut(call, () => void post()))
       return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
     const delayMs = this.links.delayMs(call);
     if (delayMs > 0) await new Promise<void>((resolve) => this.world.clock.after(delayMs, resolve));
     // The report is lost: the worker waits for its timeout.
-    if (this.links.loses(call)) return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
-    const againMs = this.links.againMs(call, this.world.luck);
+    if (this.links.isLost(call)) return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
+    const againMs = this.links.copyDelayMs(call, this.world.random);
     if (againMs !== null) this.world.clock.after(againMs, () => void post());
     const answer = decodeAnswer(await post());
     if (answer === null) this.stats.unanswered++;
-    return this.links.blocked(call) || this.links.loses({ from: node, to: host, what: "answer" }) ? null : answer;
+    return this.links.isCut(call) || this.links.isLost({ from: node, to: host, what: "answer" }) ? null : answer;
   }
 
   /** Keeps a copy of a report for the next takeover of a partition. */
@@ -174,22 +174,22 @@
       const { executed, report } = worker.command(token, session, orders);
       return { status: executed ? 200 : 409, text: JSON.stringify(encodeReport(report)), retryAfter: undefined };
     };
-    if (this.links.hold(call, () => void (worker.dead || run())) || this.links.loses(call)) return;
+    if (this.links.holdIfCut(call, () => void (worker.removed || run())) || this.links.isLost(call)) return;
     const delayMs = this.links.delayMs(call);
     if (delayMs > 0) await new Promise<void>((resolve) => this.world.clock.after(delayMs, resolve));
-    if (worker.dead || worker.hanging) return;
-    const effect = this.links.judge(call);
+    if (worker.removed || worker.hanging) return;
+    const effect = this.links.takeEffect(call);
     // The command is delayed and executed after the caller has stopped waiting for the answer.
-    if (effect?.kind === "late") return void this.world.clock.after(effect.ms, () => void (worker.dead || worker.hanging || run()));
+    if (effect?.kind === "late") return void this.world.clock.after(effect.ms, () => void (worker.removed || worker.hanging || run()));
     const answer = run();
     // The command is executed, but its answer may be lost.
     const response = { from: host, to: call.from, what: "answer" };
-    if (!this.links.blocked(response) && !this.links.loses(response)) sendResponse(res, answer);
+    if (!this.links.isCut(response) && !this.links.isLost(response)) sendResponse(res, answer);
   }
 
   /** Removes a machine: stops its worker and closes its listener. */
   removeMachine(host: string): void {
-    this.workers.get(host)?.die();
+    this.workers.get(host)?.remove();
     this.workers.delete(host);
     this.reportedAt.delete(host);
     const server = this.servers.get(host);
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -1,7 +1,7 @@
 import { build } from "hdr-histogram-js";
-import type { Happening } from "./checker.js";
+import type { HistoryEvent } from "./checker.js";
 import type { Fault } from "./faults.js";
-import type { Planned } from "./plan.js";
+import type { PlannedSubmission } from "./plan.js";
 import type { Recovery } from "./recovery.js";
 
 /** A fault that was carried out: its time in seconds, the targets it affected (`met`), and the fault as planned. */
@@ -90,7 +90,7 @@
 }
 
 /** Computes the figures of each class from the events. Durations count from the first attempt to submit the job. */
-export function classStatistics(history: readonly Happening[], planned: ReadonlyMap<string, Planned>): ClassStatistics[] {
+export function classStatistics(history: readonly HistoryEvent[], planned: ReadonlyMap<string, PlannedSubmission>): ClassStatistics[] {
   const submitted = new Map<string, number>();
   const firstStart = new Map<string, number>();
   const done = new Map<string, number>();
--- a/packages/emulator/src/conductor.ts
+++ b/packages/emulator/src/scenario-driver.ts
@@ -1,7 +1,7 @@
-import { countStartsAfterWithdrawal, type Happening } from "./checker.js";
-import { carryOut, durationMs, type SimulatedUserControl, type Fault, type Stage } from "./faults.js";
-import { seeded } from "./luck.js";
-import { plannedSubmissions, type Moment, type Planned, type TimedFault, type RehearsalPlan } from "./plan.js";
+import { countStartsAfterWithdrawal, type HistoryEvent } from "./checker.js";
+import { injectFault, durationMs, type SimulatedUserControl, type Fault, type FaultEnvironment } from "./faults.js";
+import { seededRandom } from "./random.js";
+import { plannedSubmissions, type InjectionPoint, type PlannedSubmission, type TimedFault, type RehearsalPlan } from "./plan.js";
 import { RecoveryTracker, isTakeoverAfterLoss } from "./recovery.js";
 import { classStatistics, type Report } from "./report.js";
 
@@ -14,19 +14,19 @@
 }
 
 /** Returns the injection point that the observation marks, or null if it marks none. */
-export type MomentOf = (seen: Observation) => Moment | null;
+export type InjectionPointOf = (seen: Observation) => InjectionPoint | null;
 
 /** A fault injected at an injection point, and the names of what it affected. */
-export interface MetMoment {
-  moment: Moment;
+export interface InjectedAtPoint {
+  moment: InjectionPoint;
   kind: Fault["kind"];
   met: string[];
 }
 
 /** The users of a run. The implementation records the responses in the history. */
-export interface UserPort {
+export interface UserClient {
   /** Retries until there is a response; false if the job was refused or the user gave up. */
-  submit(one: Planned): Promise<boolean>;
+  submit(one: PlannedSubmission): Promise<boolean>;
   /** Returns the status of the job, or any other text if the response held none. */
   poll(ref: string): Promise<string>;
   cancel(ref: string): Promise<void>;
@@ -36,17 +36,17 @@
 export interface ScenarioDriverOptions {
   plan: RehearsalPlan;
   seed: number;
-  stage: Stage;
-  users: UserPort;
+  environment: FaultEnvironment;
+  users: UserClient;
   /** Simulated users, for the faults that users cause. */
-  crowd: SimulatedUserControl;
+  simulatedUsers: SimulatedUserControl;
   /** Time in ms. */
   clock: { now(): number; after(ms: number, fn: () => void): unknown };
-  momentOf: MomentOf;
+  injectionPointOf: InjectionPointOf;
   pollMs: () => number;
   /** Returns the events recorded so far. */
-  history: () => readonly Happening[];
-  say?: (text: string) => void;
+  history: () => readonly HistoryEvent[];
+  log?: (text: string) => void;
 }
 
 const DEPENDENCY_CHECK_MS = 250;
@@ -60,15 +60,15 @@
  * delays jobs until those they depend on are accepted, injects faults at their time or injection point, and collects
  * the figures of the report.
  */
-export class Conductor {
-  readonly planned: Planned[];
+export class ScenarioDriver {
+  readonly submissions: PlannedSubmission[];
   readonly recoveries = new RecoveryTracker();
   readonly faults: Report["faults"] = [];
-  readonly faultsAtPoints: MetMoment[] = [];
+  readonly faultsAtPoints: InjectedAtPoint[] = [];
   takeovers = 0;
   private lastFaultEndMs = 0;
   private readonly jobStatuses = new Map<string, "accepted" | "done" | "withdrawn">();
-  private readonly pendingFaults: Extract<TimedFault, { moment: Moment }>[];
+  private readonly pendingFaults: Extract<TimedFault, { moment: InjectionPoint }>[];
   private startedAt = 0;
   private started = false;
   private anyTaskStarted = false;
@@ -77,31 +77,31 @@
 
   constructor(private readonly options: ScenarioDriverOptions) {
     const { plan, seed } = options;
-    this.planned = plannedSubmissions(plan, seeded(seed));
-    this.pendingFaults = plan.fault.filter((one): one is Extract<TimedFault, { moment: Moment }> => "moment" in one);
+    this.submissions = plannedSubmissions(plan, seededRandom(seed));
+    this.pendingFaults = plan.fault.filter((one): one is Extract<TimedFault, { moment: InjectionPoint }> => "moment" in one);
   }
 
   private get elapsedMs(): number {
     return this.options.clock.now() - this.startedAt;
   }
 
-  begin(): void {
+  start(): void {
     const { clock, plan } = this.options;
     this.started = true;
     this.startedAt = clock.now();
     for (const one of plan.fault) if ("at" in one) clock.after(one.at * 1000, () => this.inject(one.fault, () => undefined));
-    for (const one of this.planned) clock.after(one.atMs, () => this.submitWhenReady(one));
+    for (const one of this.submissions) clock.after(one.atMs, () => this.submitWhenReady(one));
     clock.after(UNKNOWN_JOB_POLL_MS, () => void this.pollUnknownJob());
   }
 
   /** Submits the job once the jobs that it depends on are accepted. */
-  private submitWhenReady(one: Planned): void {
+  private submitWhenReady(one: PlannedSubmission): void {
     if (this.stopped) return;
     if ((one.spec.needs ?? []).every((need) => this.jobStatuses.has(need))) void this.submitAndPoll(one);
     else this.options.clock.after(DEPENDENCY_CHECK_MS, () => this.submitWhenReady(one));
   }
 
-  private async submitAndPoll(one: Planned): Promise<void> {
+  private async submitAndPoll(one: PlannedSubmission): Promise<void> {
     const { clock, users, pollMs } = this.options;
     const { ref } = one.spec;
     this.reachInjectionPoint("submission");
@@ -123,15 +123,15 @@
   }
 
   /** Receives log lines and service requests. */
-  hear(seen: Observation): void {
+  observe(seen: Observation): void {
     this.recoveries.processLogLine(seen);
     if (isTakeoverAfterLoss(seen.what, seen.detail)) this.takeovers++;
-    const injectionPoint = this.options.momentOf(seen);
+    const injectionPoint = this.options.injectionPointOf(seen);
     if (injectionPoint !== null) this.reachInjectionPoint(injectionPoint);
   }
 
   /** Receives the events of tasks on their machines. */
-  happened(event: Happening): void {
+  recordEvent(event: HistoryEvent): void {
     if (event.kind === "on" && !this.anyTaskStarted) {
       this.anyTaskStarted = true;
       this.reachInjectionPoint("first-placement");
@@ -139,7 +139,7 @@
     if (event.kind === "off" && event.cause === "done") this.reachInjectionPoint("done-before-clear");
   }
 
-  private reachInjectionPoint(injectionPoint: Moment): void {
+  private reachInjectionPoint(injectionPoint: InjectionPoint): void {
     if (!this.started || this.stopped) return;
     const i = this.pendingFaults.findIndex((one) => one.moment === injectionPoint && this.elapsedMs >= one.after * 1000);
     if (i < 0) return;
@@ -151,10 +151,10 @@
   }
 
   private inject(fault: Fault, then: (met: string[]) => void): void {
-    const { stage, clock, say } = this.options;
+    const { environment: stage, clock, log: say } = this.options;
     const apply = (): void => {
       if (this.stopped) return;
-      const met = carryOut(stage, fault, this.options.crowd);
+      const met = injectFault(stage, fault, this.options.simulatedUsers);
       this.lastFaultEndMs = Math.max(this.lastFaultEndMs, clock.now() + durationMs(fault));
       this.faults.push({ at: Math.round(this.elapsedMs) / 1000, kind: fault.kind, met, fault });
       if (fault.kind === "restart" || fault.kind === "freeze" || fault.kind === "cut")
@@ -177,12 +177,12 @@
     return state === "done" || state === "withdrawn";
   }
 
-  get allOver(): boolean {
-    return this.planned.every(({ spec }) => this.isFinished(spec.ref));
+  get allFinished(): boolean {
+    return this.submissions.every(({ spec }) => this.isFinished(spec.ref));
   }
 
-  get countOver(): number {
-    return this.planned.filter(({ spec }) => this.isFinished(spec.ref)).length;
+  get finishedCount(): number {
+    return this.submissions.filter(({ spec }) => this.isFinished(spec.ref)).length;
   }
 
   /** Stops polling and fault injection. */
@@ -190,7 +190,7 @@
     this.stopped = true;
   }
 
-  report(rest: Pick<Report, "mode" | "broken" | "trouble" | "cost" | "reports">): Report & { moments: MetMoment[] } {
+  report(rest: Pick<Report, "mode" | "broken" | "trouble" | "cost" | "reports">): Report & { moments: InjectedAtPoint[] } {
     const { plan, seed } = this.options;
     const states = [...this.jobStatuses.values()];
     return {
@@ -198,18 +198,18 @@
       seed,
       seconds: Math.round(this.elapsedMs) / 1000,
       jobs: {
-        submitted: this.planned.length,
+        submitted: this.submissions.length,
         accepted: states.length,
         done: states.filter((state) => state === "done").length,
         withdrawn: states.filter((state) => state === "withdrawn").length,
-        unfinished: this.planned.map(({ spec }) => spec.ref).filter((ref) => !this.isFinished(ref)),
+        unfinished: this.submissions.map(({ spec }) => spec.ref).filter((ref) => !this.isFinished(ref)),
       },
       faults: this.faults,
       moments: this.faultsAtPoints,
       takeovers: this.takeovers,
       recoveries: this.recoveries.all,
       started_cancelled: countStartsAfterWithdrawal(this.options.history()),
-      classes: classStatistics(this.options.history(), new Map(this.planned.map((one) => [one.spec.ref, one]))),
+      classes: classStatistics(this.options.history(), new Map(this.submissions.map((one) => [one.spec.ref, one]))),
       ...rest,
     };
   }
--- a/packages/emulator/src/crowd.ts
+++ b/packages/emulator/src/simulated-users.ts
@@ -1,5 +1,5 @@
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
-import type { Happening } from "./checker.js";
+import type { HistoryEvent } from "./checker.js";
 import type { SimulatedUserControl, UserBehaviour } from "./faults.js";
 
 /** How simulated users send requests to a controller of their choice. The returned promises never reject. */
@@ -34,12 +34,12 @@
 const SERVICE_REMAINING_MS = 1e9;
 
 /** Simulated users that cancel jobs as they end, poll all controllers at once, or submit jobs that cannot run. */
-export class HabitualUsers implements SimulatedUserControl {
+export class SimulatedUsers implements SimulatedUserControl {
   private readonly jobs = new Map<string, TrackedJob>();
   private readonly behaviours = new Map<UserBehaviour, { until: number; share: number }>();
   private faultyJobs = 0;
   /** How often each behaviour took effect. */
-  readonly met = { looks: 0, cancelledAtOnce: 0, cancelledAtEnd: 0, odd: 0, cancelledNow: 0 };
+  readonly effects = { looks: 0, cancelledAtOnce: 0, cancelledAtEnd: 0, odd: 0, cancelledNow: 0 };
 
   constructor(
     private readonly sender: RequestSender,
@@ -77,7 +77,7 @@
     const chosen = running.sort((a, b) => remainingMs(b) - remainingMs(a)).slice(0, count);
     const hosts = new Map<string, number>();
     for (const { spec, runningOn } of chosen) {
-      this.met.cancelledNow++;
+      this.effects.cancelledNow++;
       this.clock.after(this.random() * CANCEL_NOW_SPREAD_MS, () => void this.sender.cancel(spec.ref, this.randomController()));
       for (const { host } of runningOn.values()) hosts.set(host, (hosts.get(host) ?? 0) + 1);
     }
@@ -85,7 +85,7 @@
   }
 
   /** Receives submissions, responses and the events of tasks, in order. */
-  hear(event: Happening): void {
+  observe(event: HistoryEvent): void {
     if (event.kind === "submitted") {
       if (event.never === undefined && !this.jobs.has(event.spec.ref))
         this.jobs.set(event.spec.ref, { spec: event.spec, accepted: false, finished: false, doneTasks: new Set(), runningOn: new Map() });
@@ -99,7 +99,7 @@
     } else if (event.kind === "on" || event.kind === "off") this.recordTaskEvent(event);
   }
 
-  private recordTaskEvent(event: Extract<Happening, { kind: "on" | "off" }>): void {
+  private recordTaskEvent(event: Extract<HistoryEvent, { kind: "on" | "off" }>): void {
     const job = this.jobs.get(event.piece.slice(0, event.piece.lastIndexOf("/")));
     if (job === undefined) return;
     if (event.kind === "on") return void job.runningOn.set(event.piece, { host: event.host, at: event.at });
@@ -109,7 +109,7 @@
     if (job.doneTasks.size < job.spec.tasks) return;
     this.pollEverywhere(job, false);
     if (this.isActive("cancel-at-end")) {
-      this.met.cancelledAtEnd++;
+      this.effects.cancelledAtEnd++;
       void this.sender.cancel(job.spec.ref, this.randomController());
     }
   }
@@ -117,14 +117,14 @@
   /** Polls all controllers within milliseconds, repeats the submission, and cancels a share of the jobs that were just accepted. */
   private pollEverywhere({ spec }: TrackedJob, justAccepted: boolean): void {
     if (!this.isActive("close-looks")) return;
-    this.met.looks++;
+    this.effects.looks++;
     const { ref } = spec;
     for (const node of this.sender.controllers())
       for (const ms of POLL_DELAYS_MS) this.clock.after(ms + this.random(), () => void this.sender.poll(ref, node));
     for (const ms of POLL_DELAYS_MS.slice(1, 3))
       this.clock.after(ms + this.random(), () => void this.sender.submit(encodeJob(spec), spec, this.randomController()));
     if (!justAccepted || this.random() >= CANCEL_AT_ONCE_SHARE) return;
-    this.met.cancelledAtOnce++;
+    this.effects.cancelledAtOnce++;
     this.clock.after(this.random() * POLL_DELAYS_MS[2]!, () => void this.sender.cancel(ref, this.randomController()));
   }
 
@@ -148,7 +148,7 @@
         this.random() < 0.5
           ? [encodeJob({ ...spec, cpus: 1e6 }), "fits no machine"]
           : [Object.fromEntries(Object.entries(wire).filter(([name]) => name !== field)), `lacks ${field}`];
-      this.met.odd++;
+      this.effects.odd++;
       void this.sender.submit(faulty[0], spec, this.randomController(), faulty[1]);
     }
     this.clock.after(ODD_REQUEST_INTERVAL_MS, () => this.sendOddRequests(until));
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -1,8 +1,8 @@
 /** `thorntrail rehearse --soak`: runs a number of seeds in this process or divided between several, and prints their results. */
 import { writeFileSync } from "node:fs";
 import { selectTurn, abortOnSignal } from "./cli.js";
-import type { MomentOf } from "./conductor.js";
-import { USUAL } from "./place.js";
+import type { InjectionPointOf } from "./scenario-driver.js";
+import { DEFAULT_TIMING } from "./environment.js";
 import { loadPlan } from "./plan.js";
 import { formatSoakRun, runSoakSeed, runSoakInProcesses, type SoakRun } from "./soak.js";
 
@@ -21,7 +21,7 @@
   keepAll: boolean;
   processes: number;
   turn: string | undefined;
-  momentOf: MomentOf;
+  momentOf: InjectionPointOf;
 }
 
 /**
@@ -48,13 +48,14 @@
   } else {
     for (const seed of seeds) {
       if (stop.signal.aborted) break;
-      const run = await runSoakSeed({ program, plan, timing: USUAL, momentOf, artifactsDir: keep, keepAll, stop: stop.signal }, seed).catch(
-        (error: unknown) => {
-          // Interrupted before all processes of the seed were running.
-          if (stop.signal.aborted) return null;
-          throw error;
-        },
-      );
+      const run = await runSoakSeed(
+        { program, plan, timing: DEFAULT_TIMING, momentOf, artifactsDir: keep, keepAll, stop: stop.signal },
+        seed,
+      ).catch((error: unknown) => {
+        // Interrupted before all processes of the seed were running.
+        if (stop.signal.aborted) return null;
+        throw error;
+      });
       if (run === null) break;
       runs.push(run);
       print(formatSoakRun(run));
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -7,10 +7,10 @@
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import type { Happening } from "./checker.js";
-import type { MomentOf } from "./conductor.js";
-import { soakPlan } from "./drawn.js";
-import type { Timing } from "./place.js";
+import type { HistoryEvent } from "./checker.js";
+import type { InjectionPointOf } from "./scenario-driver.js";
+import { soakPlan } from "./random-plans.js";
+import type { Timing } from "./environment.js";
 import type { RehearsalPlan } from "./plan.js";
 import { hadSplitWhileRefused } from "./report.js";
 import { playReal } from "./real/play.js";
@@ -50,7 +50,7 @@
   program: readonly string[];
   plan: RehearsalPlan;
   timing: Timing;
-  momentOf: MomentOf;
+  momentOf: InjectionPointOf;
   /** Folder for the logs and the history of seeds that broke a rule or logged an error. */
   artifactsDir: string;
   /** Writes them for every seed. */
@@ -66,7 +66,7 @@
   const { program, timing, momentOf, stop } = options;
   const plan = soakPlan(options.plan, seed);
   const lines: string[] = [];
-  const history: Happening[] = [];
+  const history: HistoryEvent[] = [];
   const report = await playReal({
     program,
     plan,
@@ -101,7 +101,13 @@
   return run;
 }
 
-function writeArtifacts(folder: string, run: SoakRun, plan: RehearsalPlan, lines: readonly string[], history: readonly Happening[]): void {
+function writeArtifacts(
+  folder: string,
+  run: SoakRun,
+  plan: RehearsalPlan,
+  lines: readonly string[],
+  history: readonly HistoryEvent[],
+): void {
   const dir = join(folder, `seed-${run.seed}`);
   mkdirSync(dir, { recursive: true });
   writeFileSync(join(dir, "run.json"), `${JSON.stringify({ ...run, plan }, null, 2)}\n`);
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -1,15 +1,15 @@
 import { encodeJob } from "@thorntrail/protocol/jobs";
-import { brokenRules } from "../checker.js";
-import { Conductor, type MetMoment, type MomentOf } from "../conductor.js";
-import type { Stage } from "../faults.js";
-import { platformOf, USUAL } from "../place.js";
+import { findViolations } from "../checker.js";
+import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
+import type { FaultEnvironment } from "../faults.js";
+import { buildPlatform, DEFAULT_TIMING } from "../environment.js";
 import type { RehearsalPlan } from "../plan.js";
 import type { Report } from "../report.js";
-import { startTwice } from "../worker-model.js";
-import { World, type ControllerPort, type Spawned } from "./world.js";
+import { startDuplicate } from "../worker-model.js";
+import { VirtualWorld, type ControllerPort, type ControllerDependencies } from "./world.js";
 
 /** Returns the virtual world as an environment for fault injection. */
-export function virtualStage<C extends ControllerPort>(world: World<C>): Stage {
+export function virtualEnvironment<C extends ControllerPort>(world: VirtualWorld<C>): FaultEnvironment {
   const activeTaskCount = (host: string): number =>
     [...world.workers.get(host)!.tasks.values()].filter((task) => task.state !== "exited").length;
   return {
@@ -24,8 +24,8 @@
     machines: () => [...world.workers.keys()].sort((a, b) => activeTaskCount(b) - activeTaskCount(a) || (a < b ? -1 : 1)),
     reportingTo: (controller) => [...world.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host),
     restart: (name, downMs) => {
-      world.killNode(name);
-      world.clock.after(downMs, () => world.startNode(name));
+      world.killController(name);
+      world.clock.after(downMs, () => world.startController(name));
     },
     freeze: (name, ms) => world.freeze(name, ms),
     restartStore: (downMs) => world.state.restart(downMs),
@@ -34,18 +34,18 @@
       else world.state.outage = on;
     },
     rule: (asked) => world.links.add(asked),
-    limits: (limits) => world.state.limit(limits),
+    limits: (limits) => world.state.changeLimits(limits),
     lose: (host) => world.cloud.remove(host),
-    warn: (host, seconds) => world.workers.get(host)?.warn(seconds),
+    warn: (host, seconds) => world.workers.get(host)?.announceRemoval(seconds),
     fail: (host) => world.cloud.fail(host),
     hang: (host, on) => {
       const worker = world.workers.get(host);
       if (worker !== undefined) worker.hanging = on;
     },
     slow: (host, factor) => world.slowDown(host, factor),
-    sicken: (host) => void world.sickHosts.add(host),
-    startTwice: () => startTwice(world.workers.values()),
-    capacity: (type, zone, ordinary, spot) => world.cloud.limit(type, zone, ordinary, spot),
+    sicken: (host) => void world.failingHosts.add(host),
+    startTwice: () => startDuplicate(world.workers.values()),
+    capacity: (type, zone, ordinary, spot) => world.cloud.setCapacity(type, zone, ordinary, spot),
     prices: (factor) => {
       world.cloud.spotFactor = factor;
     },
@@ -53,20 +53,22 @@
 }
 
 /** What a run in virtual time needs. */
-export interface VirtualOptions<C extends ControllerPort> {
+export interface VirtualRunOptions<C extends ControllerPort> {
   plan: RehearsalPlan;
   seed: number;
-  spawn: (asked: Spawned) => C;
-  momentOf: MomentOf;
+  spawn: (asked: ControllerDependencies) => C;
+  momentOf: InjectionPointOf;
 }
 
 const POLL_MS = 5000;
 
 /** Runs a plan in virtual time, with the same models, rules and controllers as in real time. The same seed gives the same run. */
-export async function playVirtual<C extends ControllerPort>(options: VirtualOptions<C>): Promise<Report & { moments: MetMoment[] }> {
+export async function runVirtual<C extends ControllerPort>(
+  options: VirtualRunOptions<C>,
+): Promise<Report & { moments: InjectedAtPoint[] }> {
   const { plan, seed } = options;
-  const { types, capacity } = platformOf(plan, USUAL);
-  const world = new World<C>(
+  const { types, capacity } = buildPlatform(plan, DEFAULT_TIMING);
+  const world = new VirtualWorld<C>(
     {
       seed: seed + 1,
       teams: plan.team.map(({ name, cpus, most_cpus, gpus, most_gpus }) => ({
@@ -88,35 +90,35 @@
     },
     options.spawn,
   );
-  const driver = new Conductor({
+  const driver = new ScenarioDriver({
     plan,
     seed,
-    stage: virtualStage(world),
+    environment: virtualEnvironment(world),
     clock: world.clock,
-    momentOf: options.momentOf,
-    crowd: world.crowd,
+    injectionPointOf: options.momentOf,
+    simulatedUsers: world.simulatedUsers,
     pollMs: () => POLL_MS,
     history: () => world.history,
     users: {
       submit: async (one) => {
-        world.runs.set(one.spec.ref, one.runMs);
+        world.runTimesMs.set(one.spec.ref, one.runMs);
         return world.submit(encodeJob(one.spec), one.spec);
       },
       poll: (ref) => world.poll(ref),
       cancel: (ref) => world.cancel(ref),
     },
   });
-  world.seen$.subscribe((seen) => driver.hear(seen));
-  world.onEvent = (event) => driver.happened(event);
-  driver.begin();
-  for (const name of world.nodes.keys()) world.startNode(name);
+  world.observations$.subscribe((seen) => driver.observe(seen));
+  world.onEvent = (event) => driver.recordEvent(event);
+  driver.start();
+  for (const name of world.nodes.keys()) world.startController(name);
   const endMs = (plan.seconds + plan.settle) * 1000;
-  while (world.clock.now() < endMs && !(world.clock.now() > plan.seconds * 1000 && driver.allOver))
+  while (world.clock.now() < endMs && !(world.clock.now() > plan.seconds * 1000 && driver.allFinished))
     await world.clock.run(world.clock.now() + 1000);
   // Allows for the time limit of cancellations, and for delayed messages to arrive.
-  await world.clock.run(world.clock.now() + USUAL.cancelMs);
-  const broken = brokenRules(world.history, { ...world.limits(), faultsEndAt: driver.faultsEndAt() });
+  await world.clock.run(world.clock.now() + DEFAULT_TIMING.cancelMs);
+  const broken = findViolations(world.history, { ...world.limits(), faultsEndAt: driver.faultsEndAt() });
   driver.stop();
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
   return driver.report({ mode: "virtual", broken, trouble: [...world.errors, ...world.state.oversized], cost: world.cloud.cost });
 }
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -14,7 +14,7 @@
 import { Store, LimitExceededError, type StoreLimits } from "@thorntrail/store/store";
 import type { StoredEvent } from "@thorntrail/store/engine";
 import type { CloudModel, MonotonicClock } from "../cloud-model.js";
-import { Links, type WrongForm } from "../links.js";
+import { NetworkRules, type WrongResponseForm } from "../network-rules.js";
 
 /** Runs the function within a controller's process, unless the process has ended. */
 export type RunInProcess = (fn: () => void) => void;
@@ -22,7 +22,7 @@
 /** The connection of one controller to a service in virtual time. */
 export interface ServiceConnection {
   clock: MonotonicClock;
-  links: Links;
+  links: NetworkRules;
   node: string;
   runInProcess: RunInProcess;
   latencyMs: () => number;
@@ -38,7 +38,7 @@
   timeoutMs: number;
   run: () => T | Promise<T>;
   /** Returns the wrong response of the given form; undefined if there is none, in which case no readable response arrives. */
-  wrongResponse?: (answer: T, form: WrongForm) => T | undefined;
+  wrongResponse?: (answer: T, form: WrongResponseForm) => T | undefined;
 }
 
 /** Makes one call, subject to the network rules; real sockets are subject to the same rules. */
@@ -54,9 +54,9 @@
     const fail = (error: Error): void => runInProcess(() => reject(error));
     const failAfterTimeout = (why: string): void => void clock.after(request.timeoutMs, () => fail(new CallError("unanswered", why)));
     clock.after(latencyMs() + links.delayMs(call), () => {
-      if (links.hold(call, executeAndDiscard)) return failAfterTimeout("cut");
-      if (links.loses(call)) return failAfterTimeout("lost");
-      const effect = links.judge(call);
+      if (links.holdIfCut(call, executeAndDiscard)) return failAfterTimeout("cut");
+      if (links.isLost(call)) return failAfterTimeout("lost");
+      const effect = links.takeEffect(call);
       if (isDown() || effect?.kind === "refuse") return void clock.after(latencyMs(), () => fail(new CallError("refused", "503")));
       if (effect?.kind === "late") {
         clock.after(effect.ms, executeAndDiscard);
@@ -75,7 +75,7 @@
               );
           }
           clock.after(latencyMs(), () => {
-            if (links.blocked(call)) failAfterTimeout("cut");
+            if (links.isCut(call)) failAfterTimeout("cut");
             else runInProcess(() => resolve(response));
           });
         },
@@ -178,7 +178,7 @@
         "hire",
         () => {
           connection.onRequest?.("hire", name);
-          return model.hire(name, offer, count);
+          return model.rent(name, offer, count);
         },
         // As if it were the response to another request: this name rented no machines.
         (answer, form) => (form === "other" && answer !== null ? [] : undefined),
@@ -188,7 +188,7 @@
       call(
         "list",
         () => model.list(from, limit),
-        (_answer, form) => model.wrongList(form, from, limit),
+        (_answer, form) => model.invalidList(form, from, limit),
       ),
   };
 }
@@ -208,13 +208,13 @@
     private readonly clock: MonotonicClock,
     private readonly latencyMs: () => number,
     private limits: StoreLimits,
-    readonly links = new Links(),
+    readonly links = new NetworkRules(),
   ) {
     this.store = Store.createEmpty(this.engine, clock, limits);
   }
 
   /** Changes the limits without notice. */
-  limit(limits: Partial<StoreLimits>): void {
+  changeLimits(limits: Partial<StoreLimits>): void {
     this.limits = this.store.setLimits(limits);
   }
 
--- a/packages/emulator/src/virtual/users.ts
+++ b/packages/emulator/src/virtual/users.ts
@@ -1,6 +1,6 @@
 /** Users in virtual time, who retry unanswered requests as the protocol requires and record the responses. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { toldBy, type Happening } from "../checker.js";
+import { statusFromResponse, type HistoryEvent } from "../checker.js";
 import type { VirtualClock } from "./clock.js";
 
 /** Kinds of requests that users send. */
@@ -18,11 +18,11 @@
 /** What users depend on. */
 export interface UsersDependencies {
   readonly clock: VirtualClock;
-  readonly history: Happening[];
+  readonly history: HistoryEvent[];
   readonly specs: Map<string, JobSpec>;
   /** The controller of that name, or any that is up; null if there is none. */
   connect(name: string | undefined): SendRequest | null;
-  recordEvent(event: Happening): void;
+  recordEvent(event: HistoryEvent): void;
 }
 
 /** Timeouts of users' requests, in ms (PROTOCOL). */
@@ -44,7 +44,7 @@
 
   /** `asked`: when the request was sent. */
   private recordResponse(ref: string, asked: number, status: number, body: Record<string, unknown>): void {
-    const what = toldBy(status, body);
+    const what = statusFromResponse(status, body);
     if (what !== null) this.dependencies.recordEvent({ at: this.dependencies.clock.now(), kind: "told", ref, asked, what });
   }
 
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -6,14 +6,14 @@
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
 import type { StoreLimits } from "@thorntrail/store/store";
 import { Subject } from "rxjs";
-import { type Happening, type Limits } from "../checker.js";
-import { HabitualUsers } from "../crowd.js";
+import { type HistoryEvent, type CheckLimits } from "../checker.js";
+import { SimulatedUsers } from "../simulated-users.js";
 import { CloudModel, type CloudModelOptions } from "../cloud-model.js";
-import type { Observation } from "../conductor.js";
-import { Links } from "../links.js";
-import { seeded } from "../luck.js";
+import type { Observation } from "../scenario-driver.js";
+import { NetworkRules } from "../network-rules.js";
+import { seededRandom } from "../random.js";
 import { isTakeover } from "../recovery.js";
-import { Worker, type WorkerWorld } from "../worker-model.js";
+import { Worker, type WorkerDependencies } from "../worker-model.js";
 import { VirtualClock } from "./clock.js";
 import { NodeClock } from "./node-clock.js";
 import { connectCloud, VirtualState, type RunInProcess } from "./service-links.js";
@@ -22,7 +22,7 @@
 export type { Answer, RequestKind };
 
 /** Configuration of the virtual world. */
-export interface Plan {
+export interface WorldOptions {
   seed: number;
   teams: TeamSettings[];
   types: MachineType[];
@@ -33,7 +33,7 @@
   next: { rps?: number; write_rps?: number; value_kb?: number; txn_ops?: number };
   sockets?: number;
   /** Share by which the monotonic clocks of controllers and workers run slow. Drift in the same direction is the worst case for leases. */
-  drift?: number;
+  clockDrift?: number;
   objectives?: { kind: string; class?: string; within_s?: number; share?: number }[];
   /** Shares of machines that never boot, boot late or early; without it, all boot in their nominal time. */
   boots?: NonNullable<CloudModelOptions["boots"]>;
@@ -51,7 +51,7 @@
 type LogLine = (entry: unknown, text?: string) => void;
 
 /** The dependencies of a controller in virtual time. */
-export interface Spawned {
+export interface ControllerDependencies {
   /** The platform's settings, as parsed from its file. */
   platform: Record<string, unknown>;
   clock: NodeClock;
@@ -75,7 +75,7 @@
 }
 
 /** Returns a configuration with three controllers, the usual limits of the state service, and no teams or machines. */
-export function plainPlan(): Plan {
+export function defaultWorldOptions(): WorldOptions {
   return {
     seed: 1,
     teams: [],
@@ -103,26 +103,26 @@
 const STORED_REPORT_DELAY_MS = 500;
 
 /** The environment of the controllers in virtual time: state service, cloud, workers, users and network, with a seeded random source. */
-export class World<C extends ControllerPort> {
+export class VirtualWorld<C extends ControllerPort> {
   readonly clock = new VirtualClock();
-  readonly history: Happening[] = [];
+  readonly history: HistoryEvent[] = [];
   /** Called for each event of the history as it occurs, except unanswered polls and requests to cancel. */
-  onEvent: (event: Happening) => void = () => undefined;
-  readonly links = new Links(() => this.faultRandom());
+  onEvent: (event: HistoryEvent) => void = () => undefined;
+  readonly links = new NetworkRules(() => this.faultRandom());
   readonly state: VirtualState;
   readonly cloud: CloudModel;
   readonly nodes = new Map<string, ControllerNode<C>>();
   readonly workers = new Map<string, Worker>();
   readonly specs = new Map<string, JobSpec>();
-  readonly runs = new Map<string, number>();
-  readonly sickHosts = new Set<string>();
+  readonly runTimesMs = new Map<string, number>();
+  readonly failingHosts = new Set<string>();
   /** Jobs with a defect of their own, which fail on every machine. */
-  readonly mistaken = new Set<string>();
+  readonly defectiveJobs = new Set<string>();
   readonly errors: string[] = [];
   /** The messages that controllers logged, without their fields. */
-  readonly lines: string[] = [];
+  readonly logMessages: string[] = [];
   /** Observations that can mark an injection point. */
-  readonly seen$ = new Subject<Observation>();
+  readonly observations$ = new Subject<Observation>();
   private readonly savedProgress = new Map<string, number>();
   private readonly slowdowns = new Map<string, number>();
   private cloudDown = false;
@@ -134,26 +134,26 @@
   fetchMs = 1000;
   private readonly virtualUsers: VirtualUsers;
   /** Simulated users, in addition to those of the scenario or plan. */
-  readonly crowd: HabitualUsers;
+  readonly simulatedUsers: SimulatedUsers;
   /** Copies of reports to deliver to all controllers when a controller takes over a partition. */
   private storedReports: Report[] = [];
   /** Number of deliveries of such copies to controllers. */
-  keptDelivered = 0;
+  storedReportsDelivered = 0;
 
   constructor(
-    readonly plan: Plan,
-    private readonly spawn: (asked: Spawned) => C,
+    readonly options: WorldOptions,
+    private readonly spawn: (asked: ControllerDependencies) => C,
   ) {
-    this.random = seeded(plan.seed);
-    this.faultRandom = seeded(plan.seed ^ FAULT_SEED);
-    this.state = new VirtualState(this.clock, () => 2 + this.random() * 6, plan.state, this.links);
-    this.state.onRequest = (node, what, detail) => this.seen$.next({ at: this.clock.now(), node, what, detail: { apply: detail } });
-    const { types, capacity, boots } = plan;
+    this.random = seededRandom(options.seed);
+    this.faultRandom = seededRandom(options.seed ^ FAULT_SEED);
+    this.state = new VirtualState(this.clock, () => 2 + this.random() * 6, options.state, this.links);
+    this.state.onRequest = (node, what, detail) => this.observations$.next({ at: this.clock.now(), node, what, detail: { apply: detail } });
+    const { types, capacity, boots } = options;
     this.cloud = new CloudModel(this.clock, {
       types,
       capacity: new Map(capacity),
       lagMs: 3000,
-      ...(boots === undefined ? {} : { boots, luck: () => this.random() }),
+      ...(boots === undefined ? {} : { boots, random: () => this.random() }),
     });
     this.virtualUsers = new VirtualUsers({
       clock: this.clock,
@@ -162,35 +162,35 @@
       connect: (name) => this.connect(name),
       recordEvent: (event) => this.recordEvent(event),
     });
-    this.crowd = new HabitualUsers(
+    this.simulatedUsers = new SimulatedUsers(
       {
         controllers: () => [...this.nodes.keys()],
         submit: (wire, spec, node, never) => this.submit(wire, spec, node, never),
         poll: (ref, node) => this.poll(ref, node),
         cancel: (ref, node) => this.cancel(ref, node),
-        runMs: (ref) => this.runs.get(ref) ?? DEFAULT_RUN_MS,
+        runMs: (ref) => this.runTimesMs.get(ref) ?? DEFAULT_RUN_MS,
       },
       this.clock,
-      seeded(plan.seed ^ CROWD_SEED),
+      seededRandom(options.seed ^ CROWD_SEED),
     );
-    this.seen$.subscribe(({ what }) => {
+    this.observations$.subscribe(({ what }) => {
       if (isTakeover(what)) this.clock.after(STORED_REPORT_DELAY_MS * this.faultRandom(), () => this.deliverStoredReports());
     });
     this.cloud.onBoot = (host, offer) => this.bootMachine(host, offer);
-    this.cloud.onGone = (host) => {
+    this.cloud.onRemoved = (host) => {
       if (this.workers.has(host)) this.recordEvent({ at: this.clock.now(), kind: "gone", host });
-      this.workers.get(host)?.die();
+      this.workers.get(host)?.remove();
       this.workers.delete(host);
     };
-    for (let i = 0, name = "nest-0"; i < plan.controllers; name = `nest-${++i}`)
+    for (let i = 0, name = "nest-0"; i < options.controllers; name = `nest-${++i}`)
       this.nodes.set(name, { name, controller: null, clock: null, incoming$: new Subject() });
   }
 
-  limits(): Limits {
+  limits(): CheckLimits {
     return {
       cancelMs: 43_000,
       historyEndAt: this.clock.now(),
-      teams: new Map(this.plan.teams.map((t) => [t.name, { cpus: t.cpus_max, gpus: t.gpus_max }])),
+      teams: new Map(this.options.teams.map((t) => [t.name, { cpus: t.cpus_max, gpus: t.gpus_max }])),
     };
   }
 
@@ -206,32 +206,32 @@
         size: this.nodes.size,
         zones: ["a", "b"],
         clock_off_ms: 1000,
-        teams: this.plan.teams,
-        objectives: this.plan.objectives ?? [],
+        teams: this.options.teams,
+        objectives: this.options.objectives ?? [],
         workers: { report_s: 2.5, lease_s: 18, gang_wait_s: 35, gang_peer_s: 4, cancel_s: 43 },
         state: {
-          rps: this.plan.state.rps,
-          write_rps: this.plan.state.writeRps,
-          value_kb: this.plan.state.valueKb,
-          txn_ops: this.plan.state.txnOps,
-          next: this.plan.next,
+          rps: this.options.state.rps,
+          write_rps: this.options.state.writeRps,
+          value_kb: this.options.state.valueKb,
+          txn_ops: this.options.state.txnOps,
+          next: this.options.next,
         },
         cloud: { rps: 5, list_lag_s: 3 },
-        quota: { core_share: 0.3, mem_mb: 178, sockets: this.plan.sockets ?? 1500 },
+        quota: { core_share: 0.3, mem_mb: 178, sockets: this.options.sockets ?? 1500 },
       },
     };
   }
 
-  startNode(name: string): void {
+  startController(name: string): void {
     const node = this.nodes.get(name)!;
     if (node.controller !== null) return;
     const log = (entry: unknown, text?: string): void => {
       if (text === undefined) return;
-      this.lines.push(text);
-      this.seen$.next({ at: this.clock.now(), node: name, what: text, detail: entry as Record<string, unknown> });
+      this.logMessages.push(text);
+      this.observations$.next({ at: this.clock.now(), node: name, what: text, detail: entry as Record<string, unknown> });
       if (process.env["SCENARIO_LOG"] !== undefined) console.log((this.clock.now() / 1000).toFixed(2), name, text, JSON.stringify(entry));
     };
-    const clock = new NodeClock(this.clock, 1 - (this.plan.drift ?? 0));
+    const clock = new NodeClock(this.clock, 1 - (this.options.clockDrift ?? 0));
     node.clock = clock;
     // Events for a process that has ended are dropped.
     const runInProcess: RunInProcess = (fn) => {
@@ -266,7 +266,7 @@
           runInProcess,
           latencyMs: () => 50,
           isDown: () => this.cloudDown,
-          onRequest: (what, detail) => this.seen$.next({ at: this.clock.now(), node: name, what, detail: { hire: detail } }),
+          onRequest: (what, detail) => this.observations$.next({ at: this.clock.now(), node: name, what, detail: { hire: detail } }),
         },
         () => cloudRate.take(),
         2000,
@@ -297,7 +297,7 @@
     this.clock.after(ms, () => clock?.thaw());
   }
 
-  killNode(name: string): void {
+  killController(name: string): void {
     const node = this.nodes.get(name)!;
     node.controller?.close();
     node.controller = null;
@@ -312,16 +312,16 @@
   /** Sets the factor on the run time of tasks on the machine, from now on. */
   slowDown(host: string, factor: number): void {
     this.slowdowns.set(host, factor);
-    this.workers.get(host)?.look();
+    this.workers.get(host)?.update();
   }
 
   /** Delivers a message after its latency. Messages held by a cut arrive in order after it ends, even if the sender has given up. */
   private deliver(from: string, to: string, what: string, run: () => void, hold = true): void {
     const call = { from, to, what };
     this.clock.after(0.5 + this.random() * 2 + this.links.delayMs(call), () => {
-      if (!hold && (this.links.blocked(call) || this.links.isRefused(call))) return;
-      if (hold && this.links.hold(call, () => this.clock.after(1, run))) return;
-      if (this.links.loses(call)) return;
+      if (!hold && (this.links.isCut(call) || this.links.isRefused(call))) return;
+      if (hold && this.links.holdIfCut(call, () => this.clock.after(1, run))) return;
+      if (this.links.isLost(call)) return;
       run();
     });
   }
@@ -332,7 +332,7 @@
       const execute = (): void => {
         const worker = this.workers.get(host);
         if (worker === undefined || worker.hanging) return;
-        const effect = this.links.judge({ from: node, to: host, what: "command" });
+        const effect = this.links.takeEffect({ from: node, to: host, what: "command" });
         if (effect?.kind === "refuse") return;
         if (effect?.kind === "late") return void this.clock.after(effect.ms, () => this.executeLate(host, act));
         const reply = act(worker);
@@ -360,7 +360,7 @@
     for (const report of this.storedReports.splice(0))
       for (const { name } of this.nodes.values())
         this.runnerFor(name)(() => {
-          if (this.nodes.get(name)?.controller?.onReport(report) !== undefined) this.keptDelivered++;
+          if (this.nodes.get(name)?.controller?.onReport(report) !== undefined) this.storedReportsDelivered++;
         });
   }
 
@@ -373,27 +373,27 @@
     return (kind, body, then) => this.runnerFor(node.name)(() => void controller.answer(kind, body).then(then));
   }
 
-  private recordEvent(event: Happening): void {
+  private recordEvent(event: HistoryEvent): void {
     this.history.push(event);
-    this.crowd.hear(event);
+    this.simulatedUsers.observe(event);
     this.onEvent(event);
   }
 
   private bootMachine(host: string, offer: MachineOffering): void {
-    const type = this.plan.types.find((t) => t.name === offer.type)!;
-    const dependencies: WorkerWorld = {
+    const type = this.options.types.find((t) => t.name === offer.type)!;
+    const dependencies: WorkerDependencies = {
       clock: this.clock,
       reportMs: 2500,
-      leaseMs: 18_000 * (1 + (this.plan.drift ?? 0)),
+      leaseMs: 18_000 * (1 + (this.options.clockDrift ?? 0)),
       gangPeerMs: 4000,
       gangWaitMs: 35_000,
-      luck: () => this.random(),
+      random: () => this.random(),
       nodes: [...this.nodes.keys()],
       report: (node, from, report) =>
         new Promise<ReportAnswer | null>((resolve) => {
           const call = { from, to: node, what: "report" };
-          if (this.links.keeps(call)) this.storedReports.push(report);
-          const againMs = this.links.againMs(call, this.random);
+          if (this.links.shouldStoreCopy(call)) this.storedReports.push(report);
+          const againMs = this.links.copyDelayMs(call, this.random);
           // A copy goes to whichever incarnation of the controller then runs, and its response is discarded.
           if (againMs !== null)
             this.clock.after(againMs, () => this.runnerFor(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
@@ -407,13 +407,13 @@
           });
         }),
       spec: (ref) => this.specs.get(ref),
-      runMs: (ref) => this.runs.get(ref) ?? DEFAULT_RUN_MS,
+      runMs: (ref) => this.runTimesMs.get(ref) ?? DEFAULT_RUN_MS,
       fetchMs: () => this.fetchMs,
-      slowness: (name) => this.slowdowns.get(name) ?? 1,
-      sick: (name, ref) => this.sickHosts.has(name) || this.mistaken.has(ref),
-      saved: this.savedProgress,
-      on: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      off: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      slowdown: (name) => this.slowdowns.get(name) ?? 1,
+      failsTasks: (name, ref) => this.failingHosts.has(name) || this.defectiveJobs.has(ref),
+      savedProgress: this.savedProgress,
+      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
       mates: (ref, attempt) =>
         [...this.workers.values()].flatMap((worker) =>
           [...worker.tasks.values()].filter((t) => t.ref === ref && t.attempt === attempt).map((task) => ({ worker, task })),
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -4,13 +4,13 @@
 import type { MonotonicClock } from "./cloud-model.js";
 
 /** What a worker model depends on, for virtual time and real sockets alike. */
-export interface WorkerWorld {
+export interface WorkerDependencies {
   clock: MonotonicClock;
   reportMs: number;
   leaseMs: number;
   gangPeerMs: number;
   gangWaitMs: number;
-  luck: () => number;
+  random: () => number;
   nodes: readonly string[];
   /** Sends a report to a controller; null if no response arrived. */
   report: (node: string, host: string, report: Report) => Promise<ReportAnswer | null>;
@@ -19,12 +19,12 @@
   runMs: (ref: string) => number;
   fetchMs: (ref: string) => number;
   /** Factor on the run time of tasks on the machine. */
-  slowness: (host: string) => number;
-  sick: (host: string, ref: string) => boolean;
+  slowdown: (host: string) => number;
+  failsTasks: (host: string, ref: string) => boolean;
   /** Checkpointed progress in ms of run time, which survives the loss of machines; by task, or by job for gangs. */
-  saved: Map<string, number>;
-  on: (worker: Worker, piece: string) => void;
-  off: (worker: Worker, piece: string, cause: string) => void;
+  savedProgress: Map<string, number>;
+  onTaskStarted: (worker: Worker, piece: string) => void;
+  onTaskEnded: (worker: Worker, piece: string, cause: string) => void;
   /** All present members of an attempt of a gang, across all machines. */
   mates: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
@@ -34,7 +34,7 @@
   ref: string;
   /** When the current state began. */
   stateSince: number;
-  hadImage: boolean;
+  imageReady: boolean;
   /** Run time completed when the current state began, in ms. */
   progressAtStateStart: number;
   /** When the first `stop` for it arrived; null if none has. */
@@ -58,7 +58,7 @@
   session = 1;
   seq = 0;
   token = 0;
-  dead = false;
+  removed = false;
   private isHung = false;
   readonly tasks = new Map<string, WorkerTask>();
   /** Address on which it listens. */
@@ -76,11 +76,11 @@
     readonly host: string,
     readonly offer: MachineOffering,
     private readonly capacity: { cpus: number; gpus: number; ram: number },
-    private readonly dependencies: WorkerWorld,
+    private readonly dependencies: WorkerDependencies,
   ) {
     this.addr = host;
     this.leaseRenewedAt = dependencies.clock.now();
-    this.nodeIndex = Math.floor(dependencies.luck() * dependencies.nodes.length);
+    this.nodeIndex = Math.floor(dependencies.random() * dependencies.nodes.length);
     void this.reportLoop();
     this.scheduleUpdate();
   }
@@ -96,12 +96,12 @@
 
   set hanging(on: boolean) {
     this.isHung = on;
-    if (!on) this.look();
+    if (!on) this.update();
   }
 
   /** The machine disappears with everything on it. */
-  die(): void {
-    this.dead = true;
+  remove(): void {
+    this.removed = true;
     this.cancelUpdate();
     this.cancelReport();
     for (const task of this.tasks.values()) this.saveLastCheckpoint(task);
@@ -125,7 +125,7 @@
   }
 
   /** Announces that the cloud removes the machine in this many seconds. */
-  warn(seconds: number): void {
+  announceRemoval(seconds: number): void {
     this.removalNoticeS = seconds;
     this.markChanged();
   }
@@ -157,10 +157,10 @@
   }
 
   private async reportLoop(): Promise<void> {
-    const { clock, reportMs, luck } = this.dependencies;
-    while (!this.dead) {
-      await this.waitForNextReport(clock.now(), reportMs * (0.75 + luck() / 2));
-      if (this.dead) return;
+    const { clock, reportMs, random } = this.dependencies;
+    while (!this.removed) {
+      await this.waitForNextReport(clock.now(), reportMs * (0.75 + random() / 2));
+      if (this.removed) return;
       if (this.isHung) continue;
       this.changed = false;
       const report = this.snapshot();
@@ -173,7 +173,7 @@
           resolve(response);
         });
       });
-      if (this.dead) return;
+      if (this.removed) return;
       if (
         answer === null ||
         answer.kind === "silent" ||
@@ -209,11 +209,11 @@
   }
 
   private exitTask(task: WorkerTask, cause: ReportedTask["cause"], saved = false): void {
-    const wasStarted = task.hadImage && task.state !== "exited";
+    const wasStarted = task.imageReady && task.state !== "exited";
     task.state = "exited";
     task.cause = cause;
     task.saved = saved;
-    if (wasStarted) this.dependencies.off(this, task.piece, cause ?? "");
+    if (wasStarted) this.dependencies.onTaskEnded(this, task.piece, cause ?? "");
     this.markChanged();
   }
 
@@ -227,7 +227,7 @@
         if (task !== undefined && task.state !== "exited") this.stopTask(task, order.graceS);
       } else if (task === undefined) this.startTask(order.piece, order.attempt);
     }
-    this.look();
+    this.update();
   }
 
   private stopTask(task: WorkerTask, graceS: number): void {
@@ -256,7 +256,7 @@
       cause: null,
       saved: false,
       stateSince: this.dependencies.clock.now(),
-      hadImage: false,
+      imageReady: false,
       progressAtStateStart: 0,
       stopReceivedAt: null,
       memberMissingSince: null,
@@ -279,7 +279,7 @@
 
   endAllTasks(cause: string): void {
     for (const task of this.tasks.values()) {
-      if (task.hadImage && task.state !== "exited") this.dependencies.off(this, task.piece, cause);
+      if (task.imageReady && task.state !== "exited") this.dependencies.onTaskEnded(this, task.piece, cause);
       task.state = "exited";
     }
     this.tasks.clear();
@@ -304,25 +304,25 @@
 
   /** A gang runs at the speed of its slowest machine. */
   private slowdownOf(task: WorkerTask): number {
-    if (!this.isGang(task)) return this.dependencies.slowness(this.host);
-    return Math.max(1, ...this.dependencies.mates(task.ref, task.attempt).map(({ worker }) => this.dependencies.slowness(worker.host)));
+    if (!this.isGang(task)) return this.dependencies.slowdown(this.host);
+    return Math.max(1, ...this.dependencies.mates(task.ref, task.attempt).map(({ worker }) => this.dependencies.slowdown(worker.host)));
   }
 
   /** Records the last periodic checkpoint of a task that ends without saving. */
   private saveLastCheckpoint(task: WorkerTask): void {
     const stepMs = (this.dependencies.spec(task.ref)?.checkpointS ?? 0) * 1000;
-    if (stepMs > 0 && task.hadImage) this.saveProgress(task, Math.floor(this.progressOf(task) / stepMs) * stepMs);
+    if (stepMs > 0 && task.imageReady) this.saveProgress(task, Math.floor(this.progressOf(task) / stepMs) * stepMs);
   }
 
   private saveProgress(task: WorkerTask, ms: number): void {
     const key = this.progressKey(task);
-    this.dependencies.saved.set(key, Math.max(ms, this.dependencies.saved.get(key) ?? 0));
+    this.dependencies.savedProgress.set(key, Math.max(ms, this.dependencies.savedProgress.get(key) ?? 0));
   }
 
   /** Schedules the next update: the earliest time at which a state can change without a command. */
   private scheduleUpdate(): void {
     this.cancelUpdate();
-    if (this.dead) return;
+    if (this.removed) return;
     const { clock, leaseMs } = this.dependencies;
     const now = clock.now();
     let next = this.leaseRenewedAt + leaseMs + 1;
@@ -335,7 +335,7 @@
         else if (this.dependencies.spec(task.ref)?.kind !== "service") next = Math.min(next, now + this.remainingMs(task));
       }
     }
-    this.cancelUpdate = clock.after(Math.max(1, next - now), () => this.look());
+    this.cancelUpdate = clock.after(Math.max(1, next - now), () => this.update());
   }
 
   private gangCheckMs(task: WorkerTask): number {
@@ -353,8 +353,8 @@
     return (this.dependencies.runMs(task.ref) - this.progressOf(task)) * this.slowdownOf(task);
   }
 
-  look(): void {
-    if (this.dead) return;
+  update(): void {
+    if (this.removed) return;
     const { clock, leaseMs } = this.dependencies;
     if (clock.now() - this.leaseRenewedAt > leaseMs) {
       for (const task of this.tasks.values()) this.saveLastCheckpoint(task);
@@ -379,13 +379,13 @@
     const { clock } = this.dependencies;
     if (clock.now() < this.imageReadyAt(task)) return;
     this.images.add(spec.image);
-    task.hadImage = true;
-    this.dependencies.on(this, task.piece);
+    task.imageReady = true;
+    this.dependencies.onTaskStarted(this, task.piece);
     task.stateSince = clock.now();
-    task.progressAtStateStart = this.dependencies.saved.get(this.progressKey(task)) ?? 0;
+    task.progressAtStateStart = this.dependencies.savedProgress.get(this.progressKey(task)) ?? 0;
     task.state = this.isGang(task) ? "gathering" : "running";
     this.markChanged();
-    if (this.dependencies.sick(this.host, task.ref)) this.exitTask(task, "error");
+    if (this.dependencies.failsTasks(this.host, task.ref)) this.exitTask(task, "error");
   }
 
   private updateGathering(task: WorkerTask): void {
@@ -396,7 +396,7 @@
       if (clock.now() - task.stateSince > gangWaitMs) this.exitTask(task, "alone");
       return;
     }
-    const savedProgress = this.dependencies.saved.get(task.ref) ?? 0;
+    const savedProgress = this.dependencies.savedProgress.get(task.ref) ?? 0;
     for (const member of members) {
       if (member.task.state !== "gathering") continue;
       Object.assign(member.task, { state: "running", stateSince: clock.now(), progressAtStateStart: savedProgress });
@@ -451,8 +451,8 @@
  * Starts some running task on a second machine in violation of the protocol, to test that this is detected. Returns the
  * task's id, or null if there is none to start.
  */
-export function startTwice(workers: Iterable<Worker>): string | null {
-  const running = [...workers].filter((worker) => !worker.dead && !worker.hanging);
+export function startDuplicate(workers: Iterable<Worker>): string | null {
+  const running = [...workers].filter((worker) => !worker.removed && !worker.hanging);
   for (const first of running) {
     for (const { piece, state, attempt } of first.tasks.values()) {
       if (state !== "running") continue;
--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { HabitualUsers } from "../src/crowd.js";
-import { carryOut, decodeFault, durationMs, type SimulatedUserControl, type Fault, type Stage } from "../src/faults.js";
-import { Links } from "../src/links.js";
-import { seeded } from "../src/luck.js";
+import { SimulatedUsers } from "../src/simulated-users.js";
+import { injectFault, decodeFault, durationMs, type SimulatedUserControl, type Fault, type FaultEnvironment } from "../src/faults.js";
+import { NetworkRules } from "../src/network-rules.js";
+import { seededRandom } from "../src/random.js";
 import { VirtualClock } from "../src/virtual/clock.js";
 
 const spec = (ref: string, over: Partial<JobSpec> = {}): JobSpec => ({
@@ -35,7 +35,7 @@
   const clock = new VirtualClock();
   const asked: string[] = [];
   const nodes = ["nest-0", "nest-1", "nest-2"];
-  const users = new HabitualUsers(
+  const users = new SimulatedUsers(
     {
       controllers: () => nodes,
       submit: (_wire, { ref }, node, never) =>
@@ -45,15 +45,15 @@
       runMs: (ref) => Number(ref.slice(-3)) * 1000,
     },
     clock,
-    seeded(3),
+    seededRandom(3),
   );
   const begins = (ref: string, host: string, over: Partial<JobSpec> = {}): void => {
-    users.hear({ at: clock.now(), kind: "submitted", spec: spec(ref, over) });
-    users.hear({ at: clock.now(), kind: "told", ref, what: "queued" });
-    users.hear({ at: clock.now(), kind: "on", piece: `${ref}/0`, host, type: "m", zone: "a", spot: false });
+    users.observe({ at: clock.now(), kind: "submitted", spec: spec(ref, over) });
+    users.observe({ at: clock.now(), kind: "told", ref, what: "queued" });
+    users.observe({ at: clock.now(), kind: "on", piece: `${ref}/0`, host, type: "m", zone: "a", spot: false });
   };
   const ends = (ref: string, task = 0): void =>
-    users.hear({ at: clock.now(), kind: "off", piece: `${ref}/${task}`, host: "x", cause: "done" });
+    users.observe({ at: clock.now(), kind: "off", piece: `${ref}/${task}`, host: "x", cause: "done" });
   return { clock, asked, nodes, users, begins, ends, count: (what: string) => asked.filter((one) => one.startsWith(what)).length };
 }
 
@@ -66,7 +66,7 @@
   assert.ok(count("submit run-000001") >= 1);
   const before = asked.length;
   ends("run-000001");
-  users.hear({ at: clock.now(), kind: "told", ref: "run-000001", what: "done" });
+  users.observe({ at: clock.now(), kind: "told", ref: "run-000001", what: "done" });
   await clock.run(200);
   assert.ok(asked.length > before + 6);
   await clock.run(21_000);
@@ -86,7 +86,7 @@
   ends("run-000001", 1);
   assert.equal(asked.length, 1);
   assert.match(asked[0]!, /^cancel run-000001 nest-/);
-  assert.equal(users.met.cancelledAtEnd, 1);
+  assert.equal(users.effects.cancelledAtEnd, 1);
   await clock.run(11_000);
   begins("run-000002", "x");
   ends("run-000002");
@@ -99,7 +99,7 @@
   begins("run-000300", "b");
   begins("run-000200", "b");
   begins("run-000020", "c", { kind: "service" });
-  users.hear({ at: 0, kind: "submitted", spec: spec("run-000999") });
+  users.observe({ at: 0, kind: "submitted", spec: spec("run-000999") });
   assert.deepEqual(users.cancelLongestRunning(3), { refs: ["run-000020", "run-000300", "run-000200"], hosts: ["b", "c"] });
   await clock.run(200);
   assert.deepEqual(asked.map((one) => one.split(" ")[1]).sort(), ["run-000020", "run-000200", "run-000300"]);
@@ -110,7 +110,7 @@
   begins("run-000001", "x");
   begins("run-000002", "x");
   ends("run-000002");
-  users.hear({ at: 1, kind: "told", ref: "run-000002", what: "done" });
+  users.observe({ at: 1, kind: "told", ref: "run-000002", what: "done" });
   users.enableBehaviour("odd-requests", 1, 30_000);
   await clock.run(29_500);
   assert.equal(count("submit run-000001"), 30);
@@ -130,7 +130,7 @@
 
 test("faults return what they affected, how long they last, and what is invalid in their definition", async () => {
   const clock = new VirtualClock();
-  const links = new Links(seeded(1));
+  const links = new NetworkRules(seededRandom(1));
   const hanging = new Set<string>();
   const stage = {
     after: (ms: number, fn: () => void) => void clock.after(ms, fn),
@@ -138,38 +138,38 @@
     controllers: () => ["nest-0", "nest-1"],
     machines: () => ["i-1", "i-2", "i-3"],
     hang: (host: string, on: boolean) => void (on ? hanging.add(host) : hanging.delete(host)),
-  } as unknown as Stage;
+  } as unknown as FaultEnvironment;
   const hosts = Array.from({ length: 12 }, (_, i) => `i-${i}`);
   const users: SimulatedUserControl = {
     enableBehaviour: () => ["nest-0"],
     cancelLongestRunning: (count) => ({ refs: hosts.slice(0, count), hosts }),
   };
-  const inject = (raw: Record<string, unknown>): string[] => carryOut(stage, fault(raw), users);
+  const inject = (raw: Record<string, unknown>): string[] => injectFault(stage, fault(raw), users);
 
   assert.deepEqual(inject({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
-  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), true);
-  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "answer" }), false, "responses to direct commands arrive");
-  assert.equal(links.loses({ from: "nest-0", to: "i-1", what: "command" }), false);
+  assert.equal(links.isLost({ from: "i-1", to: "nest-0", what: "report" }), true);
+  assert.equal(links.isLost({ from: "i-1", to: "nest-0", what: "answer" }), false, "responses to direct commands arrive");
+  assert.equal(links.isLost({ from: "nest-0", to: "i-1", what: "command" }), false);
   await clock.run(5001);
-  assert.equal(links.loses({ from: "i-1", to: "nest-0", what: "report" }), false);
+  assert.equal(links.isLost({ from: "i-1", to: "nest-0", what: "report" }), false);
 
   assert.deepEqual(inject({ kind: "late-writes", share: 0.5, for: 5 }), ["nest-0", "nest-1"]);
   const call = { from: "nest-0", to: "state", what: "txn" };
-  const judged = Array.from({ length: 400 }, () => links.judge(call));
+  const judged = Array.from({ length: 400 }, () => links.takeEffect(call));
   const late = judged.filter((effect) => effect?.kind === "late").map((effect) => (effect as { ms: number }).ms);
   assert.ok(late.length > 150 && late.length < 250, `${late.length} of 400`);
   assert.ok(Math.min(...late) >= 2000 && Math.max(...late) <= 12_000 && Math.max(...late) > 9000);
-  assert.equal(links.judge({ ...call, what: "follow" }), null);
+  assert.equal(links.takeEffect({ ...call, what: "follow" }), null);
   await clock.run(11_000);
   inject({ kind: "late-writes", share: 1, at_once: true, for: 5 });
-  assert.deepEqual(links.judge(call), { kind: "drop" });
+  assert.deepEqual(links.takeEffect(call), { kind: "drop" });
   await clock.run(17_000);
 
   inject({ kind: "late-reports", share: 1, for_next: true, for: 5 });
   const report = { from: "i-1", to: "nest-0", what: "report" };
-  assert.deepEqual([links.keeps(report), links.againMs(report, () => 0.5)], [true, null]);
+  assert.deepEqual([links.shouldStoreCopy(report), links.copyDelayMs(report, () => 0.5)], [true, null]);
   await clock.run(23_000);
-  assert.equal(links.keeps(report), false);
+  assert.equal(links.shouldStoreCopy(report), false);
 
   assert.equal(inject({ kind: "cancel-now", count: 3, hang: 4 }).length, 3);
   assert.equal(hanging.size, 8, "no more than eight machines hang");
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -2,10 +2,10 @@
 import { request } from "node:http";
 import { test } from "node:test";
 import { CloudModel } from "../src/cloud-model.js";
-import { Conductor, type UserPort } from "../src/conductor.js";
-import { carryOut, decodeFault, type SimulatedUserControl, type Stage } from "../src/faults.js";
-import { Links, type RuleAsked } from "../src/links.js";
-import { USUAL } from "../src/place.js";
+import { ScenarioDriver, type UserClient } from "../src/scenario-driver.js";
+import { injectFault, decodeFault, type SimulatedUserControl, type FaultEnvironment } from "../src/faults.js";
+import { NetworkRules, type NetworkRule } from "../src/network-rules.js";
+import { DEFAULT_TIMING } from "../src/environment.js";
 import { parsePlan } from "../src/plan.js";
 import { WorkerHost } from "../src/real/worker-host.js";
 import { VirtualClock } from "../src/virtual/clock.js";
@@ -18,24 +18,24 @@
   const capacity = new Map(["a", "b"].flatMap((zone) => ["ordinary", "spot"].map((kind) => [`m/${zone}/${kind}`, 3] as const)));
   const cloud = new CloudModel(clock, { types: [type], capacity, lagMs: 0 });
   const offer = { type: "m", zone: "a", spot: true };
-  const first = cloud.hire("r-1", offer, 2);
+  const first = cloud.rent("r-1", offer, 2);
   assert.equal(first?.length, 2);
-  const { affected, restore } = cloud.limit("m", "*", undefined, 1);
+  const { affected, restore } = cloud.setCapacity("m", "*", undefined, 1);
   assert.deepEqual(affected, ["m/a/spot", "m/b/spot"]);
-  assert.equal(cloud.hire("r-2", offer, 1), null);
-  assert.deepEqual(cloud.hire("r-1", offer, 2), first);
-  assert.equal(cloud.rented, 2);
-  assert.equal(cloud.hire("r-3", { ...offer, spot: false }, 5)?.length, 3, "the others are as before");
-  assert.deepEqual(cloud.limit("nothing", "*", 1, 1).affected, []);
-  assert.equal(cloud.limit("*", "a", 0, 0).affected.length, 2);
+  assert.equal(cloud.rent("r-2", offer, 1), null);
+  assert.deepEqual(cloud.rent("r-1", offer, 2), first);
+  assert.equal(cloud.rentedCount, 2);
+  assert.equal(cloud.rent("r-3", { ...offer, spot: false }, 5)?.length, 3, "the others are as before");
+  assert.deepEqual(cloud.setCapacity("nothing", "*", 1, 1).affected, []);
+  assert.equal(cloud.setCapacity("*", "a", 0, 0).affected.length, 2);
   restore();
-  assert.equal(cloud.hire("r-4", offer, 2)?.length, 1, "three spot machines again, two of them rented");
+  assert.equal(cloud.rent("r-4", offer, 2)?.length, 1, "three spot machines again, two of them rented");
 });
 
 test("spot machines are charged the current price, ordinary ones a fixed price, and each at least a minute", async () => {
   const clock = new VirtualClock();
   const cloud = new CloudModel(clock, { types: [type], capacity: new Map([["m/a/spot", 1], ["m/a/ordinary", 1]]), lagMs: 0 }); // prettier-ignore
-  const [spot] = cloud.hire("r-1", { type: "m", zone: "a", spot: true }, 1)!;
+  const [spot] = cloud.rent("r-1", { type: "m", zone: "a", spot: true }, 1)!;
   await clock.run(HOUR_MS);
   assert.ok(Math.abs(cloud.cost - 1) < 1e-9, `${cloud.cost}`);
   cloud.spotFactor = 3;
@@ -45,7 +45,7 @@
   await clock.run(3 * HOUR_MS);
   cloud.remove(spot!);
   assert.ok(Math.abs(cloud.cost - 5) < 1e-9, `1 + 3 + 1, not ${cloud.cost}`);
-  const [short] = cloud.hire("r-2", { type: "m", zone: "a", spot: false }, 1)!;
+  const [short] = cloud.rent("r-2", { type: "m", zone: "a", spot: false }, 1)!;
   await clock.run(clock.now() + 6000);
   cloud.remove(short!);
   assert.ok(Math.abs(cloud.cost - 5 - 2 / 60) < 1e-9, `${cloud.cost}`);
@@ -66,10 +66,10 @@
   });
 }
 
-function workerHost(links: Links): WorkerHost {
+function workerHost(links: NetworkRules): WorkerHost {
   const began = performance.now();
   return new WorkerHost(links, new Map(), {
-    ...USUAL,
+    ...DEFAULT_TIMING,
     reportMs: 60_000,
     clock: {
       now: () => performance.now() - began,
@@ -79,16 +79,16 @@
         return () => clearTimeout(timer);
       },
     },
-    luck: () => 0.5,
+    random: () => 0.5,
     nodes: ["nest-0", "nest-1"],
     spec: () => undefined,
     runMs: () => 1000,
     fetchMs: () => 0,
-    slowness: () => 1,
-    sick: () => false,
-    saved: new Map(),
-    on: () => undefined,
-    off: () => undefined,
+    slowdown: () => 1,
+    failsTasks: () => false,
+    savedProgress: new Map(),
+    onTaskStarted: () => undefined,
+    onTaskEnded: () => undefined,
   });
 }
 
@@ -96,7 +96,7 @@
 const ROOM = { cpus: 1, gpus: 0, ram: 1 };
 
 test("on real sockets a cut between one controller and the machines holds its commands and no others", async () => {
-  const links = new Links();
+  const links = new NetworkRules();
   const host = workerHost(links);
   const addr = await host.boot("i-000001", OFFER, ROOM);
   const end = links.add({ from: "nest-0", to: "workers", effect: { kind: "cut" } });
@@ -112,7 +112,7 @@
 });
 
 test("on real sockets a split separates some machines from the target and others from all other controllers, in both directions or one", async () => {
-  const links = new Links();
+  const links = new NetworkRules();
   const host = workerHost(links);
   const names = Array.from({ length: 8 }, (_, i) => `i-00000${i + 1}`);
   const addrs = new Map<string, string>();
@@ -120,9 +120,9 @@
   const stage = {
     controllers: () => ["nest-0", "nest-1"],
     reportingTo: () => names,
-    rule: (asked: RuleAsked) => links.add(asked),
+    rule: (asked: NetworkRule) => links.add(asked),
     after: () => undefined,
-  } as unknown as Stage;
+  } as unknown as FaultEnvironment;
   const reachedBy = async (asker: string): Promise<string[]> => {
     const answers = await Promise.all(names.map(async (name) => [name, await post(addrs.get(name)!, asker)] as const));
     return answers.filter(([, status]) => status === 200).map(([name]) => name);
@@ -130,7 +130,7 @@
   const inject = (fields: Record<string, unknown>): string[] => {
     const decoded = decodeFault({ kind: "split", target: "nest-0", ...fields });
     assert.ok("fault" in decoded, JSON.stringify(decoded));
-    return carryOut(stage, decoded.fault, undefined as unknown as SimulatedUserControl);
+    return injectFault(stage, decoded.fault, undefined as unknown as SimulatedUserControl);
   };
   const only = inject({ reaches: "only-target", share: 0.5, way: "both" });
   const others = inject({ reaches: "all-but-target", share: 0.5, way: "to-machines" });
@@ -204,7 +204,7 @@
   const clock = new VirtualClock();
   const asked: string[] = [];
   const said: string[] = [];
-  const users: UserPort = {
+  const users: UserClient = {
     submit: async ({ spec }) => {
       asked.push(`${Math.round(clock.now() / 1000)} submit ${spec.klass}`);
       await new Promise<void>((resolve) => clock.after(6000, resolve));
@@ -224,29 +224,29 @@
       said.push(`${Math.round(clock.now() / 1000)} capacity ${of.join()}`),
       { affected: ["m/a/ordinary"], restore: () => void said.push(`${Math.round(clock.now() / 1000)} restored`) }
     ),
-  } as unknown as Stage;
+  } as unknown as FaultEnvironment;
   const plan = await parsePlan("plan.hcl", PLAN);
   const crowd = { enableBehaviour: () => [], cancelLongestRunning: () => ({ refs: [], hosts: [] }) };
-  const driver = new Conductor({
+  const driver = new ScenarioDriver({
     plan,
     seed: 1,
-    stage,
+    environment: stage,
     users,
-    crowd,
+    simulatedUsers: crowd,
     clock,
-    momentOf: () => null,
+    injectionPointOf: () => null,
     pollMs: () => 2000,
     history: () => [],
   });
-  driver.hear({ at: 0, node: "n", what: "part taken", detail: { reason: "owner gone" } });
-  driver.begin();
+  driver.observe({ at: 0, node: "n", what: "part taken", detail: { reason: "owner gone" } });
+  driver.start();
   await clock.run(60_000);
   assert.deepEqual(asked.slice(0, 2), ["0 submit first", "6 submit second"]);
   // The first submission was before `from`; the fault is injected at the second.
   assert.deepEqual(said, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
   assert.deepEqual(driver.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
   assert.ok(asked.filter((one) => one.startsWith("poll run-9")).length >= 3);
-  assert.equal(driver.allOver, true);
+  assert.equal(driver.allFinished, true);
   const report = driver.report({ mode: "virtual", broken: [], trouble: [], cost: 0 });
   assert.deepEqual([report.jobs.done, report.takeovers, report.faults.length], [2, 1, 2]);
   driver.stop();
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -1,4 +1,4 @@
-import { loadPlan, playReal, BRISK } from "@thorntrail/emulator/entry";
+import { loadPlan, playReal, FAST_TIMING } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "../rehearsal/injection-points.js";
 
 /** Time in seconds at which the leader is restarted and a machine is lost. */
@@ -17,7 +17,7 @@
 const report = await playReal({
   program: [process.execPath, ...process.argv.slice(2)],
   plan: { ...plan, seconds: DURATION_S, fault },
-  timing: BRISK,
+  timing: FAST_TIMING,
   seed: 1,
   momentOf: injectionPointOf,
   progress: () => undefined,
--- a/src/rehearsal/injection-points.ts
+++ b/src/rehearsal/injection-points.ts
@@ -1,10 +1,10 @@
-import type { MomentOf } from "@thorntrail/emulator/entry";
+import type { InjectionPointOf } from "@thorntrail/emulator/entry";
 import { keys } from "../ledger/records.js";
 
 const FENCING_STARTED = "leading; fencing machines";
 
 /** Maps a call, write or log line of the controller to the injection point of a plan that it marks, or null. */
-export const injectionPointOf: MomentOf = ({ what, detail }) => {
+export const injectionPointOf: InjectionPointOf = ({ what, detail }) => {
   if (what === "hire") return "rental-in-flight";
   if (what === "part taken") return detail["reason"] === "home again" ? "handing-over" : null;
   if (what === FENCING_STARTED) return Number(detail["machines"]) > 0 ? "fencing" : null;
--- a/src/rehearsal/spawn-controller.ts
+++ b/src/rehearsal/spawn-controller.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import type { Spawned } from "@thorntrail/emulator/entry";
+import type { ControllerDependencies } from "@thorntrail/emulator/entry";
 import { Calls } from "../calls/calls.js";
 import { callPolicies } from "../calls/policy.js";
 import { Controller } from "../controller.js";
@@ -16,7 +16,7 @@
 
 /** Starts a controller with the clock, the services and the peers of a rehearsal. */
 export function spawnController(
-  environment: Spawned,
+  environment: ControllerDependencies,
   memory?: () => MemoryUsage,
   adjust: (settings: Settings) => Settings = (settings) => settings,
 ) {
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -1,10 +1,10 @@
-import type { playVirtual, RehearsalPlan, RehearseVirtualOptions } from "@thorntrail/emulator/entry";
+import type { runVirtual, RehearsalPlan, RehearseVirtualOptions } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "./injection-points.js";
 import { spawnController, type RehearsedController } from "./spawn-controller.js";
 
 /** Plays one plan in virtual time with this build's controller. */
-export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof playVirtual> {
-  return (await import("@thorntrail/emulator/entry")).playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof runVirtual> {
+  return (await import("@thorntrail/emulator/entry")).runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
 }
 
 /** Rehearses this build's controller in virtual time. */
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { plainPlan, World } from "@thorntrail/emulator/entry";
+import { defaultWorldOptions, VirtualWorld } from "@thorntrail/emulator/entry";
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/class-accounting.js";
@@ -13,15 +13,15 @@
 
 // Accounting that loses attempts or counts them twice would point operators to the wrong cause.
 test("every attempt that began is still running or in exactly one end, through losses, cancellations and preemption", async () => {
-  const plan = plainPlan();
+  const plan = defaultWorldOptions();
   plan.teams = [{ name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
   plan.types = [TYPE];
   plan.capacity = new Map([["m/a/ordinary", 6]]);
-  const world = new World(plan, (asked) => spawnController(asked));
-  for (const name of world.nodes.keys()) world.startNode(name);
+  const world = new VirtualWorld(plan, (asked) => spawnController(asked));
+  for (const name of world.nodes.keys()) world.startController(name);
   await world.clock.run(8000);
   const submit = (spec: JobSpec, runMs: number): void => {
-    world.runs.set(spec.ref, runMs);
+    world.runTimesMs.set(spec.ref, runMs);
     void world.submit(encodeJob(spec), spec);
   };
   for (let i = 0; i < 6; i++)
@@ -57,7 +57,7 @@
       for (const end of Object.keys(sums)) sums[end]! += account.ends[end as "done"];
   assert.ok(checked > 20);
   assert.ok(sums["done"]! >= 5 * 16 && sums["stopped"]! > 0 && sums["machine"]! > 0 && sums["withdrawn"]! > 0, JSON.stringify(sums));
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 test("the number of class names from users is bounded", () => {
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { brokenRules, countStartsAfterWithdrawal, type Happening, type Limits } from "@thorntrail/emulator/checker";
+import { findViolations, countStartsAfterWithdrawal, type HistoryEvent, type CheckLimits } from "@thorntrail/emulator/checker";
 import { specOf } from "./world/parts.js";
 
 // The checker must be able to fail: each rule has a history that breaks only that rule.
-const limits: Limits = { cancelMs: 43_000, teams: new Map([["ops", { cpus: 10, gpus: 0 }]]) };
+const limits: CheckLimits = { cancelMs: 43_000, teams: new Map([["ops", { cpus: 10, gpus: 0 }]]) };
 const spec = (over: Partial<JobSpec> = {}): JobSpec => specOf({ tasks: 2, cpus: 4, ...over });
-const submitted = (over: Partial<JobSpec> = {}): Happening => ({ at: 0, kind: "submitted", spec: spec(over) });
-const on = (at: number, task: number, host: string, over: object = {}): Happening => ({
+const submitted = (over: Partial<JobSpec> = {}): HistoryEvent => ({ at: 0, kind: "submitted", spec: spec(over) });
+const on = (at: number, task: number, host: string, over: object = {}): HistoryEvent => ({
   at,
   kind: "on",
   piece: `run-000001/${task}`,
@@ -18,23 +18,31 @@
   spot: false,
   ...over,
 });
-const off = (at: number, task: number, host: string, cause = "done"): Happening => ({
+const off = (at: number, task: number, host: string, cause = "done"): HistoryEvent => ({
   at,
   kind: "off",
   piece: `run-000001/${task}`,
   host,
   cause,
 });
-const told = (at: number, what: "accepted" | "queued" | "done" | "withdrawn" | "unknown" | "refused" | "running"): Happening => ({
+const told = (at: number, what: "accepted" | "queued" | "done" | "withdrawn" | "unknown" | "refused" | "running"): HistoryEvent => ({
   at,
   kind: "told",
   ref: "run-000001",
   what,
 });
-const asked: Happening = { at: 1, kind: "asked-cancel", ref: "run-000001" };
+const asked: HistoryEvent = { at: 1, kind: "asked-cancel", ref: "run-000001" };
 
-const good: Happening[] = [submitted(), told(1, "queued"), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y"), told(10, "done")];
-const bad: Record<string, Happening[]> = {
+const good: HistoryEvent[] = [
+  submitted(),
+  told(1, "queued"),
+  on(2, 0, "x"),
+  on(2, 1, "y"),
+  off(9, 0, "x"),
+  off(9, 1, "y"),
+  told(10, "done"),
+];
+const bad: Record<string, HistoryEvent[]> = {
   ran_twice: [submitted(), on(2, 0, "x"), on(3, 0, "y")],
   quota: [submitted({ tasks: 3 }), on(2, 0, "x"), on(2, 1, "x"), on(2, 2, "x")],
   wrong_place: [submitted({ zone: "b" }), on(2, 0, "x")],
@@ -56,10 +64,10 @@
   nothing_ran: [submitted(), told(1, "queued")],
 };
 
-test("a correct history breaks no rule", () => assert.deepEqual(brokenRules(good, limits), []));
+test("a correct history breaks no rule", () => assert.deepEqual(findViolations(good, limits), []));
 for (const [rule, history] of Object.entries(bad)) {
   test(`the checker detects ${rule}`, () => {
-    const broken = brokenRules(history, limits);
+    const broken = findViolations(history, limits);
     assert.equal(broken.length, 1, broken.join("; "));
     assert.ok(broken[0]!.startsWith(rule), broken[0]);
   });
@@ -70,31 +78,31 @@
     [{ spot: false }, [on(2, 0, "x", { spot: true })]],
     [{ oneZone: true }, [on(2, 0, "x"), on(2, 1, "y", { zone: "b" })]],
     [{ spread: true }, [on(2, 0, "x"), on(2, 1, "y")]],
-  ] as [Partial<JobSpec>, Happening[]][]) {
-    assert.match(brokenRules([submitted(over), ...history], limits)[0] ?? "none", /^wrong_place/);
+  ] as [Partial<JobSpec>, HistoryEvent[]][]) {
+    assert.match(findViolations([submitted(over), ...history], limits)[0] ?? "none", /^wrong_place/);
   }
 });
 test("a job is withdrawn with a job that it depends on, directly or transitively", () => {
   const chain = ["run-000002", "run-000003"].map((ref, i) => submitted({ ref, needs: [`run-00000${i + 1}`] }));
-  const said: Happening = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
+  const said: HistoryEvent = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
   const ran = [on(2, 0, "x"), off(3, 0, "x", "stopped")];
-  assert.deepEqual(brokenRules([submitted(), ...chain, asked, ...ran, told(4, "withdrawn"), said], limits), []);
-  assert.match(brokenRules([submitted(), ...chain, ...ran, said], limits)[0] ?? "none", /^went_back/);
+  assert.deepEqual(findViolations([submitted(), ...chain, asked, ...ran, told(4, "withdrawn"), said], limits), []);
+  assert.match(findViolations([submitted(), ...chain, ...ran, said], limits)[0] ?? "none", /^went_back/);
 });
 test("a start after the time limit of a cancellation is detected", () => {
-  assert.match(brokenRules([submitted(), asked, told(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none", /^ran_cancelled/);
+  assert.match(findViolations([submitted(), asked, told(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none", /^ran_cancelled/);
 });
 test("a task that is still running when the history ends is detected", () => {
   const left = [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn")];
-  assert.deepEqual(brokenRules(left, { ...limits, historyEndAt: 43_003 }), []);
-  assert.match(brokenRules(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
+  assert.deepEqual(findViolations(left, { ...limits, historyEndAt: 43_003 }), []);
+  assert.match(findViolations(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
 });
 test("a job whose polls stay unanswered long after the faults have ended is forgotten", () => {
-  const polls = (from: number, to: number): Happening[] =>
+  const polls = (from: number, to: number): HistoryEvent[] =>
     Array.from({ length: (to - from) / 5000 + 1 }, (_, i) => ({ at: from + i * 5000, kind: "unanswered", ref: "run-000001" }));
   const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
-  const broken = (history: Happening[], faultsEndAt: number): string =>
-    brokenRules([...began, ...history], { ...limits, faultsEndAt }).join();
+  const broken = (history: HistoryEvent[], faultsEndAt: number): string =>
+    findViolations([...began, ...history], { ...limits, faultsEndAt }).join();
   assert.match(broken(polls(10_000, 120_000), 30_000), /^forgotten at 110\.0 s: run-000001 got no response since 10\.0 s$/);
   assert.equal(broken(polls(10_000, 120_000), 60_000), "", "the time of the faults does not count");
   assert.equal(broken([...polls(10_000, 80_000), told(81_000, "running"), ...polls(85_000, 150_000)], 0), "", "one response is enough");
@@ -102,7 +110,7 @@
 });
 
 test("responses are checked in real time: two overlapping ones may differ, one requested after another had arrived is never older", () => {
-  const answer = (at: number, asked: number, what: "unknown" | "queued" | "done" | "withdrawn" | "refused"): Happening => ({
+  const answer = (at: number, asked: number, what: "unknown" | "queued" | "done" | "withdrawn" | "refused"): HistoryEvent => ({
     at,
     asked,
     kind: "told",
@@ -110,7 +118,7 @@
     what,
   });
   const ran = [submitted(), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y")];
-  const judge = (...answers: Happening[]): string => brokenRules([...ran, ...answers], limits).join();
+  const judge = (...answers: HistoryEvent[]): string => findViolations([...ran, ...answers], limits).join();
   // Sent before the other response had arrived, answered after it.
   assert.equal(judge(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
   assert.equal(judge(answer(20, 10, "done"), answer(21, 19, "queued")), "");
@@ -133,23 +141,23 @@
     on(6, 1, "x"),
     off(7, 1, "x", "stopped"),
   ];
-  assert.deepEqual([brokenRules(history, limits), countStartsAfterWithdrawal(history)], [[], 2]);
+  assert.deepEqual([findViolations(history, limits), countStartsAfterWithdrawal(history)], [[], 2]);
   assert.equal(countStartsAfterWithdrawal(good), 0);
 });
 test("accepting a job that must not be accepted is detected, and refusing it breaks no rule", () => {
-  const wrong: Happening = { at: 0, kind: "submitted", spec: spec({ ref: "run-000002", cpus: 500 }), never: "fits no machine" };
-  const answer = (what: "refused" | "queued"): Happening => ({ at: 1, kind: "told", ref: "run-000002", what });
-  assert.deepEqual(brokenRules([...good, wrong, answer("refused")], limits), []);
-  assert.match(brokenRules([...good, wrong, answer("queued")], limits).join(), /^accepted_wrongly .*run-000002: fits no machine$/);
+  const wrong: HistoryEvent = { at: 0, kind: "submitted", spec: spec({ ref: "run-000002", cpus: 500 }), never: "fits no machine" };
+  const answer = (what: "refused" | "queued"): HistoryEvent => ({ at: 1, kind: "told", ref: "run-000002", what });
+  assert.deepEqual(findViolations([...good, wrong, answer("refused")], limits), []);
+  assert.match(findViolations([...good, wrong, answer("queued")], limits).join(), /^accepted_wrongly .*run-000002: fits no machine$/);
 });
 test("after the faults have ended, a job that waits although free capacity fits it is detected, and others are not", () => {
-  const up = (over: object = {}): Happening =>
+  const up = (over: object = {}): HistoryEvent =>
     ({
       ...{ at: 0, kind: "up", host: "z", type: "m", zone: "a", spot: false, cpus: 8, gpus: 0, ram: 64, ...over },
-    }) as Happening;
+    }) as HistoryEvent;
   const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
-  const broken = (history: Happening[], over: Partial<Limits> = {}): string =>
-    brokenRules([...history, ...began], { ...limits, faultsEndAt: 10_000, historyEndAt: 101_000, ...over }).join();
+  const broken = (history: HistoryEvent[], over: Partial<CheckLimits> = {}): string =>
+    findViolations([...history, ...began], { ...limits, faultsEndAt: 10_000, historyEndAt: 101_000, ...over }).join();
   assert.match(broken([up()]), /^idle_room at 100\.0 s: run-000001 waits although there is free capacity$/);
   assert.equal(broken([up()], { historyEndAt: 99_000 }), "", "90 s have not passed");
   assert.equal(broken([up()], { faultsEndAt: 20_000 }), "", "the time of the faults does not count");
@@ -157,11 +165,11 @@
   assert.equal(broken([up()], { teams: new Map([["ops", { cpus: 7, gpus: 0 }]]) }), "", "its team is at its limit");
   assert.equal(broken([up({ spot: true })]), "", "it may not use a spot machine");
   assert.equal(
-    brokenRules([up(), ...began, { at: 60_000, kind: "gone", host: "z" }], { ...limits, faultsEndAt: 0, historyEndAt: 200_000 }).join(),
+    findViolations([up(), ...began, { at: 60_000, kind: "gone", host: "z" }], { ...limits, faultsEndAt: 0, historyEndAt: 200_000 }).join(),
     "",
   );
   const gang = (cpus: number): string =>
-    brokenRules([up({ cpus }), submitted({ kind: "gang" }), told(1, "queued"), on(2, 0, "y", { at: 2 }), off(3, 0, "y", "alone")], {
+    findViolations([up({ cpus }), submitted({ kind: "gang" }), told(1, "queued"), on(2, 0, "y", { at: 2 }), off(3, 0, "y", "alone")], {
       ...limits,
       faultsEndAt: 10_000,
       historyEndAt: 101_000,
--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { brokenRules } from "@thorntrail/emulator/checker";
+import { findViolations } from "@thorntrail/emulator/checker";
 import { Cluster } from "./world/cluster.js";
 
 /** Changes of the configuration while several controllers serve and machines, controllers and services fail. */
@@ -21,7 +21,7 @@
 /** Asserts that no error was logged and no rule broken. Team limits are left out, since the tests check them themselves. */
 function assertSound(cluster: Cluster): void {
   const { world } = cluster;
-  const broken = brokenRules(world.history, { ...world.limits(), teams: new Map() });
+  const broken = findViolations(world.history, { ...world.limits(), teams: new Map() });
   assert.deepEqual([broken, world.errors], [[], []]);
 }
 
@@ -116,14 +116,14 @@
     const cluster = new Cluster(plan(seed, 4));
     for (const i of [0, 1, 2, 3]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 100, cpus: 2 }, 15, `nest-${i}`);
     await cluster.until(40);
-    cluster.world.killNode("nest-2");
+    cluster.world.killController("nest-2");
     const asked = cluster.set({ set: [{ ...ops, cpus_max: 16 }] });
     await cluster.until(40.5);
     const seconds = await cluster.inForce(version(asked), 40, 30);
     assert.ok(seconds <= 6 && seconds > 1, `${seconds} s`);
     await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
     await assertNeverExceeded(cluster, "ops", 16, 80);
-    cluster.world.startNode("nest-2");
+    cluster.world.startController("nest-2");
     await assertNeverExceeded(cluster, "ops", 16, 120);
     assertSound(cluster);
     cluster.close();
@@ -177,9 +177,9 @@
     await assertNeverExceeded(cluster, "ops", 24, 66);
     world.state.outage = false;
     for (const [i, name] of ["nest-0", "nest-1", "nest-2"].entries()) {
-      world.killNode(name);
+      world.killController(name);
       await assertNeverExceeded(cluster, "ops", 24, 70 + i * 8);
-      world.startNode(name);
+      world.startController(name);
       await assertNeverExceeded(cluster, "ops", 24, 74 + i * 8);
     }
     const raised = cluster.set({ set: [{ ...ops, cpus_max: 50 }] });
@@ -198,7 +198,7 @@
   const cut = cluster.world.links.add({ from: "operator", to: "state", what: "range", effect: { kind: "cut" } });
   cut();
   let writes = 0;
-  cluster.world.seen$.subscribe(({ node, what }) => {
+  cluster.world.observations$.subscribe(({ node, what }) => {
     if (node === "operator" && what === "txn" && ++writes === 1)
       cluster.world.links.add({ from: "operator", to: "state", effect: { kind: "cut" } });
   });
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -86,8 +86,8 @@
   }
   const again = leaderOf(fixture).partitions.get(partition.id);
   assert.ok(again !== undefined && again.term > partition.term, "owned again, under a new term");
-  assert.equal(cluster.world.lines.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
-  assert.equal(cluster.world.lines.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
+  assert.equal(cluster.world.logMessages.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
+  assert.equal(cluster.world.logMessages.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
   await cluster.until(130);
   assert.equal(starts(), before, "no task is restarted");
   assert.deepEqual(cluster.answered(REF).slice(0, 1), ["queued"]);
--- a/test/group-committer.test.ts
+++ b/test/group-committer.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { GroupCommitter } from "../src/ledger/group-committer.js";
-import { Links } from "@thorntrail/emulator/links";
+import { NetworkRules } from "@thorntrail/emulator/network-rules";
 import { StateReplica } from "../src/ledger/state-replica.js";
 import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { Scope } from "../src/platform/scope.js";
@@ -15,7 +15,7 @@
 /** A committer and its replica on a virtual state service, with a burst of 16 writes and 5 writes a second. */
 async function createEnvironment() {
   const clock = new VirtualClock();
-  const links = new Links();
+  const links = new NetworkRules();
   const service = new VirtualState(clock, () => latency.ms, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }, links);
   const latency = { ms: 2 };
   const client = service.client("n", (fn) => fn());
@@ -87,7 +87,7 @@
 
 test("a write that the service refuses for its size is sent alone, and only that write is given up", async () => {
   const { clock, service, write, committer, scope } = await createEnvironment();
-  service.limit({ valueKb: 1 });
+  service.changeLimits({ valueKb: 1 });
   const outcomes: string[] = [];
   for (const [key, v] of [
     ["a", {}],
@@ -111,7 +111,7 @@
   await clock.run(clock.now() + 1000);
   void committer.commit("move", write("t/x/job", "x".repeat(2000))).then((outcome) => outcomes.push(outcome));
   await clock.run(clock.now() + 200);
-  service.limit({ valueKb: 1 });
+  service.changeLimits({ valueKb: 1 });
   await clock.run(clock.now() + 4000);
   removeDrop();
   assert.deepEqual(
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { loadPlan, playVirtual, type RehearsalPlan, type Spawned } from "@thorntrail/emulator/entry";
-import { drawnPlan } from "@thorntrail/emulator/drawn";
-import { seeded } from "@thorntrail/emulator/luck";
+import { loadPlan, runVirtual, type RehearsalPlan, type ControllerDependencies } from "@thorntrail/emulator/entry";
+import { randomPlan } from "@thorntrail/emulator/random-plans";
+import { seededRandom } from "@thorntrail/emulator/random";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { Condition, Op, StateApi } from "@thorntrail/protocol/state";
 import { keys, type QuotaShareRecord, type JobRecord, type SliceRecord } from "../src/ledger/records.js";
@@ -37,7 +37,7 @@
     private readonly maxDelayMs: number,
   ) {}
 
-  wrapState(options: Spawned): StateApi {
+  wrapState(options: ControllerDependencies): StateApi {
     const { state, clock } = options;
     const delayMs = (): number => 500 + this.random() * this.maxDelayMs;
     return {
@@ -74,8 +74,9 @@
 
 async function runPlan(plan: RehearsalPlan, seed: number, faults: StateFaults) {
   let last: RehearsedController | undefined;
-  const spawn = (options: Spawned): RehearsedController => (last = spawnController({ ...options, state: faults.wrapState(options) }));
-  const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+  const spawn = (options: ControllerDependencies): RehearsedController =>
+    (last = spawnController({ ...options, state: faults.wrapState(options) }));
+  const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
   return { report, last: last! };
 }
 
@@ -102,8 +103,8 @@
   const writes = new Set<string>();
   let lateTransactions = 0;
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    const faults = new StateFaults(seeded(seed), { late: 0.15, copied: 0.5 }, 20_000);
-    const plan = seed % 2 === 0 ? drawnPlan(base, seed) : { ...base, fault: [] };
+    const faults = new StateFaults(seededRandom(seed), { late: 0.15, copied: 0.5 }, 20_000);
+    const plan = seed % 2 === 0 ? randomPlan(base, seed) : { ...base, fault: [] };
     const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     assert.deepEqual([...faults.unconditional], [], "every write has a condition on the key that it changes");
@@ -135,8 +136,8 @@
       { at: 5, fault: { kind: "close-looks", for: 90 } },
       { at: 10, fault: { kind: "cancel-at-end", share: 0.4, for: 80 } },
     ];
-    const faults = new StateFaults(seeded(seed), { late: 0.05, lost: 0.3, copied: 0.2 }, 12_000);
-    const plan = { ...base, fault: seed % 2 === 0 ? [...requestFaults, ...drawnPlan(base, seed).fault] : requestFaults };
+    const faults = new StateFaults(seededRandom(seed), { late: 0.05, lost: 0.3, copied: 0.2 }, 12_000);
+    const plan = { ...base, fault: seed % 2 === 0 ? [...requestFaults, ...randomPlan(base, seed).fault] : requestFaults };
     const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     assertConsistentRecords(last);
@@ -156,7 +157,7 @@
   let restoredCount = 0;
   const requestedAgain: string[] = [];
   const endedNames = new Set<string>();
-  const spawn = (options: Spawned): RehearsedController => {
+  const spawn = (options: ControllerDependencies): RehearsedController => {
     const { state, cloud, clock } = options;
     const rentalOf = (op: Op): string | null =>
       changedKey(op).startsWith(keys.rentals) ? changedKey(op).slice(keys.rentals.length) : null;
@@ -199,7 +200,7 @@
   };
   // One type has no machines, so its rentals yield nothing and their records are removed.
   const plan = { ...base, machine: base.machine.map((one) => ({ ...one, count: one.name === "fotolab" ? 0 : 2, spot: 0 })), fault: [] };
-  await playVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf: injectionPointOf });
+  await runVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf: injectionPointOf });
   assert.ok(removedCount > 3 && restoredCount > 3, `${removedCount} removed, ${restoredCount} restored`);
   assert.deepEqual(requestedAgain, []);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { brokenRules } from "@thorntrail/emulator/checker";
-import { drawnPlan } from "@thorntrail/emulator/drawn";
-import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
+import { findViolations } from "@thorntrail/emulator/checker";
+import { randomPlan } from "@thorntrail/emulator/random-plans";
+import { loadPlan, runVirtual } from "@thorntrail/emulator/entry";
 import { decodeFault, type Fault } from "@thorntrail/emulator/faults";
 import { CallError } from "@thorntrail/protocol/errors";
 import fc from "fast-check";
@@ -100,7 +100,7 @@
     fc.asyncProperty(compoundFault, async (one) => {
       const text = scenarioText(one);
       const { world, failures } = await playScenario(text);
-      assert.deepEqual([brokenRules(world.history, world.limits()), failures, world.errors], [[], [], []], text);
+      assert.deepEqual([findViolations(world.history, world.limits()), failures, world.errors], [[], [], []], text);
     }),
     { numRuns: runs, seed: Number(process.env["MEETINGS_SEED"] ?? 37) },
   );
@@ -130,9 +130,9 @@
   let sharp = 0;
   for (const seed of SEEDS) {
     const held = await later(0, seed);
-    assert.deepEqual(brokenRules(held.world.history, held.world.limits()), [], `seed ${seed}`);
+    assert.deepEqual(findViolations(held.world.history, held.world.limits()), [], `seed ${seed}`);
     const broken = await later(4000, seed);
-    if (/^ran_cancelled/.test(brokenRules(broken.world.history, broken.world.limits())[0] ?? "none")) sharp++;
+    if (/^ran_cancelled/.test(findViolations(broken.world.history, broken.world.limits())[0] ?? "none")) sharp++;
   }
   assert.ok(sharp >= 2, `${sharp} of ${SEEDS.length} seeds`);
 });
@@ -255,7 +255,7 @@
       return controller;
     };
     const plan = { ...base, fault: Array.from({ length: 6 }, (_, i) => ({ at: 15 + i * 13, fault: restart(i) })) };
-    const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
     assert.deepEqual(report.broken, []);
   }
   assert.ok(renewed > 20, `${renewed} answers`);
@@ -285,10 +285,10 @@
 test("two or three randomly generated faults break no rule, and all work finishes", async () => {
   let both = 0;
   for (let seed = 1; seed <= 12; seed++) {
-    const report = await playVirtual({ plan: drawnPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan: randomPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (report.faults.filter(({ met }) => met.length > 0).length > 1) both++;
   }
   assert.ok(both > 6, `${both} of 12 had two that affected something`);
-  assert.deepEqual(drawnPlan(base, 7), drawnPlan(base, 7));
+  assert.deepEqual(randomPlan(base, 7), randomPlan(base, 7));
 });
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { plainPlan, World } from "@thorntrail/emulator/entry";
+import { defaultWorldOptions, VirtualWorld } from "@thorntrail/emulator/entry";
 import { encodeJob } from "@thorntrail/protocol/jobs";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "./world/parts.js";
@@ -10,15 +10,15 @@
 const MB = 1e6;
 
 /** Three controllers in the emulator. `memory` and `heap` set the shares in use per controller. */
-function createWorld(rate = 100): { world: World<RehearsedController>; memory: Map<string, number>; heap: Map<string, number> } {
-  const plan = plainPlan();
+function createWorld(rate = 100): { world: VirtualWorld<RehearsedController>; memory: Map<string, number>; heap: Map<string, number> } {
+  const plan = defaultWorldOptions();
   plan.teams = [team];
   plan.types = [TYPE];
   plan.state = { ...plan.state, rps: rate, writeRps: rate / 4 };
   plan.capacity = new Map([["m/a/ordinary", 20]]);
   const memory = new Map<string, number>();
   const heap = new Map<string, number>();
-  const world = new World(plan, (asked) => {
+  const world = new VirtualWorld(plan, (asked) => {
     const name = String(asked.platform["host_name"]);
     const quota = (asked.platform["deployment"] as { quota: { mem_mb: number } }).quota.mem_mb;
     return spawnController(asked, () => ({
@@ -27,16 +27,16 @@
       heapMax: 1,
     }));
   });
-  for (const name of world.nodes.keys()) world.startNode(name);
+  for (const name of world.nodes.keys()) world.startController(name);
   return { world, memory, heap };
 }
 
 const wireOf = (ref: string, urgency: "low" | "urgent"): Record<string, unknown> =>
   encodeJob(specOf({ ref, urgency, tasks: 4, guessS: 10 }));
-const controllerOf = (world: World<RehearsedController>, name: string): RehearsedController => world.nodes.get(name)!.controller!;
+const controllerOf = (world: VirtualWorld<RehearsedController>, name: string): RehearsedController => world.nodes.get(name)!.controller!;
 
 /** Sends one request to nest-0, without a user's retries, and returns the answer. */
-async function ask(world: World<RehearsedController>, kind: "submit" | "poll" | "cancel", body: unknown) {
+async function ask(world: VirtualWorld<RehearsedController>, kind: "submit" | "poll" | "cancel", body: unknown) {
   let answer: { status: number; retryAfterS?: number; body: Record<string, unknown> } | undefined;
   void controllerOf(world, "nest-0")
     .answer(kind, body)
@@ -73,7 +73,7 @@
   void world.submit(wireOf("run-000004", "urgent"), specOf({ ref: "run-000004", urgency: "urgent", tasks: 4 }), "nest-0");
   await world.clock.run(120_000);
   assert.equal((await ask(world, "poll", "run-000004")).body["status"], "done");
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 test("garbage does not count as memory in use: one sample of a full heap sheds nothing, a heap that stays full does", async () => {
@@ -88,7 +88,7 @@
   heap.set("nest-0", 0.97);
   await world.clock.run(45_000);
   assert.equal(overload.level, 4);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 test("a controller at level 3 neither volunteers nor bids, and rents no further machines", async () => {
@@ -109,7 +109,7 @@
   );
   await world.clock.run(200_000);
   for (let i = 10; i < 22; i++) assert.equal((await ask(world, "poll", `run-0000${i}`)).body["status"], "done");
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 test("a stall of the process does not count as lag", async () => {
@@ -118,7 +118,7 @@
   world.freeze("nest-0", 6000);
   await world.clock.run(40_000);
   assert.equal(controllerOf(world, "nest-0").overload.stats.worstLevel, 0);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 // Each poll of an unfinished job needs a read that began after the poll. One read per poll would exceed the state
@@ -150,7 +150,7 @@
     `${[...new Set(answers)].join()}`,
   );
   assert.ok(reads <= 3, `${reads} reads`);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
 
 // After a stall, all changes of that time arrive in one answer.
@@ -174,5 +174,5 @@
   assert.equal((await ask(world, "poll", "run-509999")).body["status"], "done");
   assert.equal(node.replica.openJobs().size, 0);
   assert.equal((await ask(world, "submit", wireOf("run-000001", "low"))).status, 201);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { brokenRules } from "@thorntrail/emulator/checker";
+import { findViolations } from "@thorntrail/emulator/checker";
 import { Cluster } from "./world/cluster.js";
 
 const type = { name: "m", cpus: 16, gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] };
@@ -12,13 +12,13 @@
   const cluster = new Cluster({ seed: 3, controllers: 6, teams, types: [type], capacity: new Map([["m/a/ordinary", 60]]) });
   const { world } = cluster;
   let transfers = 0;
-  world.seen$.subscribe(({ what }) => (transfers += what === "quota transferred" ? 1 : 0));
+  world.observations$.subscribe(({ what }) => (transfers += what === "quota transferred" ? 1 : 0));
   await cluster.until(12);
   const conflicts = (): number => [...world.nodes.values()].reduce((sum, { controller }) => sum + controller!.committer.stats.conflicts, 0);
   const before = conflicts();
   teams.forEach(({ name }, i) => cluster.submit({ ref: `run-00000${i}`, team: name, kind: "gang", tasks, cpus }, 300, `nest-${i % 6}`));
   await cluster.until(60);
-  assert.deepEqual([brokenRules(world.history, world.limits()), world.errors], [[], []]);
+  assert.deepEqual([findViolations(world.history, world.limits()), world.errors], [[], []]);
   const result = { transfers, conflicts: conflicts() - before, used: teams.map(({ name }) => cluster.usedBy(name)) };
   cluster.close();
   return result;
