--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -2,16 +2,25 @@
 import { spawn, spawnSync } from "node:child_process";
 import { existsSync } from "node:fs";
 import { test } from "node:test";
-import { cases, loadPlan, parsePlan, planOf, playVirtual, shrink, type RehearsalPlan, type Report } from "@thorntrail/emulator/entry";
+import {
+  pairwiseCases,
+  loadPlan,
+  parsePlan,
+  planForCase,
+  runVirtual,
+  minimisePlan,
+  type RehearsalPlan,
+  type Report,
+} from "@thorntrail/emulator/entry";
 import { decodeFault } from "@thorntrail/emulator/faults";
-import { Links } from "@thorntrail/emulator/links";
+import { NetworkRules } from "@thorntrail/emulator/network-rules";
 import fc from "fast-check";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 
 const base = await loadPlan("deploy/rehearsal.hcl");
-const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof playVirtual> =>
-  playVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof runVirtual> =>
+  runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
 
 function assertPassed(report: Report): void {
   assert.deepEqual(report.broken, [], report.plan);
@@ -27,7 +36,7 @@
 
 // The whole campaign: `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
 test("a short campaign: every eleventh pair of fault and injection point", async () => {
-  for (const one of cases(1).filter((_, i) => i % 11 === 0)) assertPassed(await play(planOf(base, one)));
+  for (const one of pairwiseCases(1).filter((_, i) => i % 11 === 0)) assertPassed(await play(planForCase(base, one)));
 });
 
 const fault = (raw: Record<string, unknown>, at: number): RehearsalPlan["fault"][number] => {
@@ -103,11 +112,14 @@
 });
 
 test("randomly generated faults break no rule, and all jobs finish", async () => {
-  const faultChoices = fc.array(fc.tuple(fc.nat(cases(1).length - 1), fc.integer({ min: 5, max: 80 })), { minLength: 1, maxLength: 4 });
+  const faultChoices = fc.array(fc.tuple(fc.nat(pairwiseCases(1).length - 1), fc.integer({ min: 5, max: 80 })), {
+    minLength: 1,
+    maxLength: 4,
+  });
   await fc.assert(
     fc.asyncProperty(faultChoices, fc.nat(1000), async (chosen, seed) => {
       const faults = chosen.map(([i, at]) => {
-        const [first] = planOf(base, cases(1)[i]!).fault;
+        const [first] = planForCase(base, pairwiseCases(1)[i]!).fault;
         return { at, fault: first!.fault };
       });
       assertPassed(await play({ ...base, fault: faults }, seed));
@@ -130,52 +142,52 @@
   const needed = (plan: RehearsalPlan): Promise<boolean> =>
     Promise.resolve(plan.fault.some(({ fault: { kind } }) => kind === "lose") && plan.work.some(({ name }) => name === "fotos"));
   const faults = ["restart", "lose", "sick", "freeze", "fail"].map((kind, i) => fault({ kind }, i));
-  const { plan, runs } = await shrink({ ...base, fault: faults }, needed, 100);
+  const { plan, runs } = await minimisePlan({ ...base, fault: faults }, needed, 100);
   assert.deepEqual([plan.fault.map((one) => one.fault.kind), plan.work.map(({ name }) => name)], [["lose"], ["fotos"]]);
   assert.ok(runs < 20);
 });
 
 test("links: calls held by a cut are delivered in order when it ends; rules with a count apply to no more calls than that", () => {
-  const links = new Links();
+  const links = new NetworkRules();
   const call = { from: "nest-0", to: "state", what: "txn" };
   const delivered: number[] = [];
   const end = links.add({ from: "nest-0", to: "state", effect: { kind: "cut" } });
   for (const n of [1, 2])
     assert.equal(
-      links.hold(call, () => delivered.push(n)),
+      links.holdIfCut(call, () => delivered.push(n)),
       true,
     );
-  assert.equal(links.blocked({ ...call, from: "state", to: "nest-0" }), true, "a cut has no direction");
-  assert.equal(links.blocked({ ...call, from: "nest-1" }), false);
+  assert.equal(links.isCut({ ...call, from: "state", to: "nest-0" }), true, "a cut has no direction");
+  assert.equal(links.isCut({ ...call, from: "nest-1" }), false);
   end();
   assert.deepEqual(delivered, [1, 2]);
   links.add({ from: "*", to: "cloud", what: "hire", effect: { kind: "twice" }, count: 2 });
   const hire = { from: "nest-1", to: "cloud", what: "hire" };
   assert.deepEqual(
-    [links.judge({ ...hire, what: "list" }), links.judge(hire), links.judge(hire), links.judge(hire)],
+    [links.takeEffect({ ...hire, what: "list" }), links.takeEffect(hire), links.takeEffect(hire), links.takeEffect(hire)],
     [null, { kind: "twice" }, { kind: "twice" }, null],
   );
 });
 
 test("links: loss and duplication apply to one direction, and do not use up the count of other rules", () => {
-  const links = new Links();
+  const links = new NetworkRules();
   const end = links.add({ from: "*", to: "i-000001", effect: { kind: "lose" } });
   assert.deepEqual(
-    ["command", "answer"].map((what) => links.loses({ from: "nest-0", to: "i-000001", what })),
+    ["command", "answer"].map((what) => links.isLost({ from: "nest-0", to: "i-000001", what })),
     [true, true],
   );
-  assert.equal(links.loses({ from: "i-000001", to: "nest-0", what: "report" }), false, "reports of the machine arrive");
+  assert.equal(links.isLost({ from: "i-000001", to: "nest-0", what: "report" }), false, "reports of the machine arrive");
   links.add({ from: "workers", to: "controllers", what: "report", effect: { kind: "again", share: 0.5, mostMs: 12_000 } });
   const report = { from: "i-000001", to: "nest-0", what: "report" };
   const random = (first: number): (() => number) => {
     const values = [first, 1];
     return () => values.shift()!;
   };
-  assert.deepEqual([links.againMs(report, random(0.4)), links.againMs(report, random(0.5))], [12_000, null]);
-  assert.equal(links.againMs({ ...report, what: "command" }, random(0)), null);
-  assert.equal(links.judge(report), null);
+  assert.deepEqual([links.copyDelayMs(report, random(0.4)), links.copyDelayMs(report, random(0.5))], [12_000, null]);
+  assert.equal(links.copyDelayMs({ ...report, what: "command" }, random(0)), null);
+  assert.equal(links.takeEffect(report), null);
   end();
-  assert.equal(links.loses({ from: "nest-0", to: "i-000001", what: "command" }), false);
+  assert.equal(links.isLost({ from: "nest-0", to: "i-000001", what: "command" }), false);
 });
 
 test("malformed plans and faults are refused with file, field and expectation", async () => {
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { loadPlan, plainPlan, playVirtual, World, type RehearsalPlan } from "@thorntrail/emulator/entry";
+import { loadPlan, defaultWorldOptions, runVirtual, VirtualWorld, type RehearsalPlan } from "@thorntrail/emulator/entry";
 import { decodeFault } from "@thorntrail/emulator/faults";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
@@ -76,7 +76,7 @@
 test("with controllers that end and restart at once at any time, no rule is broken and every job finishes", async () => {
   await fc.assert(
     fc.asyncProperty(randomFaults, fc.nat(1000), async (faults, seed) => {
-      const report = await playVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf: injectionPointOf });
+      const report = await runVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf: injectionPointOf });
       assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
     }),
     { numRuns: 15, seed: 34 },
@@ -100,7 +100,7 @@
     return controller;
   };
   const faults = [12, 14, 20, 21, 22, 30].map((at): [number, FaultFields] => [at, { kind: "restart", target: "all", for: 0.1 }]);
-  const report = await playVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf: injectionPointOf });
+  const report = await runVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf: injectionPointOf });
   assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
   assert.ok(answers > 100);
 });
@@ -160,7 +160,7 @@
   );
   let found = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const report = await playVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
     if (report.broken.length + report.jobs.unfinished.length > 0) found++;
   }
   assert.ok(found > 0, "six rehearsals under former terms, none of which broke a rule or left a job unfinished");
@@ -236,8 +236,8 @@
 
 test("a node that renews its presence far more often than needed keeps its presence key", async () => {
   // Guards against presence records written under a lease that seemed extended by each renewal but never was.
-  const world = new World(plainPlan(), spawnController);
-  for (const name of world.nodes.keys()) world.startNode(name);
+  const world = new VirtualWorld(defaultWorldOptions(), spawnController);
+  for (const name of world.nodes.keys()) world.startController(name);
   await world.clock.run(5000);
   const { presence } = world.nodes.get("nest-0")!.controller!;
   for (let at = 5000; at < 45_000; at += 400) {
@@ -245,6 +245,6 @@
     await world.clock.run(at);
     for (const node of world.nodes.values()) assert.ok(node.controller!.presence.isPresent("nest-0"), `gone at ${at} ms`);
   }
-  assert.equal(world.lines.filter((line) => line === "part taken").length, 3);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  assert.equal(world.logMessages.filter((line) => line === "part taken").length, 3);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { test } from "node:test";
-import { BRISK, loadPlan, runSoakSeed, timingIndependent, type RehearsalPlan, type SoakRun } from "@thorntrail/emulator/entry";
+import { FAST_TIMING, loadPlan, runSoakSeed, timingIndependent, type RehearsalPlan, type SoakRun } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 
 /** Short runs, checked only by rules that do not depend on the speed of the machine. For long runs see docs/operations/rehearsals.md. */
@@ -18,7 +18,7 @@
 async function soak(plan: RehearsalPlan, seed: number): Promise<SoakRun & { artifacts: string[] }> {
   const artifactsDir = mkdtempSync(join(tmpdir(), "soak-test-"));
   try {
-    const run = await runSoakSeed({ program, plan, timing: BRISK, momentOf: injectionPointOf, artifactsDir }, seed);
+    const run = await runSoakSeed({ program, plan, timing: FAST_TIMING, momentOf: injectionPointOf, artifactsDir }, seed);
     const dir = join(artifactsDir, `seed-${seed}`);
     return { ...run, artifacts: existsSync(dir) ? readdirSync(dir).sort() : [] };
   } finally {
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { loadPlan, playVirtual } from "@thorntrail/emulator/entry";
-import { soakPlan } from "@thorntrail/emulator/drawn";
+import { loadPlan, runVirtual } from "@thorntrail/emulator/entry";
+import { soakPlan } from "@thorntrail/emulator/random-plans";
 import { hadSplitWhileRefused } from "@thorntrail/emulator/report";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
@@ -21,7 +21,7 @@
   const base = await loadPlan("deploy/soak.hcl");
   let splits = 0;
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-    const report = await playVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (hadSplitWhileRefused(report.faults, LEASE_S)) splits++;
   }
@@ -34,7 +34,7 @@
 ] as const)
   test(`${file} logs: ${line}`, async () => {
     const { world } = await playScenario(readFileSync(`test/scenarios/${file}.txt`, "utf8"));
-    assert.ok(world.lines.includes(line), line);
+    assert.ok(world.logMessages.includes(line), line);
   });
 
 test("a split that matches no target is reported as a failure", async () => {
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -9,7 +9,7 @@
 import { StallDetectingClock } from "../src/platform/stall.js";
 import { newMachine } from "../src/workers/machine.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
-import { plainPlan, World } from "@thorntrail/emulator/entry";
+import { defaultWorldOptions, VirtualWorld } from "@thorntrail/emulator/entry";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
 
 test("the first call of the clock after a stall notifies subscribers before it returns", async () => {
@@ -74,8 +74,8 @@
 });
 
 test("an owner that wakes from a long stall is silent until it has read the current state", async () => {
-  const world = new World(plainPlan(), spawnController);
-  for (const name of world.nodes.keys()) world.startNode(name);
+  const world = new VirtualWorld(defaultWorldOptions(), spawnController);
+  for (const name of world.nodes.keys()) world.startController(name);
   await world.clock.run(5000);
   const { leader } = world.nodes.get("nest-0")!.controller!;
   assert.equal(leader.isSilent(), false);
@@ -85,5 +85,5 @@
   assert.equal(leader.isSilent(), true);
   await world.clock.run(5500);
   assert.equal(leader.isSilent(), false);
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
 });
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { brokenRules, type Happening } from "@thorntrail/emulator/checker";
-import type { Spawned } from "@thorntrail/emulator/entry";
-import { seeded } from "@thorntrail/emulator/luck";
+import { findViolations, type HistoryEvent } from "@thorntrail/emulator/checker";
+import type { ControllerDependencies } from "@thorntrail/emulator/entry";
+import { seededRandom } from "@thorntrail/emulator/random";
 import type { StateApi } from "@thorntrail/protocol/state";
 import { keys } from "../src/ledger/records.js";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
@@ -28,7 +28,7 @@
 
 /** Returns a scenario with `faultCount` faults in sequence. Without faults, requests only coincide with the end of jobs. */
 function scenarioText(seed: number, faultCount: number): string {
-  const random = seeded(seed);
+  const random = seededRandom(seed);
   const controllers = 3 + Math.floor(random() * 3);
   const lines = Array.from({ length: faultCount }, (_, i) =>
     FAULTS[Math.floor(random() * FAULTS.length)]!(12 + i * 9 + Math.round(random() * 5)),
@@ -54,10 +54,16 @@
   ].join("\n");
 }
 
-async function playAndCheck(text: string, spawn?: (options: Spawned) => RehearsedController) {
+async function playAndCheck(text: string, spawn?: (options: ControllerDependencies) => RehearsedController) {
   const { world, failures } = await playScenario(text, spawn);
-  const answers = world.history.filter((one): one is Extract<Happening, { kind: "told" }> => one.kind === "told");
-  return { broken: brokenRules(world.history, world.limits()), failures, errors: world.errors, answers, met: world.crowd.met };
+  const answers = world.history.filter((one): one is Extract<HistoryEvent, { kind: "told" }> => one.kind === "told");
+  return {
+    broken: findViolations(world.history, world.limits()),
+    failures,
+    errors: world.errors,
+    answers,
+    met: world.simulatedUsers.effects,
+  };
 }
 
 test("requests to all nodes at once, without faults: cancellations, polls and repeated submissions coincide with the end of a job", async () => {
@@ -89,12 +95,12 @@
 
 /** Returns a function that starts a controller whose transactions are replaced, as if it wrote jobs incorrectly. */
 const withTransactions =
-  (txn: (state: StateApi, options: Spawned) => StateApi["txn"]) =>
-  (options: Spawned): RehearsedController =>
+  (txn: (state: StateApi, options: ControllerDependencies) => StateApi["txn"]) =>
+  (options: ControllerDependencies): RehearsedController =>
     spawnController({ ...options, state: { ...options.state, txn: txn(options.state, options) } });
 const isJob = (key: string): boolean => key.startsWith(keys.jobs);
 
-const FAULTY_VARIANTS: Record<string, { spawn: (options: Spawned) => RehearsedController; what: RegExp }> = {
+const FAULTY_VARIANTS: Record<string, { spawn: (options: ControllerDependencies) => RehearsedController; what: RegExp }> = {
   "polls are answered without a read that began after the poll": {
     spawn: (options) => {
       const controller = spawnController(options);
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -1,5 +1,5 @@
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
-import { plainPlan, World, type Plan } from "@thorntrail/emulator/entry";
+import { defaultWorldOptions, VirtualWorld, type WorldOptions } from "@thorntrail/emulator/entry";
 import { isInForce, partitionStatuses, type PartitionVersionStatus } from "../../src/configuration/in-force.js";
 import { ConfigurationStore } from "../../src/configuration/store.js";
 import type { TeamChange } from "../../src/configuration/teams.js";
@@ -13,14 +13,14 @@
 
 /** A cluster in virtual time with an operator client that changes its configuration. */
 export class Cluster {
-  readonly world: World<RehearsedController>;
+  readonly world: VirtualWorld<RehearsedController>;
   private readonly store: ConfigurationStore;
   private readonly outcomes: Promise<unknown>[] = [];
 
   /** Starts all controllers of the plan; `spawn` creates a controller process. */
-  constructor(change: Partial<Plan>, spawn: typeof spawnController = spawnController) {
-    this.world = new World<RehearsedController>({ ...plainPlan(), ...change }, (request) => spawn(request));
-    const { clock, state, plan } = this.world;
+  constructor(change: Partial<WorldOptions>, spawn: typeof spawnController = spawnController) {
+    this.world = new VirtualWorld<RehearsedController>({ ...defaultWorldOptions(), ...change }, (request) => spawn(request));
+    const { clock, state, options: plan } = this.world;
     const sleep = (ms: number): Promise<void> => new Promise((resolve) => clock.after(ms, resolve));
     this.store = new ConfigurationStore(
       state.client(OPERATOR, (fn) => fn()),
@@ -29,7 +29,7 @@
       () => clock.wall(),
       sleep,
     );
-    for (const name of this.world.nodes.keys()) this.world.startNode(name);
+    for (const name of this.world.nodes.keys()) this.world.startController(name);
   }
 
   /** Runs virtual time until `seconds` after the start. */
@@ -40,7 +40,7 @@
   /** Submits a job that runs for `runS` seconds to a controller; the answers are recorded in the world's history. */
   submit(change: Partial<JobSpec> & { ref: string }, runS: number, node: string): void {
     const spec = specOf({ ram: 0, ...change });
-    this.world.runs.set(spec.ref, runS * 1000);
+    this.world.runTimesMs.set(spec.ref, runS * 1000);
     this.outcomes.push(this.world.submit(encodeJob(spec), spec, node));
   }
 
@@ -103,6 +103,6 @@
 
   /** Ends all controllers. */
   close(): void {
-    for (const name of this.world.nodes.keys()) this.world.killNode(name);
+    for (const name of this.world.nodes.keys()) this.world.killController(name);
   }
 }
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -1,8 +1,8 @@
 import { encodeJob, type JobKind, type JobSpec, type Urgency } from "@thorntrail/protocol/jobs";
 import { keys, type SliceRecord, type SuspicionRecord } from "../../src/ledger/records.js";
-import { carryOut, decodeFault } from "@thorntrail/emulator/faults";
-import { virtualStage } from "@thorntrail/emulator/virtual/play";
-import { plainPlan, World as AnyWorld, type Plan, type Spawned } from "@thorntrail/emulator/entry";
+import { injectFault, decodeFault } from "@thorntrail/emulator/faults";
+import { virtualEnvironment } from "@thorntrail/emulator/virtual/play";
+import { defaultWorldOptions, VirtualWorld as AnyWorld, type WorldOptions, type ControllerDependencies } from "@thorntrail/emulator/entry";
 import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn-controller.js";
 
 type World = AnyWorld<RehearsedController>;
@@ -27,8 +27,8 @@
 }
 
 /** Parses a scenario into its plan and its steps in the order of time. */
-function parse(text: string): { plan: Plan; steps: Step[] } {
-  const plan = plainPlan();
+function parse(text: string): { plan: WorldOptions; steps: Step[] } {
+  const plan = defaultWorldOptions();
   const steps: Step[] = [];
   for (const raw of text.split("\n")) {
     const line = raw.replace(/#.*$/, "").trim();
@@ -36,7 +36,7 @@
     const words = line.split(/\s+/);
     if (words[0] === "seed") plan.seed = Number(words[1]);
     else if (words[0] === "given" && words[1] === "controllers") plan.controllers = Number(words[2]);
-    else if (words[0] === "given" && words[1] === "drift") plan.drift = Number(words[2]);
+    else if (words[0] === "given" && words[1] === "drift") plan.clockDrift = Number(words[2]);
     else if (words[0] === "given" && words[1] === "sockets") plan.sockets = Number(words[2]);
     else if (words[0] === "given" && words[1] === "later" && words[2] === "state") {
       const o = options(words.slice(3));
@@ -87,9 +87,9 @@
   const flags = new Set(["one-zone", "spread", "spot", "mistaken"].filter((f) => words.includes(f)));
   const o = options(words.slice(2).filter((w) => !flags.has(w)));
   const kind = KINDS[shape]!;
-  if (flags.has("mistaken")) world.mistaken.add(ref);
+  if (flags.has("mistaken")) world.defectiveJobs.add(ref);
   const runS = Number(o.get("for") ?? 10);
-  world.runs.set(ref, runS * 1000);
+  world.runTimesMs.set(ref, runS * 1000);
   const spec: JobSpec = {
     ref,
     klass: o.get("class") ?? "c",
@@ -123,19 +123,19 @@
  */
 export async function playScenario(
   text: string,
-  spawn: (request: Spawned) => RehearsedController = spawnController,
+  spawn: (request: ControllerDependencies) => RehearsedController = spawnController,
 ): Promise<{ world: World; failures: string[] }> {
   const { plan, steps } = parse(text);
   const world = new AnyWorld(plan, spawn);
   const failures: string[] = [];
-  for (const name of world.nodes.keys()) world.startNode(name);
+  for (const name of world.nodes.keys()) world.startController(name);
   for (const step of steps) {
     await world.clock.run(step.at);
     await performStep(world, step, failures);
   }
   await world.clock.run((steps.at(-1)?.at ?? 0) + 100);
   failures.push(...world.state.oversized.map((what) => `exceeds the limits of the state service: ${what}`));
-  for (const name of world.nodes.keys()) world.killNode(name);
+  for (const name of world.nodes.keys()) world.killController(name);
   return { world, failures };
 }
 
@@ -192,12 +192,12 @@
       void world.poll(a, b === "at" ? nodeNamed(c) : undefined);
       return;
     case "kill":
-      if (a === "all") for (const name of world.nodes.keys()) world.killNode(name);
-      else world.killNode(nodeNamed(a));
+      if (a === "all") for (const name of world.nodes.keys()) world.killController(name);
+      else world.killController(nodeNamed(a));
       return;
     case "start":
-      if (a === "all") for (const name of world.nodes.keys()) world.startNode(name);
-      else world.startNode(a);
+      if (a === "all") for (const name of world.nodes.keys()) world.startController(name);
+      else world.startController(a);
       return;
     case "cut": {
       // cut X from Y for N: packets are held and delivered when the cut ends.
@@ -226,7 +226,8 @@
       });
       const decoded = decodeFault({ kind: a, ...Object.fromEntries(fields) });
       if ("wrong" in decoded) throw new Error(`${step.line}: ${decoded.wrong}`);
-      if (carryOut(virtualStage(world), decoded.fault, world.crowd).length === 0) failures.push(`${step.line}: matched no target`);
+      if (injectFault(virtualEnvironment(world), decoded.fault, world.simulatedUsers).length === 0)
+        failures.push(`${step.line}: matched no target`);
       return;
     }
     case "repeat-reports": {
@@ -260,7 +261,7 @@
     case "limit": {
       // limit state writes W value-kb V changes C
       const o = options(step.words.slice(2));
-      world.state.limit({ writeRps: Number(o.get("writes")), valueKb: Number(o.get("value-kb")), txnOps: Number(o.get("changes")) });
+      world.state.changeLimits({ writeRps: Number(o.get("writes")), valueKb: Number(o.get("value-kb")), txnOps: Number(o.get("changes")) });
       return;
     }
     case "lose-replies":
@@ -297,8 +298,8 @@
       return;
     case "silence": {
       const node = nodeNamed(a);
-      world.killNode(node);
-      world.clock.after(Number(c) * 1000, () => world.startNode(node));
+      world.killController(node);
+      world.clock.after(Number(c) * 1000, () => world.startController(node));
       return;
     }
     case "flap": {
@@ -306,8 +307,8 @@
       const node = nodeNamed(a);
       const everyMs = Number(c) * 1000;
       for (let t = 0; t < Number(step.words[5]) * 1000; t += everyMs) {
-        world.clock.after(t, () => world.killNode(node));
-        world.clock.after(t + 200, () => world.startNode(node));
+        world.clock.after(t, () => world.killController(node));
+        world.clock.after(t + 200, () => world.startController(node));
       }
       return;
     }
@@ -330,10 +331,10 @@
       }
       return;
     case "notice":
-      for (const host of hostsOf(world, a)) world.workers.get(host)!.warn(Number(b));
+      for (const host of hostsOf(world, a)) world.workers.get(host)!.announceRemoval(Number(b));
       return;
     case "sicken":
-      for (const host of hostsOf(world, a).slice(0, 1)) world.sickHosts.add(host);
+      for (const host of hostsOf(world, a).slice(0, 1)) world.failingHosts.add(host);
       return;
     case "expect":
       await checkExpectation(world, step, failures, settle, nodeNamed);
@@ -356,7 +357,7 @@
     if (!ok) failures.push(`${step.line}: saw ${String(saw)}`);
   };
   if (subject === "machines") {
-    const n = world.cloud.rented;
+    const n = world.cloud.rentedCount;
     return check(what === "at-most" ? n <= Number(c) : n === Number(what), n);
   }
   if (subject === "parts") {
@@ -387,7 +388,7 @@
   if (what === "runs") {
     const n = [...world.workers.values()]
       .flatMap((w) => [...w.tasks.values()])
-      .filter((t) => t.ref === subject && t.state !== "exited" && t.hadImage).length;
+      .filter((t) => t.ref === subject && t.state !== "exited" && t.imageReady).length;
     return check(n === Number(c), n);
   }
   if (what === "started") {
@@ -396,7 +397,7 @@
   }
   if (subject === "claims") {
     // claims at-most N: the total number of claims of partitions.
-    const n = world.lines.filter((line) => line === "part taken").length;
+    const n = world.logMessages.filter((line) => line === "part taken").length;
     return check(n <= Number(c), n);
   }
   if (subject === "suspicions") {
@@ -407,13 +408,13 @@
   }
   if (subject === "met") {
     // met WHAT at-least N: how often simulated users, or withheld reports, reached their injection point.
-    const counts: Record<string, number> = { ...world.crowd.met, keptReports: world.keptDelivered };
+    const counts: Record<string, number> = { ...world.simulatedUsers.effects, keptReports: world.storedReportsDelivered };
     const n = counts[what];
     if (n === undefined) throw new Error(`${step.line}: expected one of ${Object.keys(counts).join(", ")}`);
     return check(n >= Number(d), n);
   }
   if (subject === "set-aside") {
-    const n = world.lines.filter((line) => line.includes("set aside")).length;
+    const n = world.logMessages.filter((line) => line.includes("set aside")).length;
     return check(n <= Number(c), n);
   }
   if (subject === "burst") {
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -1,8 +1,8 @@
 import { Subject } from "rxjs";
-import { brokenRules, type Happening } from "@thorntrail/emulator/checker";
-import { seeded } from "@thorntrail/emulator/luck";
+import { findViolations, type HistoryEvent } from "@thorntrail/emulator/checker";
+import { seededRandom } from "@thorntrail/emulator/random";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
-import { Worker, type WorkerWorld } from "@thorntrail/emulator/worker-model";
+import { Worker, type WorkerDependencies } from "@thorntrail/emulator/worker-model";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
@@ -201,29 +201,29 @@
 /** Runs the model; the same seed gives the same run. */
 export async function playTakeovers(seed: number): Promise<TakeoverRun> {
   const clock = new VirtualClock();
-  const random = seeded(seed);
-  const history: Happening[] = [];
+  const random = seededRandom(seed);
+  const history: HistoryEvent[] = [];
   const errors: string[] = [];
   const done = new Set<string>();
   const specs = new Map(JOBS.map((job, i) => [`run-00000${i + 1}`, specOf({ ...job, ref: `run-00000${i + 1}` })]));
   const hosts = new Map<string, Worker>();
   let owner: Owner | null = null;
-  const world: WorkerWorld = {
+  const world: WorkerDependencies = {
     clock,
     reportMs: TIMING.reportMs,
     leaseMs: TIMING.leaseMs,
     gangPeerMs: 4000,
     gangWaitMs: 35_000,
-    luck: random,
+    random,
     nodes: ["nest-0"],
     spec: (ref) => specs.get(ref),
     runMs: (ref) => 40_000 + 15_000 * Number(ref.at(-1)),
     fetchMs: () => 300,
-    slowness: () => 1,
-    sick: () => false,
-    saved: new Map(),
-    on: ({ host, offer }, piece) => void history.push({ at: clock.now(), kind: "on", piece, host, ...offer }),
-    off: ({ host }, piece, cause) => void history.push({ at: clock.now(), kind: "off", piece, host, cause }),
+    slowdown: () => 1,
+    failsTasks: () => false,
+    savedProgress: new Map(),
+    onTaskStarted: ({ host, offer }, piece) => void history.push({ at: clock.now(), kind: "on", piece, host, ...offer }),
+    onTaskEnded: ({ host }, piece, cause) => void history.push({ at: clock.now(), kind: "off", piece, host, cause }),
     mates: (ref, attempt) =>
       [...hosts.values()].flatMap((worker) =>
         [...worker.tasks.values()].filter((task) => task.ref === ref && task.attempt === attempt).map((task) => ({ worker, task })),
@@ -314,7 +314,7 @@
   }
   await clock.run(RUN_SECONDS * 1000);
   (owner as Owner | null)?.scope.close();
-  for (const worker of hosts.values()) worker.die();
-  const broken = brokenRules(history, { cancelMs: Infinity, teams: new Map() });
+  for (const worker of hosts.values()) worker.remove();
+  const broken = findViolations(history, { cancelMs: Infinity, teams: new Map() });
   return { broken: [...broken, ...errors], surplus, started: history.filter(({ kind }) => kind === "on").length };
 }
