--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -115,12 +115,12 @@
     const fromS = 30 + i / repeats;
     for (let j = 0; j < controllers; j++)
       cluster.submit({ ref: `run-${String(j + 1).padStart(6, "0")}`, team: teams[j % 20]!.name, tasks: 20, cpus: 1 }, 300, `nest-${j}`);
-    await cluster.until(fromS);
+    await cluster.runUntil(fromS);
     trouble(cluster);
     const asked = cluster.set({ set: [{ ...teams[0]!, cpus_max: 40 }] });
-    while (asked.outcome === undefined) await cluster.until(cluster.world.clock.now() / 1000 + 0.05);
+    while (asked.outcome === undefined) await cluster.runUntil(cluster.world.clock.now() / 1000 + 0.05);
     if (asked.outcome instanceof Error) throw asked.outcome;
-    const seconds = await cluster.inForce(asked.outcome.version, fromS, GIVE_UP_MS / 1000);
+    const seconds = await cluster.waitUntilInForce(asked.outcome.version, fromS, GIVE_UP_MS / 1000);
     if (Number.isFinite(seconds)) times.add(seconds * 1000);
     else never++;
     cluster.close();
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -4,7 +4,7 @@
 import { runSchedulingCycle } from "../../src/queue/scheduling-cycle.js";
 import { newTaskSet } from "../../src/queue/task-set.js";
 import { addTaskSet } from "../../src/parts/partition.js";
-import { partOf, pass, specOf } from "../../test/world/parts.js";
+import { partitionOf, schedulingContext, specOf } from "../../test/world/partitions.js";
 import { median } from "../harness.js";
 import { jobRecordOf, mirrorHere } from "../memory.js";
 import type { Point } from "./line.js";
@@ -31,10 +31,10 @@
 const FULL = { cpus: 16, gpus: 0, ram: 64 };
 
 /** A partition with jobs of different shapes and teams, none of which has room. */
-function crowdedPartition(machines: number, waiting: number, teams: number): ReturnType<typeof partOf>["part"] {
-  const { part } = partOf(machines, FULL);
+function crowdedPartition(machines: number, waiting: number, teams: number): ReturnType<typeof partitionOf>["partition"] {
+  const { partition: part } = partitionOf(machines, FULL);
   addWaiting(part, machines, 1, (i) => ({ ref: `run-8${String(i).padStart(6, "0")}`, cpus: 16, ram: 64, tasks: 1 }));
-  runSchedulingCycle(part, pass);
+  runSchedulingCycle(part, schedulingContext);
   addWaiting(part, waiting, 1, (i) => ({
     ...{ ref: `run-9${String(i).padStart(6, "0")}`, team: `team-${i % teams}`, cpus: 2 + (i % 7) },
     ...{ ram: 4 + (i % 5), tasks: 4 },
@@ -42,7 +42,7 @@
   return part;
 }
 
-function addWaiting(part: ReturnType<typeof partOf>["part"], count: number, from: number, change: (i: number) => object): void {
+function addWaiting(part: ReturnType<typeof partitionOf>["partition"], count: number, from: number, change: (i: number) => object): void {
   for (let i = 0; i < count; i++) {
     const spec = specOf(change(i + from));
     addTaskSet(part, newTaskSet(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
@@ -55,24 +55,24 @@
   const scheduling = (machines: number, waiting: number, teams: number): number =>
     timed(
       () => crowdedPartition(machines, waiting, teams),
-      (part) => void runSchedulingCycle(part, pass),
+      (part) => void runSchedulingCycle(part, schedulingContext),
     );
   const placing = (tasks: number): number =>
     timed(
       () => {
-        const { part } = partOf(Math.ceil(tasks / 16) + 40, { cpus: 16, gpus: 0, ram: 64 });
+        const { partition: part } = partitionOf(Math.ceil(tasks / 16) + 40, { cpus: 16, gpus: 0, ram: 64 });
         addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks, cpus: 1, ram: 2 }));
         return part;
       },
-      (part) => void runSchedulingCycle(part, pass),
+      (part) => void runSchedulingCycle(part, schedulingContext),
     );
   const gangOnGraphics = timed(
     () => {
-      const { part } = partOf(64, MACHINE);
+      const { partition: part } = partitionOf(64, MACHINE);
       addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks: 256, cpus: 1, gpus: 1, ram: 8 }));
       return part;
     },
-    (part) => void runSchedulingCycle(part, pass),
+    (part) => void runSchedulingCycle(part, schedulingContext),
   );
   const following = (events: number): number =>
     timed(
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -2,7 +2,7 @@
 import { defaultWorldOptions, VirtualWorld, type ControllerDependencies } from "../packages/emulator/src/entry.js";
 import { DurationHistogram } from "../packages/emulator/src/report.js";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
-import { specOf } from "../test/world/parts.js";
+import { specOf } from "../test/world/partitions.js";
 import { options, progress, report } from "./harness.js";
 
 /**
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -6,7 +6,7 @@
 import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/class-accounting.js";
 import { newTaskSet, type Placement } from "../src/queue/task-set.js";
 import { Bits } from "../src/platform/bits.js";
-import { specOf } from "./world/parts.js";
+import { specOf } from "./world/partitions.js";
 
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
 const endsOf = (account: ClassAccount): number => ATTEMPT_ENDS.reduce((sum, end) => sum + account.ends[end], 0);
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -11,7 +11,7 @@
 import { ordersFor } from "../src/workers/orders.js";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
-import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 /** A partition right after a takeover, whose owner learns of attempts only from the machines' reports. */
 class NewOwner {
@@ -19,7 +19,7 @@
   private readonly sequence = new Map<string, number>();
 
   constructor(machines: number) {
-    this.partition = partOf(machines, { cpus: 16, gpus: 0, ram: 64 }).part;
+    this.partition = partitionOf(machines, { cpus: 16, gpus: 0, ram: 64 }).partition;
     for (const machine of this.partition.machines.values()) machine.token = 4;
   }
 
@@ -53,7 +53,7 @@
       leaseMs: 18_000,
       coolMs: 0,
       placeholderFor: (ref) =>
-        Object.assign(queueUp({ ...this.partition, taskSets: new Map(), taskSetsByJob: new Map() }, specOf({ ref, cpus: 0 })), {
+        Object.assign(enqueue({ ...this.partition, taskSets: new Map(), taskSetsByJob: new Map() }, specOf({ ref, cpus: 0 })), {
           ended: true,
         }),
     };
@@ -62,7 +62,7 @@
   /** Runs a scheduling cycle and returns the hosts on which it started tasks of the task set. */
   startTasks(taskSet: TaskSet): string[] {
     const before = new Set(taskSet.placements.values());
-    runSchedulingCycle(this.partition, pass);
+    runSchedulingCycle(this.partition, schedulingContext);
     return [...taskSet.placements.values()].filter((placement) => !before.has(placement)).map(({ host }) => host);
   }
 }
@@ -82,7 +82,7 @@
 test("a task does not start while any attempt of it may be on a machine of the partition", async (t) => {
   await t.test("array: an attempt from an old report is adopted first, the current one second; then the old one is proven gone", () => {
     const owner = new NewOwner(3);
-    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
     owner.receiveReport("i-1", [listed("run-000001/0", 2)]);
     owner.receiveReport("i-0", []);
@@ -93,7 +93,7 @@
 
   await t.test("gang: members of a newer attempt are present when the member from an old report is proven gone", () => {
     const owner = new NewOwner(6);
-    const taskSet = queueUp(owner.partition, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
+    const taskSet = enqueue(owner.partition, specOf({ kind: "gang", tasks: 3, cpus: 15 }));
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
     for (const i of [1, 2, 3]) owner.receiveReport(`i-${i}`, [listed(`run-000001/${i - 1}`, 2)]);
     owner.receiveReport("i-0", []);
@@ -107,7 +107,7 @@
 
   await t.test("refused as busy: the attempt that occupies the worker is on that machine", () => {
     const owner = new NewOwner(2);
-    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
     const [host] = owner.startTasks(taskSet);
     const ownAttempt = [...taskSet.placements.values()][0]!.attempt;
     owner.receiveReport(host!, [listed("run-000001/0", 1), exited("run-000001/0", ownAttempt, "busy")]);
@@ -118,14 +118,14 @@
   await t.test("an attempt is reported before the job's record is read, and again after its task set was created", () => {
     const owner = new NewOwner(2);
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
-    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
     assert.deepEqual(owner.startTasks(taskSet), [], "attempt 1 is on i-0");
   });
 
   await t.test("an attempt is reported while its job is being migrated, and the migration is abandoned", () => {
     const owner = new NewOwner(2);
-    const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+    const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
     taskSet.migrating = true;
     owner.receiveReport("i-0", [listed("run-000001/0", 1)]);
     taskSet.migrating = false;
@@ -134,7 +134,7 @@
 
   await t.test("the last tasks of an array migrate only if no attempt of them may be on a machine", () => {
     const owner = new NewOwner(3);
-    const taskSet = queueUp(owner.partition, specOf({ tasks: 4, cpus: 16 }));
+    const taskSet = enqueue(owner.partition, specOf({ tasks: 4, cpus: 16 }));
     owner.receiveReport("i-0", [listed("run-000001/3", 1)]);
     owner.receiveReport("i-1", [listed("run-000001/3", 2)]);
     owner.receiveReport("i-0", []);
@@ -144,7 +144,7 @@
   await t.test("refused for lack of capacity, or as unknown: no attempt is on the machine, and the task waits again", () => {
     for (const cause of ["no_room", "no_such"] as const) {
       const owner = new NewOwner(2);
-      const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+      const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
       const [host] = owner.startTasks(taskSet);
       owner.receiveReport(host!, [exited("run-000001/0", [...taskSet.placements.values()][0]!.attempt, cause)]);
       taskSet.notBefore = -Infinity;
@@ -157,7 +157,7 @@
   const owner = new NewOwner(2);
   const result = exited("run-000001/0", nextAttemptNumber(owner.partition), "done");
   owner.receiveReport("i-0", [result]);
-  const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+  const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
   owner.receiveReport("i-0", [result]);
   assert.deepEqual(owner.startTasks(taskSet), []);
   assert.ok(taskSet.done.full);
@@ -165,7 +165,7 @@
 
 test("an injected second start is not sent: refused on both channels, logged once at error level, counted, and thrown in strict mode", () => {
   const owner = new NewOwner(2);
-  const taskSet = queueUp(owner.partition, specOf({ cpus: 16 }));
+  const taskSet = enqueue(owner.partition, specOf({ cpus: 16 }));
   const [host] = owner.startTasks(taskSet);
   const placement = [...taskSet.placements.values()][0]!;
   const other = owner.machine(host === "i-0" ? "i-1" : "i-0");
@@ -203,7 +203,7 @@
   assert.equal(decodeReport({ ...wire, pieces: [piece("running"), piece("exited")] }), null);
   assert.notEqual(decodeReport({ ...wire, pieces: [piece("running")] }), null);
   const owner = new NewOwner(2);
-  const taskSet = queueUp(owner.partition, specOf({ cpus: 8 }));
+  const taskSet = enqueue(owner.partition, specOf({ cpus: 8 }));
   const [host] = owner.startTasks(taskSet);
   const ownAttempt = [...taskSet.placements.values()][0]!;
   owner.receiveReport(host!, [listed("run-000001/0", ownAttempt.attempt), listed("run-000001/7", 1)]);
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { findViolations, countStartsAfterWithdrawal, type HistoryEvent, type CheckLimits } from "@thorntrail/emulator/checker";
-import { specOf } from "./world/parts.js";
+import { specOf } from "./world/partitions.js";
 
 // The checker must be able to fail: each rule has a history that breaks only that rule.
 const limits: CheckLimits = { cancelMs: 43_000, teams: new Map([["ops", { cpus: 10, gpus: 0 }]]) };
--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -29,7 +29,7 @@
 async function assertNeverExceeded(cluster: Cluster, team: string, limit: number, untilS: number): Promise<void> {
   let previous = Infinity;
   for (let at = cluster.world.clock.now() / 1000; at < untilS; at += 0.1) {
-    await cluster.until(at);
+    await cluster.runUntil(at);
     const used = cluster.usedBy(team);
     assert.ok(used <= Math.max(limit, previous) + 1e-6, `${team} uses ${used} at ${at.toFixed(1)} s, ${previous} before, limit ${limit}`);
     previous = used;
@@ -40,12 +40,12 @@
   const cluster = new Cluster(plan(1));
   cluster.submit({ ref: "run-000001", team: "ops", tasks: 200, cpus: 2 }, 12, "nest-0");
   cluster.submit({ ref: "run-000002", team: "ops", tasks: 200, cpus: 2 }, 12, "nest-1");
-  await cluster.until(40);
+  await cluster.runUntil(40);
   assert.ok(cluster.usedBy("ops") > 30, `${cluster.usedBy("ops")} CPUs`);
   const asked = cluster.set({ set: [{ ...ops, cpus_max: 12 }] });
-  await cluster.until(41);
-  assert.ok((await cluster.inForce(version(asked), 40, 20)) <= 6);
-  await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
+  await cluster.runUntil(41);
+  assert.ok((await cluster.waitUntilInForce(version(asked), 40, 20)) <= 6);
+  await cluster.runUntil(cluster.world.clock.now() / 1000 + ARRIVED_S);
   await assertNeverExceeded(cluster, "ops", 12, 90);
   assert.ok(cluster.usedBy("ops") > 6, "the lower limit is used");
   assertSound(cluster);
@@ -55,10 +55,10 @@
 test("a raised limit is usable at once", async () => {
   const cluster = new Cluster(plan(2));
   cluster.submit({ ref: "run-000001", team: "lab", tasks: 60, cpus: 2 }, 200, "nest-0");
-  await cluster.until(40);
+  await cluster.runUntil(40);
   assert.equal(cluster.usedBy("lab"), 40);
   const asked = cluster.set({ set: [{ ...lab, cpus_max: 80 }] });
-  await cluster.until(52);
+  await cluster.runUntil(52);
   version(asked);
   assert.equal(cluster.usedBy("lab"), 80);
   assertSound(cluster);
@@ -68,14 +68,14 @@
 test("a limit is introduced where there was none, and removed again", async () => {
   const cluster = new Cluster({ ...plan(3), teams: [{ ...ops, cpus_max: 0 }, lab] });
   cluster.submit({ ref: "run-000001", team: "ops", tasks: 3000, cpus: 2 }, 10, "nest-0");
-  await cluster.until(30);
+  await cluster.runUntil(30);
   const lowered = cluster.set({ set: [{ ...ops, cpus_max: 20 }] });
-  await cluster.until(31);
-  assert.ok((await cluster.inForce(version(lowered), 30, 20)) <= 6);
-  await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
+  await cluster.runUntil(31);
+  assert.ok((await cluster.waitUntilInForce(version(lowered), 30, 20)) <= 6);
+  await cluster.runUntil(cluster.world.clock.now() / 1000 + ARRIVED_S);
   await assertNeverExceeded(cluster, "ops", 20, 70);
   const raised = cluster.set({ set: [{ ...ops, cpus_max: 0 }] });
-  await cluster.until(90);
+  await cluster.runUntil(90);
   version(raised);
   assert.ok(cluster.usedBy("ops") > 40, `${cluster.usedBy("ops")} CPUs`);
   assertSound(cluster);
@@ -85,19 +85,19 @@
 test("an added team's jobs are accepted; a removed team's accepted jobs finish, and new ones are refused once the removal is in force", async () => {
   const cluster = new Cluster(plan(4));
   cluster.submit({ ref: "run-000001", team: "lab", tasks: 30, cpus: 2 }, 20, "nest-0");
-  await cluster.until(20);
+  await cluster.runUntil(20);
   const asked = cluster.set({ set: [{ name: "new", cpus: 0, cpus_max: 10, gpus: 0, gpus_max: 0 }], remove: ["lab"] });
-  await cluster.until(21);
-  assert.ok((await cluster.inForce(version(asked), 20, 20)) <= 6);
-  await cluster.until(cluster.world.clock.now() / 1000 + 1);
+  await cluster.runUntil(21);
+  assert.ok((await cluster.waitUntilInForce(version(asked), 20, 20)) <= 6);
+  await cluster.runUntil(cluster.world.clock.now() / 1000 + 1);
   for (const [i, node] of ["nest-0", "nest-1", "nest-2"].entries()) {
     cluster.submit({ ref: `run-00001${i}`, team: "lab", tasks: 1 }, 5, node);
     cluster.submit({ ref: `run-00002${i}`, team: "new", tasks: 2 }, 5, node);
   }
-  await cluster.until(110);
+  await cluster.runUntil(110);
   for (const i of [0, 1, 2]) {
-    assert.deepEqual(cluster.answered(`run-00001${i}`), ["refused"]);
-    assert.equal(cluster.answered(`run-00002${i}`)[0], "queued");
+    assert.deepEqual(cluster.submissionStatuses(`run-00001${i}`), ["refused"]);
+    assert.equal(cluster.submissionStatuses(`run-00002${i}`)[0], "queued");
   }
   assert.equal(await polled(cluster, "run-000001"), "done");
   assert.equal(await polled(cluster, "run-000022"), "done");
@@ -107,7 +107,7 @@
 
 async function polled(cluster: Cluster, ref: string): Promise<string> {
   const asked = cluster.world.poll(ref, "nest-1");
-  await cluster.until(cluster.world.clock.now() / 1000 + 2);
+  await cluster.runUntil(cluster.world.clock.now() / 1000 + 2);
   return asked;
 }
 
@@ -115,13 +115,13 @@
   for (const seed of [5, 6, 7]) {
     const cluster = new Cluster(plan(seed, 4));
     for (const i of [0, 1, 2, 3]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 100, cpus: 2 }, 15, `nest-${i}`);
-    await cluster.until(40);
+    await cluster.runUntil(40);
     cluster.world.killController("nest-2");
     const asked = cluster.set({ set: [{ ...ops, cpus_max: 16 }] });
-    await cluster.until(40.5);
-    const seconds = await cluster.inForce(version(asked), 40, 30);
+    await cluster.runUntil(40.5);
+    const seconds = await cluster.waitUntilInForce(version(asked), 40, 30);
     assert.ok(seconds <= 6 && seconds > 1, `${seconds} s`);
-    await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
+    await cluster.runUntil(cluster.world.clock.now() / 1000 + ARRIVED_S);
     await assertNeverExceeded(cluster, "ops", 16, 80);
     cluster.world.startController("nest-2");
     await assertNeverExceeded(cluster, "ops", 16, 120);
@@ -133,15 +133,15 @@
 test("with a controller cut off from the state service and its peers, a version is in force only once that controller is silent or fenced", async () => {
   const cluster = new Cluster(plan(8));
   for (const i of [0, 1, 2]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 200, cpus: 2 }, 8, `nest-${i}`);
-  await cluster.until(40);
+  await cluster.runUntil(40);
   const repairs = ["state", "nest-0", "nest-2"].map((to) => cluster.world.links.add({ from: "nest-1", to, effect: { kind: "cut" } }));
   const asked = cluster.set({ set: [{ ...ops, cpus_max: 12 }] });
-  await cluster.until(40.5);
-  const early = await cluster.standings(version(asked), 500);
+  await cluster.runUntil(40.5);
+  const early = await cluster.partitionStatusesOf(version(asked), 500);
   assert.ok(early.some(({ standing }) => standing !== "in force"));
-  const seconds = await cluster.inForce(version(asked), 40, 40);
+  const seconds = await cluster.waitUntilInForce(version(asked), 40, 40);
   assert.ok(seconds <= 22.5, `${seconds} s`);
-  await cluster.until(cluster.world.clock.now() / 1000 + ARRIVED_S);
+  await cluster.runUntil(cluster.world.clock.now() / 1000 + ARRIVED_S);
   await assertNeverExceeded(cluster, "ops", 12, 90);
   for (const end of repairs) end();
   await assertNeverExceeded(cluster, "ops", 12, 120);
@@ -155,7 +155,7 @@
     const { world } = cluster;
     for (const i of [0, 1, 2]) cluster.submit({ ref: `run-00000${i}`, team: "ops", tasks: 300, cpus: 2 }, 6, `nest-${i}`);
     cluster.submit({ ref: "run-000009", team: "ops", kind: "gang", tasks: 8, cpus: 2 }, 300, "nest-1");
-    await cluster.until(30);
+    await cluster.runUntil(30);
     const late = world.links.add({
       from: "controllers",
       to: "state",
@@ -164,14 +164,14 @@
       effect: { kind: "late", ms: 8000, leastMs: 2000 },
     });
     const lowered = cluster.set({ set: [{ ...ops, cpus_max: 24 }] });
-    await cluster.until(31);
+    await cluster.runUntil(31);
     void world.cancel("run-000009", "nest-0");
-    await cluster.until(36);
+    await cluster.runUntil(36);
     late();
-    await cluster.until(42);
+    await cluster.runUntil(42);
     const first = version(lowered);
-    assert.ok((await cluster.inForce(first, 30, 30)) < 30);
-    await cluster.until(world.clock.now() / 1000 + ARRIVED_S);
+    assert.ok((await cluster.waitUntilInForce(first, 30, 30)) < 30);
+    await cluster.runUntil(world.clock.now() / 1000 + ARRIVED_S);
     await assertNeverExceeded(cluster, "ops", 24, 62);
     world.state.outage = true;
     await assertNeverExceeded(cluster, "ops", 24, 66);
@@ -183,7 +183,7 @@
       await assertNeverExceeded(cluster, "ops", 24, 74 + i * 8);
     }
     const raised = cluster.set({ set: [{ ...ops, cpus_max: 50 }] });
-    await cluster.until(105);
+    await cluster.runUntil(105);
     assert.equal(version(raised), first + 1);
     assert.ok(cluster.usedBy("ops") > 24, `${cluster.usedBy("ops")} CPUs`);
     assertSound(cluster);
@@ -193,7 +193,7 @@
 
 test("a job that could not run under a prepared change is not accepted until the change is decided, and an undecided change is abandoned", async () => {
   const cluster = new Cluster(plan(15));
-  await cluster.until(15);
+  await cluster.runUntil(15);
   // The operator's command ends after its first write, which prepares the change.
   const cut = cluster.world.links.add({ from: "operator", to: "state", what: "range", effect: { kind: "cut" } });
   cut();
@@ -203,14 +203,14 @@
       cluster.world.links.add({ from: "operator", to: "state", effect: { kind: "cut" } });
   });
   cluster.set({ set: [{ ...ops, cpus_max: 8 }] });
-  await cluster.until(17);
+  await cluster.runUntil(17);
   cluster.submit({ ref: "run-000001", team: "ops", kind: "gang", tasks: 10, cpus: 2 }, 5, "nest-0");
   cluster.submit({ ref: "run-000002", team: "ops", kind: "gang", tasks: 4, cpus: 2 }, 5, "nest-0");
-  await cluster.until(25);
-  assert.deepEqual(cluster.answered("run-000001"), []);
-  assert.equal(cluster.answered("run-000002")[0], "queued");
-  await cluster.until(75);
-  assert.equal(cluster.answered("run-000001")[0], "queued");
+  await cluster.runUntil(25);
+  assert.deepEqual(cluster.submissionStatuses("run-000001"), []);
+  assert.equal(cluster.submissionStatuses("run-000002")[0], "queued");
+  await cluster.runUntil(75);
+  assert.equal(cluster.submissionStatuses("run-000001")[0], "queued");
   assertSound(cluster);
   cluster.close();
 });
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -9,7 +9,7 @@
 import { ChangeRefused, ConfigurationStore, HISTORY_VERSIONS } from "../src/configuration/store.js";
 import { changeErrors, unrunnableJob, mergeTeams } from "../src/configuration/teams.js";
 import { keys, type PresenceRecord } from "../src/ledger/records.js";
-import { specOf } from "./world/parts.js";
+import { specOf } from "./world/partitions.js";
 
 const ops = { name: "ops", cpus: 4, cpus_max: 40, gpus: 0, gpus_max: 0 };
 const lab = { name: "lab", cpus: 0, cpus_max: 20, gpus: 0, gpus_max: 0 };
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -28,14 +28,14 @@
     types: [{ name: "m", cpus: 16, gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] }],
     capacity: new Map([["m/a/ordinary", 6]]),
   });
-  await cluster.until(5);
+  await cluster.runUntil(5);
   cluster.submit({ ref: REF, tasks: 6, cpus: 8 }, 90, OWNER);
-  await cluster.until(25);
+  await cluster.runUntil(25);
   const { leader } = cluster.world.nodes.get(OWNER)!.controller!;
   const partition = [...leader.partitions.values()].find(({ taskSetsByJob: byRef }) => byRef.has(REF))!;
   const machine = [...partition.machines.values()].find(({ placements }) => placements.size > 0)!;
   if (refused) cluster.world.links.add({ from: OWNER, to: "state", effect: { kind: "refuse" } });
-  await cluster.until(26);
+  await cluster.runUntil(26);
   const starts = (): number => cluster.world.history.filter(({ kind }) => kind === "on").length;
   return { cluster, part: partition, machine, starts };
 }
@@ -58,7 +58,7 @@
     else leaderOf(fixture).onCommandReply(partition, machine, report);
     assert.equal(machine.placements.size, before.attempts, "the attempts still count");
     assert.equal(leaderOf(fixture).partitions.has(partition.id), false, "the term has ended");
-    await cluster.until(34);
+    await cluster.runUntil(34);
     assert.equal(starts(), before.starts, "no task is restarted");
     cluster.close();
   });
@@ -69,7 +69,7 @@
   const before = starts();
   leaderOf(fixture).onProbeReply(clearedReport(machine, partition.term + 7));
   assert.equal(leaderOf(fixture).partitions.has(partition.id), false, "the term has ended");
-  await cluster.until(34);
+  await cluster.runUntil(34);
   assert.equal(starts(), before, "no task is restarted");
   cluster.close();
 });
@@ -82,17 +82,17 @@
   for (let second = 26; second < 40; second++) {
     const { session, seq } = machine;
     leaderOf(fixture).onReport({ ...clearedReport(machine, wrong), session, seq: seq + 1000 + second });
-    await cluster.until(second + 1);
+    await cluster.runUntil(second + 1);
   }
   const again = leaderOf(fixture).partitions.get(partition.id);
   assert.ok(again !== undefined && again.term > partition.term, "owned again, under a new term");
   assert.equal(cluster.world.logMessages.filter((line) => line.startsWith("part lost: a worker shows")).length, 1);
   assert.equal(cluster.world.logMessages.filter((line) => line === "a worker shows a token that nobody was given").length, 1);
-  await cluster.until(130);
+  await cluster.runUntil(130);
   assert.equal(starts(), before, "no task is restarted");
-  assert.deepEqual(cluster.answered(REF).slice(0, 1), ["queued"]);
+  assert.deepEqual(cluster.submissionStatuses(REF).slice(0, 1), ["queued"]);
   const answer = cluster.world.poll(REF);
-  await cluster.until(133);
+  await cluster.runUntil(133);
   assert.equal(await answer, "done");
   cluster.close();
 });
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -6,7 +6,7 @@
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import type { Partition } from "../src/parts/partition.js";
-import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const room = { cpus: 4, gpus: 0, ram: 64 };
 
@@ -44,16 +44,16 @@
 }
 
 test("jobs that fail on every machine are at fault, not the machines, and are retried with one task", () => {
-  const { part } = partOf(4, room);
-  const units = ["run-000001", "run-000002"].map((ref) => queueUp(part, specOf({ ref, tasks: 8, cpus: 1 })));
-  runSchedulingCycle(part, pass);
+  const { partition: part } = partitionOf(4, room);
+  const units = ["run-000001", "run-000002"].map((ref) => enqueue(part, specOf({ ref, tasks: 8, cpus: 1 })));
+  runSchedulingCycle(part, schedulingContext);
   for (const host of part.machines.keys()) end(part, host, "error");
   for (const unit of units) assert.ok(failsRepeatedly(unit), `${unit.spec.ref} failed on ${unit.failedOn.size} machines`);
   for (const machine of part.machines.values()) assert.deepEqual([machine.draining, machine.failuresByJob.size], [false, 0]);
   assert.equal(isReady(units[0]!, NOW), false, "it waits before it tries again");
   const later = NOW + 60_000;
   for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = later;
-  runSchedulingCycle(part, { ...pass, now: later });
+  runSchedulingCycle(part, { ...schedulingContext, now: later });
   assert.deepEqual(
     units.map((unit) => unit.placements.size),
     [1, 1],
@@ -64,10 +64,10 @@
 });
 
 test("a machine on which several jobs fail that run elsewhere is drained", () => {
-  const { part } = partOf(3, room);
-  const a = queueUp(part, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
-  const b = queueUp(part, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
-  runSchedulingCycle(part, pass);
+  const { partition: part } = partitionOf(3, room);
+  const a = enqueue(part, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
+  const b = enqueue(part, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
+  runSchedulingCycle(part, schedulingContext);
   const sick = [...a.placements.values()].map((p) => p.host).find((host) => [...b.placements.values()].some((p) => p.host === host))!;
   end(part, sick, "error");
   assert.equal(part.machines.get(sick)!.draining, true);
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -17,16 +17,16 @@
 import { isLeaseExpired } from "../src/workers/lease.js";
 import type { Machine } from "../src/workers/machine.js";
 import { dropAllAttempts, newFindings, applyReport, type Findings } from "../src/workers/report-intake.js";
-import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const EXPIRY_MS = 18_000;
 const TERM = 5;
 
 /** Creates a partition of two machines, one of which runs its only task. */
 function partitionWithOneTask(): { part: Partition; machine: Machine; other: Machine } {
-  const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 8 });
-  queueUp(partition, specOf({ cpus: 4 }));
-  runSchedulingCycle(partition, pass);
+  const { partition } = partitionOf(2, { cpus: 4, gpus: 0, ram: 8 });
+  enqueue(partition, specOf({ cpus: 4 }));
+  runSchedulingCycle(partition, schedulingContext);
   const machines = [...partition.machines.values()];
   const machine = machines.find(({ placements }) => placements.size > 0)!;
   for (const placement of machine.placements.values()) Object.assign(placement, { state: "running", directStart: "answered" });
@@ -78,7 +78,7 @@
     assert.equal(machine.placements.size, 1, "the attempt still counts");
     assert.equal(findings.ended.length, 0);
     assert.ok(findings.unproven.length > 0);
-    runSchedulingCycle(partition, { ...pass, now: NOW });
+    runSchedulingCycle(partition, { ...schedulingContext, now: NOW });
     assert.equal(other.placements.size, 0, "its task does not start elsewhere");
     const logged: { entry: Record<string, unknown>; text: string }[] = [];
     const ignore = (): void => undefined;
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -10,7 +10,7 @@
 import { RunTimeHistory } from "../src/queue/history.js";
 import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
-import { NOW, order, partOf, pass, queueUp, specOf, unlimited } from "./world/parts.js";
+import { NOW, order, partitionOf, schedulingContext, enqueue, specOf, unlimited } from "./world/partitions.js";
 
 // Hundreds of machines report every few seconds to controllers with a fifth of a core. These tests count how often
 // machines are looked at, so that work which grows with machines times tasks is detected alike on every computer.
@@ -28,17 +28,17 @@
 }
 
 test("placing an array looks at machines once for each machine filled, not once for each task", () => {
-  const { part: partition, looks } = partOf(100, { cpus: 8, gpus: 0, ram: 64 });
-  const taskSet = queueUp(partition, specOf({ tasks: 800 }));
-  runSchedulingCycle(partition, pass);
+  const { partition, looks } = partitionOf(100, { cpus: 8, gpus: 0, ram: 64 });
+  const taskSet = enqueue(partition, specOf({ tasks: 800 }));
+  runSchedulingCycle(partition, schedulingContext);
   assert.equal(taskSet.waiting.length, 0);
   assert.ok(looks() <= 100 * 100, `${looks()} looks`);
   assert.equal(copyUsageByTeam(partition).get("ops")?.cpus, 800);
 });
 
 test("taking in a report does not iterate over the partition's machines", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const taskSet = queueUp(partition, specOf({ tasks: 4 }));
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const taskSet = enqueue(partition, specOf({ tasks: 4 }));
   const machines = new CountingMap(partition.machines);
   machines.walks = 0;
   partition.machines = machines;
@@ -92,12 +92,12 @@
 });
 
 test("waits of gangs and arrays on a full partition follow from the ends of its tasks", () => {
-  const { part: partition } = partOf(10, { cpus: 16, gpus: 0, ram: 64 });
-  queueUp(partition, specOf({ tasks: 10, cpus: 15 }));
-  runSchedulingCycle(partition, pass);
-  const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 6, cpus: 15 }));
-  const array = queueUp(partition, specOf({ ref: "run-000003", tasks: 8, cpus: 15 }));
-  const large = queueUp(partition, specOf({ ref: "run-000004", kind: "gang", tasks: 12, cpus: 15 }));
+  const { partition } = partitionOf(10, { cpus: 16, gpus: 0, ram: 64 });
+  enqueue(partition, specOf({ tasks: 10, cpus: 15 }));
+  runSchedulingCycle(partition, schedulingContext);
+  const gang = enqueue(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 6, cpus: 15 }));
+  const array = enqueue(partition, specOf({ ref: "run-000003", tasks: 8, cpus: 15 }));
+  const large = enqueue(partition, specOf({ ref: "run-000004", kind: "gang", tasks: 12, cpus: 15 }));
   const context: EstimateContext = {
     now: NOW,
     silentMs: 5000,
@@ -144,9 +144,9 @@
       fc.constantFrom(16, 32, 47),
       fc.array(gang, { minLength: 1, maxLength: 25 }),
       (n, cpus, gangs) => {
-        const { part: partition } = partOf(n, { cpus, gpus: 0, ram: 640 });
+        const { partition } = partitionOf(n, { cpus, gpus: 0, ram: 640 });
         const taskSets = gangs.map(({ tasks, runS }, i) =>
-          queueUp(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, kind: "gang", tasks, cpus: 15, guessS: runS })),
+          enqueue(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, kind: "gang", tasks, cpus: 15, guessS: runS })),
         );
         const waits = estimateWaits(partition, {
           ...{ now: NOW, silentMs: 5000, order, history: new RunTimeHistory("owner"), bootMs: () => 0 },
@@ -163,21 +163,21 @@
 });
 
 test("capacity is reserved for a gang that has waited, but jobs that end in time may use it", () => {
-  const { part: partition } = partOf(3, { cpus: 16, gpus: 0, ram: 64 });
-  const running = queueUp(partition, specOf({ tasks: 1, cpus: 15 }));
-  runSchedulingCycle(partition, pass);
+  const { partition } = partitionOf(3, { cpus: 16, gpus: 0, ram: 64 });
+  const running = enqueue(partition, specOf({ tasks: 1, cpus: 15 }));
+  runSchedulingCycle(partition, schedulingContext);
   assert.equal(running.waiting.length, 0);
   // Two machines are free; the gang needs all three, when the task ends in 60 s.
-  const gang = queueUp(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
-  const long = queueUp(partition, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
-  const short = queueUp(partition, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
-  runSchedulingCycle(partition, pass);
+  const gang = enqueue(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
+  const long = enqueue(partition, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
+  const short = enqueue(partition, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
+  runSchedulingCycle(partition, schedulingContext);
   assert.deepEqual(
     [gang, long, short].map((taskSet) => taskSet.waiting.length),
     [3, 1, 0],
   );
   // Before the gang has waited long enough, others come first.
-  runSchedulingCycle(partition, { ...pass, reserveAfterMs: () => 5000 });
+  runSchedulingCycle(partition, { ...schedulingContext, reserveAfterMs: () => 5000 });
   assert.equal(long.waiting.length, 0);
 });
 
@@ -222,8 +222,8 @@
 }
 
 test("no machine is rented for a job that the exchange may still migrate, unless that takes long", () => {
-  const { part: partition } = partOf(0, type);
-  const taskSet = queueUp(partition, specOf({ tasks: 2, cpus: 15 }));
+  const { partition } = partitionOf(0, type);
+  const taskSet = enqueue(partition, specOf({ tasks: 2, cpus: 15 }));
   assert.equal(planFor(partition, { weighMs: NOW + 1 }).toRent.size, 0);
   assert.equal(planFor(partition, { weighMs: NOW }).toRent.size, 1, "it has waited long enough");
   taskSet.migrationConsidered = true;
@@ -231,10 +231,10 @@
 });
 
 test("no machine is rented for tasks that find capacity before the machine would be up", () => {
-  const { part: partition } = partOf(2, type);
-  queueUp(partition, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
-  runSchedulingCycle(partition, pass);
-  queueUp(partition, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
+  const { partition } = partitionOf(2, type);
+  enqueue(partition, specOf({ ref: "run-000001", tasks: 2, cpus: 15 }));
+  runSchedulingCycle(partition, schedulingContext);
+  enqueue(partition, specOf({ ref: "run-000002", tasks: 3, cpus: 15 }));
   const rented = (change: Change): number => [...planFor(partition, change).toRent.values()].reduce((n, { count }) => n + count, 0);
   assert.equal(rented({ soonMs: 10_000, leftMs: 11_000 }), 3);
   assert.equal(rented({ soonMs: 10_000, leftMs: 9_000 }), 1);
@@ -242,15 +242,15 @@
 });
 
 test("a long queue requests no more machines of an offering than one call can rent", () => {
-  const { part: partition } = partOf(0, type);
-  queueUp(partition, specOf({ tasks: 5000, cpus: 15 }));
+  const { partition } = partitionOf(0, type);
+  enqueue(partition, specOf({ tasks: 5000, cpus: 15 }));
   const plan = planFor(partition, {});
   assert.deepEqual([...plan.toRent.values()].map((w) => w.count).sort(), [50, 50]);
 });
 
 test("machines for a gang bound to one zone are rented in one zone only", () => {
-  const { part: partition } = partOf(1, type);
-  queueUp(partition, specOf({ kind: "gang", tasks: 3, cpus: 15, oneZone: true }));
+  const { partition } = partitionOf(1, type);
+  enqueue(partition, specOf({ kind: "gang", tasks: 3, cpus: 15, oneZone: true }));
   const plan = planFor(partition, {});
   assert.deepEqual(
     [...plan.toRent.values()].map((w) => [w.offer.zone, w.count]),
@@ -259,11 +259,11 @@
 });
 
 test("tasks at least as large as one that did not fit are skipped, smaller ones are tried", () => {
-  const { part: partition } = partOf(2, { cpus: 4, gpus: 0, ram: 64 });
-  queueUp(partition, specOf({ ref: "run-000001", tasks: 7, cpus: 1.1 }));
-  runSchedulingCycle(partition, pass);
-  const taskSets = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => queueUp(partition, specOf({ ref: `run-10000${i}`, cpus })));
-  runSchedulingCycle(partition, pass);
+  const { partition } = partitionOf(2, { cpus: 4, gpus: 0, ram: 64 });
+  enqueue(partition, specOf({ ref: "run-000001", tasks: 7, cpus: 1.1 }));
+  runSchedulingCycle(partition, schedulingContext);
+  const taskSets = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => enqueue(partition, specOf({ ref: `run-10000${i}`, cpus })));
+  runSchedulingCycle(partition, schedulingContext);
   // Two machines with three tasks of 1.1 CPUs each have 0.7 left: one place of 0.5, and 0.2 beside it or on the other
   // machine.
   assert.deepEqual(
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -7,7 +7,7 @@
 import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
 import type { TaskSet } from "../src/queue/task-set.js";
-import { partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const teams = [
   { name: "ops", cpus: 0, cpus_max: 0, gpus: 10, gpus_max: 40 },
@@ -33,12 +33,12 @@
 });
 
 test("a guaranteed job preempts work beyond another team's guarantee, and no more than that", () => {
-  const { part: partition } = partOf(2, { cpus: 8, gpus: 4, ram: 64 });
-  const borrowing = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
-  runSchedulingCycle(partition, pass);
+  const { partition } = partitionOf(2, { cpus: 8, gpus: 4, ram: 64 });
+  const borrowing = enqueue(partition, specOf({ ref: "run-000001", team: "lab", tasks: 8, gpus: 1, checkpointS: 10, flushS: 2 }));
+  runSchedulingCycle(partition, schedulingContext);
   assert.equal(borrowing.waiting.length, 0);
-  const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 6, gpus: 1 }));
-  const context = { ...pass, patienceMs: 0, claimAfterMs: 500, excess: new Map([["lab", { cpus: 0, gpus: 4 }]]) };
+  const claim = enqueue(partition, specOf({ ref: "run-000002", team: "ops", tasks: 6, gpus: 1 }));
+  const context = { ...schedulingContext, patienceMs: 0, claimAfterMs: 500, excess: new Map([["lab", { cpus: 0, gpus: 4 }]]) };
   const stopped = (guaranteed: (taskSet: TaskSet) => boolean): number => choosePreemptions(partition, { ...context, guaranteed }).length;
   assert.equal(
     stopped(() => false),
@@ -53,12 +53,12 @@
 });
 
 test("a guaranteed job of lower priority does not preempt work of raised priority, which would take the capacity back", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 4, ram: 64 });
-  const raised = queueUp(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 4, ram: 64 });
+  const raised = enqueue(partition, specOf({ ref: "run-000001", team: "lab", tasks: 4, cpus: 2, urgency: "low" }));
   raised.urgency = "urgent";
-  runSchedulingCycle(partition, pass);
-  const claim = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
-  const context = { ...pass, patienceMs: 0, claimAfterMs: 0, excess: new Map([["lab", { cpus: 8, gpus: 0 }]]) };
+  runSchedulingCycle(partition, schedulingContext);
+  const claim = enqueue(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2, gpus: 1, cpus: 4 }));
+  const context = { ...schedulingContext, patienceMs: 0, claimAfterMs: 0, excess: new Map([["lab", { cpus: 8, gpus: 0 }]]) };
   const stopped = (): number => choosePreemptions(partition, { ...context, guaranteed: (taskSet) => taskSet === claim }).length;
   assert.equal(stopped(), 0);
   raised.urgency = "low";
@@ -91,10 +91,10 @@
 });
 
 test("a team below its guarantee is ordered before other teams, with the least remaining work first", () => {
-  const { part: partition } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
-  const large = queueUp(partition, specOf({ ref: "run-000001", team: "ops", tasks: 50 }));
-  const small = queueUp(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
-  const other = queueUp(partition, specOf({ ref: "run-000003", team: "lab", tasks: 1 }));
+  const { partition } = partitionOf(1, { cpus: 100, gpus: 0, ram: 640 });
+  const large = enqueue(partition, specOf({ ref: "run-000001", team: "ops", tasks: 50 }));
+  const small = enqueue(partition, specOf({ ref: "run-000002", team: "ops", tasks: 2 }));
+  const other = enqueue(partition, specOf({ ref: "run-000003", team: "lab", tasks: 1 }));
   Object.assign(small, { submittedWall: 60_000 });
   const order = queueOrder({
     mode: "aims",
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -15,8 +15,8 @@
 import { isLeaseExpired, recordLeaseRenewal } from "../src/workers/lease.js";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
 import { ordersFor } from "../src/workers/orders.js";
-import { exploreLeases, type Wrong } from "./world/lease-model.js";
-import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { exploreLeases, type FaultyVariant } from "./world/lease-model.js";
+import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 import { playScenario } from "./world/scenario.js";
 
 /**
@@ -150,9 +150,9 @@
 
 /** A task placed on one machine by a direct start command that was not answered. */
 function startedWithoutAnswer() {
-  const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
-  const unit = queueUp(part, specOf({ tasks: 1 }));
-  runSchedulingCycle(part, pass);
+  const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+  const unit = enqueue(part, specOf({ tasks: 1 }));
+  runSchedulingCycle(part, schedulingContext);
   const machine = [...part.machines.values()][0]!;
   const placement = [...unit.placements.values()][0]!;
   placement.directStart = "unresolved";
@@ -272,13 +272,13 @@
   assert.equal(broken, null);
   assert.ok(states > 2000, `${states} states`);
   for (const [wrong, what] of [
-    [{ answerCutsShort: true }, /elsewhere/],
+    [{ answerShortensWait: true }, /elsewhere/],
     [{ sessionIsNoLease: true }, /elsewhere/],
-    [{ noSilence: true }, /elsewhere/],
-    [{ oldIsNews: true }, /elsewhere|still there/],
+    [{ skipsSilenceWait: true }, /elsewhere/],
+    [{ acceptsOldReports: true }, /elsewhere|still there/],
     [{ silentLate: true }, /elsewhere|still there/],
     [{ answerStopsNothing: true }, /still there/],
-  ] as [Wrong, RegExp][])
+  ] as [FaultyVariant, RegExp][])
     assert.match(exploreLeases(wrong).broken ?? "nothing", what, JSON.stringify(wrong));
 });
 
--- a/test/membership-model.test.ts
+++ b/test/membership-model.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { explore, type Variant } from "./world/membership-model.js";
+import { explore, type FaultyVariant } from "./world/membership-model.js";
 
 /** Limit above the number of states of every configuration below; a run that reaches it is incomplete. */
 const MAX_STATES = 30_000;
@@ -20,11 +20,11 @@
   });
 }
 
-const wrongVariants: [Variant, (typeof budgets)[number], RegExp][] = [
+const wrongVariants: [FaultyVariant, (typeof budgets)[number], RegExp][] = [
   [{ claimsBlindly: true }, budgets[0]!, /taken from one that has answered/],
-  [{ deaf: true }, budgets[0]!, /taken from one that has answered/],
-  [{ gullible: true }, budgets[0]!, /without evidence/],
-  [{ sameLife: true }, { ends: 1, doubts: 0, late: 0, refusals: 0 }, /term of the one before it/],
+  [{ ignoresRefutations: true }, budgets[0]!, /taken from one that has answered/],
+  [{ needsNoEvidence: true }, budgets[0]!, /without evidence/],
+  [{ reusesIncarnation: true }, { ends: 1, doubts: 0, late: 0, refusals: 0 }, /term of the one before it/],
 ];
 
 for (const [variant, left, expectedFault] of wrongVariants) {
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -4,11 +4,11 @@
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { JobDependencies } from "../src/pipelines/job-dependencies.js";
 import { sortTaskSets } from "../src/queue/queue-order.js";
-import { mirrorByHand } from "./world/mirror.js";
-import { order, partOf, queueUp, specOf } from "./world/parts.js";
+import { unsyncedReplica } from "./world/state-replica.js";
+import { order, partitionOf, enqueue, specOf } from "./world/partitions.js";
 
 function ledger() {
-  const mirror = mirrorByHand();
+  const mirror = unsyncedReplica();
   const needs = new JobDependencies(mirror);
   const ready: string[] = [];
   needs.ready$.subscribe((ref) => ready.push(ref));
@@ -105,13 +105,13 @@
 });
 
 test("work that inherits urgency comes after work that is urgent itself and before the rest", () => {
-  const { part: partition } = partOf(1, { cpus: 1, gpus: 0, ram: 1 });
-  const lifted = queueUp(partition, specOf({ ref: "lifted", urgency: "low" }));
+  const { partition } = partitionOf(1, { cpus: 1, gpus: 0, ram: 1 });
+  const lifted = enqueue(partition, specOf({ ref: "lifted", urgency: "low" }));
   lifted.urgency = "urgent";
   const rest = [
-    queueUp(partition, specOf({ ref: "normal" })),
-    queueUp(partition, specOf({ ref: "urgent", urgency: "urgent" })),
-    queueUp(partition, specOf({ ref: "low", urgency: "low" })),
+    enqueue(partition, specOf({ ref: "normal" })),
+    enqueue(partition, specOf({ ref: "urgent", urgency: "urgent" })),
+    enqueue(partition, specOf({ ref: "low", urgency: "low" })),
   ];
   const refs = sortTaskSets([lifted, ...rest], order).map((taskSet) => taskSet.spec.ref);
   assert.deepEqual(refs, ["urgent", "lifted", "normal", "low"]);
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -3,7 +3,7 @@
 import { defaultWorldOptions, VirtualWorld } from "@thorntrail/emulator/entry";
 import { encodeJob } from "@thorntrail/protocol/jobs";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
-import { specOf } from "./world/parts.js";
+import { specOf } from "./world/partitions.js";
 
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
 const team = { name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -7,12 +7,12 @@
 import type { LeaderContext } from "../src/parts/leader-context.js";
 import { Progress } from "../src/parts/progress.js";
 import { markFinished } from "../src/queue/task-set.js";
-import { partOf, queueUp, specOf } from "./world/parts.js";
+import { partitionOf, enqueue, specOf } from "./world/partitions.js";
 
 /** A partition with one job of one task that is done, and a group committer that returns the given outcomes. */
 function finished(outcomes: CommitOutcome[]) {
-  const { part: partition } = partOf(1, { cpus: 4, gpus: 0, ram: 64 });
-  const taskSet = queueUp(partition, specOf({ tasks: 1 }));
+  const { partition } = partitionOf(1, { cpus: 4, gpus: 0, ram: 64 });
+  const taskSet = enqueue(partition, specOf({ tasks: 1 }));
   markFinished(taskSet, 0);
   const clock = new VirtualClock();
   const record: JobRecord = { spec: taskSet.spec, part: partition.id, hi: 1, done: "", at: 0 };
--- a/test/quota-model.test.ts
+++ b/test/quota-model.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { adjustedShares, startsAllowed, totalShares } from "../src/configuration/quota-shares.js";
-import { exploreQuota, type Wrong } from "./world/quota-model.js";
+import { exploreQuota, type FaultyVariant } from "./world/quota-model.js";
 
 const MAX_STATES = 400_000;
 
@@ -12,7 +12,7 @@
   assert.deepEqual([[...faults], sums], [[], 4]);
 });
 
-const faultyVariants: Wrong[] = [
+const faultyVariants: FaultyVariant[] = [
   { startsAboveLimit: true },
   { ignoresUse: true },
   { unconditional: true },
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -13,11 +13,11 @@
   const { world } = cluster;
   let transfers = 0;
   world.observations$.subscribe(({ what }) => (transfers += what === "quota transferred" ? 1 : 0));
-  await cluster.until(12);
+  await cluster.runUntil(12);
   const conflicts = (): number => [...world.nodes.values()].reduce((sum, { controller }) => sum + controller!.committer.stats.conflicts, 0);
   const before = conflicts();
   teams.forEach(({ name }, i) => cluster.submit({ ref: `run-00000${i}`, team: name, kind: "gang", tasks, cpus }, 300, `nest-${i % 6}`));
-  await cluster.until(60);
+  await cluster.runUntil(60);
   assert.deepEqual([findViolations(world.history, world.limits()), world.errors], [[], []]);
   const result = { transfers, conflicts: conflicts() - before, used: teams.map(({ name }) => cluster.usedBy(name)) };
   cluster.close();
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -13,7 +13,7 @@
   maxSpecBytes,
   waitingAssignment,
 } from "../src/ledger/records.js";
-import { specOf } from "./world/parts.js";
+import { specOf } from "./world/partitions.js";
 
 test("a rental's machines fit into their records once all are up, under any size limit", () => {
   const rental = { part: 0, type: "redaccion", zone: "sala-cuenca", spot: true, count: 50, at: 1_700_000_000_000 };
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -18,7 +18,7 @@
 import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import type { Settings } from "../src/settings/derived.js";
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
-import { NOW, partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const base = await loadPlan("deploy/rehearsal.hcl");
 
@@ -110,9 +110,9 @@
   const report = fc.record({ session: fc.integer({ min: 1, max: 2 }), seq: fc.integer({ min: 1, max: 12 }) });
   fc.assert(
     fc.property(fc.array(report, { minLength: 1, maxLength: 40 }), (reports) => {
-      const { part } = partOf(1, { cpus: 16, gpus: 0, ram: 64 });
-      const taskSet = queueUp(part, specOf({ ref: "run-000001", tasks: 1 }));
-      runSchedulingCycle(part, pass);
+      const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+      const taskSet = enqueue(part, specOf({ ref: "run-000001", tasks: 1 }));
+      runSchedulingCycle(part, schedulingContext);
       const machine = [...part.machines.values()][0]!;
       const [placement] = [...taskSet.placements.values()];
       placement!.directStart = "answered";
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -8,7 +8,7 @@
 import { markFinished, releasePlacement, type TaskSet } from "../src/queue/task-set.js";
 import { removeAttempt } from "../src/workers/machine.js";
 import { underservedClasses, type ClassCounts } from "../src/served/class-shares.js";
-import { partOf, pass, queueUp, specOf } from "./world/parts.js";
+import { partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const RUN_S = 60;
 const YIELD_S = 1800;
@@ -42,7 +42,7 @@
     finished.add(taskSet.spec.ref);
     partition.taskSets.delete(taskSet.key);
   }
-  runSchedulingCycle(partition, { ...pass, order: orderAt(nowS, mode, change) });
+  runSchedulingCycle(partition, { ...schedulingContext, order: orderAt(nowS, mode, change) });
 }
 
 /**
@@ -50,14 +50,14 @@
  * under the given order.
  */
 function day(sizes: number[], mode: OrderMode): number {
-  const { part: partition } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
+  const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
   const turns = Math.ceil(sizes.reduce((sum, n) => sum + n, 0) / (4 * 8) / 2);
   const finished = new Set<string>();
   for (let t = 0; t <= turns; t++) {
     const from = Math.floor((t * sizes.length) / (turns + 1));
     const to = Math.floor(((t + 1) * sizes.length) / (turns + 1));
     for (let i = from; i < to; i++) {
-      const taskSet = queueUp(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, tasks: sizes[i]!, cpus: 1, urgency: "low" }));
+      const taskSet = enqueue(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, tasks: sizes[i]!, cpus: 1, urgency: "low" }));
       taskSet.submittedWall = t * RUN_S * 1000;
     }
     turn(partition, t * RUN_S, mode, finished);
@@ -87,9 +87,9 @@
 });
 
 test("jobs with fewer remaining tasks come first among jobs of the same age", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const order = orderAt(100);
-  const [large, small] = [40, 8].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
+  const [large, small] = [40, 8].map((tasks, i) => enqueue(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
   assert.ok(order.effectiveArrival(small) < order.effectiveArrival(large));
   // Most of it is done, so it should be finished first.
   large.waiting.splice(0, 38);
@@ -97,11 +97,11 @@
 });
 
 test("nothing waits forever: a job older by the maximum delay comes first, however large", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
   let n = 0;
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 100_000 }), fc.integer({ min: 1, max: 100_000 }), fc.nat(5000), (old, young, extraS) => {
-      const unitOf = (tasks: number): TaskSet => queueUp(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
+      const unitOf = (tasks: number): TaskSet => enqueue(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
       const [first, second] = [unitOf(old), unitOf(young)];
       second.submittedWall = first.submittedWall + (YIELD_S + extraS) * 1000;
       const order = orderAt(10_000);
@@ -113,8 +113,8 @@
 
 // Archive pages of sixty tasks should start within 40 s; behind every smaller job they would not.
 test("a class with a start objective is delayed by no more than that objective", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const [large, small] = [60, 1].map((tasks, i) => queueUp(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const [large, small] = [60, 1].map((tasks, i) => enqueue(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
   small.submittedWall = 41_000;
   const due = orderAt(100, "aims", { startObjectiveS: () => 40 });
   assert.ok(due.effectiveArrival(large) < due.effectiveArrival(small));
@@ -122,9 +122,9 @@
 });
 
 test("work within a guarantee is not delayed for its size, nor is any work in modes without objectives", () => {
-  const { part: partition } = partOf(1, { cpus: 8, gpus: 0, ram: 64 });
-  const large = queueUp(partition, specOf({ ref: "run-000001", tasks: 500 }));
-  const small = queueUp(partition, specOf({ ref: "run-000002", tasks: 1 }));
+  const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
+  const large = enqueue(partition, specOf({ ref: "run-000001", tasks: 500 }));
+  const small = enqueue(partition, specOf({ ref: "run-000002", tasks: 1 }));
   small.submittedWall = 1000;
   assert.ok(orderAt(100).effectiveArrival(small) < orderAt(100).effectiveArrival(large));
   const granted = orderAt(100, "aims", { withinGuarantee: (taskSet) => taskSet === large });
@@ -136,16 +136,16 @@
 // Stopped tasks that cannot save their progress restart from the beginning: taken from a job that is nearly done,
 // they leave two jobs half done instead of one.
 test("for work of higher priority, tasks of the low-priority job with the most remaining work are stopped", () => {
-  const { part: partition } = partOf(2, { cpus: 8, gpus: 0, ram: 64 });
-  const nearly = queueUp(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
-  runSchedulingCycle(partition, pass);
+  const { partition } = partitionOf(2, { cpus: 8, gpus: 0, ram: 64 });
+  const nearly = enqueue(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
+  runSchedulingCycle(partition, schedulingContext);
   // It came last, but none of its tasks wait; most of the other job is still waiting.
-  const begun = queueUp(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
+  const begun = enqueue(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
   begun.submittedWall = nearly.submittedWall - 60_000;
-  runSchedulingCycle(partition, pass);
+  runSchedulingCycle(partition, schedulingContext);
   assert.deepEqual([nearly.placements.size, begun.placements.size], [8, 8]);
-  queueUp(partition, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
-  const context = { ...pass, order: orderAt(200), patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
+  enqueue(partition, specOf({ ref: "run-000003", tasks: 3, urgency: "urgent" }));
+  const context = { ...schedulingContext, order: orderAt(200), patienceMs: 0, claimAfterMs: 0, excess: new Map(), guaranteed: () => false };
   const stopped = choosePreemptions(partition, context);
   assert.deepEqual([...new Set(stopped.map(({ taskSet }) => taskSet.spec.ref))], ["run-000002"]);
   assert.equal(stopped.length, 3);
@@ -178,9 +178,9 @@
 });
 
 test("dependencies of urgent work are not delayed, however much of them is left", () => {
-  const { part: partition } = partOf(1, { cpus: 100, gpus: 0, ram: 640 });
-  const early = queueUp(partition, specOf({ ref: "run-000001", urgency: "low", tasks: 50 }));
-  const late = queueUp(partition, specOf({ ref: "run-000002", urgency: "low", tasks: 2 }));
+  const { partition } = partitionOf(1, { cpus: 100, gpus: 0, ram: 640 });
+  const early = enqueue(partition, specOf({ ref: "run-000001", urgency: "low", tasks: 50 }));
+  const late = enqueue(partition, specOf({ ref: "run-000002", urgency: "low", tasks: 2 }));
   Object.assign(late, { submittedWall: 10_000 });
   assert.deepEqual(sortTaskSets([early, late], orderAt(100)), [late, early]);
   for (const taskSet of [early, late]) taskSet.urgency = "urgent";
@@ -191,13 +191,13 @@
   // 60 small arrays and three of a hundred tasks for twice the available capacity: delayed for their size, the large
   // ones never began.
   const beganAt = (beginS: number): { largest: (number | undefined)[]; finished: number } => {
-    const { part: partition } = partOf(4, { cpus: 8, gpus: 0, ram: 64 });
+    const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
     const finished = new Set<string>();
-    const large = [0, 1, 2].map((i) => queueUp(partition, specOf({ ref: `run-00090${i}`, tasks: 100, cpus: 1, urgency: "low" })));
+    const large = [0, 1, 2].map((i) => enqueue(partition, specOf({ ref: `run-00090${i}`, tasks: 100, cpus: 1, urgency: "low" })));
     const began = new Map<TaskSet, number>();
     for (let t = 0; t < 20; t++) {
       for (let i = 0; i < 3; i++) {
-        const taskSet = queueUp(
+        const taskSet = enqueue(
           partition,
           specOf({ ref: `run-${String(t * 3 + i).padStart(6, "0")}`, tasks: 20, cpus: 1, urgency: "low" }),
         );
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -3,8 +3,8 @@
 import { doneTasks, keys, partitionOf, withPartitionAssigned, type JobRecord } from "../src/ledger/records.js";
 import { encodeFrame, FrameReader, PROTOCOL_VERSION, type Message } from "../src/peers/messages.js";
 import { JobDependencies } from "../src/pipelines/job-dependencies.js";
-import { mirrorByHand } from "./world/mirror.js";
-import { specOf } from "./world/parts.js";
+import { unsyncedReplica } from "./world/state-replica.js";
+import { specOf } from "./world/partitions.js";
 
 // Frames as version 0.3.0 writes them. It closes the connection to a peer with another hello or schema.
 const FRAMES: [string, Message][] = [
@@ -26,7 +26,7 @@
 });
 
 test("a job recorded by version 0.3.0 can be needed, owned and updated like any other", () => {
-  const replica = mirrorByHand();
+  const replica = unsyncedReplica();
   const needs = new JobDependencies(replica);
   const old: JobRecord = { spec: specOf({ ref: "run-000001", tasks: 9 }), part: 2, hi: 9, done: "/w==", at: 70 };
   replica.put(keys.job("run-000001"), old, 1);
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -5,7 +5,7 @@
 import type { TeamChange } from "../../src/configuration/teams.js";
 import { keys } from "../../src/ledger/records.js";
 import { spawnController, type RehearsedController } from "../../src/rehearsal/spawn-controller.js";
-import { specOf } from "./parts.js";
+import { specOf } from "./partitions.js";
 
 const OPERATOR = "operator";
 const POLL_INTERVAL_S = 0.05;
@@ -33,7 +33,7 @@
   }
 
   /** Runs virtual time until `seconds` after the start. */
-  async until(seconds: number): Promise<void> {
+  async runUntil(seconds: number): Promise<void> {
     await this.world.clock.run(seconds * 1000);
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Reads the status of a version in each partition; runs virtual time until the state service has answered. */
-  async standings(version: number, elapsedMs: number): Promise<PartitionVersionStatus[]> {
+  async partitionStatusesOf(version: number, elapsedMs: number): Promise<PartitionVersionStatus[]> {
     let statuses: PartitionVersionStatus[] | null = null;
     const read = async (): Promise<void> => {
       const [owners, presence] = [await this.store.owners(), await this.store.presence()];
@@ -69,7 +69,7 @@
       });
     };
     void read();
-    while (statuses === null) await this.until(this.world.clock.now() / 1000 + POLL_INTERVAL_S);
+    while (statuses === null) await this.runUntil(this.world.clock.now() / 1000 + POLL_INTERVAL_S);
     return statuses;
   }
 
@@ -77,10 +77,10 @@
    * Runs virtual time until the version is in force in all partitions; resolves with the seconds since `fromS`, or with
    * Infinity after `withinS`.
    */
-  async inForce(version: number, fromS: number, withinS: number): Promise<number> {
+  async waitUntilInForce(version: number, fromS: number, withinS: number): Promise<number> {
     for (;;) {
       const elapsedS = this.world.clock.now() / 1000 - fromS;
-      if (isInForce(await this.standings(version, elapsedS * 1000))) return this.world.clock.now() / 1000 - fromS;
+      if (isInForce(await this.partitionStatusesOf(version, elapsedS * 1000))) return this.world.clock.now() / 1000 - fromS;
       if (elapsedS > withinS) return Infinity;
     }
   }
@@ -97,7 +97,7 @@
   }
 
   /** Statuses of the answers to a job's submission, in the order in which they arrived. */
-  answered(ref: string): string[] {
+  submissionStatuses(ref: string): string[] {
     return this.world.history.flatMap((event) => (event.kind === "told" && event.ref === ref ? [event.what] : []));
   }
 
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -7,7 +7,7 @@
 import { dropAllAttempts, newFindings, applyReport } from "../../src/workers/report-intake.js";
 import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
 import { ordersFor } from "../../src/workers/orders.js";
-import { specOf } from "./parts.js";
+import { specOf } from "./partitions.js";
 
 /**
  * Explicit-state model of one machine with one task between a former owner that has lost the state service and the new
@@ -19,19 +19,19 @@
  */
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
-export interface Wrong {
+export interface FaultyVariant {
   /** An answer of the new owner replaces the expected last answer of the former one, whether or not the machine has shown the new token. */
-  answerCutsShort?: boolean;
+  answerShortensWait?: boolean;
   /** The former owner stops answering two steps too late. */
   silentLate?: boolean;
   /** A report is accepted although a newer one has been received. */
-  oldIsNews?: boolean;
+  acceptsOldReports?: boolean;
   /** An answer to a machine that is not fenced renews its lease and carries no stop orders. */
   answerStopsNothing?: boolean;
   /** A session received in the reply to a command does not count as a lease renewal. */
   sessionIsNoLease?: boolean;
   /** The new owner counts leases from its claim, without the time in which the former owner may still answer. */
-  noSilence?: boolean;
+  skipsSilenceWait?: boolean;
 }
 
 const LEASE = 3;
@@ -115,7 +115,7 @@
 type Delivery = "lost" | "arrives";
 
 /** Explores all states up to the horizon; `broken` is the first violation with the steps that led to it. */
-export function exploreLeases(wrong: Wrong = {}): { states: number; broken: string | null } {
+export function exploreLeases(wrong: FaultyVariant = {}): { states: number; broken: string | null } {
   const silentAfter = SILENT_AFTER + (wrong.silentLate === true ? 2 : 0);
   let layer = new Map<string, { state: State; path: string[] }>();
   const initial: State = { session: 1, token: OLD, leaseFrom: 0, task: true, restarted: false, claimedAt: null, heard: null, copy: null };
@@ -139,7 +139,7 @@
       const current = { ...state };
       if (now - current.leaseFrom > LEASE) Object.assign(current, { task: false, session: current.session + 1, leaseFrom: now });
       if (current.claimedAt === null && now >= 2) {
-        const answeredAt = now + (wrong.noSilence === true ? 0 : SILENT_AFTER);
+        const answeredAt = now + (wrong.skipsSilenceWait === true ? 0 : SILENT_AFTER);
         const heard = { session: 0, seq: 0, lastReceivedAt: -1, answeredAt, fenced: false, lost: false, holds: false };
         visit({ ...current, claimedAt: now, heard }, path, "claimed, ");
       }
@@ -166,7 +166,7 @@
       // An old report arrives again; its answer is lost.
       if (s.copy !== null && s.heard !== null) {
         const { machine, receive } = newOwnerOf(s);
-        if (wrong.oldIsNews === true) machine.seq = -1;
+        if (wrong.acceptsOldReports === true) machine.seq = -1;
         recordLeaseRenewal(machine, receive(reportOf(s.copy), now), now);
         reach({ ...s, heard: snapshotOf(machine), copy: null }, path, `${prefix}an old report`);
       }
@@ -182,7 +182,7 @@
         const before = machine.answeredAt;
         const newer = receive(reportOf(report), now);
         recordLeaseRenewal(machine, newer, now);
-        if (wrong.answerCutsShort === true && before > now) machine.answeredAt = now;
+        if (wrong.answerShortensWait === true && before > now) machine.answeredAt = now;
         // The records that the new owner read for its claim include the cancellation.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
         const orders = ordersFor(machine, "report", {
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -56,15 +56,15 @@
 }
 
 /** Faulty variants of the decisions; the model has to find a fault in each. */
-export interface Variant {
+export interface FaultyVariant {
   /** A claim is not conditional on the former owner's presence record. */
   claimsBlindly?: boolean;
   /** A suspicion counts although the suspect has refuted it. */
-  deaf?: boolean;
+  ignoresRefutations?: boolean;
   /** A restarted process uses the incarnation of the previous one. */
-  sameLife?: boolean;
+  reusesIncarnation?: boolean;
   /** A verdict follows from the suspicions of others without evidence of its own. */
-  gullible?: boolean;
+  needsNoEvidence?: boolean;
 }
 
 const LIMITS: SuspicionLimits = { suspectMs: 1, verdictMs: 1, repeatMs: 0 };
@@ -99,16 +99,17 @@
   return { unlinkedMs: state.up[node] === null || state.refused === node ? 2 : null, statelessMs: null };
 }
 
-function statusOf(state: State, observer: Node, node: Node, variant: Variant): "sound" | "suspected" | "gone" {
+function statusOf(state: State, observer: Node, node: Node, variant: FaultyVariant): "sound" | "suspected" | "gone" {
   const seen = state.seen[observer];
   const [suspicion, shown] = [seen.suspicion[node]?.v, seen.alive[node]?.v];
-  const unrefuted = variant.deaf === true ? suspicion !== undefined && suspicion.life === shown?.life : isUnrefuted(suspicion, shown);
-  const evidence = variant.gullible === true ? { unlinkedMs: 2, statelessMs: null } : evidenceOf(state, node);
+  const unrefuted =
+    variant.ignoresRefutations === true ? suspicion !== undefined && suspicion.life === shown?.life : isUnrefuted(suspicion, shown);
+  const evidence = variant.needsNoEvidence === true ? { unlinkedMs: 2, statelessMs: null } : evidenceOf(state, node);
   return peerStatus(unrefuted ? 2 : null, evidence, HEALTHY, LIMITS);
 }
 
 /** All possible next states. */
-function successors(state: State, variant: Variant, faults: string[]): State[] {
+function successors(state: State, variant: FaultyVariant, faults: string[]): State[] {
   const next: State[] = [];
   const step = (change: (to: State) => void): void => {
     const to = copy(state);
@@ -143,7 +144,7 @@
     if (life === null) {
       step((to) => {
         to.starts[node]++;
-        const fresh = variant.sameLife === true ? node : `${node}${++to.incarnations}`;
+        const fresh = variant.reusesIncarnation === true ? node : `${node}${++to.incarnations}`;
         to.up[node] = fresh;
         to.seen[node] = clone(to.store);
       });
@@ -278,10 +279,10 @@
 }
 
 /** Explores all states, up to `maxStates`; `left` overrides how many faults of each kind may happen. */
-export function explore(variant: Variant, left: Partial<State["left"]>, maxStates: number): Explored {
+export function explore(variant: FaultyVariant, left: Partial<State["left"]>, maxStates: number): Explored {
   const first = copy(START);
   Object.assign(first.left, left);
-  if (variant.sameLife === true) {
+  if (variant.reusesIncarnation === true) {
     for (const node of NODES) first.up[node] = node;
     for (const store of [first.store, ...NODES.map((node) => first.seen[node])]) {
       store.owner!.v.life = "a";
--- a/test/world/parts.ts
+++ b/test/world/partitions.ts
@@ -54,7 +54,7 @@
 export const unlimited = (): { cpus: number; gpus: number } => ({ cpus: Infinity, gpus: Infinity });
 
 /** Context of a scheduling cycle at `NOW` with unlimited quota; expected run times are the users' guesses. */
-export const pass: SchedulingContext = {
+export const schedulingContext: SchedulingContext = {
   now: NOW,
   silentMs: 5000,
   order,
@@ -70,7 +70,7 @@
  * Creates a partition of `n` machines that are up and fenced. `looks` counts the reads of a machine's images: one for each
  * evaluation of a machine as a candidate.
  */
-export function partOf(n: number, capacity: Capacity): { part: Partition; looks: () => number } {
+export function partitionOf(n: number, capacity: Capacity): { partition: Partition; looks: () => number } {
   const partition = newPartition(0, 5, 0);
   partition.phase = "serving";
   let looks = 0;
@@ -86,11 +86,11 @@
     });
     addMachine(partition, machine);
   }
-  return { part: partition, looks: () => looks };
+  return { partition, looks: () => looks };
 }
 
 /** Adds a task set with all tasks of the job to the partition's queue. */
-export function queueUp(part: Partition, spec: JobSpec): TaskSet {
+export function enqueue(part: Partition, spec: JobSpec): TaskSet {
   const taskSet = newTaskSet(`t/j/${spec.ref}`, spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0);
   addTaskSet(part, taskSet);
   return taskSet;
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -8,7 +8,7 @@
  */
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
-export interface Wrong {
+export interface FaultyVariant {
   /** Starts tasks within its share although the sum of shares is above the limit. */
   startsAboveLimit?: boolean;
   /** Lowers its share below what its tasks use. */
@@ -49,7 +49,7 @@
 }
 
 /** All possible next states; a fault is a start that exceeds a limit in force. */
-function successors(state: State, wrong: Wrong): { next: State; fault: string | null }[] {
+function successors(state: State, wrong: FaultyVariant): { next: State; fault: string | null }[] {
   const results: { next: State; fault: string | null }[] = [];
   const add = (next: Partial<State>, fault: string | null = null): void => void results.push({ next: { ...state, ...next }, fault });
   if (state.version + 1 < LIMITS.length) add({ version: state.version + 1 });
@@ -97,7 +97,11 @@
 /**
  * Explores all states until a fault is found or `maxStates` are reached. `sums` is the largest sum of shares of any state.
  */
-export function exploreQuota(wrong: Wrong, starts: number, maxStates: number): { states: number; faults: Set<string>; sums: number } {
+export function exploreQuota(
+  wrong: FaultyVariant,
+  starts: number,
+  maxStates: number,
+): { states: number; faults: Set<string>; sums: number } {
   const first: State = {
     ...{ version: 0, known: [0, 0], shares: [2, 2], stamp: 0, used: [0, 0], late: null, takeovers: 1, starts },
   };
--- a/test/world/mirror.ts
+++ b/test/world/state-replica.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
 /** Creates a replica that does not synchronise with the state service; tests put its records into it. */
-export function mirrorByHand(): StateReplica {
+export function unsyncedReplica(): StateReplica {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 2, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
   const client = state.client("n", (fn) => fn());
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -26,7 +26,7 @@
 import { CommandDispatcher } from "../../src/workers/command-dispatcher.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { callsFor, TIMING } from "./calls.js";
-import { pass, queueUp, specOf } from "./parts.js";
+import { schedulingContext, enqueue, specOf } from "./partitions.js";
 
 /**
  * Randomised model of one partition under a sequence of owners, with several machines, arrays and gangs. It uses the
@@ -132,7 +132,7 @@
   }
 
   private queue(spec: JobSpec, done: ReadonlySet<string>): void {
-    const taskSet = queueUp(this.partition, spec);
+    const taskSet = enqueue(this.partition, spec);
     for (let task = 0; task < spec.tasks; task++) if (done.has(`${spec.ref}/${task}`)) taskSet.done.set(task);
     taskSet.waiting = taskSet.waiting.filter((task) => !taskSet.done.has(task));
   }
@@ -173,7 +173,7 @@
   /** Expires leases, advances fencing and runs a scheduling cycle. */
   advance(): void {
     this.watch.check();
-    const { changedMachines } = runSchedulingCycle(this.partition, { ...pass, now: this.scope.clock.now() });
+    const { changedMachines } = runSchedulingCycle(this.partition, { ...schedulingContext, now: this.scope.clock.now() });
     for (const machine of changedMachines) this.dispatch$.next({ partition: this.partition, machine });
   }
 
