--- a/measure/scale/cell.ts
+++ b/measure/scale/cell.ts
@@ -5,13 +5,13 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { stringify } from "smol-toml";
-import type { Happening } from "../../packages/emulator/src/checker.js";
+import type { HistoryEvent } from "../../packages/emulator/src/checker.js";
 import { CloudModel } from "../../packages/emulator/src/cloud-model.js";
-import type { RuleAsked } from "../../packages/emulator/src/links.js";
+import type { NetworkRule } from "@thorntrail/emulator/network-rules";
 import { isTakeover } from "../../packages/emulator/src/recovery.js";
-import { ask, objectOf, readBody, send } from "../../packages/emulator/src/real/http.js";
+import { sendRequest, parseObject, readBody, sendResponse } from "../../packages/emulator/src/real/http.js";
 import { Processes } from "../../packages/emulator/src/real/processes.js";
-import { CloudFace } from "../../packages/emulator/src/real/services.js";
+import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
 import type { MachineType } from "../../packages/protocol/src/cloud.js";
 import type { TeamSettings } from "../../src/settings/platform-file.js";
 import { runOf } from "../start.js";
@@ -103,7 +103,7 @@
 }
 
 /** Offers do not matter to what is judged here: that no task is on two machines. */
-function happeningOf([at, piece, host, cause]: TaskEvent): Happening {
+function happeningOf([at, piece, host, cause]: TaskEvent): HistoryEvent {
   if (cause !== null) return { at, kind: "off", piece, host, cause };
   return { at, kind: "on", piece, host, type: "", zone: "", spot: false };
 }
@@ -123,7 +123,7 @@
   /** Log lines by their message. */
   readonly lines = new Map<string, number>();
   /** What happened to tasks on the hollow workers' machines. */
-  readonly happenings: Happening[] = [];
+  readonly happenings: HistoryEvent[] = [];
   /** From a claim until all machines of the partition were accounted for, in ms, and how many machines. */
   readonly fences: { ms: number; machines: number }[] = [];
   private readonly dir = mkdtempSync(join(tmpdir(), "thorntrail-scale-"));
@@ -157,7 +157,7 @@
     };
     this.cloud = new CloudModel(clock, { types: plan.types, capacity: plan.capacity, lagMs: TIMING.listLagMs });
     this.cloud.addrOf = (host) => this.addresses.get(host) ?? "127.0.0.1:1";
-    this.cloud.onGone = (host) => this.toWorkers(host, { kind: "end", host });
+    this.cloud.onRemoved = (host) => this.toWorkers(host, { kind: "end", host });
     this.cloud.onBoot = (host, { type, zone, spot }) => {
       const { cpus, gpus, ram } = plan.types.find((one) => one.name === type)!;
       this.toWorkers(host, { kind: "boot", host, type, zone, spot, room: { cpus, gpus, ram } });
@@ -222,21 +222,21 @@
       true,
     );
     this.pids.set("store", this.processes.pid("store")!);
-    return String(objectOf(line)["listening"]);
+    return String(parseObject(line)["listening"]);
   }
 
   /** Each controller has a door of its own to the cloud. */
   private async openCloud(port: number): Promise<void> {
-    const face = new CloudFace(this.cloud, { now: steadyMs }, this.plan.cloudRps);
+    const face = new CloudStub(this.cloud, { now: steadyMs }, this.plan.cloudRps);
     const server = createServer((req, res) => {
       void readBody(req).then(async (body) => {
         const passing = { method: req.method ?? "GET", path: req.url ?? "/", body };
         const answer = await face.execute(passing);
-        const hosts = objectOf(answer.text)["hosts"];
+        const hosts = parseObject(answer.text)["hosts"];
         // Gangs find each other within a process: machines of a partition share one.
-        if (face.what(passing) === "hire" && answer.status === 200)
-          for (const host of hosts as string[]) this.assign(host, String(objectOf(body)["hire"]));
-        send(res, answer);
+        if (face.operationOf(passing) === "hire" && answer.status === 200)
+          for (const host of hosts as string[]) this.assign(host, String(parseObject(body)["hire"]));
+        sendResponse(res, answer);
       });
     });
     this.servers.push(server);
@@ -310,14 +310,14 @@
   }
 
   /** What goes wrong between all hollow workers and the controllers, for so long. */
-  addRule(rule: RuleAsked, forMs: number): void {
+  addRule(rule: NetworkRule, forMs: number): void {
     for (const [name, child] of this.forks) if (name.startsWith("workers-")) child.send({ kind: "rule", rule, forMs } satisfies ToWorkers);
   }
 
   private async allHealthy(): Promise<void> {
     const until = steadyMs() + START_LIMIT_MS;
     for (;;) {
-      const answers = await Promise.all(this.fronts.map((front) => ask(false, front, "GET", "/up", undefined, 1000)));
+      const answers = await Promise.all(this.fronts.map((front) => sendRequest(false, front, "GET", "/up", undefined, 1000)));
       const healthy = answers.filter((answer) => answer?.status === 200).length;
       if (healthy === this.fronts.length) return;
       if (steadyMs() > until || this.ended.length > 0)
@@ -340,7 +340,7 @@
   }
 
   private async stateCounters(): Promise<StateCounters> {
-    const answer = await ask(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
+    const answer = await sendRequest(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
     const metrics = metricsOf(answer?.text ?? "", "thorntrail_store_");
     const read = (name: string): number => metrics.get(name) ?? NaN;
     return {
@@ -354,7 +354,7 @@
 
   /** The sum over all controllers of a figure of theirs. */
   async controllerFigure(name: string): Promise<number> {
-    const answers = await Promise.all(this.fronts.map((front) => ask(false, front, "GET", "/metrics", undefined, 5000)));
+    const answers = await Promise.all(this.fronts.map((front) => sendRequest(false, front, "GET", "/metrics", undefined, 5000)));
     return answers.reduce((sum, answer) => sum + (metricsOf(answer?.text ?? "", "thorntrail_").get(name) ?? 0), 0);
   }
 
@@ -364,7 +364,7 @@
     const state = await this.stateCounters();
     const processorMs = new Map([...this.pids].map(([name, pid]) => [name, processorMsOf(pid)]));
     processorMs.set("cloud", processorMsOf(process.pid));
-    const machines = { machinesRented: this.cloud.machines.size, machinesGone: this.cloud.machines.size - this.cloud.rented };
+    const machines = { machinesRented: this.cloud.machines.size, machinesGone: this.cloud.machines.size - this.cloud.rentedCount };
     return { at: steadyMs(), processorMs, traffic: loopbackTraffic(), state, ...machines, workers, clients };
   }
 
@@ -390,7 +390,7 @@
   /** Machines that are up, by zone. */
   machinesIn(zone: string): string[] {
     return [...this.cloud.machines.values()]
-      .filter((machine) => machine.goneAt === null && machine.upAt !== null && machine.offer.zone === zone)
+      .filter((machine) => machine.removedAt === null && machine.bootedAt !== null && machine.offer.zone === zone)
       .map(({ host }) => host);
   }
 
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -1,9 +1,9 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { decodeOrders, encodeReport, type Report, type ReportAnswer } from "@thorntrail/protocol/worker";
-import type { Links } from "../links.js";
-import { Worker, type WorkerWorld } from "../worker-model.js";
-import { agentOf, ask, objectOf, readBody, send, type Raw } from "./http.js";
+import type { NetworkRules } from "../network-rules.js";
+import { Worker, type WorkerDependencies } from "../worker-model.js";
+import { createAgent, sendRequest, parseObject, readBody, sendResponse, type RawResponse } from "./http.js";
 
 const RESPONSE_TIMEOUT_MS = 4000;
 const MAX_ANSWER_LENGTH = 64 * 1024;
@@ -11,9 +11,9 @@
 const MAX_KEPT_REPORTS = 2000;
 
 /** Decodes a controller's answer to a report as a worker does; null if there is none or it is too long. */
-function decodeAnswer(raw: Raw | null): ReportAnswer | null {
+function decodeAnswer(raw: RawResponse | null): ReportAnswer | null {
   if (raw === null || raw.text.length > MAX_ANSWER_LENGTH) return null;
-  const body = objectOf(raw.text);
+  const body = parseObject(raw.text);
   if (raw.status === 421) return { kind: "elsewhere", boss: typeof body["boss"] === "string" ? body["boss"] : null };
   if (raw.status !== 200) return { kind: "silent" };
   const decoded = decodeOrders(body);
@@ -26,7 +26,7 @@
   return /\(([^()]+)\)/.exec(req.headers["user-agent"] ?? "")?.[1] ?? "controllers";
 }
 
-type GangMember = ReturnType<WorkerWorld["mates"]>[number];
+type GangMember = ReturnType<WorkerDependencies["mates"]>[number];
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
@@ -40,7 +40,7 @@
   /** Machines that are up, by name. */
   readonly workers = new Map<string, Worker>();
   private readonly servers = new Map<string, Server>();
-  private readonly agent = agentOf(2000);
+  private readonly agent = createAgent(2000);
   /** Counts of reports: sent, without an answer, sent late, and kept copies that were delivered. */
   readonly stats = { reports: 0, unanswered: 0, late: 0, kept: 0 };
   private readonly reportedAt = new Map<string, number>();
@@ -50,9 +50,9 @@
   private readonly gangs = new Map<string, GangMember[]>();
 
   constructor(
-    private readonly links: Links,
+    private readonly links: NetworkRules,
     private readonly fronts: ReadonlyMap<string, string>,
-    private readonly world: Omit<WorkerWorld, "report" | "mates">,
+    private readonly world: Omit<WorkerDependencies, "report" | "mates">,
   ) {}
 
   /** Starts a machine with its worker and its listener; resolves with the listening address. */
@@ -73,9 +73,9 @@
       ...this.world,
       report: (node, from, report) => this.sendReport(node, from, report),
       mates: (ref, attempt) => this.registeredMembers(ref, attempt),
-      on: (startedOn, taskId) => {
+      onTaskStarted: (startedOn, taskId) => {
         this.joinGang(startedOn, taskId);
-        this.world.on(startedOn, taskId);
+        this.world.onTaskStarted(startedOn, taskId);
       },
     });
     worker.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -125,20 +125,20 @@
     const front = this.fronts.get(node);
     const call = { from: host, to: node, what: "report" };
     const body = JSON.stringify(encodeReport(report));
-    if (this.links.keeps(call)) this.keepCopy(body);
-    const post = (): Promise<Raw | null> =>
-      front === undefined ? Promise.resolve(null) : ask(this.agent, front, "POST", "/v1/report", body, RESPONSE_TIMEOUT_MS);
-    if (this.links.hold(call, () => void post()))
+    if (this.links.shouldStoreCopy(call)) this.keepCopy(body);
+    const post = (): Promise<RawResponse | null> =>
+      front === undefined ? Promise.resolve(null) : sendRequest(this.agent, front, "POST", "/v1/report", body, RESPONSE_TIMEOUT_MS);
+    if (this.links.holdIfCut(call, () => void post()))
       return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
     const delayMs = this.links.delayMs(call);
     if (delayMs > 0) await new Promise<void>((resolve) => this.world.clock.after(delayMs, resolve));
     // The report is lost: the worker waits for its timeout.
-    if (this.links.loses(call)) return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
-    const againMs = this.links.againMs(call, this.world.luck);
+    if (this.links.isLost(call)) return new Promise((resolve) => this.world.clock.after(RESPONSE_TIMEOUT_MS, () => resolve(null)));
+    const againMs = this.links.copyDelayMs(call, this.world.random);
     if (againMs !== null) this.world.clock.after(againMs, () => void post());
     const answer = decodeAnswer(await post());
     if (answer === null) this.stats.unanswered++;
-    return this.links.blocked(call) || this.links.loses({ from: node, to: host, what: "answer" }) ? null : answer;
+    return this.links.isCut(call) || this.links.isLost({ from: node, to: host, what: "answer" }) ? null : answer;
   }
 
   /** Keeps a copy of a report for the next takeover of a partition. */
@@ -148,11 +148,11 @@
   }
 
   /** Sends the kept copies of old reports to all controllers, after one has taken over a partition. Their answers are ignored. */
-  deliverKept(): void {
+  deliverKeptReports(): void {
     for (const report of this.keptReports.splice(0)) {
       for (const front of this.fronts.values()) {
         this.stats.kept++;
-        void ask(this.agent, front, "POST", "/v1/report", report, RESPONSE_TIMEOUT_MS);
+        void sendRequest(this.agent, front, "POST", "/v1/report", report, RESPONSE_TIMEOUT_MS);
       }
     }
   }
@@ -164,32 +164,32 @@
     // A machine that hangs or has been removed does not answer.
     if (worker === undefined || worker.hanging) return;
     if (req.method === "GET" && req.url === "/show")
-      return send(res, { status: 200, text: JSON.stringify(encodeReport(worker.snapshot())), retryAfter: undefined });
-    const decoded = decodeOrders(objectOf(body));
+      return sendResponse(res, { status: 200, text: JSON.stringify(encodeReport(worker.snapshot())), retryAfter: undefined });
+    const decoded = decodeOrders(parseObject(body));
     if (req.method !== "POST" || req.url !== "/commands" || decoded === null || decoded.token === null || decoded.session === null)
-      return send(res, { status: 400, text: '{"error":"expected baton, shift and orders"}', retryAfter: undefined });
+      return sendResponse(res, { status: 400, text: '{"error":"expected baton, shift and orders"}', retryAfter: undefined });
     const { token, session, orders } = decoded;
     const call = { from: senderOf(req), to: host, what: "command" };
-    const run = (): Raw => {
+    const run = (): RawResponse => {
       const { executed, report } = worker.command(token, session, orders);
       return { status: executed ? 200 : 409, text: JSON.stringify(encodeReport(report)), retryAfter: undefined };
     };
-    if (this.links.hold(call, () => void (worker.dead || run())) || this.links.loses(call)) return;
+    if (this.links.holdIfCut(call, () => void (worker.removed || run())) || this.links.isLost(call)) return;
     const delayMs = this.links.delayMs(call);
     if (delayMs > 0) await new Promise<void>((resolve) => this.world.clock.after(delayMs, resolve));
-    if (worker.dead || worker.hanging) return;
-    const effect = this.links.judge(call);
+    if (worker.removed || worker.hanging) return;
+    const effect = this.links.takeEffect(call);
     // The command is delayed and executed after the caller has stopped waiting for the answer.
-    if (effect?.kind === "late") return void this.world.clock.after(effect.ms, () => void (worker.dead || worker.hanging || run()));
+    if (effect?.kind === "late") return void this.world.clock.after(effect.ms, () => void (worker.removed || worker.hanging || run()));
     const answer = run();
     // The command is executed, but its answer may be lost.
     const response = { from: host, to: call.from, what: "answer" };
-    if (!this.links.blocked(response) && !this.links.loses(response)) send(res, answer);
+    if (!this.links.isCut(response) && !this.links.isLost(response)) sendResponse(res, answer);
   }
 
   /** Removes a machine: stops its worker and closes its listener. */
-  end(host: string): void {
-    this.workers.get(host)?.die();
+  removeMachine(host: string): void {
+    this.workers.get(host)?.remove();
     this.workers.delete(host);
     this.reportedAt.delete(host);
     const server = this.servers.get(host);
@@ -200,7 +200,7 @@
 
   /** Removes all machines and closes the connections to the controllers. */
   close(): void {
-    for (const host of [...this.servers.keys()]) this.end(host);
+    for (const host of [...this.servers.keys()]) this.removeMachine(host);
     this.agent.destroy();
   }
 }
