--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -88,7 +88,7 @@
     this.log.debug({ part: partition.id, term: partition.term, host, session, token, proof }, "machine fenced");
   }
 
-  /** Logs that the worker is ordered to discard an attempt, whose result is durable or that has none. */
+  /** Logs the order to the worker to discard an exited attempt, which has no result or one that is durable. */
   logCleared(partition: Partition, machine: Machine, piece: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -16,13 +16,19 @@
   incarnation: string;
   home: string;
   record: OwnerRecord | undefined;
-  /** Returns whether the node is present, does not report itself unfit, and is not considered gone. */
+  /**
+   * Returns whether the node is present, does not report itself unfit, and is not considered gone by the failure
+   * detector.
+   */
   canOwn: (node: string) => boolean;
   alive: (node: string) => boolean;
   reportsUnfit: (node: string) => boolean;
   /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
   successor: () => string | undefined;
-  /** The owner's presence key has been missing for the lifetime of a key, so the successor may be unable to claim. */
+  /**
+   * The owner's presence key has been missing for longer than the lifetime of a key, so the successor seems unable to
+   * claim the partition and any other node may.
+   */
   ownerOverdue: boolean;
   /** This node has been present for the lifetime of a presence key. */
   presenceSettled: boolean;
@@ -41,7 +47,8 @@
   if (record === undefined) return home === self || (context.presenceSettled && !context.alive(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
-    // A former process of this node owned it. That this one runs proves that the former has ended and answers no more workers.
+    // The recorded owner is an earlier process of this node. It has ended, as this one runs, and answers no worker
+    // any more.
     if (record.life !== context.incarnation) return "own former life";
     return context.termEnded ? "own ended term" : null;
   }
--- a/src/parts/ended-terms.ts
+++ b/src/parts/ended-terms.ts
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Stops accepting tokens of the worker that ended the partition's term. Called when the ended term was still recorded
-   * as this controller claimed the partition again, so that no other controller can have claimed it.
+   * Stops accepting tokens of the worker that ended the partition's term. Called when this controller has claimed the
+   * partition again and the ended term was still the recorded one: no other controller can have claimed it in
+   * between.
    */
   refuteToken(partition: number): void {
     const ended = this.endedByPartition.get(partition);
--- a/src/parts/fence-progress.ts
+++ b/src/parts/fence-progress.ts
@@ -8,7 +8,7 @@
 
 /** Logs the progress of long fences. */
 export class FenceProgress {
-  /** Time of the last line, by partition under one term. */
+  /** Time of the last line for each partition; a `Partition` object exists for one term. */
   private readonly lastLineAt = new WeakMap<Partition, number>();
 
   constructor(
--- a/src/parts/finding-effects.ts
+++ b/src/parts/finding-effects.ts
@@ -38,7 +38,10 @@
     if (findings.changed) this.context.requestSchedulingCycle();
   }
 
-  /** Reports an attempt that was about to count as gone by an invalid proof, which is always a defect. The attempt continues to count. */
+  /**
+   * Reports an attempt that was to be removed on the basis of an invalid proof, which is always a defect. The attempt
+   * remains registered.
+   */
   private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
     const { taskSet, task, attempt, host } = placement;
     const { by: reason, ...times } = proof;
--- a/src/parts/guarantees.ts
+++ b/src/parts/guarantees.ts
@@ -117,10 +117,10 @@
   }
 
   /**
-   * Returns the tests for work that is ordered before other work of its priority. If the settings have an aim for
-   * guaranteed work, this is each job within a guarantee (`job`), as it has seconds to start. Otherwise it is the work of
-   * teams that use less than their guarantee (`team`), in its usual order: ordering jobs within the guarantee by arrival
-   * would start all of them on a full day and finish few.
+   * Returns the tests for work that is ordered before other work of its priority. If the settings have an objective
+   * for guaranteed work, this is each job within a guarantee (`job`), because it has to start within seconds.
+   * Otherwise it is the work of teams that use less than their guarantee (`team`), in its usual order: under full
+   * load, ordering jobs within the guarantee by arrival would start all of them and finish few.
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(objectiveS(this.settings.platform, "guarantee", undefined)))
--- a/src/parts/leader.ts
+++ b/src/parts/leader.ts
@@ -119,16 +119,16 @@
   }
 
   /**
-   * Returns whether workers must not be answered. Without a recent read, cancellations and takeovers may be unknown here,
-   * and workers' leases must end within `cancel_s`, so answers stop in time. Proof from before a stall in which the
-   * partition may have been lost does not count: this node would take machines that a new owner keeps alive for lost
-   * and return them.
+   * Returns whether workers must not be answered. Without a recent read, cancellations and takeovers may be unknown
+   * here, and workers' leases must end within `cancel_s`, so answers stop in time. A read from before a stall in
+   * which the partition may have been lost does not count: this node would consider machines lost whose leases a new
+   * owner renews, and return them to the cloud.
    */
   isSilent(): boolean {
     return this.replica.ageMs() > this.settings.timing.silentAfterMs || this.replica.currentAsOf < this.stallEndedAt;
   }
 
-  /** Logs the begin and end of the time in which this node answers no worker and orders nothing. */
+  /** Logs the beginning and the end of the time in which this node answers no worker and orders nothing. */
   private logSilenceChange(): void {
     const silent = this.isSilent();
     if (silent === this.wasSilent || this.partitions.size === 0) return;
@@ -151,9 +151,9 @@
   }
 
   /**
-   * Compensates for a stall of this process of `ms` milliseconds. Times of reports, boots and idleness are extended by
-   * it, and run times measured across it are not used for estimates. Leases are not extended, as workers' clocks kept
-   * running.
+   * Compensates for a stall of this process of `ms` milliseconds. The recorded times of reports, rentals and the
+   * start of idleness are moved forward by it, and run times measured across it are not used for estimates. Times of
+   * lease renewals are not moved, as workers' clocks kept running.
    */
   onStall(ms: number): void {
     if (ms > this.settings.timing.presenceMs / 2) {
@@ -181,7 +181,7 @@
     return this.ownedPartitions.endSupersededTerm(partition, seen);
   }
 
-  /** Number of machines whose lease has expired by the clock but not yet by proof of ownership. */
+  /** Number of machines whose lease has expired by the clock but may have been renewed by a new owner. */
   get unprovenLeases(): number {
     return this.leaseWatch.unprovenLeases;
   }
@@ -196,7 +196,10 @@
     return this.ownedPartitions.endedTerms.hasEnded(partition, term);
   }
 
-  /** Called after this node claimed the partition again from a term that it had ended: the worker's token was never issued. */
+  /**
+   * Called after this node has claimed the partition again while the term that it had ended was still recorded, which
+   * shows that the worker's token was never issued.
+   */
   newerTokenRefuted(partition: number): void {
     this.ownedPartitions.endedTerms.refuteToken(partition);
   }
--- a/src/parts/lease-watch.ts
+++ b/src/parts/lease-watch.ts
@@ -19,7 +19,7 @@
   private readonly fenceProgress: FenceProgress;
   /** Number of machines, at the last check, whose lease has expired by the clock but may have been renewed by a new owner. */
   unprovenLeases = 0;
-  /** A read of the state service on which expired leases wait is in progress. */
+  /** A read of the state service that may prove the expiry of leases is in progress. */
   private proving = false;
 
   constructor(
--- a/src/parts/owned-partitions.ts
+++ b/src/parts/owned-partitions.ts
@@ -163,7 +163,8 @@
       added.idleSince = this.context.now;
       // A machine that was never recorded as up was never given work.
       if (!added.up) fence(partition, added, "unused", []);
-      // The former owner may answer the machine until it must fall silent.
+      // The former owner may renew the machine's lease until its own newest read of the state service is
+      // `silentAfterMs` old.
       added.answeredAt = added.up ? this.context.now + this.context.settings.timing.silentAfterMs : -Infinity;
       if (added.up) added.lastReportAt = this.context.now;
       addMachine(partition, added);
--- a/src/parts/recovery.ts
+++ b/src/parts/recovery.ts
@@ -20,7 +20,10 @@
 
 /** Number of recoveries kept for the view. */
 const MAX_SPANS = 100;
-/** Multiple of the shortest boot time after which work still waiting is assumed to wait for other reasons. */
+/**
+ * Multiple of the shortest boot time after which work that still waits is assumed to do so for reasons other than the
+ * recovery.
+ */
 const MAX_WAIT_BOOTS = 1;
 
 /**
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -39,7 +39,10 @@
     this.anomalies = new RateLimitedLog(clock, log, context.settings.timing.leaseMs);
   }
 
-  /** Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or silence. */
+  /**
+   * Handles a report that a worker sent and returns the answer: orders, a redirect to another controller, or a
+   * refusal that renews no lease (`silent`).
+   */
   onReport(report: Report): ReportAnswer {
     if (!this.replica.loaded || this.context.isSilent()) return { kind: "silent" };
     const record = this.rentals.get(report.host);
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -20,7 +20,9 @@
 /** Wait after which an array starts whatever its size, in leases: two minutes at the usual lease, half of the wait that users expect. */
 const ARRAY_START_LEASES = 6;
 
-/** Caches a function of the class: aims are the same for all jobs of a class, and a queue has hundreds of them. */
+/**
+ * Caches a function of the class: objectives are the same for all jobs of a class, and a queue has hundreds of jobs.
+ */
 function memoize(read: (klass: string) => number): (klass: string) => number {
   const cache = new Map<string, number>();
   return (klass) => {
@@ -86,13 +88,19 @@
     return (this.context.typeOf(machine.type)?.bootS ?? 0) * 1000;
   }
 
-  /** Returns the wait after which capacity is reserved for a gang, in ms: the aim for the class's start, or two leases without one. */
+  /**
+   * Returns the wait after which capacity is reserved for a gang, in ms: the class's start objective, or two leases
+   * if it has none.
+   */
   private reserveAfterMs(klass: string): number {
     const aim = objectiveS(this.context.settings.platform, "wait", klass);
     return Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs * 2;
   }
 
-  /** Returns the wait after which guaranteed work preempts, in ms: half of the aim for its start, or half a lease without one. */
+  /**
+   * Returns the wait after which guaranteed work preempts, in ms: half of its start objective, or half a lease if
+   * there is none.
+   */
   private claimAfterMs(): number {
     const aim = objectiveS(this.context.settings.platform, "guarantee", undefined);
     return (Number.isFinite(aim) ? aim * 1000 : this.context.settings.timing.leaseMs) / 2;
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -4,9 +4,9 @@
 import type { Partition } from "./partition.js";
 
 /**
- * Reports start orders that were refused because another attempt of the task may be on a machine. The scheduling cycle
- * does not place such a task, so a refusal is due to a defect or to a report that contradicts an earlier proof. The
- * refused attempt continues to count and is ordered once the others are proven gone.
+ * Reports start orders that were refused because another attempt of the task may be on a machine. The scheduling
+ * cycle does not place such a task, so a refusal is due to a defect or to a report that contradicts an earlier proof.
+ * The refused attempt remains registered and is ordered once the others are proven gone.
  */
 export class StartGuard {
   /** Attempts already reported, each of which is reported once. */
