--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -19,12 +19,10 @@
 }
 
 /**
- * Attributes a failed task to its machine or to its job. A job that fails on more than
- * one machine without completing a task is considered faulty: its failures are removed
- * from the machines, and it is retried with exponential back-off. Otherwise a faulty job
- * would take healthy machines out of service one after another. A machine on which
- * more than one job fails that is not considered faulty, with no task completed in
- * between, is drained.
+ * Attributes a failed task to its machine or to its job. A job that fails on more than one machine without completing
+ * a task is considered faulty: its failures are removed from the machines, and it is retried with exponential
+ * back-off. Otherwise a faulty job would take healthy machines out of service one after another. A machine is drained
+ * if tasks of several jobs that are not considered faulty fail on it and no task completes in between.
  */
 export function attributeFailure(partition: Partition, machine: Machine, taskSet: TaskSet, { now, leaseMs, coolMs }: FailureTiming): void {
   taskSet.failedOn.set(machine.host, (taskSet.failedOn.get(machine.host) ?? 0) + 1);
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -17,12 +17,12 @@
 
 /**
  * Returns whether a start and a stop are sent together to resolve a direct start that got no reply. Such a start may
- * arrive for as long as the session lasts: possibly after the user received the answer that the task will not
- * start, and until then the attempt occupies capacity and its team's limit. After a start and a stop in one answer to a report, the
- * worker has the attempt registered and ignores a start that arrives later. This is done only while the order is
+ * arrive for as long as the session lasts: possibly after the user received the answer that the task will not start,
+ * and until then the attempt uses capacity and its team's quota. After a start and a stop in one answer to a report,
+ * the worker has the attempt registered and ignores a start that arrives later. This is done only while the order is
  * younger than a lease. If the job was cancelled meanwhile without this controller's knowledge, the deadline for a
- * cancellation has then not passed: an answer is given at most one silence period after the cancellation, and silence
- * period and lease together are within `cancel_s`.
+ * cancellation has then not passed: this controller answers reports for at most `silentAfterMs` after the
+ * cancellation, and `silentAfterMs` and a lease together are shorter than `cancel_s`.
  */
 function resolvesDirectStart(placement: Placement, { now, leaseMs }: WorkerOrderContext): boolean {
   return placement.directStart === "unresolved" && now - placement.orderedAt < leaseMs;
@@ -61,8 +61,8 @@
       orders.push({ verb: "start", piece: id, attempt: placement.attempt });
     }
   }
-  // Sent only in answers to reports, which cannot overtake each other: after a `clear`, a
-  // repeated `start` of the attempt that arrives later would run it again.
+  // Clears are sent only in answers to reports, which cannot overtake each other: after a `clear`, a repeated `start`
+  // of the attempt that arrives later would run it again.
   if (channel === "report") {
     for (const [key, task] of machine.exited) {
       if (orders.length >= max) break;
--- a/src/workers/report-fast-path.ts
+++ b/src/workers/report-fast-path.ts
@@ -15,7 +15,10 @@
 const REQUEST_LINE = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = "\r\n\r\n";
 const MAX_HEAD_BYTES = 8 * 1024;
-/** Limit for answers that a sender has not read, in bytes: two of the longest. A connection beyond it is closed. */
+/**
+ * Limit in bytes on answers that a worker has not read, twice the length of the longest; a connection that exceeds it
+ * is closed.
+ */
 const MAX_UNREAD_ANSWER_BYTES = 2 * 64 * 1024;
 const HEADER_FIELD = /^([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\0\r\n]*?)[ \t]*$/;
 /** Headers that make a request more than a head and a body of known length; such requests are left to Node's parser. */
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -103,7 +103,8 @@
   removeAttempt(machine, key);
   releasePlacement(taskSet, placement);
   recordGoneAttempt(taskSet, placement.task, { attempt, host, by: proof.by });
-  // The attempt was registered before its job was queued here, or while another task set contained the task.
+  // Another task set contains the task now if the attempt was registered before its job was queued here, or before
+  // the task became part of that task set.
   const found = findTaskSet(partition, taskSet.spec.ref, taskNumber(placement));
   if (found !== null && found.taskSet !== taskSet) {
     requeue(found.taskSet, found.task);
@@ -231,9 +232,9 @@
   machine.unresolvedStarts.clear();
   machine.session = session;
   // A session begins with a full lease without any answer. It began no later than now, and attempts started in it by
-  // direct commands live until that lease expires. When the lease was counted from the last answer alone, a machine that
-  // reaches no controller, and whose new session is known from its reply to a command, was considered lost while its
-  // attempts continued to run for most of another lease.
+  // direct commands live until that lease expires. If the lease were counted from the last answer alone, a machine
+  // that reaches no controller, and whose new session is known from its reply to a command, would be considered lost
+  // while its attempts continue to run for most of another lease.
   machine.answeredAt = Math.max(machine.answeredAt, now);
   findings.changed = true;
 }
