--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -20,7 +20,7 @@
   preemptAfterMs: number;
 }
 
-/** Capacity that becomes free on a machine; `times` tasks of the same size at once. */
+/** Capacity that becomes free on a machine at a time: `freed`, multiplied by `times`. */
 interface CapacityEvent {
   at: number;
   machine: SimulatedMachine;
@@ -54,13 +54,13 @@
   return Math.max(used.cpus / all.cpus, all.gpus > 0 ? used.gpus / all.gpus : 0);
 }
 
-/** More copies than any job has tasks. */
+/** Upper bound on the counted copies of a task; no job has as many tasks. */
 const MAX_COPIES = 1e6;
 
 /**
  * Number of tasks of one shape that each machine and zone can hold, updated as free capacity changes. It is shared by
- * all gangs of that shape: editions submit many identical gangs, and keeping it for each waiting gang would cost a
- * step per gang for every change of a machine.
+ * all gangs of that shape: users submit many identical gangs, and with one instance per waiting gang, every change of
+ * a machine would cost an update for each of them.
  */
 class ShapeCapacity {
   private readonly tasksPerMachine: Float64Array;
@@ -113,7 +113,7 @@
 /**
  * Simulates the queue: machines free up as running tasks are expected to end, and booting ones count from when they
  * should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given), Infinity if the
- * partition cannot hold it. Jobs behind the last requested one do not matter, and the simulation ends once all
+ * partition cannot hold it. Jobs behind the last requested one are left out, and the simulation ends once all
  * requested waits are known, so that a burst of submissions does not make every estimate expensive. `atOnce`
  * receives, for each task set that has to wait, the number of tasks for which there is free capacity now.
  */
--- a/src/queue/history.ts
+++ b/src/queue/history.ts
@@ -5,14 +5,17 @@
 const MAX_WEIGHT = 50;
 /** A replica of a service holds its capacity until its job is cancelled: longer than any wait, in seconds. */
 const FOREVER_S = 1e9;
-/** Fraction of the spread by which a task that runs longer than expected continues, at the median. */
+/**
+ * Median remaining run time of a task that has outrun its expected time, as a fraction of its run time so far
+ * multiplied by the spread of its class.
+ */
 const OVERRUN_FRACTION = 0.7;
 
 /**
  * Run-time statistics by class. Users' estimates are off by half or more, and on some days all in the same direction,
  * so estimates are corrected by the run times observed for the class. The spread of single tasks counts as well: a
- * task that has outrun its expected time is not more likely to end at once. If it were treated so, a full partition
- * would appear to be about to become free, and jobs would gather where they wait the longest.
+ * task that has outrun its expected time is not about to end. If it were assumed to be, a full partition would appear
+ * to be about to become free, and jobs would gather where they wait the longest.
  */
 export class RunTimeHistory {
   private readonly ratios = new Map<string, { log: number; square: number; weight: number }>();
@@ -41,7 +44,7 @@
    * Expected remaining time in seconds for which a task holds its capacity after it has run for `ranS` seconds; 0
    * means that it has not begun. Users state an estimate of 0 for services (PROTOCOL). If that were taken for a run
    * time, the capacity of services would appear to be about to become free: jobs would wait for it, nothing would be
-   * rented, and idle machines beside it would be returned.
+   * rented, and idle machines would be returned.
    */
   remainingRunS(spec: JobSpec, ranS: number): number {
     if (spec.kind === "service") return FOREVER_S;
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -9,7 +9,7 @@
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
   guaranteed: (taskSet: TaskSet) => boolean;
-  /** How long work within a guarantee waits for capacity that becomes free by itself, in ms. */
+  /** How long work within a guarantee waits for capacity to become free by itself before it preempts, in ms. */
   claimAfterMs: number;
   /** What each team runs beyond its guarantee, over all partitions. */
   excess: Map<string, Usage>;
@@ -29,14 +29,14 @@
 }
 
 /**
- * Seconds that stopping one of its tasks adds to a job's completion: a whole run if no other task of it waits, next
- * to nothing if most of it still does. A half-done job is of no use to anyone.
+ * Time in seconds by which stopping this task delays the completion of its job, which is of no use until all its
+ * tasks are done: a whole run if no other task of the job waits, almost none if most of them still wait.
  */
 function delayS({ taskSet }: Placement, expectS: (taskSet: TaskSet) => number): number {
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
-/** A start is useless if the task is stopped this soon after (PROTOCOL). */
+/** A start is useless if the task is stopped within this time in seconds (PROTOCOL). */
 const MIN_USEFUL_RUN_S = 30;
 
 /** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
@@ -60,7 +60,8 @@
   ) {}
 
   /**
-   * The later a job's effective arrival, the sooner its tasks are stopped, so that nearly finished work continues.
+   * Effective arrival of a job, cached. Tasks of the job with the latest one are stopped first, so that nearly
+   * finished work continues.
    */
   private arrival(taskSet: TaskSet): number {
     const known = this.arrivals.get(taskSet);
@@ -109,7 +110,9 @@
   return over !== undefined && (spec.gpus > 0 ? over.gpus + slack >= spec.gpus : over.cpus + slack >= spec.cpus);
 }
 
-/** Fraction of phi: time for the exchange to find capacity in another partition before tasks are stopped. */
+/**
+ * Time that the exchange has to find capacity in another partition before tasks are stopped, as a fraction of `phi`.
+ */
 export const PREEMPT_AFTER_PHI = 0.2;
 
 /**
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -13,7 +13,10 @@
   index: number;
 }
 
-/** Rights to stop other work: guarantees of teams, and what each team runs beyond its own. */
+/**
+ * Rights to stop other work: whether work is within its team's guarantee, and what each team runs beyond its
+ * guarantee.
+ */
 export interface PreemptionRights {
   guaranteed: (taskSet: TaskSet) => boolean;
   excess: ReadonlyMap<string, Usage>;
@@ -61,8 +64,8 @@
   }
 
   /**
-   * Returns true if that many tasks of the job fit once lower work is stopped, and deducts them, so that the capacity
-   * is not counted for another job.
+   * Returns true if that many tasks of the job fit once the work that they may preempt is stopped, and deducts them,
+   * so that the capacity is not counted for another job as well.
    */
   reserve(taskSet: TaskSet, tasks: number): boolean {
     const { spec } = taskSet;
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -20,7 +20,8 @@
   /** Effective arrival time in ms. */
   effectiveArrival: (taskSet: TaskSet) => number;
   /**
-   * Maximum number of tasks that may start when its turn comes; 1 for an array that comes first only to have begun.
+   * Maximum number of the task set's tasks that may start in one cycle; 1 for an array that comes first only so that
+   * its first task starts.
    */
   maxStarts: (taskSet: TaskSet) => number;
 }
@@ -55,31 +56,32 @@
  */
 const INHERITED_RANK_OFFSET = 0.5;
 
-/** Longer than any wait: puts guaranteed work before the rest of its priority. */
+/** Deducted from the arrival time of work that precedes the rest of its priority; longer than any wait. */
 const PRECEDENCE_MS = 1e9;
 
 /**
  * True for an array that should start its first task now. An array that is delayed for its size may wait behind all
- * smaller ones for longer than a user's working day. So after a while it begins with one task, which takes next to
- * nothing from the others; the rest keeps its position.
+ * smaller ones for longer than a user's working day. So after `firstTaskAfterS` it starts one task, which takes
+ * almost no capacity from the others; its other tasks keep their position.
  */
 function startsFirstTaskNow(taskSet: TaskSet, { mode, nowWall, firstTaskAfterS: beginS }: OrderContext): boolean {
   const begun = taskSet.started || taskSet.done.count > 0 || taskSet.lo > 0;
   return mode === "aims" && taskSet.spec.kind === "array" && !begun && nowWall - taskSet.submittedWall > beginS * 1000;
 }
 
-/** Number of tasks that are expected to run at the same time; a wider gang takes as much as several. */
+/** Number of a job's tasks that are expected to run at the same time; more waiting tasks count as several runs. */
 const EXPECTED_PARALLEL_TASKS = 4;
 
-/** Saturates at `most`, which bounds every delay, so nothing waits forever. */
+/** Grows with `seconds` but stays below `limit`: every delay is bounded, so nothing waits forever. */
 const saturate = (limit: number, seconds: number): number => (limit * seconds) / (seconds + limit);
 
 /**
  * Creates the queue order: first come, first served within a priority. In mode `aims`, a large job of a class with a
  * completion objective counts as having arrived later, so that several small ones meet the objective instead. The
  * delay grows with the time its work takes, less for each further task, up to the objective. A job that has missed
- * its start objective is delayed further by that objective, in favour of jobs that can still meet it, and a job that
- * can no longer be done in time by the completion objective. All delays are bounded, so nothing waits forever.
+ * its start objective is delayed further, by the length of that objective, in favour of jobs that can still meet it.
+ * A job that can no longer be done in time is delayed further by the length of the completion objective. All delays
+ * are bounded, so nothing waits forever.
  *
  * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more
  * work than capacity, first come, first served begins everything and finishes little, and a half-done array is of no
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -28,7 +28,10 @@
   tasks: number;
 }
 
-/** When, as running tasks end, the machine will hold how many more tasks of the gang. */
+/**
+ * Times at which running tasks of the machine are expected to end, each with the number of further tasks of the gang
+ * that then fit.
+ */
 function capacityGains(machine: Machine, taskSet: TaskSet, free: Capacity, context: ReservationContext): CapacityGain[] {
   const list: CapacityGain[] = [];
   const capacity = { ...free };
@@ -67,10 +70,11 @@
 }
 
 /**
- * Reserves machines for a gang, so that backfilling does not starve it. Small jobs take any capacity that becomes free,
- * so a gang that needs much at once would lose machine after machine to them and never start. Free capacity is reserved
- * for the first gang that has waited long, where it should be complete the soonest; a job that ends before then may
- * still use it. Returns null if the gang has not waited long enough or cannot be completed.
+ * Reserves machines for a gang, so that backfilling does not starve it. Small jobs take any capacity that becomes
+ * free, so a gang that needs much at once would lose machine after machine to them and never start. Free capacity is
+ * reserved for the first gang of a class that has waited long enough; for a gang that needs a single zone, in the
+ * zone where all its tasks should fit the soonest. A job that ends before then may still use it. Returns null if the
+ * gang has not waited long enough or cannot be completed.
  */
 export function reserve(
   partition: Partition,
@@ -116,7 +120,10 @@
   return best;
 }
 
-/** The candidates that a job may use, without machines reserved for others beyond the job's expected end. */
+/**
+ * The candidates that a job may use: all but those reserved for a gang that should fit before the job is expected to
+ * end.
+ */
 export function unreservedCandidates(
   taskSet: TaskSet,
   candidates: CandidateMachine[],
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -25,7 +25,7 @@
   shortages: Map<string, QuotaShortage>;
 }
 
-/** Quota that a team lacks in this partition; `now` is the amount for which there is free capacity at present. */
+/** Quota that a team lacks in this partition; `fitsNow` is the amount for which there is free capacity at present. */
 export interface QuotaShortage extends Usage {
   fitsNow: Usage;
 }
@@ -58,8 +58,9 @@
 }
 
 /**
- * True if some task of the task set may start now: tasks wait, it is not ended, being given away, backing off after a
- * failure or limited to a task that is already placed, and no former attempt of a gang may still be on a machine.
+ * True if some task of the task set may start now: tasks wait; the task set has not ended, is not migrating or
+ * backing off after a failure, and is not limited to one task that is already placed; and no former attempt of a gang
+ * may still be on a machine.
  */
 export function isReady(taskSet: TaskSet, now: number): boolean {
   if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0)
@@ -147,7 +148,8 @@
     if (chosen.length < withinQuota) {
       stopping ??= stoppingCapacityByMachine(candidates);
       reservedCount = reserveStoppingCapacity(taskSet, withinQuota - chosen.length, open, stopping, zonesInUse(partition, taskSet));
-      // Jobs with the same requirements may end early enough to use the reserved machines.
+      // A shape counts as unschedulable only if no reservation applied: a shorter job of the same shape may end early
+      // enough to use the reserved machines.
       if (reservedCount === 0 && open.length === candidates.length && taskSet.failedOn.size === 0) {
         unschedulable.add(shape);
         if (!isGang) unschedulableSizes.add(spec);
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -65,7 +65,7 @@
   endWritePending: boolean;
   /** A write of its progress is scheduled. */
   progressWriteScheduled: boolean;
-  /** Equal for task sets whose tasks fit the same free capacity, whatever their job. */
+  /** Equal for task sets whose tasks have the same resource requirements and placement constraints. */
   shape: string;
 }
 
@@ -173,8 +173,8 @@
 }
 
 /**
- * Number of consecutive tasks at the end that are waiting, neither done nor with an attempt that may be on a machine;
- * counts up to `most`.
+ * Number of consecutive tasks at the end that are neither done nor have an attempt that may be on a machine; counts
+ * up to `max`.
  */
 export function waitingTailLength(taskSet: TaskSet, max: number): number {
   const waits = (task: number): boolean => !taskSet.done.has(task) && !taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task);
