--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -84,7 +84,10 @@
     return quotaShareOf(this.quotaRecord(team), partition);
   }
 
-  /** Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. All read the same record. */
+  /**
+   * Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. The
+   * order is the same at all nodes, since they read the same record.
+   */
   private givingOrder(giver: number, { part: partition, team, cpus }: QuotaRequest): number {
     const quotaRecord = this.quotaRecord(team);
     if (quotaRecord === undefined) return 0;
