--- a/src/ledger/group-committer.ts
+++ b/src/ledger/group-committer.ts
@@ -15,8 +15,9 @@
 }
 
 /**
- * Outcome of a pending write. `done`: applied. `settled`: its draft had nothing left to write, and the
- * caller reads the replica for the current state. `shed`: never sent, or refused for its size.
+ * Outcome of a pending write. `done`: applied. `settled`: its draft had nothing left to write, or exceeds a
+ * transaction's limits by itself; the caller reads the replica for the current state. `shed`: never sent, or refused
+ * for its size.
  */
 export type CommitOutcome = "done" | "settled" | "shed";
 
@@ -47,8 +48,8 @@
 }
 
 /**
- * Order of writes while the write rate is short, as after an outage. `now`: users' requests and claims of
- * partitions, never delayed by others. `soon`: writes that block work. `later`: bookkeeping.
+ * Order of writes while more of them wait than the write rate allows, as after an outage. `now`: users' requests and
+ * claims of partitions, never delayed by others. `soon`: writes that block work. `later`: bookkeeping.
  */
 export type WritePriority = "now" | "soon" | "later";
 const RANK: Record<WritePriority, number> = { now: 0, soon: 1, later: 2 };
@@ -62,10 +63,10 @@
 const MAX_BODY_BYTES = 60 * 1024;
 
 /**
- * Group commit: combines pending writes into few transactions within the rate limits. Each write is drafted
- * against the newest replica when its transaction is assembled, so its conditions match the state it was
- * derived from. A write without a definite answer is read back and drafted again until one arrives, since the
- * first copy can still be applied late.
+ * Group commit: combines pending writes into few transactions within the rate limits. Each write is drafted against
+ * the newest replica when its transaction is assembled, so its conditions match the state it was derived from. After
+ * a transaction without a definite answer, the replica is refreshed and the writes are drafted again until their
+ * outcome is known, since the first copy can still be applied late.
  */
 export class GroupCommitter {
   private queue: PendingWrite[] = [];
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -4,13 +4,16 @@
 
 /** Records in the state service: their types, keys and size limits. Every key starts with `t/`. */
 
-/** `part` of a job that was submitted before the jobs it needs were done. Earlier versions take it as belonging to no partition. */
+/**
+ * `part` of a job that was submitted before the jobs it needs were done. Earlier versions treat such a job as
+ * belonging to no partition.
+ */
 const NO_PARTITION = -1;
 
 /**
  * Partition of a record's tasks. A job that waits for other jobs is recorded with no partition in `part` and its
- * partition in `home`, because versions without support for needs would start it at once. Whether it still waits
- * follows from the records of the jobs it needs.
+ * partition in `home`, because versions without support for job dependencies would start it at once. Whether it still
+ * waits follows from the records of the jobs it needs.
  */
 interface PartitionAssignment {
   part: number;
@@ -91,7 +94,7 @@
   /** Number of the last suspicion that this incarnation refuted; absent if its version does not support suspicions. */
   refutes?: number;
   /**
-   * Configuration version that the node applies, and the newest term up to which it has proven for all its partitions
+   * Configuration version that the node applies, and the newest term up to which all its partitions are fenced, so
    * that their former owners can start nothing. Absent if the configuration was never changed or the node's version
    * does not support it.
    */
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -12,7 +12,7 @@
   zone: string;
   spot: boolean;
   at: number;
-  /** Null while the machine is not recorded as up; no task was ever started on it then. */
+  /** Null while the machine is not recorded as up; until then no task is started on it. */
   addr: string | null;
 }
 
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -211,7 +211,10 @@
     return this.table(prefix) as Map<string, Entry<T>>;
   }
 
-  /** Jobs whose own record has no end. Includes a job that was cancelled only through a job that it needs. */
+  /**
+   * Jobs whose own record has no end. Includes jobs that count as cancelled only because a job that they depend on
+   * was cancelled.
+   */
   openJobs(): ReadonlyMap<string, Entry<JobRecord>> {
     return this.openJobRecords;
   }
