--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -23,7 +23,7 @@
   committer: GroupCommitter;
   peers: PeerApi;
   scope: Scope;
-  /** Whether this process is lagging behind its timers. */
+  /** Whether timers of this process fire late. */
   lagging: () => boolean;
 }
 
@@ -41,10 +41,10 @@
 
 /**
  * Failure detector in two steps. A peer is suspected if its connection is closed and cannot be opened again, or if it
- * reports that it cannot reach the state service. A suspicion is a record that the peer refutes in its own presence
- * record, whatever its fault is. Only a suspicion that stays unrefuted while the evidence persists makes the peer
- * count as gone. This decides who claims partitions, never what may be placed: a claim begins a new term with the
- * usual fencing.
+ * reports that it cannot reach the state service. A suspicion is a record. A peer that still reaches the state
+ * service refutes it in its own presence record, whatever the evidence was. Only a suspicion that stays unrefuted
+ * while the evidence persists makes the peer count as gone. This decides who claims partitions, never what may be
+ * placed: a claim begins a new term with the usual fencing.
  */
 export class FailureDetector {
   private readonly observations = new Map<string, PeerObservation>();
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A silent peer or a
- * state service that refuses requests proves nothing by itself.
+ * Presence of the nodes: each has a key under a lease that expires unless the node renews it. That a peer is silent,
+ * or that the state service refuses requests, does not make a node absent.
  *
  * A process may restart while the key of its former incarnation still exists. Nobody renews that key, and it may
  * expire at any time, so a node counts itself as present only by a key that names its current incarnation. Writes of
@@ -205,18 +205,21 @@
     return this.isPresent(node) && !this.reportsUnfit(node);
   }
 
-  /** Whether this process has run for longer than a lease, so that a node absent all the time is gone. */
+  /**
+   * Whether this process has run for longer than a lease, so that a node that has been absent since then counts as
+   * gone.
+   */
   isSettled(): boolean {
     return this.ageMs() > this.dependencies.settings.timing.presenceMs;
   }
 
-  /** For how long, in ms, the node has not been there; null: it is. */
+  /** Time in ms for which the node has been absent; null if it is present. */
   missingMs(node: string): number | null {
     const since = this.missingSince.get(node);
     return since === undefined ? null : this.dependencies.scope.clock.now() - since;
   }
 
-  /** Nodes whose presence ran out, and for how long they have been silent. */
+  /** Absent nodes, each with the time in ms for which it has been absent. */
   silentNodes(): { node: string; ms: number }[] {
     return [...this.missingSince.keys()].map((node) => ({ node, ms: Math.round(this.missingMs(node)!) }));
   }
--- a/src/membership/restart-backoff.ts
+++ b/src/membership/restart-backoff.ts
@@ -10,8 +10,8 @@
 
 /**
  * Number of consecutive early exits before this incarnation, by the record of the former one. An incarnation older
- * than a lease omits `ends`. A record that expired before this incarnation started counts as none, and so does one of
- * a version without `ends`.
+ * than a lease omits `ends`. A missing record, which expired before this incarnation started, counts as no early
+ * exit, and so does a record of a version without `ends`.
  */
 export function precedingEarlyExits(former: PresenceRecord | undefined): number {
   return former?.ends === undefined ? 0 : former.ends + 1;
