--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,6 +1,6 @@
 import avsc from "avsc";
 
-/** Messages between controllers and their encoding. The first frame in each direction is a hello. */
+/** Messages between controllers and their encoding. The first frame of each connection is a hello. */
 
 /** Peers with another version are refused. */
 export const PROTOCOL_VERSION = 3;
