--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -47,8 +47,8 @@
   if (record === undefined) return home === self || (context.presenceSettled && !context.alive(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
-    // The recorded owner is an earlier process of this node. It has ended, as this one runs, and answers no worker
-    // any more.
+    // The recorded owner is an earlier process of this node. Because this one runs, the earlier one has ended and
+    // answers no workers.
     if (record.life !== context.incarnation) return "own former life";
     return context.termEnded ? "own ended term" : null;
   }
