--- a/src/fleet/offering-availability.ts
+++ b/src/fleet/offering-availability.ts
@@ -2,7 +2,10 @@
 import type { FleetDependencies } from "./dependencies.js";
 import { offeringKey } from "./plan.js";
 
-/** Report intervals for which an offering counts as sought after a peer's message; a peer that still needs it sends another by then. */
+/**
+ * Number of report intervals for which a peer's message makes an offering count as sought; a peer that still needs
+ * the offering sends another message before they end.
+ */
 const SOUGHT_REPORTS = 3;
 
 interface Refusal {
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -88,7 +88,7 @@
     if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs)
       continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
-    // A smaller shape already found neither free capacity nor an offering.
+    // A task that needs no more than this one has already found neither free capacity nor an offering.
     if (unschedulable.has(spec)) continue;
     const placeOnCandidates = (task: JobSpec, count: number): number => {
       const candidates =
@@ -137,10 +137,9 @@
 const MAX_FAILURES_PER_TASK = 2;
 
 /**
- * Whether the job has failed so often on the machine that another one must be tried. With one job
- * and one machine, failures can be attributed to neither: the machine has failed no other job, the
- * job has failed on no other machine, and it would be restarted there forever. Running the job on
- * another machine decides.
+ * Whether the job has failed so often on the machine that another machine must be tried. With one job and one
+ * machine, failures can be attributed to neither: the machine has failed no other job, the job has failed on no other
+ * machine, and it would be restarted there forever. Running the job on another machine shows which of them is faulty.
  */
 function failsRepeatedlyOn(taskSet: TaskSet, host: string): boolean {
   return (taskSet.failedOn.get(host) ?? 0) > MAX_FAILURES_PER_TASK * taskSet.waiting.length;
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -20,7 +20,10 @@
   private readonly inProgress = new Set<string>();
   private readonly plans = new WeakMap<Partition, { at: number; plan: RentalPlan }>();
   private rentalCount = 0;
-  /** The newest rentals whose result has been recorded. Only this incarnation can record rentals of its own terms. */
+  /**
+   * The newest rentals whose result has been recorded. They need not be durable: only this incarnation can write
+   * rental records under its own terms.
+   */
   private readonly completed = new Set<string>();
 
   constructor(
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -17,9 +17,9 @@
 const MAX_DELETED_SHARE = 0.1;
 
 /**
- * Machines that must have answered the new term before a single silent one is deleted. With a
- * higher number, partitions of two machines waited for a whole lease with all their tasks, only to
- * cover the rarer case that this node alone reaches one of its machines and not the other.
+ * Number of machines that must have reported the new term before a single silent one is deleted. With a higher
+ * number, a partition of two machines would wait for a whole lease with all its tasks, only to cover the rarer case
+ * that this node alone cannot reach one of them.
  */
 const MIN_ANSWERS = 1;
 
@@ -94,19 +94,18 @@
   }
 
   /**
-   * Whether the machine should be deleted because it blocks fencing. A machine that has not
-   * reported the new term blocks placement in the whole partition until its lease has certainly
-   * expired, which may take two leases; usually it is already gone, and deletion proves that. If
-   * many machines are silent, this node is probably cut off from them, so they are kept. In a
-   * small partition one machine already exceeds the share; a single silent one is deleted once
-   * others have answered the new term, which shows that this node is not cut off.
+   * Whether the machine should be deleted because it blocks fencing. A machine that has not reported the new term
+   * blocks placement in the whole partition until its lease has certainly expired, which may take two leases; usually
+   * it is already gone, and deletion proves that. If many machines are silent, this node is probably cut off from
+   * them, so they are kept. In a small partition one machine already exceeds the share; a single silent one is
+   * deleted once others have reported the new term, which shows that this node is not cut off.
    */
   private blocksFencing(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { scope, settings } = this.deps;
     if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.takenOverAt < settings.timing.leaseMs / 4)
       return false;
     if (isDeletableCount(partition, tally.unfenced)) return true;
-    // Returned by the former owner, which could no longer record it, or preempted.
+    // The machine was preempted, or the former owner returned it and could no longer record that.
     if (this.isMissing(partition, machine)) return true;
     // By now a silent machine's lease would have expired: this one keeps reporting, but does not receive this controller's
     // answers. It is deleted only if at least as many machines have shown the current term as are unfenced.
@@ -129,11 +128,10 @@
   }
 
   /**
-   * Whether the cloud has probably preempted the machine. Spot machines are preempted frequently,
-   * and their tasks cannot start elsewhere until their lease has certainly expired; deleting the
-   * machine proves immediately that they have ended. A machine that gave notice is deleted as soon
-   * as its reports are late. Of the others, only a few are deleted, only spot machines, and only
-   * after more missed reports.
+   * Whether the cloud has probably preempted the machine. Spot machines are preempted frequently, and their tasks
+   * cannot start elsewhere until their lease has certainly expired; deleting the machine proves immediately that they
+   * have ended. A machine that gave notice is deleted as soon as its reports are late. Of the machines that gave
+   * none, only a few are deleted, only spot machines, and only after more missed reports.
    */
   private seemsPreempted(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { reportMs } = this.deps.settings.timing;
