--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -93,7 +93,7 @@
     if (rejection !== null) {
       if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
       if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
-      // A job it depends on may have been accepted by another controller since the last read.
+      // A job that this one depends on may have been accepted by another controller since the last read.
       rejection = rejectionReason();
       if (rejection !== null) return { status: 422, body: { error: rejection } };
     }
@@ -126,7 +126,10 @@
     return rejection === null ? this.unavailable("the configuration is changing") : { status: 422, body: { error: rejection } };
   }
 
-  /** Returns why the job's dependencies are invalid, or null. Valid only if the replica cache is fresh or contains all of them. */
+  /**
+   * Returns why the job's dependencies are invalid, or null. The result is reliable only if the replica cache is
+   * fresh or contains all of them.
+   */
   private invalidNeed(spec: JobSpec): string | null {
     for (const ref of spec.needs ?? []) {
       const need = this.replica.get<JobRecord>(keys.job(ref))?.v;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -21,7 +21,9 @@
 import type { Settings } from "../settings/derived.js";
 import type { Admission } from "./admission.js";
 
-/** Time after which a prepared change of limits is abandoned, because the process that prepared it has ended. */
+/**
+ * Time after which a prepared change of limits is abandoned, because the process that prepared it has probably ended.
+ */
 const MAX_UNDECIDED_MS = 30_000;
 
 /** Removes and returns the leading refs of `refs` that fit into `bytes` as JSON. */
@@ -56,8 +58,9 @@
   constructor(private readonly deps: SubmissionsDependencies) {}
 
   /**
-   * Chooses the partition for a new job: one owned by this controller, unless that has the maximum number of machines; then
-   * the one with the fewest machines. Returns null if no partition has an owner.
+   * Chooses the partition for a new job: one owned by this controller, unless that has the maximum number of
+   * machines; then the one with the fewest machines. If this controller owns none, the partitions that have an owner
+   * are chosen in turn. Returns null if no partition has an owner.
    */
   choosePartition(): number | null {
     const ownPartitions = [...this.deps.leader.partitions.values()];
