--- a/src/served/class-shares.ts
+++ b/src/served/class-shares.ts
@@ -11,9 +11,12 @@
 const FLOOR = 0.6;
 /** Length of the window as a number of lease times; about ten minutes at usual settings. */
 const WINDOW_LEASES = 33;
-/** Number of buckets in the window; the oldest is dropped at a time. */
+/** Number of buckets in the window, which are dropped one at a time, the oldest first. */
 const BUCKETS = 11;
-/** Urgent work is ordered by its own objectives, so only ranks from here on are considered. */
+/**
+ * Urgent work is ordered by its own objectives, so only classes of this rank or a higher one, which is less urgent,
+ * are considered.
+ */
 const MIN_RANK = rank("normal");
 
 /** Open and recently done jobs of a class, with the rank of its urgency. */
@@ -39,9 +42,9 @@
 }
 
 /**
- * Tracks how much of each class has been served recently, from the job records that every controller receives: so the
- * result is the same on all controllers and survives a takeover. The floor is needed because, with more work than
- * capacity, the queue order alone can leave one of several classes with next to nothing.
+ * Tracks how much of each class has been served recently, from the job records that every controller receives, so
+ * that the result is the same on all controllers and survives a takeover. The floor is needed because, with more work
+ * than capacity, the queue order alone can leave one of several classes with next to nothing.
  */
 export class ClassShares {
   private readonly open = new Set<string>();
@@ -85,7 +88,7 @@
     return this.settings.timing.leaseMs * WINDOW_LEASES;
   }
 
-  /** Classes whose work currently comes before the rest of its priority. */
+  /** Classes whose work currently comes before other work of the same priority. */
   underserved(): Set<string> {
     const now = this.scope.clock.now();
     if (now - this.cached.at < this.settings.timing.reportMs) return this.cached.classes;
