--- a/src/pipelines/job-dependencies.ts
+++ b/src/pipelines/job-dependencies.ts
@@ -22,7 +22,7 @@
 }
 
 /**
- * Dependencies between jobs. Nothing of this is stored: whether a job may start, or is cancelled together with one
+ * Dependencies between jobs. Their state is not stored: whether a job may start, or is cancelled together with one
  * that it depends on, follows from the records of the jobs themselves. So every controller applies a cancellation to
  * all dependants as soon as it receives the cancelled job's record, and no second transaction is needed that an
  * outage could prevent.
@@ -51,7 +51,7 @@
     return node === undefined ? this.record(ref)?.end : node.outcome;
   }
 
-  /** True if some job that it depends on is not done, so none of its tasks may start. */
+  /** True if some job that this job depends on is not done, so that none of its tasks may start. */
   isBlocked(ref: string): boolean {
     const node = this.nodes.get(ref);
     return node !== undefined && node.outcome !== "done" && node.pending.size > 0;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Start of the job's times other than the deadline: its submission, or the completion of the last job that it
-   * depends on.
+   * Wall-clock time from which the job's waiting time and time limits count, except for the deadline: its submission,
+   * or the completion of the last job that it depends on.
    */
   eligibleSinceWall(job: JobRecord): number {
     let since = job.at;
@@ -151,7 +151,10 @@
     }
   }
 
-  /** Iterative, since a chain of jobs may be arbitrarily long. */
+  /**
+   * Sets the outcome of a job, and for a cancellation that of all jobs that depend on it. Iterative, since a chain of
+   * jobs may be arbitrarily long.
+   */
   private setOutcome(first: JobNode, outcome: JobOutcome): void {
     if (first.outcome !== undefined) return;
     first.outcome = outcome;
