--- a/src/calls/backoff.ts
+++ b/src/calls/backoff.ts
@@ -16,9 +16,9 @@
 
 /**
  * Retry budget of a target. Each answer adds a fraction of a retry, and each retry takes one. While the target
- * answers, a lost answer is retried soon. When most calls fail, retries are limited to a small share of the calls, and
- * the rest pause for the maximum time. Without it, a recovering service would receive the whole backlog of retries at
- * once.
+ * answers, a lost answer is retried soon. When most calls fail, retries are limited to a small share of the calls,
+ * and the rest pause for the maximum time. Without the budget, a recovering service would receive the whole backlog
+ * of retries at once.
  */
 export class RetryBudget {
   private tokens: number;
