--- a/src/overload/levels.ts
+++ b/src/overload/levels.ts
@@ -43,8 +43,8 @@
 
 /**
  * Thresholds as ratios to the settings. Lag: workers time out after 4 s and users after 2 and 5 s, so the last level
- * begins at one report interval. Memory: the rest above the last level is what a burst of reports and answers takes
- * before memory can be freed. Backlog: in seconds at a node's own share of the write rate.
+ * begins at one report interval. Memory: the remainder above the last level is what a burst of reports and answers
+ * takes before memory can be freed. Backlog: in seconds at a node's own share of the write rate.
  */
 export function overloadThresholds({ reportMs }: { reportMs: number }, nodes: number): Thresholds {
   return {
