--- a/src/configuration/store.ts
+++ b/src/configuration/store.ts
@@ -121,7 +121,10 @@
     if (errors.length > 0) throw new ChangeRefused("invalid", errors.join("; "));
   }
 
-  /** Records the lower limits, from when on no job that could not run within them is accepted, and then checks the accepted jobs. */
+  /**
+   * Records the lower limits, after which no job that needs more is accepted, and then checks the jobs that were
+   * accepted before.
+   */
   private async prepare(change: TeamChange, before: ConfigurationState, id: string): Promise<ConfigurationState> {
     const prepared = { id, teams: change.set, at: this.wallClock() };
     const head: ConfigurationRecord = { ...(before.head ?? { version: 0, at: this.wallClock(), id }), prepared };
