--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -74,7 +74,10 @@
   });
 }
 
-/** Resolves once the version is in force everywhere. Throws CommandFailed if it is not there, or not within the time. */
+/**
+ * Resolves once the version is in force everywhere. Throws CommandFailed if the version does not exist or is not in
+ * force within the time.
+ */
 export async function waitForConfiguration(
   settings: Settings,
   version: number,
