--- a/src/platform/cpu-accounting.ts
+++ b/src/platform/cpu-accounting.ts
@@ -44,7 +44,8 @@
     const index = ACTIVITIES.indexOf(activity);
     const { stack } = this;
     const outer = stack.at(-1);
-    // A cycle over all partitions contains one for each: they count as one run together.
+    // The same activity within itself, such as the cycle of each partition within a cycle over all of them, counts as
+    // one run.
     if (outer === index) return act();
     const startedAt = this.now();
     if (outer !== undefined) this.ms[outer]! += startedAt - this.chargedUntil;
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -111,7 +111,7 @@
   private takeIdle(host: Host): Connection | null {
     for (let connection = host.idle.pop(); connection !== undefined; connection = host.idle.pop()) {
       this.idleCount--;
-      // Destroyed, but its close event has not been handled yet.
+      // The connection was destroyed, but its close event has not been handled yet.
       if (connection.socket.destroyed) continue;
       connection.socket.ref();
       return connection;
