--- a/src/controller.ts
+++ b/src/controller.ts
@@ -82,11 +82,11 @@
     const requests = new TokenBucket(clock, state.rps * share);
     const writes = new TokenBucket(clock, state.writeRps * share, Math.max(state.txnOps, state.writeRps * share));
     const { timing } = settings;
-    // A blocking read proves contact only at the time it began, so two in a row must take much
-    // less than the age at which this node counts as cut off.
     const { calls } = deps;
     this.calls = calls;
     const service = stateWithPolicies(deps.state, calls, clock);
+    // A blocking read proves contact only at the time it began, so two in a row must take much
+    // less than the age at which this node counts as cut off.
     const pace = { readGapMs: 3000 / (state.rps * share), blockMs: Math.min(timing.contactMs, timing.silentAfterMs / 2) / 4 };
     this.replica = new StateReplica(service, clock, requests, pace, calls.of("state.read"), scope.costs);
     this.configuration = new Configuration(settings, this.replica, scope);
@@ -292,9 +292,9 @@
   }
 
   /**
-   * Returns why this node should get no users' requests, or null. It reports unready only if
-   * another node is better: in an outage of the state service all nodes are equal, and being
-   * marked unhealthy would delay users after the outage ends.
+   * Returns why this node should get no users' requests, or null. The node reports unready only if another node is
+   * better: in an outage of the state service all nodes are equal, and being marked unhealthy would delay users after
+   * the outage ends.
    */
   unreadyReason(): string | null {
     if (!this.replica.loaded) return "starting";
