--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Logs that the scheduling cycle assigned the task to the machine, when no other attempt of it may be on a machine.
-   * `former` is the last attempt of the task that is gone, with its proof. A restart under stale proof of ownership is
-   * logged at info level.
+   * Logs that the scheduling cycle placed the task on the machine. `former` is its last earlier attempt, if any, with
+   * the proof that the attempt is gone. A restart under stale proof of ownership is logged at info level, at a
+   * limited rate.
    */
   logOrdered(partition: Partition, placement: Placement): void {
     const former = placement.taskSet.lastGone.get(placement.task);
--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -30,7 +30,7 @@
    * claim the partition and any other node may.
    */
   ownerOverdue: boolean;
-  /** This node has been present for the lifetime of a presence key. */
+  /** This process has run for longer than the lifetime of a presence key. */
   presenceSettled: boolean;
   /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
--- a/src/parts/scheduler.ts
+++ b/src/parts/scheduler.ts
@@ -17,7 +17,10 @@
 /** Maximum delay of a job in the queue order because of its size, in leases: half an hour at the usual lease. */
 const MAX_YIELD_LEASES = 100;
 
-/** Wait after which an array starts whatever its size, in leases: two minutes at the usual lease, half of the wait that users expect. */
+/**
+ * Wait after which an array starts its first task whatever its size, in leases: two minutes at the usual lease, half
+ * of the wait that users expect.
+ */
 const ARRAY_START_LEASES = 6;
 
 /**
