--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -113,10 +113,10 @@
 /**
  * Simulates the queue: machines free up as running tasks are expected to end, and booting ones count from when they
  * should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given), Infinity if the
- * partition cannot hold it. Jobs behind the last requested one, and those from number `MAX_QUEUE` on, are left out
- * and have no entry, and the simulation ends once all requested waits are known, so that a burst of submissions does
- * not make every estimate expensive. `atOnce` receives, for each task set that has to wait, the number of tasks for
- * which there is free capacity now.
+ * partition cannot hold it. Only the first `MAX_QUEUE` jobs up to the last requested one are simulated, and others
+ * have no entry; the simulation ends once all requested waits are known. So a burst of submissions does not make
+ * every estimate expensive. `atOnce` receives, for each task set that has to wait, the number of tasks for which
+ * there is free capacity now.
  */
 export function estimateWaits(
   partition: Partition,
