--- a/src/calls/policy-clients.ts
+++ b/src/calls/policy-clients.ts
@@ -4,6 +4,8 @@
 import type { Clock } from "../platform/clock.js";
 import type { Caller, Calls } from "./calls.js";
 
+/** Wrappers that apply the call policies to the clients of the state service, the cloud and the workers. */
+
 /** Wraps a client of the state service so that every call follows its policy for time limits and statistics. */
 export function stateWithPolicies(state: StateApi, calls: Calls, clock: Clock): StateApi {
   const read = calls.of("state.read");
--- a/src/calls/policy.ts
+++ b/src/calls/policy.ts
@@ -1,5 +1,7 @@
 import type { Timing } from "../settings/derived.js";
 
+/** Policies of the calls to other processes: time limits, retries and the effect of unanswered calls. */
+
 /** Operations that a controller calls on other processes. */
 export type Operation =
   | "state.read"
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -2,6 +2,8 @@
 import { readFileSync } from "node:fs";
 import { HttpClient, type Reply } from "../platform/http.js";
 
+/** The commands that send users' requests to a controller. */
+
 /** A command failed; the message is one line for the user. */
 export class CommandFailed extends Error {}
 
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -9,6 +9,8 @@
 import { failsRepeatedly, type Placement, type TaskSet } from "../queue/task-set.js";
 import { freeCapacity, newMachine } from "../workers/machine.js";
 
+/** Plans which machines to rent for a partition's queue. */
+
 /** Inputs of a rental plan. */
 export interface PlanContext {
   now: number;
--- a/src/intake/server.ts
+++ b/src/intake/server.ts
@@ -2,6 +2,8 @@
 import type { Response } from "./jobs.js";
 import type { Relay } from "./relay.js";
 
+/** Handling of users' requests and health checks, with a path that bypasses Express for the most frequent ones. */
+
 /** Dependencies of the HTTP handlers for users and health checks. */
 export interface UserApiDependencies {
   relay: Relay;
--- a/src/queue/capacity.ts
+++ b/src/queue/capacity.ts
@@ -1,5 +1,7 @@
 import type { Capacity, Machine } from "../workers/machine.js";
 
+/** Arithmetic on the capacity of machines. */
+
 /** Adds `by`, multiplied by `times`, to `capacity` in place. */
 export function addCapacity(capacity: Capacity, by: Capacity, times: number): void {
   capacity.cpus += by.cpus * times;
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -9,6 +9,8 @@
 import { PreemptibleCapacity, type SimulatedMachine, type PreemptionRights } from "./preemptible-capacity.js";
 import { failsRepeatedly, type TaskSet } from "./task-set.js";
 
+/** Estimates when the jobs of a partition's queue will start, by a simulation of the queue. */
+
 /** Inputs of the wait estimate. */
 export interface EstimateContext extends PreemptionRights {
   now: number;
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -1,6 +1,8 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Capacity, Machine } from "../workers/machine.js";
 
+/** Chooses machines for the tasks of one job: constraints, fit, cost and best-fit placement. */
+
 /** A candidate machine with its free capacity during one placement calculation. */
 export interface CandidateMachine {
   machine: Machine;
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -6,6 +6,8 @@
 import { isAllowed, fits, occupy, placeTasks, type CandidateMachine } from "./placement.js";
 import { failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
+/** Chooses the tasks to stop for waiting work of higher priority or within a guarantee. */
+
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
   guaranteed: (taskSet: TaskSet) => boolean;
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -1,6 +1,8 @@
 import type { Urgency } from "@thorntrail/protocol/jobs";
 import type { TaskSet } from "./task-set.js";
 
+/** Order of a partition's queue. */
+
 const RANK: Record<Urgency, number> = { critical: 0, urgent: 1, normal: 2, low: 3 };
 
 /** Numeric rank of an urgency; lower is more urgent. */
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -3,6 +3,8 @@
 import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
 import type { TaskSet } from "./task-set.js";
 
+/** Reservations of machines for gangs, so that backfilling does not starve them. */
+
 /** Inputs for reservations. */
 export interface ReservationContext {
   now: number;
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -7,6 +7,8 @@
 import { addCapacity, stoppingCapacity } from "./capacity.js";
 import { startableTasks, taskId, addPlacement, failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
+/** The scheduling cycle: assigns free capacity to a partition's queue. */
+
 /** Inputs of a scheduling cycle. */
 export interface SchedulingContext extends ReservationContext {
   order: QueueOrder;
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -4,6 +4,8 @@
 import type { TerminatedAttempt } from "../workers/termination-proof.js";
 import { AttemptRegistry } from "./attempts.js";
 
+/** Task sets and their attempts: the state of the queued work of a partition, and the changes to it. */
+
 /** One attempt at one task on one machine, from its start order until it is proven gone. */
 export interface Placement {
   taskSet: TaskSet;
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -1,6 +1,8 @@
 import type { OperatorSettings } from "./operators.js";
 import { SettingsError, type PlatformSettings } from "./platform-file.js";
 
+/** Time limits and other values that follow from the platform's and the operators' settings. */
+
 /** Maximum relative drift between the clocks of two machines (PROTOCOL). */
 export const DRIFT = 0.0005;
 
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -4,6 +4,8 @@
 import { checkOperators } from "./operators.js";
 import { parsePlatform, SettingsError } from "./platform-file.js";
 
+/** Loads the settings and reports errors of commands. */
+
 function read(file: string): string {
   try {
     return readFileSync(file, "utf8");
--- a/src/settings/operators.ts
+++ b/src/settings/operators.ts
@@ -1,6 +1,8 @@
 import * as z from "zod";
 import { describeIssues, SettingsError } from "./platform-file.js";
 
+/** Schema of the operators' settings. */
+
 const seconds = z.number().finite().min(0);
 const ratio = z.number().finite().positive();
 
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -1,6 +1,8 @@
 import { parse } from "smol-toml";
 import * as z from "zod";
 
+/** Schema of the platform's settings file. */
+
 const amount = z.number().finite().min(0);
 const positive = z.number().finite().positive();
 const address = z.string().regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, "an address like 10.0.0.1:8080");
