--- a/src/parts/ended-terms.ts
+++ b/src/parts/ended-terms.ts
@@ -20,8 +20,8 @@
   private readonly refutedHosts = new Set<string>();
 
   /**
-   * Returns whether a newer token from this worker ends a term. It does not once a token of the worker was refuted: one
-   * faulty worker must not end term after term.
+   * Returns whether a newer token from this worker ends a term. Once a token of a worker was refuted, its further
+   * tokens end none: one faulty worker must not end term after term.
    */
   acceptsTokensOf(host: string): boolean {
     return !this.refutedHosts.has(host);
--- a/src/parts/partition.ts
+++ b/src/parts/partition.ts
@@ -6,7 +6,7 @@
 import { removeWaiting, type Placement, type TaskSet } from "../queue/task-set.js";
 
 /**
- * State that the owner of a partition keeps about it: machines, queue and resource usage. It is rebuilt from the
+ * State of a partition that its owner keeps in memory: machines, queue and resource usage. It is rebuilt from the
  * state service's records and from workers' reports at the start of each term.
  */
 export interface Partition {
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Records after one lease. This also retries a write that was shed because too many were queued: nothing else does, and a
-   * job whose tasks are all done would never end.
+   * Records after one lease. Also the retry of a write that was shed because too many were queued: nothing else
+   * retries it, and a job whose tasks are all done would otherwise never end.
    */
   private recordLater(partition: Partition, taskSet: TaskSet): void {
     if (taskSet.progressWriteScheduled) return;
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -12,8 +12,8 @@
   send(node: string, message: Message): boolean;
   /**
    * Time in steady ms since which a peer that was connected before cannot be connected again. Null if it is connected
-   * or never was in this incarnation. This proves nothing by itself: packet filters and a shortage of sockets refuse
-   * connections as well.
+   * or never was in this incarnation. A lost connection proves nothing by itself: packet filters and a shortage of
+   * sockets refuse connections as well.
    */
   lostAt?(node: string): number | null;
 }
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -140,8 +140,8 @@
       result.shortages.set(spec.team, entry);
     }
     const isGang = spec.kind === "gang";
-    // This check comes after the quota shortage has been recorded: without a larger quota share no machines would be
-    // rented for this work either.
+    // The quota shortage is recorded above even for work that fits on no machine now: without a larger quota share,
+    // no machines would be rented for that work.
     if (taskSet.failedOn.size === 0 && (unschedulable.has(shape) || (!isGang && unschedulableSizes.has(spec)))) continue;
     if (withinQuota === 0 || (isGang && withinQuota < wanted)) continue;
     const open = unreservedCandidates(taskSet, candidates, reservations, context);
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -60,8 +60,8 @@
 }
 
 /**
- * Returns the stricter of the current and the announced limits. They change without notice, and records
- * written before the change must be writable after it, so both limits are respected from the start.
+ * Returns the stricter of the current and the announced limits. The limits change without notice, and records written
+ * before the change must be writable after it, so both limits are respected from the start.
  */
 function stateLimits({ next, ...now }: PlatformSettings["deployment"]["state"]): StateLimits {
   const strictest = (key: keyof typeof now): number => Math.min(now[key], next[key] ?? Infinity);
