--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Logs that the scheduling cycle assigned the task to the machine, when no other attempt of it may be on a machine.
-   * `former` is the last attempt of the task that is gone, with its proof. A restart under stale proof of ownership is
-   * logged at info level.
+   * Logs that the scheduling cycle placed the task on the machine. `former` is its last earlier attempt, if any, with
+   * the proof that the attempt is gone. A restart under stale proof of ownership is logged at info level, at a
+   * limited rate.
    */
   logOrdered(partition: Partition, placement: Placement): void {
     const former = placement.taskSet.lastGone.get(placement.task);
@@ -88,7 +88,7 @@
     this.log.debug({ part: partition.id, term: partition.term, host, session, token, proof }, "machine fenced");
   }
 
-  /** Logs that the worker is ordered to discard an attempt, whose result is durable or that has none. */
+  /** Logs the order to the worker to discard an exited attempt, which has no result or one that is durable. */
   logCleared(partition: Partition, machine: Machine, piece: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
--- a/src/parts/ended-terms.ts
+++ b/src/parts/ended-terms.ts
@@ -20,8 +20,8 @@
   private readonly refutedHosts = new Set<string>();
 
   /**
-   * Returns whether a newer token from this worker ends a term. It does not once a token of the worker was refuted: one
-   * faulty worker must not end term after term.
+   * Returns whether a newer token from this worker ends a term. Once a token of a worker was refuted, its further
+   * tokens end none: one faulty worker must not end term after term.
    */
   acceptsTokensOf(host: string): boolean {
     return !this.refutedHosts.has(host);
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Stops accepting tokens of the worker that ended the partition's term. Called when the ended term was still recorded
-   * as this controller claimed the partition again, so that no other controller can have claimed it.
+   * Stops accepting tokens of the worker that ended the partition's term. Called when this controller has claimed the
+   * partition again and the ended term was still the recorded one: no other controller can have claimed it in
+   * between.
    */
   refuteToken(partition: number): void {
     const ended = this.endedByPartition.get(partition);
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -7,6 +7,8 @@
 import { addCapacity, stoppingCapacity } from "./capacity.js";
 import { startableTasks, taskId, addPlacement, failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
+/** The scheduling cycle: assigns free capacity to a partition's queue. */
+
 /** Inputs of a scheduling cycle. */
 export interface SchedulingContext extends ReservationContext {
   order: QueueOrder;
@@ -25,7 +27,7 @@
   shortages: Map<string, QuotaShortage>;
 }
 
-/** Quota that a team lacks in this partition; `now` is the amount for which there is free capacity at present. */
+/** Quota that a team lacks in this partition; `fitsNow` is the amount for which there is free capacity at present. */
 export interface QuotaShortage extends Usage {
   fitsNow: Usage;
 }
@@ -58,8 +60,9 @@
 }
 
 /**
- * True if some task of the task set may start now: tasks wait, it is not ended, being given away, backing off after a
- * failure or limited to a task that is already placed, and no former attempt of a gang may still be on a machine.
+ * True if some task of the task set may start now: tasks wait; the task set has not ended, is not migrating or
+ * backing off after a failure, and is not limited to one task that is already placed; and no former attempt of a gang
+ * may still be on a machine.
  */
 export function isReady(taskSet: TaskSet, now: number): boolean {
   if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0)
@@ -137,8 +140,8 @@
       result.shortages.set(spec.team, entry);
     }
     const isGang = spec.kind === "gang";
-    // This check comes after the quota shortage has been recorded: without a larger quota share no machines would be
-    // rented for this work either.
+    // The quota shortage is recorded above even for work that fits on no machine now: without a larger quota share,
+    // no machines would be rented for that work.
     if (taskSet.failedOn.size === 0 && (unschedulable.has(shape) || (!isGang && unschedulableSizes.has(spec)))) continue;
     if (withinQuota === 0 || (isGang && withinQuota < wanted)) continue;
     const open = unreservedCandidates(taskSet, candidates, reservations, context);
@@ -147,7 +150,8 @@
     if (chosen.length < withinQuota) {
       stopping ??= stoppingCapacityByMachine(candidates);
       reservedCount = reserveStoppingCapacity(taskSet, withinQuota - chosen.length, open, stopping, zonesInUse(partition, taskSet));
-      // Jobs with the same requirements may end early enough to use the reserved machines.
+      // A shape counts as unschedulable only if no reservation applied: a shorter job of the same shape may end early
+      // enough to use the reserved machines.
       if (reservedCount === 0 && open.length === candidates.length && taskSet.failedOn.size === 0) {
         unschedulable.add(shape);
         if (!isGang) unschedulableSizes.add(spec);
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -4,6 +4,8 @@
 import type { TerminatedAttempt } from "../workers/termination-proof.js";
 import { AttemptRegistry } from "./attempts.js";
 
+/** Task sets and their attempts: the state of the queued work of a partition, and the changes to it. */
+
 /** One attempt at one task on one machine, from its start order until it is proven gone. */
 export interface Placement {
   taskSet: TaskSet;
@@ -65,7 +67,7 @@
   endWritePending: boolean;
   /** A write of its progress is scheduled. */
   progressWriteScheduled: boolean;
-  /** Equal for task sets whose tasks fit the same free capacity, whatever their job. */
+  /** Equal for task sets whose tasks have the same resource requirements and placement constraints. */
   shape: string;
 }
 
@@ -173,8 +175,8 @@
 }
 
 /**
- * Number of consecutive tasks at the end that are waiting, neither done nor with an attempt that may be on a machine;
- * counts up to `most`.
+ * Number of consecutive tasks at the end that are neither done nor have an attempt that may be on a machine; counts
+ * up to `max`.
  */
 export function waitingTailLength(taskSet: TaskSet, max: number): number {
   const waits = (task: number): boolean => !taskSet.done.has(task) && !taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task);
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -1,6 +1,8 @@
 import type { OperatorSettings } from "./operators.js";
 import { SettingsError, type PlatformSettings } from "./platform-file.js";
 
+/** Time limits and other values that follow from the platform's and the operators' settings. */
+
 /** Maximum relative drift between the clocks of two machines (PROTOCOL). */
 export const DRIFT = 0.0005;
 
@@ -58,8 +60,8 @@
 }
 
 /**
- * Returns the stricter of the current and the announced limits. They change without notice, and records
- * written before the change must be writable after it, so both limits are respected from the start.
+ * Returns the stricter of the current and the announced limits. The limits change without notice, and records written
+ * before the change must be writable after it, so both limits are respected from the start.
  */
 function stateLimits({ next, ...now }: PlatformSettings["deployment"]["state"]): StateLimits {
   const strictest = (key: keyof typeof now): number => Math.min(now[key], next[key] ?? Infinity);
