--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,7 +1,10 @@
-// Builds into target/: main.js, which every command begins with; the service, one CommonJS file with a
-// code cache (a controller has a tenth of a core and is started again after every failure); the other
-// commands as modules that load what they need. Turns the operators' HCL into JSON: no HCL parser on
-// npm fits the memory and processor quota at run time.
+// Builds the project into target/:
+// - main.js: entry point of every command
+// - service-HASH.cjs: the controller as one CommonJS file with a V8 code cache, because a controller has a tenth of a core and
+//   is restarted after every failure
+// - cli.mjs, rehearsal.mjs and chunks/: the other commands as ES modules that load what they need
+// - operators.json: the operators' settings, converted from HCL because no HCL parser on npm fits the memory and processor
+//   quota of a controller at run time
 import { spawnSync } from "node:child_process";
 import { createHash } from "node:crypto";
 import { existsSync } from "node:fs";
@@ -13,121 +16,130 @@
 
 await mkdir("target/chunks", { recursive: true });
 const { version } = JSON.parse(await readFile("package.json", "utf8"));
-const common = {
+const commonOptions = {
   bundle: true,
   platform: "node",
   target: "node20",
   minifySyntax: true,
   minifyWhitespace: true,
-  // Its native part lies in its package; the HCL parser finds its own files beside it.
+  // classic-level loads a native addon and hcl2json a WebAssembly file, both relative to their packages.
   external: ["classic-level", "@cdktf/hcl2json"],
   alias: {
-    // Node would take rxjs in a form of which nothing can be left out: ten times what is used.
+    // The CommonJS build of rxjs, the default for Node.js, cannot be tree-shaken and is ten times as large as the part in use.
     rxjs: resolve("node_modules/rxjs/dist/esm/index.js"),
-    // Its entry without files, services and import hooks.
+    // Entry point of avsc without file access, RPC services and import hooks.
     avsc: "avsc/etc/browser/avsc-types.js",
-    // Express sorts all 2,500 types of the world at every start; we send and take four.
+    // Express sorts all 2,500 MIME types at every start; the service uses four.
     "mime-db": resolve("src/intake/mime-db.json"),
   },
   metafile: true,
   logLevel: "warning",
 };
-const modules = { ...common, format: "esm" };
-const requireInModules = "import{createRequire as __cr}from'node:module';const require=__cr(import.meta.url);";
+const moduleOptions = { ...commonOptions, format: "esm" };
+/** Defines `require` in ES modules, for bundled CommonJS dependencies. */
+const requireBanner = "import{createRequire as __cr}from'node:module';const require=__cr(import.meta.url);";
 
 const { metafile } = await build({
-  ...modules,
+  ...moduleOptions,
   entryPoints: { cli: "src/commands.ts", rehearsal: "src/launch/rehearsal.ts" },
   outdir: "target",
   outExtension: { ".js": ".mjs" },
   splitting: true,
   chunkNames: "chunks/[name]-[hash]",
   define: { THORNTRAIL_VERSION: JSON.stringify(version) },
-  banner: { js: requireInModules },
+  banner: { js: requireBanner },
 });
 
-const service = await build({
-  ...common,
+const serviceBuild = await build({
+  ...commonOptions,
   entryPoints: ["src/service.ts"],
   format: "cjs",
-  // One byte a character in memory, and read as such.
+  // V8 stores ASCII source with one byte per character, without decoding it.
   charset: "ascii",
   write: false,
   outfile: "target/service.cjs",
   define: { THORNTRAIL_VERSION: JSON.stringify(version) },
 });
-const [{ text }] = service.outputFiles;
-const [, ...words] = parseToml(await readFile("deploy/service.toml", "utf8")).run.split(/\s+/);
-/** Flags that controllers run with: V8 takes a cache only from a process with the same. */
-const flags = words.slice(
+const [{ text: serviceCode }] = serviceBuild.outputFiles;
+const [, ...runArguments] = parseToml(await readFile("deploy/service.toml", "utf8")).run.split(/\s+/);
+/** Node.js flags of the controllers. V8 accepts a code cache only from a process with the same flags. */
+const nodeFlags = runArguments.slice(
   0,
-  words.findIndex((word) => !word.startsWith("-")),
+  runArguments.findIndex((argument) => !argument.startsWith("-")),
 );
-const hash = createHash("sha256").update(text).update(process.version).update(flags.join()).digest("hex").slice(0, 16);
-const name = `service-${hash}.cjs`;
-await put(`target/${name}`, text);
+const hash = createHash("sha256").update(serviceCode).update(process.version).update(nodeFlags.join()).digest("hex").slice(0, 16);
+const serviceFile = `service-${hash}.cjs`;
+await writeAtomically(`target/${serviceFile}`, serviceCode);
 
-const launch = async (entry, outfile) => {
+/** Bundles an entry point that loads the service. */
+const buildLauncher = async (entryPoint, outfile) => {
   const { outputFiles } = await build({
-    ...common,
-    entryPoints: [entry],
+    ...commonOptions,
+    entryPoints: [entryPoint],
     format: "cjs",
     write: false,
     outfile,
-    define: { SERVICE_FILE: JSON.stringify(name) },
-    // Kept as an import: what it loads is another bundle.
+    define: { SERVICE_FILE: JSON.stringify(serviceFile) },
+    // Keeps import() as it is, because it loads another bundle.
     supported: { "dynamic-import": true },
   });
-  await put(outfile, outputFiles[0].text);
+  await writeAtomically(outfile, outputFiles[0].text);
 };
-await launch("src/launch/start.ts", "target/main.js");
-await launch("src/launch/warm.ts", "target/warm.js");
+await buildLauncher("src/launch/start.ts", "target/main.js");
+await buildLauncher("src/launch/warm.ts", "target/warm.js");
 
-const file = "deploy/operators.hcl";
-await put("target/operators.json", JSON.stringify(await parse(file, await readFile(file, "utf8"))));
-await put("target/package.json", '{"type":"commonjs"}\n');
-await put("target/chunks/package.json", '{"type":"module"}\n');
+const operatorsFile = "deploy/operators.hcl";
+await writeAtomically("target/operators.json", JSON.stringify(await parse(operatorsFile, await readFile(operatorsFile, "utf8"))));
+await writeAtomically("target/package.json", '{"type":"commonjs"}\n');
+await writeAtomically("target/chunks/package.json", '{"type":"module"}\n');
 
-// A port may be taken between being found free and being listened on: once more is enough.
-for (let tries = 0; tries < 2 && !existsSync(`target/${name}.cache`); tries++) await warm();
-await clear();
+// A free port that the rehearsal has found may be taken before the rehearsal listens on it; one retry is enough.
+for (let attempt = 0; attempt < 2 && !existsSync(`target/${serviceFile}.cache`); attempt++) await createCodeCache();
+await removeOldFiles();
 
-/** Whole or not at all: a controller may be starting from the file of before, another build be writing it. */
-async function put(path, content) {
-  const own = `${path}.${process.pid}.new`;
-  await writeFile(own, content);
-  await rename(own, path);
+/** Replaces a file by renaming, because a controller may be starting from the previous one, or another build may be writing it. */
+async function writeAtomically(path, content) {
+  const temporaryPath = `${path}.${process.pid}.new`;
+  await writeFile(temporaryPath, content);
+  await rename(temporaryPath, path);
 }
 
-/** Plays the build's rehearsal and keeps the largest cache of its controllers: the one that did most. */
-async function warm() {
-  const run = spawnSync(process.execPath, ["target/rehearsal.mjs", ...flags, "target/warm.js"], {
+/** Runs the rehearsal of the build and keeps the largest code cache of its controllers, as that covers the most code. */
+async function createCodeCache() {
+  const rehearsal = spawnSync(process.execPath, ["target/rehearsal.mjs", ...nodeFlags, "target/warm.js"], {
     stdio: ["ignore", "ignore", "pipe"],
     encoding: "utf8",
     timeout: 60_000,
   });
-  const made = (await readdir("target")).filter((one) => one.startsWith(`${name}.cache.`));
-  // Another build of the same sources may be at it as well, and take what it finds.
-  const sizes = await Promise.all(made.map(async (one) => [(await stat(`target/${one}`).catch(() => ({ size: 0 }))).size, one]));
-  const best = sizes.filter(([size]) => size > 0).sort((a, b) => b[0] - a[0])[0];
-  if (best === undefined && !existsSync(`target/${name}.cache`))
-    process.stderr.write(`build: no code cache, controllers start slower: ${run.error?.message ?? run.stderr.slice(-500)}\n`);
-  else if (best !== undefined) await rename(`target/${best[1]}`, `target/${name}.cache`).catch(() => undefined);
+  const caches = (await readdir("target")).filter((file) => file.startsWith(`${serviceFile}.cache.`));
+  // Another build of the same sources may run at the same time and rename these files.
+  const sizes = await Promise.all(caches.map(async (file) => [(await stat(`target/${file}`).catch(() => ({ size: 0 }))).size, file]));
+  const largest = sizes.filter(([size]) => size > 0).sort((a, b) => b[0] - a[0])[0];
+  if (largest === undefined && !existsSync(`target/${serviceFile}.cache`))
+    process.stderr.write(
+      `build: no code cache was created, controllers start more slowly: ${rehearsal.error?.message ?? rehearsal.stderr.slice(-500)}\n`,
+    );
+  else if (largest !== undefined) await rename(`target/${largest[1]}`, `target/${serviceFile}.cache`).catch(() => undefined);
 }
 
 /**
- * A controller that is just starting may still load what the build before made: taking it away
- * under it made it end. What is a day old is nobody's.
+ * Removes files of earlier builds that are more than a day old. A controller that is starting may still load files of the
+ * previous build, and ends if they are removed meanwhile.
  */
-async function clear() {
+async function removeOldFiles() {
   const DAY_MS = 24 * 3600 * 1000;
-  const kept = new Set([...Object.keys(metafile.outputs), `target/${name}`, `target/${name}.cache`, "target/chunks/package.json"]);
+  const currentFiles = new Set([
+    ...Object.keys(metafile.outputs),
+    `target/${serviceFile}`,
+    `target/${serviceFile}.cache`,
+    "target/chunks/package.json",
+  ]);
   const paths = [
-    ...(await readdir("target/chunks")).map((one) => `target/chunks/${one}`),
-    ...(await readdir("target")).filter((one) => one.startsWith("service-")).map((one) => `target/${one}`),
+    ...(await readdir("target/chunks")).map((file) => `target/chunks/${file}`),
+    ...(await readdir("target")).filter((file) => file.startsWith("service-")).map((file) => `target/${file}`),
   ];
   for (const path of paths) {
     const { mtimeMs } = await stat(path).catch(() => ({ mtimeMs: Date.now() }));
-    if (!kept.has(path) && Date.now() - mtimeMs > DAY_MS) await rm(path, { force: true });
+    if (!currentFiles.has(path) && Date.now() - mtimeMs > DAY_MS) await rm(path, { force: true });
   }
 }
--- a/scripts/known-red.mjs
+++ b/scripts/known-red.mjs
@@ -1,45 +1,48 @@
-// What KNOWN-RED.txt says, and whether a run of the tests may count as passed beside it. Decided by plain
-// functions of the file's text and the results; scripts/test.mjs reads, runs and prints.
+// Reads KNOWN-RED.txt, the list of tests that are known to fail, and decides whether a test run passes in spite of them.
+// The functions here have no side effects; scripts/test.mjs reads the file, runs the tests and prints the outcome.
 
-/** More than these, and a sitting mends before it adds. */
-const MOST = 3;
+/** Largest number of entries; with more of them, failing tests have to be fixed before others are listed. */
+const MAX_ENTRIES = 3;
 
-/** One line each: `test | cause | issue N`. `faults` names what is wrong with the file, by line. */
-export function readKnownRed(text) {
-  const reds = [];
-  const faults = [];
+/** Parses lines of the form `test | cause | issue N`. `errors` describes malformed and duplicate entries with their line numbers. */
+export function parseKnownFailures(text) {
+  const entries = [];
+  const errors = [];
   text.split(/\r?\n/).forEach((line, i) => {
     if (line.trim() === "") return;
-    const at = `KNOWN-RED.txt:${i + 1}`;
-    // A test's name may hold a bar; a cause and an issue hold none.
-    const parts = /^(.+) \| ([^|]*[^|\s][^|]*) \| issue (\d+)\s*$/.exec(line);
-    if (parts === null) return faults.push(`${at}: expected "test | cause | issue N", read ${JSON.stringify(line.slice(0, 80))}`);
-    const [, test, cause, issue] = parts;
-    if (reds.some((red) => red.test === test)) return faults.push(`${at}: ${JSON.stringify(test)} is listed twice`);
-    reds.push({ test, cause: cause.trim(), issue: Number(issue), at });
-    if (reds.length === MOST + 1) faults.push(`${at}: ${MOST} tests at most may be listed`);
+    const location = `KNOWN-RED.txt:${i + 1}`;
+    // A test name may contain a bar; a cause and an issue may not.
+    const fields = /^(.+) \| ([^|]*[^|\s][^|]*) \| issue (\d+)\s*$/.exec(line);
+    if (fields === null) return errors.push(`${location}: expected "test | cause | issue N", read ${JSON.stringify(line.slice(0, 80))}`);
+    const [, test, cause, issue] = fields;
+    if (entries.some((entry) => entry.test === test)) return errors.push(`${location}: ${JSON.stringify(test)} is listed twice`);
+    entries.push({ test, cause: cause.trim(), issue: Number(issue), location });
+    if (entries.length === MAX_ENTRIES + 1) errors.push(`${location}: at most ${MAX_ENTRIES} tests may be listed`);
   });
-  return { reds, faults };
+  return { entries, errors };
 }
 
 /**
- * `results`: of each test of the top level, its name and whether it passed. `whole`: all tests were run, so
- * that one that is missing has gone. An empty list: the run passes, though the listed tests failed.
+ * Returns the reasons why a run does not pass; an empty list means that it passes although the listed tests failed.
+ * `results`: name and outcome of each top-level test. `complete`: all tests were run, so a listed test without a result
+ * does not exist.
  */
-export function judge({ reds, faults }, results, whole = true) {
-  const wrong = [...faults];
-  const listed = new Map(reds.map((red) => [red.test, red]));
+export function findProblems({ entries, errors }, results, complete = true) {
+  const problems = [...errors];
+  const entriesByTest = new Map(entries.map((entry) => [entry.test, entry]));
   const seen = new Set();
   for (const { name, passed } of results) {
-    const red = listed.get(name);
-    if (red === undefined) {
-      if (!passed) wrong.push(`failed and not listed: ${name}`);
+    const entry = entriesByTest.get(name);
+    if (entry === undefined) {
+      if (!passed) problems.push(`failed and not listed: ${name}`);
       continue;
     }
-    if (seen.has(name)) wrong.push(`${red.at}: more than one test has the name ${JSON.stringify(name)}`);
+    if (seen.has(name)) problems.push(`${entry.location}: more than one test has the name ${JSON.stringify(name)}`);
     seen.add(name);
-    if (passed) wrong.push(`${red.at}: ${JSON.stringify(name)} passes: strike it off`);
+    if (passed) problems.push(`${entry.location}: ${JSON.stringify(name)} passes: remove this entry`);
   }
-  if (whole) for (const { test, at } of reds) if (!seen.has(test)) wrong.push(`${at}: no test has the name ${JSON.stringify(test)}`);
-  return wrong;
+  if (complete)
+    for (const { test, location } of entries)
+      if (!seen.has(test)) problems.push(`${location}: no test has the name ${JSON.stringify(test)}`);
+  return problems;
 }
--- a/scripts/measure.mjs
+++ b/scripts/measure.mjs
@@ -1,16 +1,16 @@
-// npm run measure -- NAME [--quick] [--seed N]: bundles measure/NAME.ts and runs it.
-// What it prints last is one line of JSON with flat names that say their units.
+// npm run measure -- NAME [--quick] [--seed N]: builds the project, bundles measure/NAME.ts and runs it.
+// The last line that a measurement prints is a flat JSON object whose member names contain their units.
 import { spawnSync } from "node:child_process";
 import { existsSync, readdirSync } from "node:fs";
 import { build } from "esbuild";
 import "./build.mjs";
 
-const [name, ...rest] = process.argv.slice(2);
-const known = readdirSync("measure")
+const [name, ...measurementArgs] = process.argv.slice(2);
+const available = readdirSync("measure")
   .filter((file) => file.endsWith(".ts") && file !== "harness.ts")
   .map((file) => file.slice(0, -3));
 if (name === undefined || !existsSync(`measure/${name}.ts`)) {
-  process.stderr.write(`measure: ${name ?? "(nothing)"}: expected one of ${known.join(", ")}\n`);
+  process.stderr.write(`measure: ${name ?? "no name given"}: expected one of ${available.join(", ")}\n`);
   process.exit(2);
 }
 await build({
@@ -25,5 +25,5 @@
   banner: { js: "import{createRequire as __cr}from'node:module';const require=__cr(import.meta.url);" },
   logLevel: "warning",
 });
-const run = spawnSync(process.execPath, ["--expose-gc", `target/measure/${name}.mjs`, ...rest], { stdio: "inherit" });
-process.exit(run.status ?? 1);
+const measurement = spawnSync(process.execPath, ["--expose-gc", `target/measure/${name}.mjs`, ...measurementArgs], { stdio: "inherit" });
+process.exit(measurement.status ?? 1);
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,11 +1,12 @@
-// Builds, then bundles the tests next to the build and runs them with node's own runner.
+// npm test [-- PATTERN]: builds the project, bundles the tests into target/test and runs them with the test runner of Node.js.
+// Exits with 0 if all tests passed except those listed in KNOWN-RED.txt. PATTERN selects tests by name.
 import { spawn } from "node:child_process";
 import { once } from "node:events";
 import { existsSync, readdirSync, readFileSync, rmSync } from "node:fs";
 import { createInterface } from "node:readline";
 import { build } from "esbuild";
 import "./build.mjs";
-import { judge, readKnownRed } from "./known-red.mjs";
+import { findProblems, parseKnownFailures } from "./known-red.mjs";
 
 rmSync("target/test", { recursive: true, force: true });
 const folders = ["test", ...readdirSync("packages").map((name) => `packages/${name}/test`)].filter(existsSync);
@@ -19,7 +20,7 @@
   entryPoints,
   outdir: "target/test",
   outbase: ".",
-  // Native parts and files beside a package's own code are found from its folder.
+  // Native addons and WebAssembly files are located relative to the package that loads them.
   external: ["classic-level", "@cdktf/hcl2json"],
   outExtension: { ".js": ".mjs" },
   bundle: true,
@@ -37,10 +38,10 @@
   .map(String)
   .filter((name) => name.endsWith(".test.mjs"))
   .map((name) => `target/test/${name}`);
-const only = process.argv[2];
-const args = only === undefined ? [] : [`--test-name-pattern=${only}`];
+const namePattern = process.argv[2];
+const patternArgs = namePattern === undefined ? [] : [`--test-name-pattern=${namePattern}`];
 const resultsFile = "target/test/results.jsonl";
-const run = spawn(
+const runner = spawn(
   process.execPath,
   [
     "--enable-source-maps",
@@ -50,27 +51,27 @@
     "--test-reporter-destination=stdout",
     "--test-reporter=./scripts/results-reporter.mjs",
     `--test-reporter-destination=${resultsFile}`,
-    ...args,
+    ...patternArgs,
     ...files,
   ],
   { stdio: ["inherit", "pipe", "inherit"] },
 );
-// The runner's summary stays what is printed last: it is held back until the known reds are told.
+// Holds back the summary of the runner, which begins with "ℹ tests", so that it is printed after the known failures.
 const summary = [];
-for await (const line of createInterface({ input: run.stdout })) {
+for await (const line of createInterface({ input: runner.stdout })) {
   if (summary.length > 0 || line.startsWith("\u2139 tests ")) summary.push(line);
   else console.log(line);
 }
-const status = run.exitCode ?? (await once(run, "exit"))[0];
-const known = readKnownRed(existsSync("KNOWN-RED.txt") ? readFileSync("KNOWN-RED.txt", "utf8") : "");
+const exitCode = runner.exitCode ?? (await once(runner, "exit"))[0];
+const knownFailures = parseKnownFailures(existsSync("KNOWN-RED.txt") ? readFileSync("KNOWN-RED.txt", "utf8") : "");
 const results = readFileSync(resultsFile, "utf8")
   .split("\n")
   .filter(Boolean)
   .map((line) => JSON.parse(line));
-const wrong = judge(known, results, only === undefined);
-for (const { test, cause, issue } of known.reds) console.log(`known red: ${test} (${cause}; issue ${issue})`);
-for (const what of wrong) console.log(`not passed: ${what}`);
+const problems = findProblems(knownFailures, results, namePattern === undefined);
+for (const { test, cause, issue } of knownFailures.entries) console.log(`known red: ${test} (${cause}; issue ${issue})`);
+for (const problem of problems) console.log(`not passed: ${problem}`);
 for (const line of summary) console.log(line);
-// Whatever else the runner had to complain of, such as a run that was broken off, is no known red.
-const excused = known.reds.length > 0 && results.some(({ passed }) => !passed);
-process.exit(wrong.length > 0 ? 1 : excused && status === 1 ? 0 : (status ?? 1));
+// Known failures excuse only exit code 1 with a failed test. Other failures of the runner, such as an interrupted run, remain.
+const excused = knownFailures.entries.length > 0 && results.some(({ passed }) => !passed);
+process.exit(problems.length > 0 ? 1 : excused && exitCode === 1 ? 0 : (exitCode ?? 1));
