--- a/deploy/demo.hcl
+++ b/deploy/demo.hcl
@@ -1,4 +1,4 @@
-# What `npm run demo` plays: a small newsroom evening, with a controller and a machine lost on the way.
+# Plan of `npm run demo`: an evening in a small newsroom, during which a controller and a machine are lost.
 name        = "newsroom evening"
 seconds     = 28
 controllers = 3
@@ -35,7 +35,7 @@
 }
 
 work {
-  name     = "cierre" # pages of an edition close, all together
+  name     = "cierre" # pages of the closing edition; all tasks of a job run at the same time
   team     = "mesa-azuay"
   shape    = "gang"
   urgency  = "urgent"
@@ -50,7 +50,7 @@
   jobs     = 6
 }
 work {
-  name     = "fotos" # photo batches on graphics cards
+  name     = "fotos" # batches of photos on GPUs
   team     = "mesa-loja"
   urgency  = "low"
   tasks    = 5
@@ -64,7 +64,7 @@
   jobs     = 7
 }
 work {
-  name     = "indice" # the archive: scanned first, then indexed
+  name     = "indice" # archive scans; each portal job depends on one of these
   team     = "mesa-loja"
   urgency  = "low"
   tasks    = 4
--- a/deploy/meetings.hcl
+++ b/deploy/meetings.hcl
@@ -1,5 +1,6 @@
-# A plan for drawn rehearsals: long tasks of all three kinds, of which some jobs are cancelled, small jobs of a
-# few tasks, some bound to one zone, and a pipeline. `thorntrail rehearse deploy/meetings.hcl --virtual --drawn 200`
+# Base plan for randomised rehearsals with compound faults: long jobs of all three kinds, some of which are cancelled, small
+# jobs of a few tasks, some of them bound to one zone, and a pipeline.
+# Usage: thorntrail rehearse deploy/meetings.hcl --virtual --drawn 200
 name        = "meetings"
 seconds     = 100
 settle      = 220
@@ -51,7 +52,7 @@
   jobs     = 8
 }
 work {
-  name            = "borrador" # long editions that are given up
+  name            = "borrador" # long gangs that are cancelled while they run
   team            = "mesa-azuay"
   shape           = "gang"
   tasks           = 2
@@ -64,7 +65,7 @@
   cancelled_after = 24
 }
 work {
-  name            = "fotos" # long batches that are given up
+  name            = "fotos" # long batches that are cancelled while they run
   team            = "mesa-loja"
   urgency         = "low"
   tasks           = 4
@@ -78,7 +79,7 @@
   cancelled_after = 19
 }
 work {
-  name            = "portada" # replicas, until they are cancelled
+  name            = "portada" # replicas that run until they are cancelled
   team            = "mesa-azuay"
   shape           = "service"
   urgency         = "critical"
@@ -90,7 +91,7 @@
   cancelled_after = 50
 }
 work {
-  name     = "cuaderno" # bound to one zone, whichever
+  name     = "cuaderno" # bound to one zone, any of them
   team     = "mesa-loja"
   tasks    = 4
   cpus     = 3
@@ -100,7 +101,7 @@
   jobs     = 7
 }
 work {
-  name     = "suplemento" # a gang of one zone
+  name     = "suplemento" # a gang bound to one zone
   team     = "mesa-azuay"
   shape    = "gang"
   urgency  = "urgent"
@@ -113,7 +114,7 @@
   jobs     = 4
 }
 work {
-  name  = "pareja" # few tasks that end far apart
+  name  = "pareja" # few tasks, which end at different times
   team  = "mesa-loja"
   tasks = 3
   cpus  = 5
@@ -144,8 +145,8 @@
   image_gb = 0.2
 }
 
-# Played as it is, without --drawn: users ask everywhere at once and cancel what ends, answers of the state service are
-# lost, machines reach nobody, and the leader ends.
+# Faults of this plan when it is run without --drawn: users send requests to all controllers at once and cancel jobs as they
+# end, responses of the state service are lost, machines reach no controller, and the leader is restarted.
 fault {
   kind = "close-looks"
   at   = 8
--- a/deploy/rehearsal.hcl
+++ b/deploy/rehearsal.hcl
@@ -1,5 +1,5 @@
-# A plan for `thorntrail rehearse`: an edition close with archive work beside it, at the times of a
-# real place. See docs/operations/rehearsals.md for every field and fault.
+# Plan for `thorntrail rehearse`: the close of an edition next to archive work, with the lease and report times of users' sites.
+# docs/operations/rehearsals.md describes all fields and faults.
 name        = "edition close"
 seconds     = 90
 settle      = 150
@@ -37,7 +37,7 @@
 }
 
 work {
-  name     = "cierre" # pages of an edition close, all together
+  name     = "cierre" # pages of the closing edition; all tasks of a job run at the same time
   team     = "mesa-azuay"
   shape    = "gang"
   urgency  = "urgent"
@@ -52,7 +52,7 @@
   jobs     = 14
 }
 work {
-  name     = "fotos" # photo batches on graphics cards
+  name     = "fotos" # batches of photos on GPUs
   team     = "mesa-loja"
   urgency  = "low"
   tasks    = 5
@@ -66,7 +66,7 @@
   jobs     = 16
 }
 work {
-  name     = "indice" # the archive: scanned first, then indexed
+  name     = "indice" # archive scans; each portal job depends on one of these
   team     = "mesa-loja"
   urgency  = "low"
   tasks    = 4
@@ -96,7 +96,7 @@
   for    = 20
 }
 fault {
-  at     = 34 # in the midst of the takeover
+  at     = 34 # during the takeover
   kind   = "lose"
   target = "busiest"
 }
--- a/deploy/soak.hcl
+++ b/deploy/soak.hcl
@@ -1,5 +1,6 @@
-# A plan for soaks: faults at random moments, drawn by seed, on real processes. `thorntrail rehearse deploy/soak.hcl --soak 20`
-# Long and short work of all three kinds, some of it cancelled, so that at any moment something runs, waits, ends or moves.
+# Base plan for soak tests: faults on real processes at random times, generated from a seed. Long and short jobs of all three
+# kinds, some of them cancelled, so that at any time tasks are running, waiting, ending or migrating.
+# Usage: thorntrail rehearse deploy/soak.hcl --soak 20
 name        = "soak"
 seconds     = 75
 settle      = 60
@@ -51,7 +52,7 @@
   jobs     = 12
 }
 work {
-  name            = "borrador" # long gangs, given up in the end
+  name            = "borrador" # long gangs that are cancelled while they run
   team            = "mesa-azuay"
   shape           = "gang"
   tasks           = 3
@@ -93,7 +94,7 @@
   cancelled_after = 50
 }
 work {
-  name     = "cuaderno" # bound to one zone, whichever
+  name     = "cuaderno" # bound to one zone, any of them
   team     = "mesa-loja"
   tasks    = 4
   cpus     = 3
--- a/deploy/store.hcl
+++ b/deploy/store.hcl
@@ -1,5 +1,5 @@
-# What `thorntrail store serve --config deploy/store.hcl` takes. Above the rates it
-# answers 429; bursts of one second's worth are allowed.
+# Settings of `thorntrail store serve --config deploy/store.hcl`. Requests above a rate are answered with 429; a burst may hold
+# as many requests or changes as the rate allows in one second.
 limits {
   requests_per_second     = 2000
   changes_per_second      = 1000
@@ -8,7 +8,7 @@
 }
 
 storage {
-  reserve_mb = 64 # with less room than this on the disk, changes are answered 503
+  reserve_mb = 64 # changes are answered with 503 while less disk space than this is free
 }
 
 connections = 2000
