--- a/measure/capacity.ts
+++ b/measure/capacity.ts
@@ -2,8 +2,8 @@
 import { parseArgs } from "node:util";
 import { figuresOf, loadAssumptions } from "./capacity/figures.js";
 import { withTables, workedOut } from "./capacity/page.js";
-import { loadSlopes, SlopesFault } from "./scale/model.js";
-import { loadTarget, TargetFault } from "./scale/target.js";
+import { loadSlopes, SlopesFileError } from "./scale/model.js";
+import { loadTarget, TargetFileError } from "./scale/target.js";
 
 /** Works out the tables of docs/CAPACITY.md: printed, or with `--write` put into the page. */
 
@@ -22,7 +22,7 @@
 try {
   const target = loadTarget(values.target);
   const given = loadAssumptions(values.assumptions);
-  const { named, bytes } = loadSlopes(values.slopes);
+  const { slopes: named, bytes } = loadSlopes(values.slopes);
   const figures = figuresOf(target, given, named, bytes);
   const tables = workedOut(target, given, figures);
   if (values.write) {
@@ -30,7 +30,7 @@
     writeFileSync("docs/capacity/figures.json", `${JSON.stringify(figures, null, 2)}\n`);
   } else process.stdout.write(`${tables}\n`);
 } catch (error) {
-  if (!(error instanceof TargetFault) && !(error instanceof SlopesFault)) throw error;
+  if (!(error instanceof TargetFileError) && !(error instanceof SlopesFileError)) throw error;
   process.stderr.write(`capacity: ${error.message}\n`);
   process.exitCode = EXIT_BAD_FILE;
 }
--- a/measure/capacity/figures.ts
+++ b/measure/capacity/figures.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import * as z from "zod";
-import { loadsOf, slopeNamed, type Amounts, type Loads, type SlopeNames } from "../scale/model.js";
-import { TargetFault, type Target } from "../scale/target.js";
+import { predictLoads, findSlope, type Amounts, type Loads, type SlopesByName } from "../scale/model.js";
+import { TargetFileError, type Target } from "../scale/target.js";
 
 /** The figures of docs/CAPACITY.md, worked out from a target, measured slopes and assumptions that are written down. */
 
@@ -30,7 +30,7 @@
 export function loadAssumptions(file: string): Assumptions {
   const result = schema.safeParse(JSON.parse(readFileSync(file, "utf8")));
   if (result.success) return result.data;
-  throw new TargetFault(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
+  throw new TargetFileError(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
 }
 
 export interface Hour {
@@ -97,17 +97,17 @@
   ];
 }
 
-export function figuresOf(target: Target, given: Assumptions, named: SlopeNames, bytes: Record<string, number>): Figures {
-  const transfers = slopeNamed(named, "quota_transfers_controller");
-  const conflicts = slopeNamed(named, "quota_conflicts_controller");
+export function figuresOf(target: Target, given: Assumptions, named: SlopesByName, bytes: Record<string, number>): Figures {
+  const transfers = findSlope(named, "quota_transfers_controller");
+  const conflicts = findSlope(named, "quota_conflicts_controller");
   const at = (slope: typeof transfers): number => Math.max(0, slope.intercept + slope.slope * given.controllers_a_region);
   return {
-    hours: hoursOf(target, given).map((hour) => ({ ...hour, loads: loadsOf(named, bytes, hour.amounts) })),
+    hours: hoursOf(target, given).map((hour) => ({ ...hour, loads: predictLoads(named, bytes, hour.amounts) })),
     controlMachines: target.regions * (given.state_replicas_a_region + given.controllers_a_region),
     quota: { conflictsATransfer: at(conflicts) / Math.max(1, at(transfers)), transfersATeam: at(transfers) / TEAMS_MEASURED },
     failures: {
       startsAgainADay: (target.machines_failed_a_day + target.machines_replaced_a_day) * given.restarts_a_failed_machine,
-      recoveredS: Math.max(...slopeNamed(named, "recovery_back").points.map(({ y }) => y)),
+      recoveredS: Math.max(...findSlope(named, "recovery_back").points.map(({ y }) => y)),
     },
   };
 }
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -5,10 +5,10 @@
 import type { TeamSettings } from "../src/settings/platform-file.js";
 import { Cluster } from "../test/world/cluster.js";
 import { options, progress, report, Times } from "./harness.js";
-import { Cell } from "./scale/cell.js";
-import { steadyMs } from "./scale/messages.js";
-import { playRole } from "./scale/roles.js";
-import { capacityOf, equalTeams, PLAIN } from "./scale/workload.js";
+import { TestCluster } from "./scale/test-cluster.js";
+import { monotonicMs } from "./scale/messages.js";
+import { runForkedRole } from "./scale/roles.js";
+import { capacityByOffering, equalTeams, CPU_MACHINE } from "./scale/workload.js";
 
 /**
  * From a change's write until it is in force everywhere: real controllers and a real store at a change a second, in
@@ -48,8 +48,15 @@
 async function onProcesses(controllers: number, changes: number, crashAt: number | null): Promise<Outcome> {
   const teams = equalTeams(TEAMS, limited(96));
   const state = { rps: 5000, writeRps: 2000, valueKb: 32, txnOps: 64 };
-  const cell = new Cell({
-    ...{ controllers, teams, state, objectives: [], types: [{ ...PLAIN, zones: ZONES }], capacity: capacityOf({ plain: 10 }, ZONES) },
+  const cell = new TestCluster({
+    ...{
+      controllers,
+      teams,
+      state,
+      objectives: [],
+      types: [{ ...CPU_MACHINE, zones: ZONES }],
+      capacity: capacityByOffering({ plain: 10 }, ZONES),
+    },
     ...{ jobs: [], workerProcesses: 1, cloudRps: 10, sockets: 2000, memMb: 178, pollsPerS: 0, seed: 1 },
   });
   try {
@@ -60,14 +67,14 @@
     const times = new Times();
     let never = 0;
     const until = async (version: number, from: number): Promise<void> => {
-      while (steadyMs() - from < GIVE_UP_MS) {
+      while (monotonicMs() - from < GIVE_UP_MS) {
         const [owners, presence] = [await store.owners(), await store.presence()];
         const evidence = {
-          ...{ version, partitions: controllers, elapsedMs: steadyMs() - from, silentAfterMs: SILENT_AFTER_MS },
+          ...{ version, partitions: controllers, elapsedMs: monotonicMs() - from, silentAfterMs: SILENT_AFTER_MS },
           owner: (partition: number) => owners.get(keys.owner(partition)),
           presence: (node: string) => presence.get(keys.presenceOf(node))?.v,
         };
-        if (isInForce(partitionStatuses(evidence))) return times.add(steadyMs() - from);
+        if (isInForce(partitionStatuses(evidence))) return times.add(monotonicMs() - from);
         await sleep(LOOK_EVERY_MS);
       }
       never++;
@@ -75,13 +82,13 @@
     const before = await cell.snapshot();
     const waiting: Promise<void>[] = [];
     for (let i = 0; i < changes; i++) {
-      const next = steadyMs() + CHANGE_EVERY_MS;
+      const next = monotonicMs() + CHANGE_EVERY_MS;
       if (i === crashAt) await cell.killController("nest-1");
       const team = teams[i % TEAMS]!;
-      const from = steadyMs();
+      const from = monotonicMs();
       const { version } = await store.set({ set: [{ ...team, cpus_max: 60 + i }], remove: [] });
       waiting.push(until(version, from));
-      await sleep(Math.max(0, next - steadyMs()));
+      await sleep(Math.max(0, next - monotonicMs()));
     }
     await Promise.all(waiting);
     const after = await cell.snapshot();
@@ -109,9 +116,9 @@
   let never = 0;
   for (let i = 0; i < repeats; i++) {
     const teams = equalTeams(20, limited(96));
-    const types = [{ ...PLAIN, zones: ZONES }];
+    const types = [{ ...CPU_MACHINE, zones: ZONES }];
     const state = { rps: 3000, writeRps: 600, valueKb: 32, txnOps: 32 };
-    const cluster = new Cluster({ seed: seed + i, controllers, teams, types, capacity: capacityOf({ plain: 40 }, ZONES), state });
+    const cluster = new Cluster({ seed: seed + i, controllers, teams, types, capacity: capacityByOffering({ plain: 40 }, ZONES), state });
     const fromS = 30 + i / repeats;
     for (let j = 0; j < controllers; j++)
       cluster.submit({ ref: `run-${String(j + 1).padStart(6, "0")}`, team: teams[j % 20]!.name, tasks: 20, cpus: 1 }, 300, `nest-${j}`);
@@ -140,4 +147,4 @@
   report("configuration", given, { controllers, teams: TEAMS, ...found });
 }
 
-if (!playRole()) await measure();
+if (!runForkedRole()) await measure();
--- a/measure/scale/clients.ts
+++ b/measure/scale/clients.ts
@@ -3,134 +3,137 @@
 import { createAgent, sendRequest, parseObject, type RawResponse } from "../../packages/emulator/src/real/http.js";
 import { seededRandom } from "@thorntrail/emulator/random";
 import { Times } from "../harness.js";
-import { steadyMs, type ClientsSeen, type FromClients, type PlannedJob, type ToClients } from "./messages.js";
+import { monotonicMs, type ClientsStats, type ClientsToCoordinator, type PlannedJob, type CoordinatorToClients } from "./messages.js";
 
 /**
- * The client population of a scale run: submits each job at its time to the controllers in turn, repeats
- * as PROTOCOL says, and polls it until it is done; beside that, extra polls of accepted jobs at a steady rate.
+ * The client process of a scale run. Submits each job at its time to the controllers in turn, with the retries that the
+ * protocol asks of clients, and polls it until it is done. In addition, polls random accepted jobs at a steady rate.
  */
 
-const SUBMIT_PATIENCE_MS = 5000;
-const POLL_PATIENCE_MS = 2000;
-const GIVE_UP_MS = 60_000;
+const SUBMIT_TIMEOUT_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
+const SUBMIT_GIVE_UP_MS = 60_000;
 const RETRY_MS = 1000;
-/** As a load balancer does: a connection that fails so soon goes to another node, up to three in all. */
-const CONNECT_LIMIT_MS = 500;
-const NODES_TRIED = 3;
-const POLL_EVERY_MS = 5000;
+/** A connection that fails within this time is retried at another node, as a load balancer does. */
+const FAST_FAILURE_MS = 500;
+const MAX_NODES_TRIED = 3;
+const POLL_INTERVAL_MS = 5000;
 const LOOP_RESOLUTION_MS = 10;
-const MOST_CONNECTIONS = 128;
+const MAX_CONNECTIONS = 128;
 
-const say = (message: FromClients): void => void process.send!(message);
-const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+const sendToCoordinator = (message: ClientsToCoordinator): void => void process.send!(message);
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-class Clients {
-  private readonly agent = createAgent(MOST_CONNECTIONS);
+/** Submits and polls jobs, and collects the statistics of these requests. */
+class ClientPopulation {
+  private readonly agent = createAgent(MAX_CONNECTIONS);
   private readonly random: () => number;
   private readonly submitTimes = new Times();
   private readonly pollTimes = new Times();
-  private readonly answers = new Map<number, number>();
-  private readonly submissions = new Map<string, ClientsSeen["submissions"][number]>();
+  private readonly responses = new Map<number, number>();
+  private readonly submissions = new Map<string, ClientsStats["submissions"][number]>();
   private readonly accepted: string[] = [];
-  private next = 0;
+  private nextController = 0;
   private polls = 0;
 
-  constructor(private readonly asked: Extract<ToClients, { kind: "init" }>) {
-    this.random = seededRandom(asked.seed);
+  constructor(private readonly config: Extract<CoordinatorToClients, { kind: "init" }>) {
+    this.random = seededRandom(config.seed);
   }
 
   start(): void {
-    for (const job of this.asked.jobs) setTimeout(() => void this.follow(job), job.atMs);
-    if (this.asked.pollsPerS > 0) setInterval(() => this.pollSome(), 1000 / this.asked.pollsPerS);
+    for (const job of this.config.jobs) setTimeout(() => void this.submitAndPoll(job), job.submitAtMs);
+    if (this.config.pollsPerS > 0) setInterval(() => this.pollRandomJob(), 1000 / this.config.pollsPerS);
   }
 
-  /** Connections are spread evenly, as by a load balancer. */
-  private front(): string {
-    const { fronts } = this.asked;
-    return fronts[this.next++ % fronts.length]!;
+  /** Returns the controllers' addresses in turn, as a load balancer spreads connections. */
+  private nextAddress(): string {
+    const { apiAddresses } = this.config;
+    return apiAddresses[this.nextController++ % apiAddresses.length]!;
   }
 
-  /** Null: no answer within the time. */
-  private async request(method: string, path: string, body: string | undefined, patienceMs: number): Promise<RawResponse | null> {
-    for (let tried = 1; ; tried++) {
-      const asked = steadyMs();
-      const answer = await sendRequest(this.agent, this.front(), method, path, body, patienceMs);
-      if (answer === null && tried < NODES_TRIED && steadyMs() - asked < CONNECT_LIMIT_MS) continue;
-      const status = answer?.status ?? 0;
-      this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
-      return answer;
+  /** Sends a request; null if there is no response within `timeoutMs`. */
+  private async request(method: string, path: string, body: string | undefined, timeoutMs: number): Promise<RawResponse | null> {
+    for (let nodesTried = 1; ; nodesTried++) {
+      const sentAt = monotonicMs();
+      const response = await sendRequest(this.agent, this.nextAddress(), method, path, body, timeoutMs);
+      if (response === null && nodesTried < MAX_NODES_TRIED && monotonicMs() - sentAt < FAST_FAILURE_MS) continue;
+      const status = response?.status ?? 0;
+      this.responses.set(status, (this.responses.get(status) ?? 0) + 1);
+      return response;
     }
   }
 
+  /** Submits a job until it is accepted or rejected; returns whether it was accepted. */
   private async submit({ spec }: PlannedJob): Promise<boolean> {
-    const at = steadyMs();
-    const seen = { ref: spec.ref, at, acceptedAt: null as number | null, tries: 0, doneAt: null };
-    this.submissions.set(spec.ref, seen);
+    const at = monotonicMs();
+    const submission = { ref: spec.ref, at, acceptedAt: null as number | null, attempts: 0, doneAt: null };
+    this.submissions.set(spec.ref, submission);
     const body = JSON.stringify(encodeJob(spec));
-    while (steadyMs() - at < GIVE_UP_MS) {
-      seen.tries++;
-      const answer = await this.request("POST", "/v2/runs", body, SUBMIT_PATIENCE_MS);
-      if (answer !== null && answer.status < 400) {
-        seen.acceptedAt = steadyMs();
-        this.submitTimes.add(seen.acceptedAt - at);
+    while (monotonicMs() - at < SUBMIT_GIVE_UP_MS) {
+      submission.attempts++;
+      const response = await this.request("POST", "/v2/runs", body, SUBMIT_TIMEOUT_MS);
+      if (response !== null && response.status < 400) {
+        submission.acceptedAt = monotonicMs();
+        this.submitTimes.add(submission.acceptedAt - at);
         this.accepted.push(spec.ref);
         return true;
       }
-      if (answer !== null && answer.status < 429) return false;
-      await pause(Math.max(RETRY_MS, Number(answer?.retryAfter ?? 0) * 1000));
+      if (response !== null && response.status < 429) return false;
+      await sleep(Math.max(RETRY_MS, Number(response?.retryAfter ?? 0) * 1000));
     }
     return false;
   }
 
+  /** Polls a job and returns its status; an empty string without a valid response. */
   private async poll(ref: string): Promise<string> {
-    const asked = steadyMs();
-    const answer = await this.request("GET", `/v2/runs/${ref}`, undefined, POLL_PATIENCE_MS);
+    const sentAt = monotonicMs();
+    const response = await this.request("GET", `/v2/runs/${ref}`, undefined, POLL_TIMEOUT_MS);
     this.polls++;
-    if (answer?.status !== 200) return "";
-    this.pollTimes.add(steadyMs() - asked);
-    return String(parseObject(answer.text)["status"]);
+    if (response?.status !== 200) return "";
+    this.pollTimes.add(monotonicMs() - sentAt);
+    return String(parseObject(response.text)["status"]);
   }
 
-  private async follow(job: PlannedJob): Promise<void> {
-    if (!(await this.submit(job)) || !this.asked.followed) return;
+  private async submitAndPoll(job: PlannedJob): Promise<void> {
+    if (!(await this.submit(job)) || !this.config.pollUntilDone) return;
     for (;;) {
-      await pause(POLL_EVERY_MS * (0.75 + this.random() / 2));
+      await sleep(POLL_INTERVAL_MS * (0.75 + this.random() / 2));
       if ((await this.poll(job.spec.ref)) !== "done") continue;
-      this.submissions.get(job.spec.ref)!.doneAt = steadyMs();
+      this.submissions.get(job.spec.ref)!.doneAt = monotonicMs();
       return;
     }
   }
 
-  private pollSome(): void {
+  private pollRandomJob(): void {
     if (this.accepted.length > 0) void this.poll(this.accepted[Math.floor(this.random() * this.accepted.length)]!);
   }
 
-  view(): Omit<ClientsSeen, "loopP99Ms" | "loopWorstMs"> {
-    const spread = (times: Times) => ({ p50: times.at(50), p99: times.at(99), worst: times.worst });
+  stats(): Omit<ClientsStats, "loopP99Ms" | "loopMaxMs"> {
+    const percentiles = (times: Times) => ({ p50: times.at(50), p99: times.at(99), worst: times.worst });
     return {
       submissions: [...this.submissions.values()],
-      submitMs: spread(this.submitTimes),
+      submitMs: percentiles(this.submitTimes),
       polls: this.polls,
-      pollMs: spread(this.pollTimes),
-      answers: [...this.answers],
+      pollMs: percentiles(this.pollTimes),
+      responses: [...this.responses],
     };
   }
 }
 
-/** Runs until the coordinator is gone. */
+/** Runs the client process until the coordinator disconnects. */
 export function runClients(): void {
   const loop = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
   loop.enable();
-  let clients: Clients | null = null;
+  let clients: ClientPopulation | null = null;
   process.on("disconnect", () => process.exit(0));
-  process.on("message", (message: ToClients) => {
+  process.on("message", (message: CoordinatorToClients) => {
     if (message.kind === "init") {
-      clients = new Clients(message);
+      clients = new ClientPopulation(message);
       clients.start();
-      say({ kind: "ready" });
+      sendToCoordinator({ kind: "ready" });
     } else {
-      const lateness = { loopP99Ms: loop.percentile(99) / 1e6 - LOOP_RESOLUTION_MS, loopWorstMs: loop.max / 1e6 - LOOP_RESOLUTION_MS };
-      say({ kind: "seen", seen: { ...clients!.view(), ...lateness } });
+      const loopDelay = { loopP99Ms: loop.percentile(99) / 1e6 - LOOP_RESOLUTION_MS, loopMaxMs: loop.max / 1e6 - LOOP_RESOLUTION_MS };
+      sendToCoordinator({ kind: "stats", stats: { ...clients!.stats(), ...loopDelay } });
     }
   });
 }
--- a/measure/scale/fault-run.ts
+++ b/measure/scale/fault-run.ts
@@ -1,59 +1,62 @@
-/** Carries out the faults of a scale run, and says what the checker and the controllers' own figures make of it. */
+/** Injects the faults of a scale run and evaluates their effect with the checker of rehearsals and the controllers' metrics. */
 import { findViolations } from "../../packages/emulator/src/checker.js";
 import { progress, Times } from "../harness.js";
-import type { Cell } from "./cell.js";
+import type { TestCluster } from "./test-cluster.js";
 import type { ScaleFault } from "./faults.js";
 
-/** A controller that was started again is not touched for so long. */
-const START_MS = 3000;
+/** A controller is not given another fault for this long after its restart. */
+const RESTART_GRACE_MS = 3000;
 
-/** Faults that were carried out, as said in the end. */
-const carriedOut: string[] = [];
+/** Descriptions of the injected faults, for the report. */
+const injectedFaults: string[] = [];
 
-export function schedule(cell: Cell, faults: readonly ScaleFault[]): void {
-  /** Controllers that are ended or paused just now: nothing else is done to them. */
-  const away = new Set<string>();
+/** Schedules the faults; their times count from this call. A fault of an unavailable controller is skipped. */
+export function scheduleFaults(cluster: TestCluster, faults: readonly ScaleFault[]): void {
+  /** Controllers that are stopped, paused, or have just restarted. */
+  const unavailable = new Set<string>();
   for (const fault of faults) {
     setTimeout(() => {
       const { kind, forMs } = fault;
-      if (kind !== "rule") {
-        if (away.has(fault.controller)) return;
-        away.add(fault.controller);
-        setTimeout(() => away.delete(fault.controller), forMs + START_MS).unref();
+      if (kind !== "networkRule") {
+        if (unavailable.has(fault.controller)) return;
+        unavailable.add(fault.controller);
+        setTimeout(() => unavailable.delete(fault.controller), forMs + RESTART_GRACE_MS).unref();
       }
-      const whom = kind === "rule" ? fault.what : `${kind} ${fault.controller}`;
-      carriedOut.push(`${whom} ${(forMs / 1000).toFixed(1)} s`);
-      progress(`fault: ${carriedOut.at(-1)}`);
-      if (kind === "rule") return cell.addRule(fault.rule, forMs);
+      const description = kind === "networkRule" ? fault.what : `${kind} ${fault.controller}`;
+      injectedFaults.push(`${description} ${(forMs / 1000).toFixed(1)} s`);
+      progress(`fault: ${injectedFaults.at(-1)}`);
+      if (kind === "networkRule") return cluster.addNetworkRule(fault.rule, forMs);
       if (kind === "restart") {
-        void cell.killController(fault.controller).then(() => setTimeout(() => void cell.startController(fault.controller), forMs).unref());
+        void cluster
+          .killController(fault.controller)
+          .then(() => setTimeout(() => void cluster.startController(fault.controller), forMs).unref());
         return;
       }
-      cell.pauseController(fault.controller, true);
-      setTimeout(() => cell.pauseController(fault.controller, false), forMs).unref();
+      cluster.pauseController(fault.controller, true);
+      setTimeout(() => cluster.pauseController(fault.controller, false), forMs).unref();
     }, fault.atMs).unref();
   }
 }
 
-/** What the checker and the controllers' own figures say of a run with faults. */
-export async function faultFigures(cell: Cell): Promise<Record<string, number | string>> {
-  const history = [...cell.happenings].sort((a, b) => a.at - b.at);
-  const broken = findViolations(history, { cancelMs: Infinity, teams: new Map() });
-  const fences = new Times();
-  for (const { ms } of cell.fences) fences.add(ms);
+/** Returns the report's figures on faults: violations that the checker found, and metrics of the controllers. */
+export async function faultFigures(cluster: TestCluster): Promise<Record<string, number | string>> {
+  const history = [...cluster.taskHistory].sort((a, b) => a.at - b.at);
+  const violations = findViolations(history, { cancelMs: Infinity, teams: new Map() });
+  const fencingTimes = new Times();
+  for (const { ms } of cluster.fencings) fencingTimes.add(ms);
   const figures: Record<string, number | string> = {
-    faults: carriedOut.join(", ") || "none",
-    rules_broken: broken.length,
-    first_broken: broken[0] ?? "none",
-    fences: fences.count,
-    fence_p50_ms: fences.at(50),
-    fence_worst_ms: fences.worst,
-    fence_most_machines: Math.max(0, ...cell.fences.map(({ machines: count }) => count)),
-    invariant_violations: await cell.controllerFigure("invariant_violations_total"),
+    faults: injectedFaults.join(", ") || "none",
+    rules_broken: violations.length,
+    first_broken: violations[0] ?? "none",
+    fences: fencingTimes.count,
+    fence_p50_ms: fencingTimes.at(50),
+    fence_worst_ms: fencingTimes.worst,
+    fence_most_machines: Math.max(0, ...cluster.fencings.map(({ machines }) => machines)),
+    invariant_violations: await cluster.controllerMetricSum("invariant_violations_total"),
   };
   for (const operation of ["worker.order", "worker.fence"])
     for (const what of ["asked", "answered", "refused", "unanswered", "expired"])
-      figures[`${operation.replace(".", "_")}_${what}`] = await cell.controllerFigure(
+      figures[`${operation.replace(".", "_")}_${what}`] = await cluster.controllerMetricSum(
         `calls_total{operation="${operation}",what="${what}"}`,
       );
   return figures;
--- a/measure/scale/fleet.ts
+++ b/measure/scale/fleet.ts
@@ -1,152 +1,165 @@
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
 import type { TeamSettings } from "../../src/settings/platform-file.js";
-import type { CellPlan } from "./cell.js";
+import type { ClusterPlan } from "./test-cluster.js";
 import type { PlannedJob } from "./messages.js";
 import type { Target } from "./target.js";
-import { capacityOf, GPUS_A_MACHINE, GRAPHICS, jobOf, PLAIN, teamName, zoneNames } from "./workload.js";
+import { capacityByOffering, GPUS_PER_MACHINE, GPU_MACHINE, buildJob, CPU_MACHINE, teamName, zoneNames } from "./workload.js";
 
-/** The target's fleet at a share of its size, as a plan for a cell: teams, machines, and jobs by phase. */
+/** Plans a test cluster with a share of the target's fleet: teams, machines, and the jobs of each phase. */
 
+/** Start of each phase and the end of the run, in ms after the run starts. */
 export interface Phases {
-  /** When each begins, in ms after the run began. */
-  steadyMs: number;
-  burstMs: number;
-  lossMs: number;
+  steadyStartMs: number;
+  burstStartMs: number;
+  lossStartMs: number;
   endMs: number;
 }
 
+/** Plan of a scale run. */
 export interface Fleet {
-  plan: CellPlan;
+  plan: ClusterPlan;
   phases: Phases;
-  /** Tasks that run once all that lasts has begun. */
-  lasting: number;
-  urgent: ReadonlySet<string>;
+  /** Number of tasks that run from the first phase to the end of the run. */
+  longRunningTasks: number;
+  /** References of the urgentJobs jobs. */
+  urgentJobs: ReadonlySet<string>;
 }
 
-/** Of the tasks that run at the peak, what lasts; the rest comes and goes. */
-const LASTING_SHARE = 0.8;
-/** Of the accelerators, what gangs of the largest size take. */
-const GANG_SHARE = 0.32;
-/** Teams among which most of the work falls, and how much. */
-const LARGE_TEAMS = 0.1;
-const LARGE_SHARE = 0.5;
-/** Of what a team runs, its limit. */
-const LIMIT = 3;
-const TASKS_AN_ARRAY = 4000;
+/** Share of the tasks at peak that are long-running; the others are short. */
+const LONG_RUNNING_SHARE = 0.8;
+/** Share of the GPUs that gangs of the largest size use. */
+const GANG_GPU_SHARE = 0.32;
+/** Fraction of the teams that are large, and the share of the tasks that these run together. */
+const LARGE_TEAM_FRACTION = 0.1;
+const LARGE_TEAM_TASK_SHARE = 0.5;
+/** Ratio of a team's maximum quota to the tasks that it runs. */
+const QUOTA_LIMIT_FACTOR = 3;
+const MAX_TASKS_PER_ARRAY = 4000;
+/** Time for which the burst keeps up the peak start rate. */
 const BURST_S = 30;
-const URGENT_EVERY_MS = 1000;
-const URGENT_TASKS = 4;
-/** Longer than any run. */
-const LASTS_MS = 3_600_000;
-const LEAST_GANG = 8;
+const URGENT_INTERVAL_MS = 1000;
+const TASKS_PER_URGENT_JOB = 4;
+/** Run time of long-running tasks; longer than any run of this measurement. */
+const LONG_RUN_MS = 3_600_000;
+const MIN_GANG_SIZE = 8;
 
-interface Counts {
+/** The target's amounts at the share of the run. */
+interface ScaledCounts {
   controllers: number;
   teams: number;
-  plain: number;
-  graphics: number;
-  running: number;
+  cpuMachines: number;
+  gpuMachines: number;
+  runningTasks: number;
   startsPerS: number;
-  gang: number;
+  gangSize: number;
 }
 
-function countsOf(target: Target, share: number): Counts {
-  const scaled = (amount: number, least = 1): number => Math.max(least, Math.round(amount * share));
-  const graphics = scaled(target.accelerators / GPUS_A_MACHINE, 2);
+function scaleTarget(target: Target, share: number): ScaledCounts {
+  const scaled = (amount: number, min = 1): number => Math.max(min, Math.round(amount * share));
+  const gpuMachines = scaled(target.accelerators / GPUS_PER_MACHINE, 2);
   return {
     controllers: scaled(target.control_machines, 2),
     teams: scaled(target.teams, 4),
-    graphics,
-    plain: scaled(target.workers, 8) - graphics,
-    running: scaled(target.tasks_running, 50),
+    gpuMachines,
+    cpuMachines: scaled(target.workers, 8) - gpuMachines,
+    runningTasks: scaled(target.tasks_running, 50),
     startsPerS: scaled(target.peak_starts_per_s, 4),
-    gang: scaled(target.largest_gang, LEAST_GANG),
+    gangSize: scaled(target.largest_gang, MIN_GANG_SIZE),
   };
 }
 
-/** What each team runs of `tasks`: a tenth of them half of it. */
-function shares(teams: number, tasks: number): number[] {
-  const large = Math.max(1, Math.round(teams * LARGE_TEAMS));
+/** Divides `tasks` among the teams: the large teams share half of them, the others the rest. */
+function tasksByTeam(teams: number, tasks: number): number[] {
+  const large = Math.max(1, Math.round(teams * LARGE_TEAM_FRACTION));
   return Array.from({ length: teams }, (_, i) =>
-    Math.max(1, Math.round(i < large ? (tasks * LARGE_SHARE) / large : (tasks * (1 - LARGE_SHARE)) / (teams - large))),
+    Math.max(1, Math.round(i < large ? (tasks * LARGE_TEAM_TASK_SHARE) / large : (tasks * (1 - LARGE_TEAM_TASK_SHARE)) / (teams - large))),
   );
 }
 
-/** Numbers jobs in the order in which they are made. */
+/** Collects jobs and numbers them in the order in which they are added. */
 class JobList {
   readonly jobs: PlannedJob[] = [];
 
-  add(change: Partial<JobSpec>, atMs: number, runMs: number): string {
-    const job = jobOf(this.jobs.length + 1, change, { atMs, runMs });
+  /** Adds a job and returns its reference. */
+  add(change: Partial<JobSpec>, submitAtMs: number, runMs: number): string {
+    const job = buildJob(this.jobs.length + 1, change, { submitAtMs, runMs });
     this.jobs.push(job);
     return job.spec.ref;
   }
 }
 
-/** CPUs of each task, so that the tasks of the peak fill the machines without accelerators. */
-function cpusATask({ running, plain, graphics }: Counts): number {
-  const onPlain = running - (graphics * GPUS_A_MACHINE * (1 + GANG_SHARE)) / 2;
-  return Math.floor((PLAIN.cpus / Math.ceil(onPlain / plain)) * 100) / 100;
+/** Returns the CPUs of each task, chosen so that the tasks at peak fill the machines without GPUs. */
+function cpusPerTask({ runningTasks, cpuMachines, gpuMachines }: ScaledCounts): number {
+  const cpuTasks = runningTasks - (gpuMachines * GPUS_PER_MACHINE * (1 + GANG_GPU_SHARE)) / 2;
+  return Math.floor((CPU_MACHINE.cpus / Math.ceil(cpuTasks / cpuMachines)) * 100) / 100;
 }
 
-function lastingJobs(list: JobList, counts: Counts, byTeam: number[], overMs: number): number {
-  const cpus = cpusATask(counts);
+/**
+ * Adds the long-running jobs and returns the number of their tasks: an array of each team, submitted in turn over `spreadMs`, gangs
+ * of the largest size, and an array that uses half of the GPUs that the gangs leave.
+ */
+function addLongRunningJobs(list: JobList, counts: ScaledCounts, byTeam: number[], spreadMs: number): number {
+  const cpus = cpusPerTask(counts);
   let tasks = 0;
   byTeam.forEach((count, i) => {
-    list.add({ klass: "lasting", team: teamName(i), tasks: count, cpus }, (i * overMs) / byTeam.length, LASTS_MS);
+    list.add({ klass: "lasting", team: teamName(i), tasks: count, cpus }, (i * spreadMs) / byTeam.length, LONG_RUN_MS);
     tasks += count;
   });
-  const accelerators = counts.graphics * GPUS_A_MACHINE;
-  const gangs = Math.max(1, Math.floor((accelerators * GANG_SHARE) / counts.gang));
+  const gpus = counts.gpuMachines * GPUS_PER_MACHINE;
+  const gangs = Math.max(1, Math.floor((gpus * GANG_GPU_SHARE) / counts.gangSize));
   for (let i = 0; i < gangs; i++) {
     list.add(
-      { klass: "training", team: teamName(i), kind: "gang", tasks: counts.gang, gpus: 1, ram: 8, checkpointS: 30 },
+      { klass: "training", team: teamName(i), kind: "gang", tasks: counts.gangSize, gpus: 1, ram: 8, checkpointS: 30 },
       i * 500,
-      LASTS_MS,
+      LONG_RUN_MS,
     );
-    tasks += counts.gang;
+    tasks += counts.gangSize;
   }
-  const rest = Math.floor((accelerators - gangs * counts.gang) / 2);
-  list.add({ klass: "inference", team: teamName(1), tasks: rest, gpus: 1, ram: 8, urgency: "low" }, 2000, LASTS_MS);
-  return tasks + rest;
+  const inferenceTasks = Math.floor((gpus - gangs * counts.gangSize) / 2);
+  list.add({ klass: "inference", team: teamName(1), tasks: inferenceTasks, gpus: 1, ram: 8, urgency: "low" }, 2000, LONG_RUN_MS);
+  return tasks + inferenceTasks;
 }
 
-export function fleetOf(target: Target, share: number, workerProcesses: number, state: CellPlan["state"]): Fleet {
-  const counts = countsOf(target, share);
+/** Plans a run with `share` of the target's size. Every count has a minimum, so small shares have all kinds of jobs. */
+export function planFleet(target: Target, share: number, workerProcesses: number, state: ClusterPlan["state"]): Fleet {
+  const counts = scaleTarget(target, share);
   const zones = zoneNames(target.zones);
-  const byTeam = shares(counts.teams, counts.running * LASTING_SHARE - counts.graphics * GPUS_A_MACHINE * ((1 + GANG_SHARE) / 2));
+  const byTeam = tasksByTeam(
+    counts.teams,
+    counts.runningTasks * LONG_RUNNING_SHARE - counts.gpuMachines * GPUS_PER_MACHINE * ((1 + GANG_GPU_SHARE) / 2),
+  );
   const fillMs = 30_000 + 30_000 * share;
-  const phases = { steadyMs: fillMs, burstMs: fillMs + 25_000, lossMs: fillMs + 75_000, endMs: fillMs + 140_000 };
+  const phases: Phases = { steadyStartMs: fillMs, burstStartMs: fillMs + 25_000, lossStartMs: fillMs + 75_000, endMs: fillMs + 140_000 };
   const list = new JobList();
-  const cpus = cpusATask(counts);
-  const lasting = lastingJobs(list, counts, byTeam, fillMs / 3);
-  // As many as come and go beside what lasts, each for so long that the peak is what turns over.
-  const comeAndGo = Math.max(1, counts.running - lasting);
-  const runMs = (comeAndGo / counts.startsPerS) * 1000;
-  const burstTasks = comeAndGo + counts.startsPerS * BURST_S;
-  const arrays = Math.max(4, Math.ceil(burstTasks / TASKS_AN_ARRAY));
+  const cpus = cpusPerTask(counts);
+  const longRunningTasks = addLongRunningJobs(list, counts, byTeam, fillMs / 3);
+  // Short tasks make up the rest of the peak. They run for so long that they are replaced at the peak start rate.
+  const shortTasks = Math.max(1, counts.runningTasks - longRunningTasks);
+  const runMs = (shortTasks / counts.startsPerS) * 1000;
+  const burstTasks = shortTasks + counts.startsPerS * BURST_S;
+  const arrays = Math.max(4, Math.ceil(burstTasks / MAX_TASKS_PER_ARRAY));
   for (let i = 0; i < arrays; i++)
-    list.add({ klass: "burst", team: teamName(i), tasks: Math.ceil(burstTasks / arrays), cpus }, phases.burstMs + i * 50, runMs);
-  const urgent = new Set<string>();
-  for (let at = phases.steadyMs - 10_000; at < phases.endMs - 15_000; at += URGENT_EVERY_MS) {
-    const team = teamName(urgent.size % counts.teams);
-    urgent.add(list.add({ klass: "urgent", team, kind: "gang", urgency: "urgent", tasks: URGENT_TASKS }, at, 8000));
+    list.add({ klass: "burst", team: teamName(i), tasks: Math.ceil(burstTasks / arrays), cpus }, phases.burstStartMs + i * 50, runMs);
+  const urgentJobs = new Set<string>();
+  for (let at = phases.steadyStartMs - 10_000; at < phases.endMs - 15_000; at += URGENT_INTERVAL_MS) {
+    const team = teamName(urgentJobs.size % counts.teams);
+    urgentJobs.add(list.add({ klass: "urgent", team, kind: "gang", urgency: "urgent", tasks: TASKS_PER_URGENT_JOB }, at, 8000));
   }
   const teams = byTeam.map((count, i): TeamSettings => {
-    const burst = i < arrays ? Math.ceil(comeAndGo / arrays) : 0;
-    const graphics = i < arrays || i <= 1 ? counts.graphics * GPUS_A_MACHINE : 0;
-    const limit = Math.ceil((count + burst + counts.gang) * LIMIT * cpus);
-    return { name: teamName(i), cpus: Math.ceil(count / 2), cpus_max: limit, gpus: 0, gpus_max: graphics };
+    const burstShare = i < arrays ? Math.ceil(shortTasks / arrays) : 0;
+    const gpuLimit = i < arrays || i <= 1 ? counts.gpuMachines * GPUS_PER_MACHINE : 0;
+    const limit = Math.ceil((count + burstShare + counts.gangSize) * QUOTA_LIMIT_FACTOR * cpus);
+    return { name: teamName(i), cpus: Math.ceil(count / 2), cpus_max: limit, gpus: 0, gpus_max: gpuLimit };
   });
-  const plan: CellPlan = {
+  const plan: ClusterPlan = {
     controllers: counts.controllers,
     teams,
     objectives: [{ kind: "wait", class: "urgent", within_s: target.urgent_start_s, share: 0.99 }],
     types: [
-      { ...PLAIN, zones },
-      { ...GRAPHICS, zones },
+      { ...CPU_MACHINE, zones },
+      { ...GPU_MACHINE, zones },
     ],
-    capacity: capacityOf({ plain: counts.plain, graphics: counts.graphics }, zones),
+    capacity: capacityByOffering({ plain: counts.cpuMachines, graphics: counts.gpuMachines }, zones),
     jobs: list.jobs,
     workerProcesses,
     state,
@@ -156,5 +169,5 @@
     pollsPerS: 0,
     seed: 1,
   };
-  return { plan, phases, lasting, urgent };
+  return { plan, phases, longRunningTasks, urgentJobs };
 }
--- a/measure/scale/hollow-workers.ts
+++ b/measure/scale/hollow-workers.ts
@@ -4,62 +4,69 @@
 import { NetworkRules } from "@thorntrail/emulator/network-rules";
 import { seededRandom } from "@thorntrail/emulator/random";
 import { WorkerHost } from "../../packages/emulator/src/real/worker-host.js";
-import { steadyMs, type FromWorkers, type PlannedJob, type TaskEvent, type ToWorkers, type WorkersSeen } from "./messages.js";
+import {
+  monotonicMs,
+  type WorkersToCoordinator,
+  type PlannedJob,
+  type TaskEvent,
+  type CoordinatorToWorkers,
+  type WorkersStats,
+} from "./messages.js";
 
 /**
- * A process of hollow workers: each keeps the workers' protocol to the letter on sockets of its own, and its
- * tasks only take time. Booted and ended on the coordinator's word.
+ * A process of hollow workers. Each worker implements the full worker protocol on sockets of its own, but its tasks only
+ * wait for their run time. The coordinator boots and removes the workers.
  */
 
 const LOOP_RESOLUTION_MS = 10;
-const EVENTS_EVERY_MS = 500;
+const EVENT_INTERVAL_MS = 500;
 
-const say = (message: FromWorkers): void => void process.send!(message);
+const sendToCoordinator = (message: WorkersToCoordinator): void => void process.send!(message);
 
-/** Counts what begins and ends on the machines of this process. */
-class Tally {
+/** Counts task starts and ends on the machines of this process. */
+class TaskStats {
   starts = 0;
   running = 0;
-  mostRunning = 0;
+  maxRunning = 0;
   private readonly events: TaskEvent[] = [];
-  private readonly bySecond = new Map<number, number>();
-  /** By job: tasks that have begun at least once, and when the last of them did. */
-  private readonly jobs = new Map<string, { begun: Set<string>; lastAt: number }>();
+  private readonly startsBySecond = new Map<number, number>();
+  /** By job: the tasks that have started at least once, and when the last of them did for the first time. */
+  private readonly jobs = new Map<string, { started: Set<string>; lastAt: number }>();
 
-  on(piece: string, host: string): void {
-    const now = steadyMs();
-    this.events.push([now, piece, host, null]);
+  recordStart(taskId: string, host: string): void {
+    const now = monotonicMs();
+    this.events.push([now, taskId, host, null]);
     const second = Math.floor(now / 1000);
     this.starts++;
     this.running++;
-    this.mostRunning = Math.max(this.mostRunning, this.running);
-    this.bySecond.set(second, (this.bySecond.get(second) ?? 0) + 1);
-    const ref = piece.slice(0, piece.lastIndexOf("/"));
-    const job = this.jobs.get(ref) ?? { begun: new Set<string>(), lastAt: now };
+    this.maxRunning = Math.max(this.maxRunning, this.running);
+    this.startsBySecond.set(second, (this.startsBySecond.get(second) ?? 0) + 1);
+    const ref = taskId.slice(0, taskId.lastIndexOf("/"));
+    const job = this.jobs.get(ref) ?? { started: new Set<string>(), lastAt: now };
     this.jobs.set(ref, job);
-    if (job.begun.has(piece)) return;
-    job.begun.add(piece);
+    if (job.started.has(taskId)) return;
+    job.started.add(taskId);
     job.lastAt = now;
   }
 
-  off(piece: string, host: string, cause: string): void {
-    this.events.push([steadyMs(), piece, host, cause]);
+  recordEnd(taskId: string, host: string, cause: string): void {
+    this.events.push([monotonicMs(), taskId, host, cause]);
     this.running--;
   }
 
-  /** What happened since this was last asked for. */
-  newEvents(): TaskEvent[] {
+  /** Returns and removes the events since the last call. */
+  takeEvents(): TaskEvent[] {
     return this.events.splice(0);
   }
 
-  view(): Pick<WorkersSeen, "starts" | "running" | "mostRunning" | "startsBySecond" | "jobs"> {
-    const { starts, running, mostRunning } = this;
-    const jobs = [...this.jobs].map(([ref, { begun, lastAt }]): [string, number, number] => [ref, begun.size, lastAt]);
-    return { starts, running, mostRunning, startsBySecond: [...this.bySecond], jobs };
+  stats(): Pick<WorkersStats, "starts" | "running" | "maxRunning" | "startsBySecond" | "jobStarts"> {
+    const { starts, running, maxRunning } = this;
+    const jobStarts = [...this.jobs].map(([ref, { started, lastAt }]): [string, number, number] => [ref, started.size, lastAt]);
+    return { starts, running, maxRunning, startsBySecond: [...this.startsBySecond], jobStarts };
   }
 }
 
-/** Bytes of all TCP connections of this process, open and closed. */
+/** Counts the bytes of all TCP connections of this process, open and closed. */
 class ConnectionBytes {
   private readonly open = new Set<Socket>();
   private closed = { sent: 0, received: 0 };
@@ -88,12 +95,16 @@
   }
 }
 
-function openHost({ fronts, jobs, timing, seed }: Extract<ToWorkers, { kind: "init" }>, tally: Tally, links: NetworkRules): WorkerHost {
-  const began = steadyMs();
-  const planned = new Map<string, PlannedJob>(jobs.map((job) => [job.spec.ref, job]));
-  return new WorkerHost(links, new Map(fronts), {
+function createWorkerHost(
+  { controllers, jobs, timing, seed }: Extract<CoordinatorToWorkers, { kind: "init" }>,
+  taskStats: TaskStats,
+  networkRules: NetworkRules,
+): WorkerHost {
+  const startedAt = monotonicMs();
+  const jobByRef = new Map<string, PlannedJob>(jobs.map((job) => [job.spec.ref, job]));
+  return new WorkerHost(networkRules, new Map(controllers), {
     clock: {
-      now: () => steadyMs() - began,
+      now: () => monotonicMs() - startedAt,
       after: (ms, fn) => {
         const timer = setTimeout(fn, ms);
         return () => clearTimeout(timer);
@@ -101,58 +112,67 @@
     },
     ...timing,
     random: seededRandom(seed),
-    nodes: fronts.map(([name]) => name),
-    spec: (ref) => planned.get(ref)?.spec,
-    runMs: (ref) => planned.get(ref)?.runMs ?? 0,
-    fetchMs: (ref) => planned.get(ref)?.fetchMs ?? 0,
+    nodes: controllers.map(([name]) => name),
+    spec: (ref) => jobByRef.get(ref)?.spec,
+    runMs: (ref) => jobByRef.get(ref)?.runMs ?? 0,
+    fetchMs: (ref) => jobByRef.get(ref)?.fetchMs ?? 0,
     slowdown: () => 1,
     failsTasks: () => false,
     savedProgress: new Map(),
-    onTaskStarted: ({ host }, piece) => tally.on(piece, host),
-    onTaskEnded: ({ host }, piece, cause) => tally.off(piece, host, cause),
+    onTaskStarted: ({ host }, taskId) => taskStats.recordStart(taskId, host),
+    onTaskEnded: ({ host }, taskId, cause) => taskStats.recordEnd(taskId, host, cause),
   });
 }
 
-/** Runs until the coordinator is gone. */
+/** Runs a process of hollow workers until the coordinator disconnects. */
 export function runHollowWorkers(): void {
-  const tally = new Tally();
+  const taskStats = new TaskStats();
   const bytes = new ConnectionBytes();
   const loop = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
   loop.enable();
-  const links = new NetworkRules();
-  let host: WorkerHost | null = null;
-  const tell = (): void => {
-    const events = tally.newEvents();
-    if (events.length > 0) say({ kind: "tasks", events });
+  const networkRules = new NetworkRules();
+  let workerHost: WorkerHost | null = null;
+  const sendEvents = (): void => {
+    const events = taskStats.takeEvents();
+    if (events.length > 0) sendToCoordinator({ kind: "taskEvents", events });
   };
-  setInterval(tell, EVENTS_EVERY_MS);
-  const ended = new Set<string>();
-  const boot = async (asked: Extract<ToWorkers, { kind: "boot" }>): Promise<void> => {
-    const { type, zone, spot, room } = asked;
-    const address = await host!.boot(asked.host, { type, zone, spot }, room);
-    if (ended.has(asked.host)) host!.removeMachine(asked.host);
-    else say({ kind: "booted", host: asked.host, address });
+  setInterval(sendEvents, EVENT_INTERVAL_MS);
+  const removed = new Set<string>();
+  const boot = async (message: Extract<CoordinatorToWorkers, { kind: "boot" }>): Promise<void> => {
+    const { type, zone, spot, capacity } = message;
+    const address = await workerHost!.boot(message.host, { type, zone, spot }, capacity);
+    // The machine may have been removed while it booted.
+    if (removed.has(message.host)) workerHost!.removeMachine(message.host);
+    else sendToCoordinator({ kind: "booted", host: message.host, address });
   };
   process.on("disconnect", () => process.exit(0));
-  process.on("message", (message: ToWorkers) => {
+  process.on("message", (message: CoordinatorToWorkers) => {
     if (message.kind === "init") {
-      host = openHost(message, tally, links);
-      say({ kind: "ready" });
+      workerHost = createWorkerHost(message, taskStats, networkRules);
+      sendToCoordinator({ kind: "ready" });
     } else if (message.kind === "boot") void boot(message);
-    else if (message.kind === "end") {
-      ended.add(message.host);
-      host!.removeMachine(message.host);
-    } else if (message.kind === "rule") {
-      const end = links.add(message.rule);
-      setTimeout(end, message.forMs);
-    } else if (message.kind === "taken") host?.deliverKeptReports();
+    else if (message.kind === "remove") {
+      removed.add(message.host);
+      workerHost!.removeMachine(message.host);
+    } else if (message.kind === "networkRule") {
+      const removeRule = networkRules.add(message.rule);
+      setTimeout(removeRule, message.forMs);
+    } else if (message.kind === "takeover") workerHost?.deliverKeptReports();
     else {
-      tell();
-      const { reports, late, unanswered } = host!.stats;
-      const lateness = { loopP99Ms: loop.percentile(99) / 1e6 - LOOP_RESOLUTION_MS, loopWorstMs: loop.max / 1e6 - LOOP_RESOLUTION_MS };
-      say({
-        kind: "seen",
-        seen: { workers: host!.workers.size, reports, late, unanswered, ...tally.view(), ...bytes.total(), ...lateness },
+      sendEvents();
+      const { reports, late: lateReports, unanswered: unansweredReports } = workerHost!.stats;
+      const loopDelay = { loopP99Ms: loop.percentile(99) / 1e6 - LOOP_RESOLUTION_MS, loopMaxMs: loop.max / 1e6 - LOOP_RESOLUTION_MS };
+      sendToCoordinator({
+        kind: "stats",
+        stats: {
+          workers: workerHost!.workers.size,
+          reports,
+          lateReports,
+          unansweredReports,
+          ...taskStats.stats(),
+          ...bytes.total(),
+          ...loopDelay,
+        },
       });
     }
   });
--- a/measure/scale/messages.ts
+++ b/measure/scale/messages.ts
@@ -2,19 +2,20 @@
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
 
 /**
- * What the processes of a scale run say to each other: the coordinator on one side, hollow workers
- * and the client population on the other. Times are ms of the machine's steady clock, which all of them share.
+ * Messages between the processes of a scale run: the coordinator on one side, the processes of hollow workers and the
+ * client process on the other. Times are in ms of the machine's monotonic clock, which all processes share.
  */
 
-/** A job of the run: when it is submitted, and how long each of its tasks runs. */
+/** A job of the run: when it is submitted and how long each of its tasks runs. */
 export interface PlannedJob {
   spec: JobSpec;
-  /** After the run began. */
-  atMs: number;
+  /** Submission time, in ms after the client process starts. */
+  submitAtMs: number;
   runMs: number;
   fetchMs: number;
 }
 
+/** Timeouts and intervals of the workers' protocol. */
 export interface WorkerTiming {
   reportMs: number;
   leaseMs: number;
@@ -22,64 +23,69 @@
   gangPeerMs: number;
 }
 
-export type ToWorkers =
-  | { kind: "init"; fronts: [name: string, address: string][]; jobs: PlannedJob[]; timing: WorkerTiming; seed: number }
-  | { kind: "boot"; host: string; type: string; zone: string; spot: boolean; room: { cpus: number; gpus: number; ram: number } }
-  | { kind: "end"; host: string }
-  /** What goes wrong on the way between these workers and the controllers, for so long. */
-  | { kind: "rule"; rule: NetworkRule; forMs: number }
-  /** A controller has taken a partition: reports that were kept for it come now. */
-  | { kind: "taken" }
-  | { kind: "look" };
+/** Messages from the coordinator to a process of hollow workers. */
+export type CoordinatorToWorkers =
+  | { kind: "init"; controllers: [name: string, apiAddress: string][]; jobs: PlannedJob[]; timing: WorkerTiming; seed: number }
+  | { kind: "boot"; host: string; type: string; zone: string; spot: boolean; capacity: { cpus: number; gpus: number; ram: number } }
+  | { kind: "remove"; host: string }
+  /** Applies a network fault between these workers and the controllers for `forMs`. */
+  | { kind: "networkRule"; rule: NetworkRule; forMs: number }
+  /** A controller has taken over a partition: copies of reports that were kept for this are delivered now. */
+  | { kind: "takeover" }
+  | { kind: "requestStats" };
 
-/** A task that came onto a machine, or went; `cause` of those that went. */
-export type TaskEvent = [at: number, piece: string, host: string, cause: string | null];
+/** A task attempt that started (`cause` is null) or ended on a machine. */
+export type TaskEvent = [at: number, taskId: string, host: string, cause: string | null];
 
-/** What a process of hollow workers has seen so far; counters grow. */
-export interface WorkersSeen {
+/** Statistics of a process of hollow workers; counters cover the time since its start. */
+export interface WorkersStats {
   workers: number;
   reports: number;
-  late: number;
-  unanswered: number;
-  /** Tasks that began, and those on a machine just now. */
+  lateReports: number;
+  unansweredReports: number;
+  /** Task starts, and tasks on a machine at present. */
   starts: number;
   running: number;
-  mostRunning: number;
-  /** Tasks that began in each second of the steady clock. */
+  maxRunning: number;
+  /** Task starts in each second of the monotonic clock. */
   startsBySecond: [second: number, count: number][];
-  /** When the last of a job's tasks first began, and how many have. */
-  jobs: [ref: string, begun: number, lastAt: number][];
-  /** Bytes of this process's connections, without the headers of TCP and IP. */
+  /** By job: the number of tasks that have started, and when the last of them started for the first time. */
+  jobStarts: [ref: string, startedTasks: number, lastAt: number][];
+  /** Bytes on this process's connections, without TCP and IP headers. */
   sent: number;
   received: number;
   loopP99Ms: number;
-  loopWorstMs: number;
+  loopMaxMs: number;
 }
 
-export type FromWorkers =
-  | { kind: "tasks"; events: TaskEvent[] }
+/** Messages from a process of hollow workers to the coordinator. */
+export type WorkersToCoordinator =
+  | { kind: "taskEvents"; events: TaskEvent[] }
   | { kind: "ready" }
   | { kind: "booted"; host: string; address: string }
-  | { kind: "seen"; seen: WorkersSeen };
+  | { kind: "stats"; stats: WorkersStats };
 
-/** `followed`: each job is polled until it is done. */
-export type ToClients =
-  { kind: "init"; fronts: string[]; jobs: PlannedJob[]; followed: boolean; pollsPerS: number; seed: number } | { kind: "look" };
+/** Messages from the coordinator to the client process. With `pollUntilDone`, each job is polled until it is done. */
+export type CoordinatorToClients =
+  | { kind: "init"; apiAddresses: string[]; jobs: PlannedJob[]; pollUntilDone: boolean; pollsPerS: number; seed: number }
+  | { kind: "requestStats" };
 
-/** What the client population has seen so far. */
-export interface ClientsSeen {
-  submissions: { ref: string; at: number; acceptedAt: number | null; tries: number; doneAt: number | null }[];
+/** Statistics of the client process since its start. */
+export interface ClientsStats {
+  submissions: { ref: string; at: number; acceptedAt: number | null; attempts: number; doneAt: number | null }[];
   submitMs: { p50: number; p99: number; worst: number };
   polls: number;
   pollMs: { p50: number; p99: number; worst: number };
-  answers: [status: number, count: number][];
+  /** Responses by HTTP status; status 0 counts requests without a response. */
+  responses: [status: number, count: number][];
   loopP99Ms: number;
-  loopWorstMs: number;
+  loopMaxMs: number;
 }
 
-export type FromClients = { kind: "ready" } | { kind: "seen"; seen: ClientsSeen };
+/** Messages from the client process to the coordinator. */
+export type ClientsToCoordinator = { kind: "ready" } | { kind: "stats"; stats: ClientsStats };
 
-/** ms of the machine's steady clock. */
-export function steadyMs(): number {
+/** Returns the machine's monotonic clock in ms. All processes of the machine read the same clock. */
+export function monotonicMs(): number {
   return Number(process.hrtime.bigint() / 1000n) / 1000;
 }
--- a/measure/scale/target.ts
+++ b/measure/scale/target.ts
@@ -1,55 +1,58 @@
 import { readFileSync } from "node:fs";
 import * as z from "zod";
 
-/** The size that the fleet is designed for, read from a JSON file. */
+/** Reads the target size of the fleet (what it is designed for) from a JSON file. */
 
-const count = z.number().int().min(1);
-const positive = z.number().finite().positive();
+const positiveInteger = z.number().int().min(1);
+const positiveNumber = z.number().finite().positive();
 
 const schema = z.strictObject({
-  workers: count,
+  workers: positiveInteger,
   accelerators: z.number().int().min(0),
-  jobs_a_day: positive,
-  peak_starts_per_s: positive,
-  tasks_running: count,
-  largest_gang: count,
-  teams: count,
-  urgent_start_s: positive,
-  regions: count,
-  zones: count,
-  configuration_changes_a_day: positive,
-  configuration_in_force_s: positive,
-  worker_core_share: positive,
-  worker_memory_mb: positive,
-  worker_bytes_per_s: positive,
-  control_machines: count,
-  machines_failed_a_day: positive,
-  machines_replaced_a_day: positive,
+  jobs_a_day: positiveNumber,
+  peak_starts_per_s: positiveNumber,
+  tasks_running: positiveInteger,
+  largest_gang: positiveInteger,
+  teams: positiveInteger,
+  urgent_start_s: positiveNumber,
+  regions: positiveInteger,
+  zones: positiveInteger,
+  configuration_changes_a_day: positiveNumber,
+  configuration_in_force_s: positiveNumber,
+  worker_core_share: positiveNumber,
+  worker_memory_mb: positiveNumber,
+  worker_bytes_per_s: positiveNumber,
+  control_machines: positiveInteger,
+  machines_failed_a_day: positiveNumber,
+  machines_replaced_a_day: positiveNumber,
 });
 
+/** Target size and requirements of the fleet. */
 export type Target = z.infer<typeof schema>;
 
-/** A file that does not hold: its name, the field, and what was expected. */
-export class TargetFault extends Error {}
+/** A target file is invalid. The message names the file, the field and the expected value. */
+export class TargetFileError extends Error {}
 
+/** Parses a target file; `file` is its name in error messages. */
 export function parseTarget(file: string, text: string): Target {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
   } catch {
-    throw new TargetFault(`${file}: not JSON`);
+    throw new TargetFileError(`${file}: not JSON`);
   }
   const result = schema.safeParse(raw);
   if (result.success) return result.data;
-  throw new TargetFault(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
+  throw new TargetFileError(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
 }
 
+/** Reads and parses a target file. */
 export function loadTarget(file: string): Target {
   let text: string;
   try {
     text = readFileSync(file, "utf8");
   } catch (error) {
-    throw new TargetFault(`${file}: cannot be read: ${(error as Error).message}`);
+    throw new TargetFileError(`${file}: cannot be read: ${(error as Error).message}`);
   }
   return parseTarget(file, text);
 }
--- /dev/null
+++ b/measure/scale/test-cluster.ts
@@ -0,0 +1,459 @@
+import { fork, type ChildProcess } from "node:child_process";
+import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
+import { createServer, type Server } from "node:http";
+import { tmpdir } from "node:os";
+import { join } from "node:path";
+import { fileURLToPath } from "node:url";
+import { stringify } from "smol-toml";
+import type { HistoryEvent } from "@thorntrail/emulator/checker";
+import { CloudModel } from "@thorntrail/emulator/cloud-model";
+import type { NetworkRule } from "@thorntrail/emulator/network-rules";
+import { isTakeover } from "@thorntrail/emulator/recovery";
+import { sendRequest, parseObject, readBody, sendResponse } from "@thorntrail/emulator/real/http";
+import { Processes } from "@thorntrail/emulator/real/processes";
+import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
+import type { MachineType } from "@thorntrail/protocol/cloud";
+import type { TeamSettings } from "../../src/settings/platform-file.js";
+import { runOf } from "../start.js";
+import {
+  monotonicMs,
+  type ClientsStats,
+  type ClientsToCoordinator,
+  type WorkersToCoordinator,
+  type PlannedJob,
+  type TaskEvent,
+  type CoordinatorToClients,
+  type CoordinatorToWorkers,
+  type WorkersStats,
+} from "./messages.js";
+import { reservePorts } from "./ports.js";
+import { readLoopbackTraffic, readMemoryMb, readProcessorMs, type Traffic } from "./usage.js";
+
+/** Environment variable with the role of a forked process: `workers` or `clients`. */
+export const ROLE_VARIABLE = "MEASURE_SCALE_ROLE";
+
+const FORK_HEAP_LIMIT_MB = 900;
+const START_TIMEOUT_MS = 60_000;
+const TIMING = { reportMs: 2500, leaseMs: 18_000, gangWaitMs: 35_000, gangPeerMs: 4000, cancelMs: 43_000, listLagMs: 3000 };
+
+/** Size, settings and jobs of a test cluster. */
+export interface ClusterPlan {
+  controllers: number;
+  teams: TeamSettings[];
+  objectives: { kind: string; class?: string; within_s: number; share: number }[];
+  types: MachineType[];
+  /** Number of machines that the cloud has, by `type/zone/ordinary` and `type/zone/spot`. */
+  capacity: Map<string, number>;
+  jobs: PlannedJob[];
+  /** Number of processes among which the hollow workers are divided. */
+  workerProcesses: number;
+  /** Limits of the state service. */
+  state: { rps: number; writeRps: number; valueKb: number; txnOps: number };
+  /** Rate limit of the cloud for each controller, in requests per second. */
+  cloudRps: number;
+  /** Quota of each controller: sockets and memory. */
+  sockets: number;
+  memMb: number;
+  /** Rate of polls of random accepted jobs. */
+  pollsPerS: number;
+  /** Whether each job is polled until it is done; true by default. */
+  pollUntilDone?: boolean;
+  seed: number;
+}
+
+/** Resource use of one role over an interval. */
+export interface RoleUsage {
+  processes: number;
+  /** Cores used by all processes of the role, and by the process that used the most. */
+  cores: number;
+  maxCores: number;
+  /** Memory of the largest process, in MB. */
+  maxMemoryMb: number;
+}
+
+/** Counters of the state service. */
+export interface StateCounters {
+  changes: number;
+  conflicts: number;
+  refused: number;
+  ledger: number;
+  groupAnswers: number;
+}
+
+/** All counters at one point in time. */
+export interface Snapshot {
+  /** In ms of the monotonic clock. */
+  at: number;
+  /** Processor time so far, by process. */
+  processorMs: Map<string, number>;
+  traffic: Traffic;
+  state: StateCounters;
+  /** Machines rented so far, and how many of them have been removed again. */
+  machinesRented: number;
+  machinesRemoved: number;
+  workers: WorkersStats[];
+  clients: ClientsStats;
+}
+
+/** Role of a process of the test cluster. */
+export type Role = "controller" | "store" | "workers" | "clients" | "cloud";
+
+const roleOfProcess = (name: string): Role =>
+  name.startsWith("nest-") ? "controller" : name.startsWith("workers-") ? "workers" : (name as "store" | "clients" | "cloud");
+
+/** Returns the metrics whose names begin with `prefix`, by their name without it and their labels. */
+function parseMetrics(text: string, prefix: string): Map<string, number> {
+  const found = new Map<string, number>();
+  for (const line of text.split("\n")) {
+    const match = /^([a-z_]+)(\{[^}]*\})? ([-0-9.e+]+)$/.exec(line);
+    if (match !== null && match[1]!.startsWith(prefix)) found.set(match[1]!.slice(prefix.length) + (match[2] ?? ""), Number(match[3]));
+  }
+  return found;
+}
+
+/** Leaves the machine offering empty: the only rule checked here, that no task runs on two machines, does not need it. */
+function toHistoryEvent([at, taskId, host, cause]: TaskEvent): HistoryEvent {
+  if (cause !== null) return { at, kind: "off", piece: taskId, host, cause };
+  return { at, kind: "on", piece: taskId, host, type: "", zone: "", spot: false };
+}
+
+/**
+ * A complete cluster for measurements. The store and the controllers are real processes, workers and clients are emulated in
+ * forked processes, and the cloud is emulated in this process. `close` ends all that it started.
+ */
+export class TestCluster {
+  readonly cloud: CloudModel;
+  /** Processes that exited without being stopped, with the exit code or signal. */
+  readonly unexpectedExits: string[] = [];
+  /** Log lines at error level, and lines that are not JSON. */
+  readonly errorLines: string[] = [];
+  /** By controller: the newest logged processor time of each duty. */
+  readonly processorTimeByDuty = new Map<string, Record<string, [runs: number, ms: number]>>();
+  /** Number of log lines by message. */
+  readonly logLineCounts = new Map<string, number>();
+  /** Starts and ends of tasks on the hollow workers. */
+  readonly taskHistory: HistoryEvent[] = [];
+  /** For each takeover: the time from the claim until all machines of the partition were fenced, and their number. */
+  readonly fencings: { ms: number; machines: number }[] = [];
+  private readonly directory = mkdtempSync(join(tmpdir(), "thorntrail-scale-"));
+  private readonly processes: Processes;
+  private readonly forks = new Map<string, ChildProcess>();
+  private readonly workerAddresses = new Map<string, string>();
+  private readonly processIndexByHost = new Map<string, number>();
+  private readonly servers: Server[] = [];
+  private readonly pids = new Map<string, number>();
+  private controllerNames: string[] = [];
+  private apiAddresses: string[] = [];
+  /** Address of the state service; empty before `start`. */
+  stateAddress = "";
+  private adminAddress = "";
+  private closing = false;
+  private readonly onExit = (): void => this.close();
+
+  constructor(private readonly plan: ClusterPlan) {
+    process.once("exit", this.onExit);
+    this.processes = new Processes(
+      [process.execPath, ...runOf(".").filter((word) => !["serve", "--config"].includes(word))],
+      (name, line) => this.handleLogLine(name, line),
+      (name, how) => this.closing || this.unexpectedExits.push(`${name} (${how})`),
+    );
+    const clock = {
+      now: monotonicMs,
+      after: (ms: number, fn: () => void) => {
+        const timer = setTimeout(() => this.closing || fn(), ms);
+        timer.unref();
+        return () => clearTimeout(timer);
+      },
+    };
+    this.cloud = new CloudModel(clock, { types: plan.types, capacity: plan.capacity, lagMs: TIMING.listLagMs });
+    this.cloud.addrOf = (host) => this.workerAddresses.get(host) ?? "127.0.0.1:1";
+    this.cloud.onRemoved = (host) => this.sendToWorkers(host, { kind: "remove", host });
+    this.cloud.onBoot = (host, { type, zone, spot }) => {
+      const { cpus, gpus, ram } = plan.types.find((one) => one.name === type)!;
+      this.sendToWorkers(host, { kind: "boot", host, type, zone, spot, capacity: { cpus, gpus, ram } });
+    };
+  }
+
+  private handleLogLine(name: string, line: string): void {
+    let entry: { level?: unknown; msg?: unknown; ms?: unknown; machines?: unknown; spent?: Record<string, [number, number]> } = {};
+    try {
+      entry = JSON.parse(line) as typeof entry;
+    } catch {
+      this.errorLines.push(`${name}: ${line.slice(0, 300)}`);
+    }
+    if (entry.spent !== undefined) this.processorTimeByDuty.set(name, entry.spent);
+    const text = String(entry.msg ?? "");
+    if (text === "all machines accounted for; placing") this.fencings.push({ ms: Number(entry.ms), machines: Number(entry.machines) });
+    if (isTakeover(text)) this.sendToAllWorkers({ kind: "takeover" });
+    this.logLineCounts.set(text, (this.logLineCounts.get(text) ?? 0) + 1);
+    if (entry.level === "error" || entry.level === 50) this.errorLines.push(`${name}: ${line.slice(0, 300)}`);
+  }
+
+  private sendToAllWorkers(message: CoordinatorToWorkers): void {
+    for (const [name, child] of this.forks) if (name.startsWith("workers-")) child.send(message);
+  }
+
+  /** Sends a message to the process that a machine is assigned to. */
+  private sendToWorkers(host: string, message: CoordinatorToWorkers): void {
+    const child = this.forks.get(`workers-${this.processIndexByHost.get(host) ?? 0}`);
+    if (child?.connected === true) child.send(message);
+  }
+
+  /** Starts all processes, and the clients only once every controller is healthy. Submission times of jobs count from then. */
+  async start(): Promise<void> {
+    const { plan } = this;
+    const { controllers } = plan;
+    this.controllerNames = Array.from({ length: controllers }, (_, i) => `nest-${i}`);
+    const ports = await reservePorts(controllers * 3 + 2);
+    // Three ports for each controller: its HTTP API, its peer listener, and its cloud endpoint.
+    const addressOf = (i: number, port: 0 | 1 | 2): string => `127.0.0.1:${ports[i * 3 + port]!}`;
+    this.apiAddresses = this.controllerNames.map((_, i) => addressOf(i, 0));
+    this.stateAddress = await this.startStore(ports.at(-1)!, ports.at(-2)!);
+    for (let i = 0; i < controllers; i++) await this.startCloudServer(ports[i * 3 + 2]!);
+    const namedAddresses = this.controllerNames.map((name, i): [string, string] => [name, this.apiAddresses[i]!]);
+    const timing = TIMING;
+    for (let i = 0; i < plan.workerProcesses; i++)
+      await this.forkProcess<WorkersToCoordinator>(`workers-${i}`, {
+        kind: "init",
+        controllers: namedAddresses,
+        jobs: plan.jobs,
+        timing,
+        seed: plan.seed + i,
+      });
+    for (let i = 0; i < controllers; i++) {
+      const known = this.controllerNames
+        .map((host_name, j) => ({ host_name, area: "a", peer_addr: addressOf(j, 1) }))
+        .filter((_, j) => j !== i);
+      this.writeSettings(i, {
+        front: addressOf(i, 0),
+        peer_listen: addressOf(i, 1),
+        known,
+        endpoints: { cloud: addressOf(i, 2), state: this.stateAddress },
+      });
+      await this.startController(this.controllerNames[i]!);
+    }
+    await this.waitUntilHealthy();
+    const { jobs, pollsPerS, seed, pollUntilDone = true } = plan;
+    await this.forkProcess<ClientsToCoordinator>("clients", {
+      kind: "init",
+      apiAddresses: this.apiAddresses,
+      jobs,
+      pollUntilDone,
+      pollsPerS,
+      seed,
+    });
+  }
+
+  /** Starts the state service; returns the address that it listens on. */
+  private async startStore(port: number, adminPort: number): Promise<string> {
+    const { rps, writeRps, valueKb, txnOps } = this.plan.state;
+    const limits = { requests_per_second: rps, changes_per_second: writeRps, value_kb: valueKb, changes_per_transaction: txnOps };
+    const block = Object.entries(limits).map(([name, value]) => `  ${name} = ${value}\n`);
+    writeFileSync(join(this.directory, "store.hcl"), `limits {\n${block.join("")}}\nconnections = 8000\n`);
+    this.adminAddress = `127.0.0.1:${adminPort}`;
+    const args = ["--listen", `127.0.0.1:${port}`, "--data", join(this.directory, "state"), "--config", join(this.directory, "store.hcl")];
+    const line = await this.processes.start(
+      "store",
+      ["store", "serve", ...args, "--admin", this.adminAddress],
+      { LOG_LEVEL: "error" },
+      true,
+    );
+    this.pids.set("store", this.processes.pid("store")!);
+    return String(parseObject(line)["listening"]);
+  }
+
+  /** Starts an endpoint of the emulated cloud. Each controller has one of its own, because the rate limit applies to each. */
+  private async startCloudServer(port: number): Promise<void> {
+    const stub = new CloudStub(this.cloud, { now: monotonicMs }, this.plan.cloudRps);
+    const server = createServer((req, res) => {
+      void readBody(req).then(async (body) => {
+        const request = { method: req.method ?? "GET", path: req.url ?? "/", body };
+        const response = await stub.execute(request);
+        const hosts = parseObject(response.text)["hosts"];
+        // Members of a gang find each other only within a process, so all machines of a partition are assigned to the same one.
+        if (stub.operationOf(request) === "hire" && response.status === 200)
+          for (const host of hosts as string[]) this.assignToProcess(host, String(parseObject(body)["hire"]));
+        sendResponse(res, response);
+      });
+    });
+    this.servers.push(server);
+    await new Promise<void>((resolve) => server.listen(port, "127.0.0.1", resolve));
+  }
+
+  /** Assigns a machine to a worker process by its partition, whose number is at the beginning of the rental's name. */
+  private assignToProcess(host: string, hire: string): void {
+    if (!this.processIndexByHost.has(host)) this.processIndexByHost.set(host, Number.parseInt(hire, 10) % this.plan.workerProcesses);
+  }
+
+  /** Forks this program in the role that the name stands for; resolves once it reports that it is ready. */
+  private forkProcess<Message extends { kind: string }>(name: string, init: CoordinatorToWorkers | CoordinatorToClients): Promise<void> {
+    const role = roleOfProcess(name);
+    const child = fork(fileURLToPath(import.meta.url), [], {
+      execArgv: [`--max-old-space-size=${FORK_HEAP_LIMIT_MB}`],
+      env: { ...process.env, [ROLE_VARIABLE]: role },
+      stdio: ["ignore", "ignore", "inherit", "ipc"],
+    });
+    this.forks.set(name, child);
+    this.pids.set(name, child.pid!);
+    child.on("message", (message: WorkersToCoordinator) => {
+      if (message.kind === "booted") this.workerAddresses.set(message.host, message.address);
+      if (message.kind === "taskEvents") for (const event of message.events) this.taskHistory.push(toHistoryEvent(event));
+    });
+    return new Promise((resolve, reject) => {
+      child.once("exit", (code, signal) => {
+        if (!this.closing) this.unexpectedExits.push(`${name} (${code ?? signal})`);
+        reject(new Error(`${name} exited with ${code ?? signal}`));
+      });
+      child.on("message", (message: Message) => message.kind === "ready" && resolve());
+      child.send(init);
+    });
+  }
+
+  /** Writes the settings file of controller `i`; `own` are its addresses. */
+  private writeSettings(i: number, own: Record<string, unknown>): void {
+    const { plan } = this;
+    const zones = [...new Set(plan.types.flatMap((type) => type.zones))];
+    const workerSettings = Object.fromEntries(
+      (["report", "lease", "gangWait", "gangPeer", "cancel"] as const).map((name) => [
+        `${name.replace(/[A-Z]/, (c) => `_${c.toLowerCase()}`)}_s`,
+        TIMING[`${name}Ms`] / 1000,
+      ]),
+    );
+    const { rps, writeRps, valueKb, txnOps } = plan.state;
+    const deployment = {
+      size: plan.controllers,
+      zones,
+      clock_off_ms: 1000,
+      teams: plan.teams,
+      objectives: plan.objectives,
+      workers: workerSettings,
+      state: { rps, write_rps: writeRps, value_kb: valueKb, txn_ops: txnOps },
+      cloud: { rps: plan.cloudRps * plan.controllers, list_lag_s: TIMING.listLagMs / 1000 },
+      quota: { core_share: 1, mem_mb: plan.memMb, sockets: plan.sockets },
+    };
+    const name = this.controllerNames[i]!;
+    writeFileSync(join(this.directory, `${name}.toml`), stringify({ host_name: name, area: "a", ...own, deployment }));
+  }
+
+  /** Starts a controller, or starts it again after it was killed. */
+  async startController(name: string): Promise<void> {
+    await this.processes.start(name, ["serve", "--config", join(this.directory, `${name}.toml`)], { LOG_LEVEL: "info" }, false);
+    this.pids.set(name, this.processes.pid(name)!);
+  }
+
+  /** Kills a controller; resolves once it has exited. */
+  async killController(name: string): Promise<void> {
+    await this.processes.kill(name);
+  }
+
+  /** Stops a controller with SIGSTOP if `paused`, else lets it continue. */
+  pauseController(name: string, paused: boolean): void {
+    this.processes.freeze(name, paused);
+  }
+
+  /** Applies a network fault between all hollow workers and the controllers for `forMs`. */
+  addNetworkRule(rule: NetworkRule, forMs: number): void {
+    this.sendToAllWorkers({ kind: "networkRule", rule, forMs });
+  }
+
+  private async waitUntilHealthy(): Promise<void> {
+    const deadline = monotonicMs() + START_TIMEOUT_MS;
+    for (;;) {
+      const responses = await Promise.all(this.apiAddresses.map((address) => sendRequest(false, address, "GET", "/up", undefined, 1000)));
+      const healthy = responses.filter((response) => response?.status === 200).length;
+      if (healthy === this.apiAddresses.length) return;
+      if (monotonicMs() > deadline || this.unexpectedExits.length > 0)
+        throw new Error(
+          `${healthy} of ${this.apiAddresses.length} controllers are healthy; exited: ${this.unexpectedExits.join(", ") || "none"}`,
+        );
+      await new Promise((resolve) => setTimeout(resolve, 200));
+    }
+  }
+
+  private requestStats<Stats>(name: string): Promise<Stats> {
+    const child = this.forks.get(name)!;
+    return new Promise((resolve) => {
+      const onMessage = (message: { kind: string; stats: Stats }): void => {
+        if (message.kind !== "stats") return;
+        child.off("message", onMessage);
+        resolve(message.stats);
+      };
+      child.on("message", onMessage);
+      child.send({ kind: "requestStats" } satisfies CoordinatorToWorkers & CoordinatorToClients);
+    });
+  }
+
+  private async readStateCounters(): Promise<StateCounters> {
+    const response = await sendRequest(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
+    const metrics = parseMetrics(response?.text ?? "", "thorntrail_store_");
+    const read = (name: string): number => metrics.get(name) ?? NaN;
+    return {
+      changes: read("changes_total"),
+      conflicts: read("conflicts_total"),
+      refused: read("refused_total"),
+      ledger: read("ledger"),
+      groupAnswers: read("group_answers_total"),
+    };
+  }
+
+  /** Returns the sum of a metric over all controllers; one without the metric counts as 0. */
+  async controllerMetricSum(name: string): Promise<number> {
+    const responses = await Promise.all(
+      this.apiAddresses.map((address) => sendRequest(false, address, "GET", "/metrics", undefined, 5000)),
+    );
+    return responses.reduce((sum, response) => sum + (parseMetrics(response?.text ?? "", "thorntrail_").get(name) ?? 0), 0);
+  }
+
+  /** Reads all counters now. */
+  async snapshot(): Promise<Snapshot> {
+    const workers = await Promise.all(
+      Array.from({ length: this.plan.workerProcesses }, (_, i) => this.requestStats<WorkersStats>(`workers-${i}`)),
+    );
+    const clients = await this.requestStats<ClientsStats>("clients");
+    const state = await this.readStateCounters();
+    const processorMs = new Map([...this.pids].map(([name, pid]) => [name, readProcessorMs(pid)]));
+    processorMs.set("cloud", readProcessorMs(process.pid));
+    const machineCounts = { machinesRented: this.cloud.machines.size, machinesRemoved: this.cloud.machines.size - this.cloud.rentedCount };
+    return { at: monotonicMs(), processorMs, traffic: readLoopbackTraffic(), state, ...machineCounts, workers, clients };
+  }
+
+  /** Returns the resource use of each role between two snapshots. */
+  usage(from: Snapshot, to: Snapshot): Map<Role, RoleUsage> {
+    const roles = new Map<Role, RoleUsage>();
+    for (const [name, after] of to.processorMs) {
+      const role = roleOfProcess(name);
+      const before = from.processorMs.get(name) ?? 0;
+      // The processor time of a restarted process begins at 0.
+      const cores = (after >= before ? after - before : after) / (to.at - from.at);
+      const total = roles.get(role) ?? { processes: 0, cores: 0, maxCores: 0, maxMemoryMb: 0 };
+      roles.set(role, total);
+      if (!Number.isFinite(cores)) continue;
+      total.processes++;
+      total.cores += cores;
+      total.maxCores = Math.max(total.maxCores, cores);
+      total.maxMemoryMb = Math.max(total.maxMemoryMb, readMemoryMb(name === "cloud" ? process.pid : this.pids.get(name)!));
+    }
+    return roles;
+  }
+
+  /** Returns the names of the machines of a zone that are up. */
+  hostsUpIn(zone: string): string[] {
+    return [...this.cloud.machines.values()]
+      .filter((machine) => machine.removedAt === null && machine.bootedAt !== null && machine.offer.zone === zone)
+      .map(({ host }) => host);
+  }
+
+  /** Kills all processes and removes the temporary directory. */
+  close(): void {
+    if (this.closing) return;
+    this.closing = true;
+    process.off("exit", this.onExit);
+    this.processes.killAll();
+    for (const child of this.forks.values()) child.kill("SIGKILL");
+    for (const server of this.servers) {
+      server.close();
+      server.closeAllConnections();
+    }
+    rmSync(this.directory, { recursive: true, force: true });
+  }
+}
--- a/measure/scale/usage.ts
+++ b/measure/scale/usage.ts
@@ -1,9 +1,9 @@
 import { readdirSync, readFileSync } from "node:fs";
 
-/** What the kernel counts of processes and of the loopback interface. */
+/** Reads what the kernel counts for processes and for the loopback interface. */
 
-/** Processor time of all threads of a process so far, in ms; NaN once it is gone. */
-export function processorMsOf(pid: number): number {
+/** Returns the processor time of all threads of a process in ms; NaN if the process no longer exists. */
+export function readProcessorMs(pid: number): number {
   try {
     let nanoseconds = 0;
     for (const thread of readdirSync(`/proc/${pid}/task`))
@@ -14,8 +14,8 @@
   }
 }
 
-/** Memory of a process's own, shared pages of the runtime left out, in MB; NaN once it is gone. */
-export function memoryMbOf(pid: number): number {
+/** Returns the anonymous resident memory of a process in MB, so without shared pages; NaN if the process no longer exists. */
+export function readMemoryMb(pid: number): number {
   try {
     const text = readFileSync(`/proc/${pid}/status`, "utf8");
     const kb = (name: string): number => Number(new RegExp(`${name}:\\s+(\\d+)`).exec(text)?.[1] ?? NaN);
@@ -25,13 +25,14 @@
   }
 }
 
+/** Counters of a network interface. */
 export interface Traffic {
   bytes: number;
   packets: number;
 }
 
-/** All that has passed over the loopback interface, headers included, counted once. */
-export function loopbackTraffic(): Traffic {
+/** Returns the traffic of the loopback interface, including headers; each packet counts once. */
+export function readLoopbackTraffic(): Traffic {
   const line = /^\s*lo:\s*(.*)$/m.exec(readFileSync("/proc/net/dev", "utf8"))![1]!.split(/\s+/).map(Number);
   return { bytes: line[0]!, packets: line[1]! };
 }
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -3,7 +3,7 @@
 import { options, progress, report } from "./harness.js";
 import { startFull } from "./full.js";
 import { memoryEach } from "./memory.js";
-import { playRole } from "./scale/roles.js";
+import { runForkedRole } from "./scale/roles.js";
 import { decisionSlopes } from "./slopes/decisions.js";
 import type { Point } from "./slopes/line.js";
 import { controllerSlopes, quotaSlopes, teamSlopes } from "./slopes/clusters.js";
@@ -70,4 +70,4 @@
   report("slopes", given, { ...figures, ...bytes, not_a_line: crooked.join(" ") });
 }
 
-if (!playRole()) await measure();
+if (!runForkedRole()) await measure();
--- a/measure/slopes/clusters.ts
+++ b/measure/slopes/clusters.ts
@@ -1,4 +1,4 @@
-import { equalTeams, jobOf } from "../scale/workload.js";
+import { equalTeams, buildJob } from "../scale/workload.js";
 import { byPairs, type Point } from "./line.js";
 import { type Seen, type Sized, planOf, observe, running, service, points, coreMs, changes } from "./observe.js";
 import { slopeOf, type Slope } from "./slope.js";
@@ -13,7 +13,11 @@
   for (const size of counts) {
     const teams = equalTeams(size, { cpus: 8, cpus_max: 96, gpus: 0, gpus_max: 0 });
     const jobs = teams.map(({ name }, i) => service(i + 1, 1, { team: name }));
-    const seen = await observe(planOf({ controllers, teams, jobs, followed: false }), seconds, (snapshot) => running(snapshot) >= size);
+    const seen = await observe(
+      planOf({ controllers, teams, jobs, pollUntilDone: false }),
+      seconds,
+      (snapshot) => running(snapshot) >= size,
+    );
     sized.push({ size, seen });
   }
   const each = (seen: Seen): number => coreMs(seen) / controllers;
@@ -23,7 +27,7 @@
       "controller_team_memory",
       "MB",
       "team with work",
-      points(sized, (seen) => seen.controller.mostMb),
+      points(sized, (seen) => seen.controller.maxMemoryMb),
     ),
     slopeOf("loopback_team", "bytes/s in all, 3 controllers", "team with work", points(sized, loopback)),
   ];
@@ -42,7 +46,7 @@
       "controller_peer_memory",
       "MB",
       "controller",
-      points(sized, (seen) => seen.controller.mostMb),
+      points(sized, (seen) => seen.controller.maxMemoryMb),
     ),
     slopeOf(
       "state_requests_controller",
@@ -68,10 +72,10 @@
   const conflicts: Point[] = [];
   for (const size of counts) {
     const teams = equalTeams(20, { cpus: 4, cpus_max: 64, gpus: 0, gpus_max: 0 });
-    const jobs = teams.map(({ name }, i) => jobOf(i + 1, { team: name, tasks: 64 }, { atMs: 0, runMs: 600_000 }));
+    const jobs = teams.map(({ name }, i) => buildJob(i + 1, { team: name, tasks: 64 }, { submitAtMs: 0, runMs: 600_000 }));
     const seen = await observe(planOf({ controllers: size, teams, jobs }), seconds, (snapshot) => running(snapshot) >= 400, 1);
     sized.push({ size, seen });
-    transfers.push({ x: size, y: seen.cell.lines.get(QUOTA_MOVED) ?? 0 });
+    transfers.push({ x: size, y: seen.cell.logLineCounts.get(QUOTA_MOVED) ?? 0 });
     conflicts.push({ x: size, y: seen.after.state.conflicts });
   }
   return [
--- a/measure/slopes/observe.ts
+++ b/measure/slopes/observe.ts
@@ -1,13 +1,13 @@
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
-import { Cell, type CellPlan, type RoleUsage, type Snapshot } from "../scale/cell.js";
+import { TestCluster, type ClusterPlan, type RoleUsage, type Snapshot } from "../scale/test-cluster.js";
 import type { PlannedJob } from "../scale/messages.js";
-import { capacityOf, equalTeams, jobOf, PLAIN } from "../scale/workload.js";
+import { capacityByOffering, equalTeams, buildJob, CPU_MACHINE } from "../scale/workload.js";
 import type { Point } from "./line.js";
 
 /** A cell of real processes at one size, looked at over a span of time: what all slopes of processes are read from. */
 
 const ZONES = ["zone-1"];
-export const CORES_A_MACHINE = PLAIN.cpus;
+export const CORES_A_MACHINE = CPU_MACHINE.cpus;
 /** Limits that nothing here comes near. */
 const AMPLE_STATE = { rps: 5000, writeRps: 2000, valueKb: 32, txnOps: 64 };
 export const LOOK_MS = 500;
@@ -22,20 +22,20 @@
   before: Snapshot;
   after: Snapshot;
   stateCalls: number;
-  cell: Cell;
+  cell: TestCluster;
 }
 
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const sum = (list: readonly number[]): number => list.reduce((a, b) => a + b, 0);
 
-export function planOf(change: Partial<CellPlan> & { machines?: number }): CellPlan {
+export function planOf(change: Partial<ClusterPlan> & { machines?: number }): ClusterPlan {
   const { jobs = [], machines = 200, ...rest } = change;
   return {
     controllers: 1,
     teams: equalTeams(1, { cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }),
     objectives: [],
-    types: [{ ...PLAIN, zones: ZONES }],
-    capacity: capacityOf({ plain: machines }, ZONES),
+    types: [{ ...CPU_MACHINE, zones: ZONES }],
+    capacity: capacityByOffering({ plain: machines }, ZONES),
     jobs,
     workerProcesses: 1,
     state: AMPLE_STATE,
@@ -49,14 +49,14 @@
 }
 
 /** Starts a cell, waits until `ready` and a while longer, and looks at it over `seconds`. */
-export async function observe(plan: CellPlan, seconds: number, ready: (seen: Snapshot) => boolean, warmS = 6): Promise<Seen> {
-  const cell = new Cell(plan);
+export async function observe(plan: ClusterPlan, seconds: number, ready: (seen: Snapshot) => boolean, warmS = 6): Promise<Seen> {
+  const cell = new TestCluster(plan);
   try {
     await cell.start();
     const until = Date.now() + SETTLE_LIMIT_MS;
     while (!ready(await cell.snapshot())) {
       if (Date.now() > until)
-        throw new Error(`a cell did not come to the size asked for: ${JSON.stringify([...cell.lines]).slice(0, 400)}`);
+        throw new Error(`a cell did not come to the size asked for: ${JSON.stringify([...cell.logLineCounts]).slice(0, 400)}`);
       await sleep(LOOK_MS);
     }
     await sleep(warmS * 1000);
@@ -65,7 +65,7 @@
     await sleep(seconds * 1000);
     const after = await cell.snapshot();
     const calls = (await stateCalls(cell)) - callsBefore;
-    if (cell.ended.length > 0) throw new Error(`ended by itself: ${cell.ended.join(", ")}`);
+    if (cell.unexpectedExits.length > 0) throw new Error(`ended by itself: ${cell.unexpectedExits.join(", ")}`);
     const usage = cell.usage(before, after);
     const role = (name: "controller" | "workers" | "store"): RoleUsage => usage.get(name)!;
     return {
@@ -78,16 +78,16 @@
   }
 }
 
-async function stateCalls(cell: Cell): Promise<number> {
+async function stateCalls(cell: TestCluster): Promise<number> {
   const operations = ["state.read", "state.txn", "state.lease"];
-  return sum(await Promise.all(operations.map((one) => cell.controllerFigure(`calls_total{operation="${one}",what="asked"}`))));
+  return sum(await Promise.all(operations.map((one) => cell.controllerMetricSum(`calls_total{operation="${one}",what="asked"}`))));
 }
 
 export const running = (seen: Snapshot): number => sum(seen.workers.map((one) => one.running));
 export const starts = (seen: Seen): number =>
   sum(seen.after.workers.map((one) => one.starts)) - sum(seen.before.workers.map((one) => one.starts));
 export const service = (i: number, tasks: number, change: Partial<JobSpec>): PlannedJob =>
-  jobOf(i, { kind: "service", tasks, ...change }, { atMs: 0, runMs: 0 });
+  buildJob(i, { kind: "service", tasks, ...change }, { submitAtMs: 0, runMs: 0 });
 
 /** Runs the sizes beside each other: each takes a fraction of a core. */
 export async function overSizes(sizes: number[], one: (size: number) => Promise<Seen>): Promise<{ size: number; seen: Seen }[]> {
--- a/measure/slopes/processes.ts
+++ b/measure/slopes/processes.ts
@@ -1,6 +1,6 @@
-import { Cell, type Snapshot } from "../scale/cell.js";
+import { TestCluster, type Snapshot } from "../scale/test-cluster.js";
 import type { PlannedJob } from "../scale/messages.js";
-import { jobOf, PLAIN } from "../scale/workload.js";
+import { buildJob, CPU_MACHINE } from "../scale/workload.js";
 import type { Point } from "./line.js";
 import {
   type Seen,
@@ -33,7 +33,7 @@
       "controller_machine_memory",
       "MB",
       "machine",
-      points(sized, (seen) => seen.controller.mostMb),
+      points(sized, (seen) => seen.controller.maxMemoryMb),
     ),
     slopeOf(
       "worker_idle_processor",
@@ -45,7 +45,7 @@
       "worker_idle_memory",
       "MB",
       "worker",
-      points(sized, (seen) => seen.workers.mostMb),
+      points(sized, (seen) => seen.workers.maxMemoryMb),
     ),
     slopeOf("worker_idle_sent", "bytes/s", "worker", points(sized, bytesAWorker("sent"))),
     slopeOf("worker_idle_received", "bytes/s", "worker", points(sized, bytesAWorker("received"))),
@@ -58,7 +58,7 @@
     perMachine.map((each) => each * machines),
     (size) => {
       const cpus = (CORES_A_MACHINE * machines) / size;
-      const ram = (PLAIN.ram * machines) / size;
+      const ram = (CPU_MACHINE.ram * machines) / size;
       return observe(planOf({ machines, jobs: [service(1, size, { cpus, ram })] }), seconds, (seen) => running(seen) >= size);
     },
   );
@@ -68,7 +68,7 @@
       "controller_running_task_memory",
       "MB",
       "task",
-      points(sized, (seen) => seen.controller.mostMb),
+      points(sized, (seen) => seen.controller.maxMemoryMb),
     ),
     slopeOf(
       "worker_running_task_processor",
@@ -85,7 +85,7 @@
 
 function staggeredArrays(count: number, tasks: number, runMs: number): PlannedJob[] {
   return Array.from({ length: count }, (_, i) =>
-    jobOf(i + 1, { tasks: Math.ceil(tasks / count) }, { atMs: i * 100, runMs: runMs * (0.7 + (0.6 * (i + 0.5)) / count) }),
+    buildJob(i + 1, { tasks: Math.ceil(tasks / count) }, { submitAtMs: i * 100, runMs: runMs * (0.7 + (0.6 * (i + 0.5)) / count) }),
   );
 }
 
@@ -103,7 +103,7 @@
       "controller_start_memory",
       "MB",
       "start and end a second",
-      points(sized, (seen) => seen.controller.mostMb, rate),
+      points(sized, (seen) => seen.controller.maxMemoryMb, rate),
     ),
     slopeOf(
       "worker_start_processor",
@@ -132,7 +132,7 @@
 export async function submissionSlopes(rates: number[], seconds: number): Promise<Slope[]> {
   const sized = await overSizes(rates, (rate) => {
     const jobs = Array.from({ length: rate * (seconds + 30) }, (_, i) =>
-      jobOf(i + 1, { urgency: "urgent" }, { atMs: (i * 1000) / rate, runMs: 1000 }),
+      buildJob(i + 1, { urgency: "urgent" }, { submitAtMs: (i * 1000) / rate, runMs: 1000 }),
     );
     const busy = service(900_000, 160, {});
     return observe(planOf({ machines: 40, jobs: [busy, ...jobs] }), seconds, (seen) => running(seen) >= 160);
@@ -163,7 +163,7 @@
 export async function rentalSlopes(sizes: number[]): Promise<Slope[]> {
   const counted = await Promise.all(
     sizes.map(async (size): Promise<Point> => {
-      const cell = new Cell(planOf({ jobs: [service(1, size, { cpus: CORES_A_MACHINE })] }));
+      const cell = new TestCluster(planOf({ jobs: [service(1, size, { cpus: CORES_A_MACHINE })] }));
       try {
         await cell.start();
         const before = await cell.snapshot();
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import { figuresOf, loadAssumptions } from "../measure/capacity/figures.js";
 import { withTables, workedOut } from "../measure/capacity/page.js";
-import { loadSlopes, loadsOf, slopeNamed, SlopesFault, type Amounts } from "../measure/scale/model.js";
-import { loadTarget, parseTarget, TargetFault } from "../measure/scale/target.js";
+import { loadSlopes, predictLoads, findSlope, SlopesFileError, type Amounts } from "../measure/scale/model.js";
+import { loadTarget, parseTarget, TargetFileError } from "../measure/scale/target.js";
 import { byPairs, fit } from "../measure/slopes/line.js";
 
 const PAGE = "docs/CAPACITY.md";
@@ -25,7 +25,7 @@
     try {
       parseTarget("t.json", change);
     } catch (error) {
-      assert.ok(error instanceof TargetFault);
+      assert.ok(error instanceof TargetFileError);
       return error.message;
     }
     return "";
@@ -34,28 +34,28 @@
   assert.match(errorOf(text.replace('"workers": 3500', '"workers": -1')), /^t\.json: workers: /);
   assert.match(errorOf(text.replace('"workers"', '"machines"')), /t\.json: workers: .*; t\.json: \(top\): .*machines/);
   assert.throws(() => loadSlopes(`${FOLDER}/target.json`), /target\.json: slopes: expected a list/);
-  assert.throws(() => slopeNamed(new Map(), "nothing"), SlopesFault);
+  assert.throws(() => findSlope(new Map(), "nothing"), SlopesFileError);
 });
 
 test("the load of a role is slope times amount, and grows with the amounts", () => {
-  const { named, bytes } = loadSlopes(`${FOLDER}/slopes.json`);
+  const { slopes, bytes } = loadSlopes(`${FOLDER}/slopes.json`);
   const amounts: Amounts = {
     ...{ controllers: 4, machines: 1000, tasks: 10_000, teams: 340, startsPerS: 100, smallJobsPerS: 1, pollsPerS: 10, arraysEnding: 5 },
     ...{ rentalsPerS: 0, openJobs: 100, finishedJobs: 100 },
   };
-  const base = loadsOf(named, bytes, amounts);
-  const more = loadsOf(named, bytes, { ...amounts, startsPerS: 200 });
-  const coresPerStart = slopeNamed(named, "controller_start").slope / 1000;
+  const base = predictLoads(slopes, bytes, amounts);
+  const more = predictLoads(slopes, bytes, { ...amounts, startsPerS: 200 });
+  const coresPerStart = findSlope(slopes, "controller_start").slope / 1000;
   assert.ok(Math.abs(more.controller_cores - base.controller_cores - (100 * coresPerStart) / 4) < 1e-9);
-  assert.ok(loadsOf(named, bytes, { ...amounts, finishedJobs: 10_000 }).controller_mb > base.controller_mb);
-  assert.ok(loadsOf(named, bytes, { ...amounts, controllers: 22 }).peer_bytes_per_s > 20 * base.peer_bytes_per_s);
+  assert.ok(predictLoads(slopes, bytes, { ...amounts, finishedJobs: 10_000 }).controller_mb > base.controller_mb);
+  assert.ok(predictLoads(slopes, bytes, { ...amounts, controllers: 22 }).peer_bytes_per_s > 20 * base.peer_bytes_per_s);
 });
 
 test("the capacity page matches the figures computed from its input files", () => {
   const target = loadTarget(`${FOLDER}/target.json`);
   const assumptions = loadAssumptions(`${FOLDER}/assumptions.json`);
-  const { named, bytes } = loadSlopes(`${FOLDER}/slopes.json`);
-  const figures = figuresOf(target, assumptions, named, bytes);
+  const { slopes, bytes } = loadSlopes(`${FOLDER}/slopes.json`);
+  const figures = figuresOf(target, assumptions, slopes, bytes);
   const page = readFileSync(PAGE, "utf8");
   assert.equal(withTables(page, workedOut(target, assumptions, figures)), page, "run: npm run capacity -- --write");
   assert.ok(figures.controlMachines <= target.control_machines);
