--- a/measure/scale/fleet.ts
+++ b/measure/scale/fleet.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
 import type { TeamSettings } from "../../src/settings/platform-file.js";
-import type { ClusterPlan } from "./test-cluster.js";
+import type { ClusterPlan } from "./cluster-plan.js";
 import type { PlannedJob } from "./messages.js";
 import type { Target } from "./target.js";
 import { capacityByOffering, GPUS_PER_MACHINE, GPU_MACHINE, buildJob, CPU_MACHINE, teamName, zoneNames } from "./workload.js";
--- a/measure/scale/test-cluster.ts
+++ b/measure/scale/test-cluster.ts
@@ -4,28 +4,26 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
-import { stringify } from "smol-toml";
-import type { HistoryEvent } from "@thorntrail/emulator/checker";
-import { CloudModel } from "@thorntrail/emulator/cloud-model";
+import type { HistoryEvent } from "../../packages/emulator/src/checker.js";
+import { CloudModel } from "../../packages/emulator/src/cloud-model.js";
 import type { NetworkRule } from "@thorntrail/emulator/network-rules";
-import { isTakeover } from "@thorntrail/emulator/recovery";
-import { sendRequest, parseObject, readBody, sendResponse } from "@thorntrail/emulator/real/http";
-import { Processes } from "@thorntrail/emulator/real/processes";
+import { isTakeover } from "../../packages/emulator/src/recovery.js";
+import { sendRequest, parseObject, readBody, sendResponse } from "../../packages/emulator/src/real/http.js";
+import { Processes } from "../../packages/emulator/src/real/processes.js";
 import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
-import type { MachineType } from "@thorntrail/protocol/cloud";
-import type { TeamSettings } from "../../src/settings/platform-file.js";
 import { runOf } from "../start.js";
+import { controllerSettings, storeSettings, TIMING, type ClusterPlan } from "./cluster-plan.js";
 import {
   monotonicMs,
   type ClientsStats,
   type ClientsToCoordinator,
   type WorkersToCoordinator,
-  type PlannedJob,
   type TaskEvent,
   type CoordinatorToClients,
   type CoordinatorToWorkers,
   type WorkersStats,
 } from "./messages.js";
+import { readStateCounters, sumControllerMetric, type StateCounters } from "./metrics.js";
 import { reservePorts } from "./ports.js";
 import { readLoopbackTraffic, readMemoryMb, readProcessorMs, type Traffic } from "./usage.js";
 
@@ -34,32 +32,6 @@
 
 const FORK_HEAP_LIMIT_MB = 900;
 const START_TIMEOUT_MS = 60_000;
-const TIMING = { reportMs: 2500, leaseMs: 18_000, gangWaitMs: 35_000, gangPeerMs: 4000, cancelMs: 43_000, listLagMs: 3000 };
-
-/** Size, settings and jobs of a test cluster. */
-export interface ClusterPlan {
-  controllers: number;
-  teams: TeamSettings[];
-  objectives: { kind: string; class?: string; within_s: number; share: number }[];
-  types: MachineType[];
-  /** Number of machines that the cloud has, by `type/zone/ordinary` and `type/zone/spot`. */
-  capacity: Map<string, number>;
-  jobs: PlannedJob[];
-  /** Number of processes among which the hollow workers are divided. */
-  workerProcesses: number;
-  /** Limits of the state service. */
-  state: { rps: number; writeRps: number; valueKb: number; txnOps: number };
-  /** Rate limit of the cloud for each controller, in requests per second. */
-  cloudRps: number;
-  /** Quota of each controller: sockets and memory. */
-  sockets: number;
-  memMb: number;
-  /** Rate of polls of random accepted jobs. */
-  pollsPerS: number;
-  /** Whether each job is polled until it is done; true by default. */
-  pollUntilDone?: boolean;
-  seed: number;
-}
 
 /** Resource use of one role over an interval. */
 export interface RoleUsage {
@@ -71,15 +43,6 @@
   maxMemoryMb: number;
 }
 
-/** Counters of the state service. */
-export interface StateCounters {
-  changes: number;
-  conflicts: number;
-  refused: number;
-  ledger: number;
-  groupAnswers: number;
-}
-
 /** All counters at one point in time. */
 export interface Snapshot {
   /** In ms of the monotonic clock. */
@@ -101,16 +64,6 @@
 const roleOfProcess = (name: string): Role =>
   name.startsWith("nest-") ? "controller" : name.startsWith("workers-") ? "workers" : (name as "store" | "clients" | "cloud");
 
-/** Returns the metrics whose names begin with `prefix`, by their name without it and their labels. */
-function parseMetrics(text: string, prefix: string): Map<string, number> {
-  const found = new Map<string, number>();
-  for (const line of text.split("\n")) {
-    const match = /^([a-z_]+)(\{[^}]*\})? ([-0-9.e+]+)$/.exec(line);
-    if (match !== null && match[1]!.startsWith(prefix)) found.set(match[1]!.slice(prefix.length) + (match[2] ?? ""), Number(match[3]));
-  }
-  return found;
-}
-
 /** Leaves the machine offering empty: the only rule checked here, that no task runs on two machines, does not need it. */
 function toHistoryEvent([at, taskId, host, cause]: TaskEvent): HistoryEvent {
   if (cause !== null) return { at, kind: "off", piece: taskId, host, cause };
@@ -174,6 +127,7 @@
     };
   }
 
+  /** Evaluates a line that the store or a controller logged. */
   private handleLogLine(name: string, line: string): void {
     let entry: { level?: unknown; msg?: unknown; ms?: unknown; machines?: unknown; spent?: Record<string, [number, number]> } = {};
     try {
@@ -224,13 +178,11 @@
       const known = this.controllerNames
         .map((host_name, j) => ({ host_name, area: "a", peer_addr: addressOf(j, 1) }))
         .filter((_, j) => j !== i);
-      this.writeSettings(i, {
-        front: addressOf(i, 0),
-        peer_listen: addressOf(i, 1),
-        known,
-        endpoints: { cloud: addressOf(i, 2), state: this.stateAddress },
-      });
-      await this.startController(this.controllerNames[i]!);
+      const endpoints = { cloud: addressOf(i, 2), state: this.stateAddress };
+      const name = this.controllerNames[i]!;
+      const settings = controllerSettings(this.plan, name, { front: addressOf(i, 0), peer_listen: addressOf(i, 1), known, endpoints });
+      writeFileSync(join(this.directory, `${name}.toml`), settings);
+      await this.startController(name);
     }
     await this.waitUntilHealthy();
     const { jobs, pollsPerS, seed, pollUntilDone = true } = plan;
@@ -246,10 +198,7 @@
 
   /** Starts the state service; returns the address that it listens on. */
   private async startStore(port: number, adminPort: number): Promise<string> {
-    const { rps, writeRps, valueKb, txnOps } = this.plan.state;
-    const limits = { requests_per_second: rps, changes_per_second: writeRps, value_kb: valueKb, changes_per_transaction: txnOps };
-    const block = Object.entries(limits).map(([name, value]) => `  ${name} = ${value}\n`);
-    writeFileSync(join(this.directory, "store.hcl"), `limits {\n${block.join("")}}\nconnections = 8000\n`);
+    writeFileSync(join(this.directory, "store.hcl"), storeSettings(this.plan));
     this.adminAddress = `127.0.0.1:${adminPort}`;
     const args = ["--listen", `127.0.0.1:${port}`, "--data", join(this.directory, "state"), "--config", join(this.directory, "store.hcl")];
     const line = await this.processes.start(
@@ -262,7 +211,7 @@
     return String(parseObject(line)["listening"]);
   }
 
-  /** Starts an endpoint of the emulated cloud. Each controller has one of its own, because the rate limit applies to each. */
+  /** Starts an endpoint of the emulated cloud. Each controller has one of its own, with its own rate limit. */
   private async startCloudServer(port: number): Promise<void> {
     const stub = new CloudStub(this.cloud, { now: monotonicMs }, this.plan.cloudRps);
     const server = createServer((req, res) => {
@@ -309,32 +258,6 @@
     });
   }
 
-  /** Writes the settings file of controller `i`; `own` are its addresses. */
-  private writeSettings(i: number, own: Record<string, unknown>): void {
-    const { plan } = this;
-    const zones = [...new Set(plan.types.flatMap((type) => type.zones))];
-    const workerSettings = Object.fromEntries(
-      (["report", "lease", "gangWait", "gangPeer", "cancel"] as const).map((name) => [
-        `${name.replace(/[A-Z]/, (c) => `_${c.toLowerCase()}`)}_s`,
-        TIMING[`${name}Ms`] / 1000,
-      ]),
-    );
-    const { rps, writeRps, valueKb, txnOps } = plan.state;
-    const deployment = {
-      size: plan.controllers,
-      zones,
-      clock_off_ms: 1000,
-      teams: plan.teams,
-      objectives: plan.objectives,
-      workers: workerSettings,
-      state: { rps, write_rps: writeRps, value_kb: valueKb, txn_ops: txnOps },
-      cloud: { rps: plan.cloudRps * plan.controllers, list_lag_s: TIMING.listLagMs / 1000 },
-      quota: { core_share: 1, mem_mb: plan.memMb, sockets: plan.sockets },
-    };
-    const name = this.controllerNames[i]!;
-    writeFileSync(join(this.directory, `${name}.toml`), stringify({ host_name: name, area: "a", ...own, deployment }));
-  }
-
   /** Starts a controller, or starts it again after it was killed. */
   async startController(name: string): Promise<void> {
     await this.processes.start(name, ["serve", "--config", join(this.directory, `${name}.toml`)], { LOG_LEVEL: "info" }, false);
@@ -383,25 +306,9 @@
     });
   }
 
-  private async readStateCounters(): Promise<StateCounters> {
-    const response = await sendRequest(false, this.adminAddress, "GET", "/metrics", undefined, 5000);
-    const metrics = parseMetrics(response?.text ?? "", "thorntrail_store_");
-    const read = (name: string): number => metrics.get(name) ?? NaN;
-    return {
-      changes: read("changes_total"),
-      conflicts: read("conflicts_total"),
-      refused: read("refused_total"),
-      ledger: read("ledger"),
-      groupAnswers: read("group_answers_total"),
-    };
-  }
-
   /** Returns the sum of a metric over all controllers; one without the metric counts as 0. */
   async controllerMetricSum(name: string): Promise<number> {
-    const responses = await Promise.all(
-      this.apiAddresses.map((address) => sendRequest(false, address, "GET", "/metrics", undefined, 5000)),
-    );
-    return responses.reduce((sum, response) => sum + (parseMetrics(response?.text ?? "", "thorntrail_").get(name) ?? 0), 0);
+    return sumControllerMetric(this.apiAddresses, name);
   }
 
   /** Reads all counters now. */
@@ -410,7 +317,7 @@
       Array.from({ length: this.plan.workerProcesses }, (_, i) => this.requestStats<WorkersStats>(`workers-${i}`)),
     );
     const clients = await this.requestStats<ClientsStats>("clients");
-    const state = await this.readStateCounters();
+    const state = await readStateCounters(this.adminAddress);
     const processorMs = new Map([...this.pids].map(([name, pid]) => [name, readProcessorMs(pid)]));
     processorMs.set("cloud", readProcessorMs(process.pid));
     const machineCounts = { machinesRented: this.cloud.machines.size, machinesRemoved: this.cloud.machines.size - this.cloud.rentedCount };
--- a/measure/slopes/observe.ts
+++ b/measure/slopes/observe.ts
@@ -1,5 +1,6 @@
 import type { JobSpec } from "../../packages/protocol/src/jobs.js";
-import { TestCluster, type ClusterPlan, type RoleUsage, type Snapshot } from "../scale/test-cluster.js";
+import type { ClusterPlan } from "../scale/cluster-plan.js";
+import { TestCluster, type RoleUsage, type Snapshot } from "../scale/test-cluster.js";
 import type { PlannedJob } from "../scale/messages.js";
 import { capacityByOffering, equalTeams, buildJob, CPU_MACHINE } from "../scale/workload.js";
 import type { Point } from "./line.js";
