--- a/measure/scale.ts
+++ b/measure/scale.ts
@@ -46,11 +46,11 @@
 /** Figures of the report by name. */
 type Figures = Record<string, number | string>;
 
-const runningTasks = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one.running));
-const taskStarts = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one.starts));
+const runningTasks = (snapshot: Snapshot): number => sum(snapshot.workers.map((stats) => stats.running));
+const taskStarts = (snapshot: Snapshot): number => sum(snapshot.workers.map((stats) => stats.starts));
 /** Machines rented and machines removed so far, added up. */
 const rentalsAndRemovals = (snapshot: Snapshot): number => snapshot.machinesRented + snapshot.machinesRemoved;
-const workersUp = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one.workers));
+const workersUp = (snapshot: Snapshot): number => sum(snapshot.workers.map((stats) => stats.workers));
 
 /** Task starts per second, in the busiest second and on average over the five busiest consecutive seconds. */
 function peakStarts(snapshot: Snapshot): { second: number; fiveSeconds: number } {
@@ -90,12 +90,12 @@
 /** Returns the reasons why the run is invalid; none if it is valid. */
 function invalidReasons({ from, to }: Phase): string[] {
   const reasons: string[] = [];
-  to.workers.forEach((one, i) => {
-    if (one.loopP99Ms > MAX_LOOP_DELAY_MS) reasons.push(`workers-${i}: loop p99 ${one.loopP99Ms.toFixed(0)} ms`);
+  to.workers.forEach((stats, i) => {
+    if (stats.loopP99Ms > MAX_LOOP_DELAY_MS) reasons.push(`workers-${i}: loop p99 ${stats.loopP99Ms.toFixed(0)} ms`);
   });
   if (to.clients.loopP99Ms > MAX_LOOP_DELAY_MS) reasons.push(`clients: loop p99 ${to.clients.loopP99Ms.toFixed(0)} ms`);
-  const reports = sum(to.workers.map((one) => one.reports)) - sum(from.workers.map((one) => one.reports));
-  const late = sum(to.workers.map((one) => one.lateReports)) - sum(from.workers.map((one) => one.lateReports));
+  const reports = sum(to.workers.map((stats) => stats.reports)) - sum(from.workers.map((stats) => stats.reports));
+  const late = sum(to.workers.map((stats) => stats.lateReports)) - sum(from.workers.map((stats) => stats.lateReports));
   if (late > reports * MAX_LATE_REPORT_SHARE) reasons.push(`${late} of ${reports} reports were late`);
   return reasons;
 }
@@ -115,7 +115,7 @@
     [`${name}_loopback_bytes_per_s`]: (to.traffic.bytes - from.traffic.bytes) / seconds,
     [`${name}_loopback_packets_per_s`]: (to.traffic.packets - from.traffic.packets) / seconds,
   };
-  const bytes = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one.sent + one.received));
+  const bytes = (snapshot: Snapshot): number => sum(snapshot.workers.map((stats) => stats.sent + stats.received));
   figures[`${name}_worker_bytes_per_s`] = (bytes(to) - bytes(from)) / seconds / Math.max(1, workersUp(to));
   for (const [role, use] of cluster.usage(from, to)) {
     figures[`${name}_${role}_cores`] = use.cores;
@@ -229,12 +229,12 @@
       ...{ poll_p99_ms: end.clients.pollMs.p99, quota_transfers: cluster.logLineCounts.get("quota transferred") ?? 0 },
       answers: end.clients.responses.map(([status, count]) => `${status}: ${count}`).join(", "),
       most_workers: maxWorkers,
-      most_running_tasks: sum(end.workers.map((one) => one.maxRunning)),
+      most_running_tasks: sum(end.workers.map((stats) => stats.maxRunning)),
       error_lines: cluster.errorLines.length,
       first_error: cluster.errorLines[0] ?? "none",
       ...(await faultFigures(cluster)),
       ended_by_itself: cluster.unexpectedExits.filter((exit) => !exit.startsWith("nest-0 (SIGKILL")).join(", ") || "none",
-      worker_loop_worst_ms: Math.max(...end.workers.map((one) => one.loopMaxMs)),
+      worker_loop_worst_ms: Math.max(...end.workers.map((stats) => stats.loopMaxMs)),
       valid: reasons.length === 0 ? "yes" : `no: ${reasons.join("; ")}`,
     });
     return figures;
--- a/measure/scale/fault-run.ts
+++ b/measure/scale/fault-run.ts
@@ -22,7 +22,7 @@
         unavailable.add(fault.controller);
         setTimeout(() => unavailable.delete(fault.controller), forMs + RESTART_GRACE_MS).unref();
       }
-      const description = kind === "networkRule" ? fault.what : `${kind} ${fault.controller}`;
+      const description = kind === "networkRule" ? fault.label : `${kind} ${fault.controller}`;
       injectedFaults.push(`${description} ${(forMs / 1000).toFixed(1)} s`);
       progress(`fault: ${injectedFaults.at(-1)}`);
       if (kind === "networkRule") return cluster.addNetworkRule(fault.rule, forMs);
--- a/measure/scale/faults.ts
+++ b/measure/scale/faults.ts
@@ -5,7 +5,7 @@
 export type ScaleFault =
   | { atMs: number; kind: "restart" | "pause"; controller: string; forMs: number }
   /** Applied in the processes of the hollow workers. */
-  | { atMs: number; kind: "networkRule"; what: string; rule: NetworkRule; forMs: number };
+  | { atMs: number; kind: "networkRule"; label: string; rule: NetworkRule; forMs: number };
 
 /** Kinds of faults in the order in which they are used. */
 const FAULT_KINDS = ["restart", "quick restart", "pause", "cut", "late commands", "late reports", "kept reports", "split"] as const;
@@ -49,6 +49,6 @@
   });
 }
 
-function networkFault(atMs: number, what: string, rule: NetworkRule, forMs: number): ScaleFault {
-  return { atMs, kind: "networkRule", what, rule, forMs };
+function networkFault(atMs: number, label: string, rule: NetworkRule, forMs: number): ScaleFault {
+  return { atMs, kind: "networkRule", label, rule, forMs };
 }
--- a/measure/scale/test-cluster.ts
+++ b/measure/scale/test-cluster.ts
@@ -39,7 +39,7 @@
   /** Cores used by all processes of the role, and by the process that used the most. */
   cores: number;
   maxCores: number;
-  /** Memory of the largest process, in MB. */
+  /** Memory of the largest process, in MB, at the time of the call of `usage`. */
   maxMemoryMb: number;
 }
 
@@ -122,7 +122,7 @@
     this.cloud.addrOf = (host) => this.workerAddresses.get(host) ?? "127.0.0.1:1";
     this.cloud.onRemoved = (host) => this.sendToWorkers(host, { kind: "remove", host });
     this.cloud.onBoot = (host, { type, zone, spot }) => {
-      const { cpus, gpus, ram } = plan.types.find((one) => one.name === type)!;
+      const { cpus, gpus, ram } = plan.types.find((machineType) => machineType.name === type)!;
       this.sendToWorkers(host, { kind: "boot", host, type, zone, spot, capacity: { cpus, gpus, ram } });
     };
   }
