--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,3 +1,5 @@
+/** The interface to the cloud, and the wire format of its machine types and machines. */
+
 /** A machine type that the cloud rents out. */
 export interface MachineType {
   name: string;
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -1,6 +1,7 @@
+/** Job descriptions: the stored form, and the decoding and encoding of users' submissions. */
 import * as z from "zod";
 
-/** Priority of a job, highest first. */
+/** Priority of a job, from highest to lowest. */
 export type Urgency = "critical" | "urgent" | "normal" | "low";
 /** `array`: independent tasks; `gang`: tasks that run at the same time; `service`: tasks that run until cancelled. */
 export type JobKind = "array" | "gang" | "service";
@@ -20,14 +21,21 @@
   ram: number;
   types: string[] | null;
   zone: string | null;
+  /** All tasks run in one zone. */
   oneZone: boolean;
+  /** No zone has more than half of the tasks. */
   spread: boolean;
+  /** The tasks may run on spot machines. */
   spot: boolean;
   image: string;
   imageGb: number;
+  /** The user's estimate of a task's run time. */
   guessS: number;
+  /** Interval between checkpoints of a task; 0 if it saves none. */
   checkpointS: number;
+  /** Time that a stopped task needs to save a final checkpoint. */
   flushS: number;
+  /** Deadline, counted from the submission. */
   deadlineS: number | null;
   /** Jobs that must be done before any task of this one starts. */
   needs?: string[];
@@ -39,7 +47,7 @@
 const name = z.string().min(1).max(MAX_NAME_LENGTH);
 const KIND_BY_SHAPE: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
 
-/** A request has no room for more. */
+/** Maximum number of jobs that a job can depend on; the size limit of a request does not admit more. */
 const MAX_NEEDS = 5000;
 
 const REF_PATTERN = /^run-\d{6,20}$/;
--- a/packages/protocol/src/state-wire.ts
+++ b/packages/protocol/src/state-wire.ts
@@ -1,3 +1,4 @@
+/** The wire format of requests to the state service, and the bounds that the protocol sets. */
 import * as z from "zod";
 
 /** Bounds that the protocol defines for every state service, independent of its settings. Sizes are in bytes, times in ms. */
@@ -10,7 +11,7 @@
   historyChanges: 10_000,
   ttlMs: { min: 100, max: 600_000 },
   blockMs: 60_000,
-  /** Maximum delay between the expiry of a lease and its end. */
+  /** Maximum time from the expiry of a lease until the service ends it and removes its keys. */
   maxExpiryDelayMs: 100,
   /** Maximum number of conditions in a transaction, as a multiple of the maximum number of changes. */
   conditionsPerChange: 4,
@@ -57,7 +58,7 @@
   return valueOrFault(grantSchema.safeParse(raw));
 }
 
-/** Describes what a key must look like if the text is not a valid one; null if it is. */
+/** Returns null if the text is a valid key, otherwise a description of what a valid key looks like. */
 export function keyFault(text: string): string | null {
   const parsed = key.safeParse(text);
   return parsed.success ? null : parsed.error.issues[0]!.message;
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -1,3 +1,4 @@
+/** The interface to the state service: transactions, watches, range reads and leases. */
 import { CallError } from "./errors.js";
 
 /** A condition of a transaction: key `k` was last changed at revision `stamp`; 0 means that it does not exist. */
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -1,8 +1,16 @@
+/** The worker protocol: reports, commands, and their wire format. */
 import * as z from "zod";
 
-/** State of a task attempt on a worker. */
+/**
+ * State of a task attempt on a worker. `fetching`: downloads its image; `gathering`: waits for the other members of its
+ * gang; `saving`: saves a final checkpoint after a `stop` command.
+ */
 export type TaskState = "fetching" | "gathering" | "running" | "saving" | "exited";
-/** Why a task attempt exited, or why a worker did not start it. */
+/**
+ * Why a task attempt exited, or why a worker did not start it. `alone`: the other members of its gang did not start in time;
+ * `mates_gone`: members of its gang went missing or were stopped; `no_room`: too little free capacity; `busy`: another attempt of the
+ * task is still on the worker; `no_such`: the worker does not know the job.
+ */
 export type ExitCause = "done" | "stopped" | "mates_gone" | "alone" | "error" | "no_room" | "busy" | "no_such";
 
 /** One task attempt in a worker's report. */
@@ -114,7 +122,7 @@
   );
 }
 
-/** Answer to a report: commands, a redirect to the owner of the machine's partition (`boss`, if known), or no answer. */
+/** Answer to a report: commands, a redirect to the owner of the machine's partition (`boss`, if known), or none (`silent`). */
 export type ReportAnswer =
   { kind: "orders"; token: number; orders: Order[] } | { kind: "elsewhere"; boss: string | null } | { kind: "silent" };
 
