--- a/packages/store/src/admin.ts
+++ b/packages/store/src/admin.ts
@@ -1,3 +1,4 @@
+/** The operators' interface of the store: health, metrics, limits and snapshots. */
 import type { Server } from "node:http";
 import express from "express";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
@@ -32,7 +33,7 @@
   gauge("waiting", "Requests that wait for the disk", () => store.status.waiting);
   gauge("trouble", "1 while storage does not take writes", () => Number(store.status.trouble !== null));
   gauge("groups_total", "Groups of changes made durable", () => store.stats.groups);
-  gauge("changes_total", "Changes asked for that were decided", () => store.stats.changes);
+  gauge("changes_total", "Requested changes that were decided", () => store.stats.changes);
   gauge("conflicts_total", "Transactions whose conditions failed", () => store.stats.conflicts);
   gauge("refused_total", "Requests refused before they were decided", () => store.stats.refused);
   const commit = new Histogram({
@@ -41,7 +42,11 @@
     buckets: [0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.2, 1],
     registers,
   });
-  const answers = new Counter({ name: "thorntrail_store_group_answers_total", help: "Answers that waited for groups", registers });
+  const answers = new Counter({
+    name: "thorntrail_store_group_answers_total",
+    help: "Answers sent once their group was durable",
+    registers,
+  });
   store.onGroupDurable = (ms, count) => {
     commit.observe(ms / 1000);
     answers.inc(count);
@@ -49,7 +54,7 @@
   return registry;
 }
 
-/** Serves the operators' interface at an address of its own: health, metrics, limits, and snapshots of the running store. */
+/** Serves the operators' interface on a separate address; rejects if the address cannot be bound. */
 export function serveAdmin(store: Store, engine: LevelEngine, host: string, port: number): Promise<Server> {
   const registry = storeMetrics(store);
   const app = express();
--- a/packages/store/src/core.ts
+++ b/packages/store/src/core.ts
@@ -21,9 +21,9 @@
 
 /**
  * The store's deterministic state machine: every decision is a function of the stored
- * state, the request and the time. Nothing here waits. Effects accumulate in a batch that
- * the caller makes durable, and no answer may be sent before everything that it depends on
- * is durable.
+ * state, the request and the time, and all methods are synchronous. Effects accumulate in a
+ * batch that the caller makes durable, and no answer may be sent before everything that it
+ * depends on is durable.
  */
 export class Core {
   private ledger: number;
@@ -69,7 +69,7 @@
     };
   }
 
-  /** The effects of all decisions since the last durable batch, or null if there are none. To be called once per commit group. */
+  /** Returns the effects of all decisions since the last durable batch, or null if there are none. Called once per commit group. */
   takeBatch(): Batch | null {
     const batch = this.pending;
     if (batch.ledger === this.ledger && batch.leases.size === 0) return null;
--- a/packages/store/src/entry.ts
+++ b/packages/store/src/entry.ts
@@ -1,3 +1,4 @@
+/** The store's commands: serve, check, snapshot and restore. */
 import { existsSync } from "node:fs";
 import { statfs } from "node:fs/promises";
 import { join } from "node:path";
@@ -25,7 +26,7 @@
 /** Interval between checks of the free disk space. */
 const DISK_CHECK_INTERVAL_MS = 1000;
 
-/** Monitors free disk space, so that changes are refused while less than the reserve is left: every answered change must fit in the log. */
+/** Monitors free disk space. Changes are refused while less than the reserve is left, because every answered change must fit in the log. */
 class DiskSpaceMonitor {
   private shortageText: string | null = null;
 
--- a/packages/store/src/folder.ts
+++ b/packages/store/src/folder.ts
@@ -1,3 +1,4 @@
+/** Opens the store's data folder and checks its format version. */
 import { existsSync, mkdirSync, openSync, fsyncSync, closeSync, readdirSync, readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { z } from "zod";
--- a/packages/store/src/key-metadata-cache.ts
+++ b/packages/store/src/key-metadata-cache.ts
@@ -11,8 +11,8 @@
 const ABSENT: KeyMetadata = { stamp: 0, permit: null };
 
 /**
- * LRU cache of the stamps and leases of keys, so that a transaction on recently used keys
- * does not read the engine (a tenth of the cost of a transaction). It holds durable data
+ * LRU cache of the stamps and leases of keys. A transaction on recently used keys then does
+ * not read the engine, which saves about a tenth of its cost. The cache holds durable data
  * only: it is updated once a batch has been written and cleared when the engine is reopened.
  */
 export class KeyMetadataCache {
--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -11,8 +11,8 @@
  *   p!LEASE           time to live in ms of a lease that has not ended
  *   a!LEASE!KEY       a key attached to a lease
  *   m!                ledger, floor and number of leases granted so far
- * Every value starts with a checksum, because LevelDB does not verify its own ones in
- * ordinary reads. A batch is written with one sync and is visible only after it.
+ * Every value starts with a checksum, because LevelDB does not verify its own checksums in
+ * ordinary reads. A batch is written with one sync and is visible only after the sync.
  */
 const KEY_PREFIX = "k!";
 const EVENT_PREFIX = "e!";
@@ -20,7 +20,7 @@
 const LEASE_PREFIX = "p!";
 const LEASE_KEY_PREFIX = "a!";
 const META_KEY = "m!";
-/** Upper bound of a prefix scan; sorts after every key with the prefix, because keys do not contain this character. */
+/** Upper bound of a prefix scan; sorts after every key in which the character that follows the prefix is below U+FFFF. */
 const RANGE_END = "\uffff";
 /** Digits that numbers in record names are padded to, so that they sort numerically. */
 const NUMBER_WIDTH = 16;
@@ -254,7 +254,7 @@
         JSON.parse(stored.text);
         if (stored.stamp > meta.ledger) report.faults.push(`${key} has revision ${stored.stamp}, past the ledger at ${meta.ledger}`);
         if (stored.permit !== null && leases.get(stored.permit)?.has(key) !== true)
-          report.faults.push(`${key} hangs on lease ${stored.permit}, which does not know it`);
+          report.faults.push(`${key} is attached to lease ${stored.permit}, which does not list it`);
       } else if (name.startsWith(EVENT_PREFIX)) {
         const { stamp } = decodeEvent(name, text);
         counts.set(stamp, (counts.get(stamp) ?? 0) + 1);
@@ -262,7 +262,7 @@
     }
     for (const { stamp, count } of meta.revisions)
       if ((counts.get(stamp) ?? 0) !== count)
-        report.faults.push(`revision ${stamp} had ${count} changes, ${counts.get(stamp) ?? 0} are there`);
+        report.faults.push(`revision ${stamp} should have ${count} changes, and has ${counts.get(stamp) ?? 0}`);
   } catch (error) {
     report.faults.push((error as Error).message);
   }
--- a/packages/store/src/server.ts
+++ b/packages/store/src/server.ts
@@ -41,7 +41,7 @@
   });
 }
 
-/** A whole number of up to `max` from the query, or the default if it is absent; throws `BadRequestError` if it is invalid. */
+/** Returns a whole number of at most `max` from the query, or the default if it is absent; throws `BadRequestError` if it is invalid. */
 function wholeNumber(query: URLSearchParams, name: string, defaultValue: number, max: number): number {
   const text = query.get(name);
   if (text === null) return defaultValue;
@@ -188,7 +188,7 @@
     try {
       key = decodeURIComponent(raw);
     } catch {
-      throw new BadRequestError("the key is not an encoded text");
+      throw new BadRequestError("the key is not valid percent-encoded text");
     }
     const { stored, ledger } = this.store.read(validKey(key, "key"));
     if (stored === undefined) return send(res, 404, `{"ledger":${ledger}}`);
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -1,11 +1,12 @@
+/** Reads settings files in HCL, and defines the settings of the store. */
 import { readFileSync } from "node:fs";
 import { z } from "zod";
 import type { StoreLimits } from "./store.js";
 
-/** An operators' settings file is invalid; the message names the file, the field and what was expected. */
+/** A settings file is invalid; the message names the file, the field and what was expected. */
 export class SettingsFault extends Error {}
 
-/** Replaces the one-element lists that the parser returns for blocks at every depth by the blocks; blocks named in `lists` stay lists. */
+/** The parser returns every block as a list. Replaces these lists by their single block, at every depth; blocks named in `lists` stay lists. */
 function unwrapBlocks(file: string, tree: unknown, lists: ReadonlySet<string>, path = ""): unknown {
   if (tree === null || typeof tree !== "object" || Array.isArray(tree)) return tree;
   const flat: Record<string, unknown> = {};
--- a/packages/store/src/snapshot-file.ts
+++ b/packages/store/src/snapshot-file.ts
@@ -1,3 +1,4 @@
+/** Writes and restores snapshot files of the store. */
 import { createHash } from "node:crypto";
 import { createReadStream, createWriteStream, existsSync, readdirSync, renameSync, rmSync } from "node:fs";
 import { open } from "node:fs/promises";
@@ -31,7 +32,7 @@
   ledger: number;
 }
 
-/** Writes a snapshot of the engine to `file`, which may be of a running store. The file appears under its name only when it is complete. */
+/** Writes a snapshot of the engine to `file`; the store may be running. The file appears under its name only when it is complete. */
 export async function writeSnapshot(engine: LevelEngine, file: string): Promise<SnapshotSummary> {
   const digest = createHash("sha256");
   const { ledger } = await engine.meta();
@@ -100,9 +101,9 @@
   try {
     for await (const line of createInterface({ input: text, crlfDelay: Infinity })) {
       const value = JSON.parse(line) as unknown;
-      if (trailer !== null) throw invalidFile("something follows the end");
+      if (trailer !== null) throw invalidFile("unexpected text after the trailer");
       if (entryCount < 0) {
-        if (JSON.stringify(value) !== JSON.stringify(HEADER)) throw invalidFile("expected the head of a store snapshot of this version");
+        if (JSON.stringify(value) !== JSON.stringify(HEADER)) throw invalidFile("expected the header of a store snapshot of this version");
       } else if (Array.isArray(value) && value.length === 2 && value.every((element) => typeof element === "string")) {
         digest.update(`${line}\n`);
         pendingEntries.push(value as [string, string]);
@@ -115,9 +116,9 @@
     if (error instanceof FolderError) throw error;
     throw invalidFile((error as Error).message);
   }
-  if (trailer === null) throw invalidFile("the file is cut short");
+  if (trailer === null) throw invalidFile("the file is truncated");
   if (trailer.entries !== entryCount || trailer.sha256 !== digest.digest("hex"))
-    throw invalidFile("the digest does not match what stands before");
+    throw invalidFile("the digest or the number of records does not match the file");
   await engine.putEntries(pendingEntries, true);
   return entryCount;
 }
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -39,7 +39,7 @@
 /** The request exceeds a limit and fails again for as long as the limits stay the same. Answered with 400. */
 export class LimitExceededError extends Error {}
 
-/** Interval between checks for expired leases, short enough that none outlives its time by more than the protocol allows. */
+/** Interval between checks for expired leases, short enough to end each within the delay that the protocol allows. */
 const LEASE_CHECK_INTERVAL_MS = STATE_BOUNDS.maxExpiryDelayMs / 2;
 /** If the last check is more than this many intervals ago, the process counts as stalled and all leases are refreshed. */
 const MAX_MISSED_LEASE_CHECKS = 10;
@@ -54,9 +54,10 @@
  * durable by group commit: while one group is being written, the next one accumulates. No
  * answer is sent before everything that it depends on is durable.
  *
- * Requests fail with `RateLimitError`, `LimitExceededError` (a limit is exceeded), `CorruptDataError` (a read
- * failed an integrity check) or `CallError`: `refused` if the request was not executed,
- * `unanswered` if its outcome is unknown.
+ * Requests fail with `RateLimitError`, `LimitExceededError` (too large a value, too many
+ * changes or conditions), `CorruptDataError` (a read failed an integrity check) or
+ * `CallError`: `refused` if the request was not executed, `unanswered` if its outcome is
+ * unknown.
  */
 export class Store {
   private core: Core;
@@ -152,7 +153,7 @@
 
   /** Throws if the service cannot take a request now or the rate limits are exceeded. */
   private admit(changes = 0): void {
-    if (this.closed) throw new CallError("refused", "the service is ending");
+    if (this.closed) throw new CallError("refused", "the service is shutting down");
     if (this.suspended) throw new CallError("refused", "the service is suspended");
     if (!this.requests.take() || !this.writes.take(changes)) throw new RateLimitError();
     if (this.storageError !== null) throw new CallError("refused", `storage: ${this.storageError.message}`);
@@ -205,7 +206,7 @@
       try {
         this.admit(changes);
         check();
-        if (this.waiting.length >= MAX_WAITING_REQUESTS) throw new CallError("refused", "too many wait for the disk");
+        if (this.waiting.length >= MAX_WAITING_REQUESTS) throw new CallError("refused", "too many requests wait for the disk");
       } catch (error) {
         this.stats.refused++;
         return reject(error as Error);
--- a/packages/store/test/model.test.ts
+++ b/packages/store/test/model.test.ts
@@ -227,7 +227,7 @@
   );
 });
 
-test("the history is trimmed to 10,000 changes by whole revisions, and following from before it returns too-old", async () => {
+test("the history is trimmed to 10,000 changes by whole revisions, and a watch from an older revision returns too-old", async () => {
   const clock = new ManualClock();
   const store = await Store.open(new MemoryEngine(), clock, LIMITS);
   for (let i = 0; i < 700; i++)
