--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -1,11 +1,12 @@
-import { make, sorters } from "covertable";
-import { decodeFault, type Fault } from "./faults.js";
-import { INJECTION_POINTS, type InjectionPoint, type RehearsalPlan } from "./plan.js";
-
 /**
  * Pairwise coverage: every pair of fault, injection point, duration and second fault occurs in some rehearsal, without
  * running all combinations.
  */
+import { make, sorters } from "covertable";
+import { decodeFault, type Fault } from "./faults.js";
+import { INJECTION_POINTS, type InjectionPoint, type RehearsalPlan } from "./plan.js";
+
+/** Durations of the injected faults, in seconds. */
 const durationsS = { short: 3, long: 30 } as const;
 type DurationName = keyof typeof durationsS;
 
@@ -51,7 +52,7 @@
   beside: string;
 }
 
-/** Warm-up time in seconds: before, there are no machines to affect. */
+/** Warm-up time in seconds; until it has passed, there are no machines to affect. */
 const WARMUP_S = 12;
 
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
@@ -74,7 +75,7 @@
   return decoded.fault;
 }
 
-/** Replaces the plan's faults by those of one case. The injection points of a takeover need a restart that causes one. */
+/** Replaces the plan's faults by those of one case. For an injection point of a takeover, adds a restart that causes a takeover. */
 export function planForCase(base: RehearsalPlan, one: CoverageCase): RehearsalPlan {
   const fault: RehearsalPlan["fault"] = [
     { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARMUP_S, fault: buildFault(one.fault, one.length) },
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -1,3 +1,4 @@
+/** Checks the recorded history of a run against the rules of the protocol. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 
 /** Job status as a user learns it from a response; `unknown` stands for 404, `refused` for 400 and 422. */
@@ -22,6 +23,7 @@
   | { at: number; kind: "asked-cancel"; ref: string }
   /** A poll that got a response other than 200 or 404, or none. */
   | { at: number; kind: "unanswered"; ref: string }
+  /** A task starts on a machine (`on`), or ends there (`off`). */
   | { at: number; kind: "on"; piece: string; host: string; type: string; zone: string; spot: boolean }
   | { at: number; kind: "off"; piece: string; host: string; cause: string }
   /** The machine becomes available for tasks (`up`) or stops being available (`gone`). */
@@ -114,8 +116,8 @@
         break;
       }
       case "told": {
-        // A status is checked only against responses received before this request was sent. Of two overlapping requests, either response
-        // may be the older one.
+        // A status that is not final is checked only against a final status received before its request was sent: of two overlapping
+        // requests, either response may be the older one.
         const { ref, what, asked = event.at } = event;
         unansweredSince.delete(ref);
         const finalSoFar = finalStatus.get(ref);
@@ -241,7 +243,7 @@
     this.nextCheckAt = limits.faultsEndAt ?? Infinity;
   }
 
-  /** Restarts the wait of a job one of whose tasks has started. */
+  /** Restarts the measured wait of a job when one of its tasks has started. */
   taskStarted(ref: string): void {
     this.waitingSince.delete(ref);
   }
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -1,3 +1,4 @@
+/** Model of a cloud that rents out machines, for virtual time and for real sockets. */
 import type { ListedMachine, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import type { CapacityOverride } from "./faults.js";
 import type { WrongResponseForm } from "./network-rules.js";
@@ -37,15 +38,15 @@
 /** Minimum charge per machine, in seconds of use. */
 const MIN_CHARGE_S = 60;
 
-/** For wrong lists: their additional lag in ms, and the number of deleted machines they contain. */
+/** For wrong lists: the additional lag in ms, and the number of deleted machines that a list contains. */
 const STALE_LIST_EXTRA_LAG_MS = 20_000;
 const DELETED_MACHINES_LISTED = 3;
 
 const offeringKey = ({ type, zone, spot }: MachineOffering): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
 /**
- * The cloud as PROTOCOL describes it: limited capacity, boot times, varying prices, a list that lags and may be older
- * than the previous one, and idempotent rentals by request name.
+ * The cloud as the protocol describes it: limited capacity, boot times, varying prices, a list of machines that lags and
+ * may be older than the previous list, and rentals that are idempotent by request name.
  */
 export class CloudModel {
   private count = 0;
@@ -176,7 +177,7 @@
     this.onRemoved(host);
   }
 
-  /** The machine fails by itself and is listed as failed until it is deleted. */
+  /** Makes the machine fail; it is listed as failed until it is deleted. */
   fail(host: string): void {
     const machine = this.machines.get(host);
     if (machine === undefined || machine.removedAt !== null || machine.failed) return;
@@ -204,8 +205,8 @@
   }
 
   /**
-   * Returns the list of machines as of some time ago. The lag varies, so a list can be older than the previous one;
-   * `olderMs` adds to it.
+   * Returns the list of machines as of some time ago. The lag varies, so a list can be older than the previous list.
+   * `olderMs` is added to the lag.
    */
   list(from: string | undefined, maxMachines: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
     const { lagMs, random } = this.options;
@@ -221,7 +222,7 @@
     return { machines, more: false };
   }
 
-  /** Returns an invalid list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
+  /** Returns a wrong list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
   invalidList(
     form: WrongResponseForm,
     from: string | undefined,
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -1,3 +1,4 @@
+/** The commands of the emulator: `demo`, `rehearse`, `emulator serve` and `fault`. */
 import { spawn, type ChildProcess } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -20,7 +21,10 @@
 
 const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
-/** `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if it did not go as planned. */
+/**
+ * `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if a rule broke, a job is
+ * not done, a fault affected nothing, no takeover occurred or a process ended by itself.
+ */
 export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: InjectionPointOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const { showProgress, endProgress } = progressLine();
@@ -44,7 +48,7 @@
   for (const { at, kind, met } of report.faults) process.stdout.write(`at ${at.toFixed(0)} s: ${kind} ${met.join(", ")}\n`);
   for (const line of [...report.broken, ...report.trouble]) process.stdout.write(`${line}\n`);
   const { done, submitted, unfinished } = report.jobs;
-  if (unfinished.length > 0) process.stdout.write(`not over: ${unfinished.join(", ")}\n`);
+  if (unfinished.length > 0) process.stdout.write(`unfinished: ${unfinished.join(", ")}\n`);
   process.stdout.write(`demo: ${done} jobs done, ${report.broken.length} rules broken, ${report.takeovers} takeovers\n`);
   const asPlanned = report.faults.length === plan.fault.length && report.faults.every(({ met }) => met.length > 0) && report.takeovers > 0;
   if (!passed(report) || done !== submitted || !asPlanned || report.trouble.some((line) => line.startsWith("ended"))) process.exitCode = 4;
@@ -57,7 +61,7 @@
   seed: number | undefined;
   report: string | undefined;
   momentOf: InjectionPointOf;
-  /** Runs a plan in virtual time, to minimise one that broke a rule. */
+  /** Runs a plan in virtual time; used to minimise a plan that broke a rule. */
   runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof runVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
@@ -92,7 +96,7 @@
   const breaks = async (one: RehearsalPlan): Promise<boolean> => (await play(one)).broken.length > 0;
   if (report.mode === "real" && !(await breaks(plan))) {
     endProgress();
-    process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat it on real processes\n");
+    process.stdout.write("in virtual time, with the same seed, the plan breaks no rule: repeat the run on real processes\n");
     return;
   }
   const found = await minimisePlan(plan, breaks, MAX_MINIMISE_RUNS);
@@ -120,20 +124,20 @@
   plan: string;
   seed: number | undefined;
   report: string | undefined;
-  /** Instead of the plan's own faults: pairs of fault and injection point, at most this number. */
+  /** Runs at most this number of cases, each with a fault at an injection point instead of the plan's own faults. */
   campaign: number | undefined;
-  /** Instead of the plan's own faults: two or three randomly generated ones for each seed; the number of seeds, from `seed` on. */
+  /** Number of seeds, from `seed` on. For each seed, two or three randomly generated faults replace the plan's own. */
   drawn?: number | undefined;
-  /** Instead of the plan's own faults: those that a soak generates; the number of seeds, from `seed` on. */
+  /** Number of seeds, from `seed` on. For each seed, the faults that a soak generates are added to the plan's own. */
   soak?: number | undefined;
-  /** Runs only the cases of this turn, such as `2/8`: set for the processes that share a campaign. */
+  /** Runs only this share of the cases, such as `2/8`; set for each of the processes that share a campaign. */
   turn?: string | undefined;
   /** Number of processes that share the campaign, and the command that starts each. */
   processes?: number | undefined;
   program?: string[];
 }
 
-/** Rehearsals for minimising one plan. */
+/** Maximum number of runs for minimising one plan. */
 const MAX_MINIMISE_RUNS = 60;
 
 /**
@@ -278,7 +282,7 @@
   const splits = played.filter(({ splitWhileRefused }) => splitWhileRefused).length;
   const compound = played.filter(({ met }) => met > 1).length;
   process.stdout.write(
-    `drawn: ${played.length} rehearsals, in ${compound} two troubles met somebody, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
+    `drawn: ${played.length} rehearsals, in ${compound} two or more faults affected something, in ${splits} a split while refused, ${bad.filter((one) => one.broken.length > 0).length} broke a rule, ${bad.length} left work, logged an error or broke a rule\n`,
   );
   if (bad.length > 0) process.exitCode = 4;
 }
@@ -310,7 +314,7 @@
     let errors = "";
     child.stderr.on("data", (data: Buffer) => {
       errors = (errors + data.toString()).slice(-2000);
-      // Each child writes one line before each rehearsal.
+      // Each child writes one line to standard error before each rehearsal.
       started += data.toString().split("\n").length - 1;
       options.showProgress(`${Math.min(started, options.count)} of ${options.count}, in ${options.processes} processes`);
     });
@@ -318,7 +322,7 @@
       child.once("error", reject);
       child.once("exit", (code, signal) => {
         running.delete(child);
-        // Exit code 4 means that a rule broke; the report contains it.
+        // Exit code 4 means that a rule broke or jobs are unfinished; the report has the details.
         if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(reportFile, "utf8")) as T);
         else reject(new CommandFailed(`process ${i} of the campaign ended with ${code ?? signal}: ${errors.trim().split("\n").at(-1)}`));
       });
--- a/packages/emulator/src/endpoint-selector.ts
+++ b/packages/emulator/src/endpoint-selector.ts
@@ -14,7 +14,7 @@
 
 const SERVICE_NAMES = new Set(["state", "cloud"]);
 
-/** The cloud names all machines in one form. */
+/** Whether the name is that of a machine: all names that the cloud assigns begin with `i-`. */
 export const isMachine = (name: string): boolean => name.startsWith("i-");
 
 /**
--- a/packages/emulator/src/environment.ts
+++ b/packages/emulator/src/environment.ts
@@ -1,3 +1,4 @@
+/** Timing of test environments, and the platform that a plan describes. */
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { RehearsalPlan } from "./plan.js";
 
@@ -12,7 +13,7 @@
   cloudRps: number;
 }
 
-/** Times as at users' sites. */
+/** The times of production installations. */
 export const DEFAULT_TIMING: Timing = {
   reportMs: 2500,
   leaseMs: 18_000,
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -1,15 +1,16 @@
+/**
+ * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
+ * processes and in virtual time.
+ */
 import { z } from "zod";
 import type { NetworkRule } from "./network-rules.js";
 import { isInSample, type MachineSample } from "./endpoint-selector.js";
 
-/**
- * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
- * processes and in virtual time. A target is a controller name, `leader` (the owner of the most machines) or `all` for
- * controllers, and a machine name, `busiest` or `any` for machines.
- */
 const seconds = z.number().finite().min(0).max(3600);
 const withDuration = { for: seconds.default(10) };
+/** The name of a controller, `leader` (the owner of the most machines) or `all`. */
 const controllerTarget = z.string().min(1).default("leader");
+/** The name of a machine, `busiest` or `any`. */
 const machineTarget = z.string().min(1).default("busiest");
 const count = z.number().int().min(1).max(1000);
 const service = z.enum(["state", "cloud"]);
@@ -97,8 +98,8 @@
   z.strictObject({ kind: z.literal("cut-machine"), target: machineTarget, ...withDuration }),
   /**
    * A share of the machines reaches only the target, or every controller except the target, in both directions or in
-   * one. The two variants select machines from opposite ends of the range, so two splits of one target whose shares add
-   * up to at most 1 affect disjoint machines.
+   * one. The two variants select machines from opposite ends of the range of name hashes, so two splits of one target
+   * whose shares add up to at most 1 affect disjoint machines.
    */
   z.strictObject({
     kind: z.literal("split"),
@@ -113,8 +114,8 @@
   /** The machine's reports reach no controller; direct commands reach it and are answered. */
   z.strictObject({ kind: z.literal("mute"), target: machineTarget, count: count.default(1), ...withDuration }),
   /**
-   * Duplicates this share of all worker reports, 2 s to `ms` later or, with `for_next`, at all controllers once one of
-   * them takes over a partition.
+   * Delivers this share of all worker reports a second time: 2 s to `ms` later to the same controller or, with
+   * `for_next`, to all controllers once one of them takes over a partition.
    */
   z.strictObject({
     kind: z.literal("late-reports"),
@@ -144,7 +145,7 @@
    * their machines hang for `hang`.
    */
   z.strictObject({ kind: z.literal("cancel-now"), count: count.default(5), hang: seconds.default(0) }),
-  /** This share of the jobs is cancelled at the moment their last task ends. */
+  /** Users cancel this share of the jobs when their last task ends. */
   z.strictObject({ kind: z.literal("cancel-at-end"), share: share.default(0.5), ...withDuration }),
   /** Users repeat submissions, cancel finished jobs, and submit jobs that fit no machine or lack a field. */
   z.strictObject({ kind: z.literal("odd-requests"), ...withDuration }),
@@ -206,7 +207,7 @@
   restart(controller: string, downMs: number): void;
   freeze(controller: string, ms: number): void;
   restartStore(downMs: number): void;
-  /** `on` false ends the outage; leases then get their full duration again. */
+  /** Begins (`on`) or ends an outage. In virtual time, leases get their full time to live again when an outage begins or ends. */
   outage(of: "state" | "cloud", on: boolean): void;
   /** Adds a network rule and returns the function that removes it. */
   rule(asked: NetworkRule): () => void;
@@ -263,8 +264,8 @@
 type SplitFault = Extract<Fault, { kind: "split" }>;
 
 /**
- * Splits a share of the machines from the target, or from every other controller. `affected`: those of them that currently
- * report to the target.
+ * Separates a share of the machines from the target, or from every other controller. Returns the separated machines that
+ * currently report to the target (`affected`), and a function that ends the split.
  */
 function injectSplit(
   stage: FaultEnvironment,
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -1,14 +1,17 @@
+/** Plan files: an environment, the work submitted to it, and the faults injected into it. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { loadHcl, parseHcl } from "@thorntrail/store/settings";
 import { z } from "zod";
 import { faultSchema } from "./faults.js";
 
-/** Plan files: an environment, the work submitted to it, and the faults injected into it. */
 const nonNegative = z.number().finite().min(0);
 const positive = z.number().finite().positive();
 const name = z.string().min(1).max(100);
 
-/** Points in a run at which a plan can inject a fault. */
+/**
+ * Points in a run at which a plan can inject a fault. `handing-over`: a partition returns to its home controller; `cession`: a transfer of
+ * quota between partitions; `pipeline-release`: the record that a job is done, on which other jobs may depend.
+ */
 export const INJECTION_POINTS = [
   "submission",
   "first-placement",
@@ -52,19 +55,19 @@
   spot: z.boolean().default(false),
   one_zone: z.boolean().default(false),
   image_gb: nonNegative.default(1),
-  /** Relative to the submission, in seconds. */
+  /** In seconds from the submission. */
   deadline: positive.optional(),
   /** Interval between submissions in seconds; the first is at `from`. */
   every: positive,
   from: nonNegative.default(0),
   jobs: z.number().int().min(1).max(10_000),
-  /** Each job depends on the job of that other work with the same index. */
+  /** Name of other work: each job depends on the job of that work with the same index. */
   after: name.optional(),
   /** Each job is cancelled this many seconds after it was accepted. */
   cancelled_after: positive.optional(),
 });
 
-/** `from`: the fault is injected at the first occurrence of the injection point after this many seconds. */
+/** When a fault is injected: `at` this many seconds, or at the first occurrence of the injection point `moment` from `from` seconds on. */
 const timing = z
   .object({ at: nonNegative.optional(), moment: z.enum(INJECTION_POINTS).optional(), from: z.union([nonNegative, z.string()]).optional() })
   .loose();
@@ -93,7 +96,7 @@
     seconds: positive.max(3600),
     controllers: z.number().int().min(1).max(9).default(3),
     seed: z.number().int().min(0).default(1),
-    /** Time to recover: by its end, every job submitted before is finished or running. */
+    /** How long a run waits, after `seconds`, for unfinished jobs. Jobs that are then still unfinished count as a failure. */
     settle: nonNegative.default(60),
     state: z
       .strictObject({
--- a/packages/emulator/src/random-plans.ts
+++ b/packages/emulator/src/random-plans.ts
@@ -1,12 +1,13 @@
+/**
+ * Randomly generated plans: two or three faults of all kinds, the later ones placed relative to the first. Three of ten
+ * seeds generate a scenario in which two controllers both act as owner of a partition. The plan of a seed describes its
+ * run completely and can be replayed on its own.
+ */
 import { decodeFault } from "./faults.js";
 import { seededRandom } from "./random.js";
 import { INJECTION_POINTS, type TimedFault, type RehearsalPlan } from "./plan.js";
 
-/**
- * Randomly generated plans: two or three faults of all kinds, the later ones placed relative to the first. Three of ten
- * seeds generate a partition with two controllers that both act as its owner. The plan of a seed describes its run
- * completely and can be replayed on its own.
- */
+/** Generates the definition of one fault. */
 type FaultGenerator = (random: RandomSource) => Record<string, unknown>;
 
 class RandomSource {
@@ -26,8 +27,8 @@
 }
 
 /**
- * Ranges of durations in seconds: an instant, several report intervals, nearly a lease, more than a lease, and longer
- * than the time limit for a cancellation.
+ * Ranges of durations in seconds: an instant, a few report intervals, about the duration of a lease, longer than a lease,
+ * and longer than the time limit for a cancellation.
  */
 const DURATIONS_S: readonly (readonly [number, number])[] = [
   [0.1, 1],
@@ -114,8 +115,8 @@
 /**
  * One controller loses the state service and keeps answering workers until it has to stop; the commands of its
  * successors arrive late. Meanwhile machines contact other controllers, jobs are cancelled, and some machines then
- * receive nothing from any controller. Independently generated faults almost never combine in this way: the defects
- * found here before had been found only by reading the code.
+ * receive nothing from any controller. Independently generated faults almost never combine in this way: earlier defects
+ * of this kind were found only by reading the code.
  */
 function dualOwnerFaults(random: RandomSource, at: number): TimedFault[] {
   const formerOwner = random.pick(CONTROLLERS);
@@ -128,8 +129,8 @@
       ]),
     ],
   ];
-  // Half of the time all steps occur: the successors' commands are delayed throughout, the former owner's too, and afterwards machines
-  // can be neither reached nor deleted.
+  // For half of the seeds all steps occur: the commands of the successors are delayed throughout, those of the former owner are delayed
+  // too, and afterwards the machines can be neither reached nor deleted.
   const allSteps = random.pick([true, false]);
   const include = (share: number): boolean => allSteps || random.decimal(0, 1) < share;
   const successors = CONTROLLERS.filter((name) => name !== formerOwner);
@@ -194,8 +195,8 @@
 
 /**
  * The state service refuses one controller for longer than a lease; some of its machines reach only that controller,
- * others every controller but it. Its successor answers the latter while the refused controller may still consider them
- * its own, and cannot reach the former.
+ * others every controller but it. The successor answers the second group while the refused controller may still consider
+ * these machines its own, and cannot reach the first group.
  */
 function refusedWhileSplitFaults(random: RandomSource, at: number): TimedFault[] {
   const target = random.pick(CONTROLLERS);
--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -1,3 +1,4 @@
+/** Administration interface of a running emulator. */
 import type { Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import express from "express";
@@ -6,7 +7,7 @@
 import type { TestEnvironment } from "./test-environment.js";
 
 const MAX_BODY = "64kb";
-/** Lower bound for the run time of jobs submitted here, in seconds; otherwise they run as long as their estimate (`guessS`). */
+/** Minimum run time of jobs submitted through this interface, in seconds. They run for their estimate (`guessS`) if that is longer. */
 const MIN_RUN_S = 0.1;
 
 /**
--- a/packages/emulator/src/real/balancer.ts
+++ b/packages/emulator/src/real/balancer.ts
@@ -1,10 +1,11 @@
+/** The load balancer in front of the controllers. All times in this file are in ms. */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
 import { sendRequest } from "./http.js";
 
-/** Interval and timeout of the health probes. All times in this file are in ms. */
+/** Interval and timeout of the health probes. */
 const PROBE_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 500;
-/** Nodes tried for one connection, and failures in a row after which a node is skipped for `SKIP_MS`. */
+/** Maximum number of nodes tried for one connection, and of failures in a row after which a node is skipped for `SKIP_MS`. */
 const MAX_TRIES = 3;
 const SKIP_MS = 3000;
 /** How long a node stays out once unhealthy. The delay doubles, up to `max`, if the node last became unhealthy less than `window` ago. */
--- a/packages/emulator/src/real/fault-proxy.ts
+++ b/packages/emulator/src/real/fault-proxy.ts
@@ -1,3 +1,4 @@
+/** HTTP proxy between one controller and one service, which applies the network rules. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { NetworkRules, WrongResponseForm } from "../network-rules.js";
@@ -18,11 +19,11 @@
   links: NetworkRules;
   from: string;
   to: "state" | "cloud";
-  /** Name of the operation, as used in fault rules (`Call.what`). */
+  /** Returns the name of the operation, as used in network rules (`NetworkCall.what`). */
   operationOf: (passing: ProxiedRequest) => string;
   /** Executes the request at the service; null if no answer was received. */
   forward: (passing: ProxiedRequest) => Promise<RawResponse | null>;
-  /** Builds an incorrect answer specific to this service; undefined if it has none for this form. */
+  /** Builds an incorrect answer specific to this service; undefined if there is none of this form. */
   wrongAnswer?: (passing: ProxiedRequest, form: WrongResponseForm) => RawResponse | undefined;
 }
 
--- a/packages/emulator/src/real/http.ts
+++ b/packages/emulator/src/real/http.ts
@@ -1,3 +1,4 @@
+/** HTTP helpers of the emulator. */
 import { Agent, request, type IncomingMessage, type ServerResponse } from "node:http";
 
 /** An HTTP response with an undecoded body, so that it can be forwarded, truncated or withheld. */
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -1,3 +1,4 @@
+/** Rehearsals on real processes. */
 import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
 import type { HistoryEvent } from "../checker.js";
 import type { Timing } from "../environment.js";
--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -1,3 +1,4 @@
+/** Stand-ins for the services behind the fault-injecting proxies: a stub of the cloud, and a forwarder to the state service. */
 import { encodeListed, encodeType, type MachineOffering } from "@thorntrail/protocol/cloud";
 import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import type { CloudModel } from "../cloud-model.js";
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -379,7 +379,7 @@
     return [...this.hosts.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host);
   }
 
-  /** A controller that is already down keeps its restart time: two processes of one name would replace each other. */
+  /** Ignored if the controller is down already, because a second process of the same name would replace the first. */
   restart(controller: string, downMs: number): void {
     if (this.down.has(controller)) return;
     this.down.add(controller);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -46,7 +46,7 @@
   private readonly reportedAt = new Map<string, number>();
   /** Copies of reports that are sent to every controller once one takes over a partition. */
   private keptReports: string[] = [];
-  /** Gang members that have fetched their image, by attempt. Indexed because each member looks this up ten times a second. */
+  /** Gang members that have fetched their image, by attempt. Indexed because each member looks up the others ten times a second. */
   private readonly gangs = new Map<string, GangMember[]>();
 
   constructor(
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -1,7 +1,6 @@
-/**
- * The recovery of one partition after its owner was lost, reconstructed from log lines of the controllers. The steps are in ms since the
- * loss; null if a step was not reached.
- */
+/** Measures how fast partitions recover after the loss of their owner, from log lines of the controllers. */
+
+/** The recovery of one partition after its owner was lost. The steps are in ms since the loss; null if a step was not reached. */
 export interface Recovery {
   part: number;
   reason: string;
@@ -42,7 +41,7 @@
   private lostAt = new Map<string, number>();
   private silentSince = new Map<string, number>();
 
-  /** Records the time at which a controller was ended, stopped or cut off. */
+  /** Records the time at which a controller was killed, stalled or cut off. */
   recordLoss(node: string, at: number): void {
     this.lostAt.set(node, at);
     this.silentSince.delete(node);
@@ -56,7 +55,7 @@
     } else if (what === "part taken") {
       const former = String(detail["former"]);
       const lostAt = this.lostAt.get(former);
-      // The return of a partition to its home controller is planned, and the first start is not a loss.
+      // The return of a partition to its home controller is planned, and the claim of an unowned partition follows no loss.
       if (lostAt === undefined || String(detail["reason"]) === "home again" || detail["reason"] === "unowned") return;
       const silentAt = this.silentSince.get(former);
       const recovery: Recovery = {
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -1,3 +1,4 @@
+/** The result of a rehearsal, and the statistics of its job classes. */
 import { build } from "hdr-histogram-js";
 import type { HistoryEvent } from "./checker.js";
 import type { Fault } from "./faults.js";
--- a/packages/emulator/src/scenario-driver.ts
+++ b/packages/emulator/src/scenario-driver.ts
@@ -1,3 +1,4 @@
+/** Executes a plan in an environment. */
 import { countStartsAfterWithdrawal, type HistoryEvent } from "./checker.js";
 import { injectFault, durationMs, type SimulatedUserControl, type Fault, type FaultEnvironment } from "./faults.js";
 import { seededRandom } from "./random.js";
--- a/packages/emulator/src/simulated-users.ts
+++ b/packages/emulator/src/simulated-users.ts
@@ -1,3 +1,4 @@
+/** Simulated users whose habits provoke races. */
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import type { HistoryEvent } from "./checker.js";
 import type { SimulatedUserControl, UserBehaviour } from "./faults.js";
@@ -24,13 +25,13 @@
 
 /** Share of the newly accepted jobs under `close-looks` that are cancelled at once. */
 const CANCEL_AT_ONCE_SHARE = 0.15;
-/** Delays of the polls to each controller after the event, in ms. */
+/** Delays of the polls to each controller after a job was accepted or ended, in ms. */
 const POLL_DELAYS_MS = [0, 1, 4, 15, 60];
 const ODD_REQUEST_INTERVAL_MS = 1000;
 const CANCEL_NOW_SPREAD_MS = 200;
-/** Larger than the number of jobs in any plan, so that the ids of faulty submissions are unused. */
+/** Number of the first faulty submission; larger than the number of jobs in any plan, so that their ids are unused. */
 const FIRST_FAULTY_JOB = 800_000;
-/** Remaining run time of a service, whose replicas never end. */
+/** Assumed remaining run time of a service, whose tasks never end. */
 const SERVICE_REMAINING_MS = 1e9;
 
 /** Simulated users that cancel jobs as they end, poll all controllers at once, or submit jobs that cannot run. */
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -1,7 +1,6 @@
 /**
  * Soak runs: for one seed after the other, faults of all kinds hit real processes at random times, and the events that workers and
- * users observe are checked against the rules. A seed that breaks a rule or logs an error leaves its
- * logs and its history.
+ * users observe are checked against the rules. The logs and the history of a seed that breaks a rule or logs an error are kept.
  */
 import { spawn, type ChildProcess } from "node:child_process";
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -53,7 +52,7 @@
   momentOf: InjectionPointOf;
   /** Folder for the logs and the history of seeds that broke a rule or logged an error. */
   artifactsDir: string;
-  /** Writes them for every seed. */
+  /** Keeps the logs and the history of every seed. */
   keepAll?: boolean;
   stop?: AbortSignal;
 }
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -1,3 +1,4 @@
+/** Rehearsals in virtual time. */
 import { encodeJob } from "@thorntrail/protocol/jobs";
 import { findViolations } from "../checker.js";
 import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -1,3 +1,4 @@
+/** The controllers' connections to the state service and the cloud in virtual time, subject to the network rules. */
 import type { CloudApi } from "@thorntrail/protocol/cloud";
 import { CallError } from "@thorntrail/protocol/errors";
 import {
@@ -41,7 +42,7 @@
   wrongResponse?: (answer: T, form: WrongResponseForm) => T | undefined;
 }
 
-/** Makes one call, subject to the network rules; real sockets are subject to the same rules. */
+/** Makes one call, subject to the same network rules as calls over real sockets. */
 export function callService<T>(
   { clock, links, node, runInProcess, latencyMs, isDown }: ServiceConnection,
   request: ServiceCall<T>,
@@ -193,12 +194,12 @@
   };
 }
 
-/** The store, in memory and in virtual time, with the faults on the way to it. */
+/** The state service in virtual time: a store in memory, and the faults on the connections to it. */
 export class VirtualState {
   private readonly engine = new MemoryEngine();
   private store: Store;
   private isDown = false;
-  /** During a restart: when the store is back, in ms of the clock. */
+  /** When the store is back after a restart, in ms of the clock. */
   private restartEndsAt = -Infinity;
   /** Descriptions of transactions that were rejected for too many changes or too large a value. */
   readonly oversized: string[] = [];
@@ -227,8 +228,8 @@
   }
 
   /**
-   * Kills and restarts the process: calls in progress are not answered, open watches break. If it is killed again
-   * during a restart, the later end counts: two stores on the same data would end each other's leases.
+   * Kills and restarts the process: calls in progress are not answered, open watches break. If the process is killed again
+   * during a restart, only one store is opened, at the later end: two stores on the same data would end each other's leases.
    */
   restart(downMs: number): void {
     this.store.simulateCrash();
--- a/packages/emulator/src/virtual/users.ts
+++ b/packages/emulator/src/virtual/users.ts
@@ -1,4 +1,4 @@
-/** Users in virtual time, who retry unanswered requests as the protocol requires and record the responses. */
+/** Users in virtual time, who repeat unanswered requests as the protocol requires and record the responses. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { statusFromResponse, type HistoryEvent } from "../checker.js";
 import type { VirtualClock } from "./clock.js";
@@ -20,12 +20,12 @@
   readonly clock: VirtualClock;
   readonly history: HistoryEvent[];
   readonly specs: Map<string, JobSpec>;
-  /** The controller of that name, or any that is up; null if there is none. */
+  /** Returns a function that sends requests to the controller of that name, or to any that is up; null if there is none. */
   connect(name: string | undefined): SendRequest | null;
   recordEvent(event: HistoryEvent): void;
 }
 
-/** Timeouts of users' requests, in ms (PROTOCOL). */
+/** Timeouts of users' requests in ms, as the protocol defines them. */
 const REQUEST_TIMEOUT_MS = { submit: 5000, poll: 2000, cancel: 5000 };
 
 /** Sends users' requests and records their responses in the history. */
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -1,3 +1,4 @@
+/** The environment of the controllers in virtual time. */
 import type { CloudApi, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
@@ -102,7 +103,7 @@
 /** Stored reports are delivered within this time after a takeover begins, in ms. */
 const STORED_REPORT_DELAY_MS = 500;
 
-/** The environment of the controllers in virtual time: state service, cloud, workers, users and network, with a seeded random source. */
+/** State service, cloud, workers, users and network in virtual time, with a seeded random source. */
 export class VirtualWorld<C extends ControllerPort> {
   readonly clock = new VirtualClock();
   readonly history: HistoryEvent[] = [];
@@ -128,7 +129,7 @@
   private cloudDown = false;
   /** Seeded random source. */
   readonly random: () => number;
-  /** Separate random source, so that runs without such faults stay the same for each seed. */
+  /** Random source of the faults. It is separate, so that runs without faults stay the same for each seed. */
   private readonly faultRandom: () => number;
   private incarnations = 0;
   fetchMs = 1000;
@@ -137,7 +138,7 @@
   readonly simulatedUsers: SimulatedUsers;
   /** Copies of reports to deliver to all controllers when a controller takes over a partition. */
   private storedReports: Report[] = [];
-  /** Number of deliveries of such copies to controllers. */
+  /** Number of copies of reports delivered to controllers. */
   storedReportsDelivered = 0;
 
   constructor(
@@ -364,7 +365,7 @@
         });
   }
 
-  /** Returns the way to send users' requests to the given controller, or to any that is up. */
+  /** Returns a function that sends users' requests to the given controller, or to any that is up; null if there is none. */
   private connect(name: string | undefined): SendRequest | null {
     const up = [...this.nodes.values()].filter((node) => node.controller !== null);
     const node = name !== undefined ? this.nodes.get(name)! : up.length === 0 ? null : up[Math.floor(this.random() * up.length)]!;
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -1,9 +1,10 @@
+/** Model of a worker, for virtual time and for real sockets. */
 import type { MachineOffering } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { CommandReply, Order, Report, ReportAnswer, ReportedTask } from "@thorntrail/protocol/worker";
 import type { MonotonicClock } from "./cloud-model.js";
 
-/** What a worker model depends on, for virtual time and real sockets alike. */
+/** What a worker model depends on. */
 export interface WorkerDependencies {
   clock: MonotonicClock;
   reportMs: number;
@@ -61,7 +62,7 @@
   removed = false;
   private isHung = false;
   readonly tasks = new Map<string, WorkerTask>();
-  /** Address on which it listens. */
+  /** Address on which the worker listens. */
   addr: string;
   private readonly images = new Set<string>();
   private leaseRenewedAt: number;
@@ -85,7 +86,7 @@
     this.scheduleUpdate();
   }
 
-  /** The controller that it currently reports to. */
+  /** The controller that the worker currently reports to. */
   get reportsTo(): string {
     return this.dependencies.nodes[this.nodeIndex]!;
   }
@@ -99,7 +100,7 @@
     if (!on) this.update();
   }
 
-  /** The machine disappears with everything on it. */
+  /** Removes the machine with everything on it. */
   remove(): void {
     this.removed = true;
     this.cancelUpdate();
@@ -415,7 +416,7 @@
     const members = this.dependencies.mates(task.ref, task.attempt);
     const activeMembers = members.filter((m) => !m.worker.isHung && (m.task.state === "running" || m.task.state === "saving"));
     if (activeMembers.length < spec.tasks) {
-      // A gang is checkpointed as a whole: the progress saved is that when the first member was found missing.
+      // A gang is checkpointed as a whole: the last checkpoint is that before the first member was found missing.
       if (task.memberMissingSince === null) this.saveLastCheckpoint(task);
       task.memberMissingSince ??= clock.now();
       if (clock.now() - task.memberMissingSince > gangPeerMs) this.exitTask(task, "mates_gone");
--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -176,7 +176,7 @@
   await clock.run(28_000);
   assert.equal(hanging.size, 0);
 
-  assert.equal(durationMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last of them has been carried out");
+  assert.equal(durationMs(fault({ kind: "late-writes", for: 5 })), 17_000, "until the last delayed write has been executed");
   assert.equal(durationMs(fault({ kind: "cancel-now", hang: 4 })), 4000);
   for (const [raw, wrong] of [
     [{ kind: "late-writes", share: 2 }, /^share: /],
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -25,7 +25,7 @@
   assert.equal(cloud.rent("r-2", offer, 1), null);
   assert.deepEqual(cloud.rent("r-1", offer, 2), first);
   assert.equal(cloud.rentedCount, 2);
-  assert.equal(cloud.rent("r-3", { ...offer, spot: false }, 5)?.length, 3, "the others are as before");
+  assert.equal(cloud.rent("r-3", { ...offer, spot: false }, 5)?.length, 3, "on-demand capacity is unchanged");
   assert.deepEqual(cloud.setCapacity("nothing", "*", 1, 1).affected, []);
   assert.equal(cloud.setCapacity("*", "a", 0, 0).affected.length, 2);
   restore();
