--- a/test/world/calls.ts
+++ b/test/world/calls.ts
@@ -1,3 +1,4 @@
+/** Timing and the call layer for unit tests. */
 import { Calls } from "../../src/calls/calls.js";
 import { callPolicies } from "../../src/calls/policy.js";
 import type { Clock } from "../../src/platform/clock.js";
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -10,9 +10,9 @@
 import { specOf } from "./partitions.js";
 
 /**
- * Explicit-state model of one machine with one task between a former owner that has lost the state service and the new
- * owner, in steps of time. It explores every way in which reports, answers and commands of both can arrive, be lost, or
- * arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease expiry.
+ * Explicit-state model, in discrete steps of time, of one machine with one task, a former owner that has lost the state
+ * service, and the new owner. It explores every way in which reports, answers and commands of both owners can arrive, be
+ * lost, or arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease expiry.
  * Each state must satisfy:
  * - the new owner does not consider the task ended on a fenced machine that still has it;
  * - the task of a job that is cancelled elsewhere just after the former owner's last proof has ended within `CANCEL` steps.
@@ -20,7 +20,7 @@
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
-  /** An answer of the new owner replaces the expected last answer of the former one, whether or not the machine has shown the new token. */
+  /** An answer of the new owner replaces the latest possible answer of the former owner, even if the machine has not shown the new token. */
   answerShortensWait?: boolean;
   /** The former owner stops answering two steps too late. */
   silentLate?: boolean;
@@ -48,7 +48,7 @@
   token: number;
   leaseFrom: number;
   task: boolean;
-  /** The new owner started the task again: it no longer belongs to the cancelled job. */
+  /** The new owner started a task again, which is not the one of the cancelled job. */
   restarted: boolean;
   /** Step of the new owner's claim; `heard` holds its record of the machine since then. */
   claimedAt: number | null;
@@ -160,7 +160,7 @@
         }
       }
       const report = { session: s.session, seq: now, token: s.token, task: s.task };
-      // Either this report is the one that is repeated later, or an earlier one still is.
+      // The report that may be repeated later is either this report or the earlier one.
       const copies = s.copy === null ? [report] : [s.copy, report];
       reach(s, path, `${prefix}nothing`);
       // An old report arrives again; its answer is lost.
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -24,7 +24,7 @@
 }
 interface Store {
   ledger: number;
-  /** `by` is the number of the owner's process start that claimed; the record holds only what a controller can read. */
+  /** `by` numbers the start of the process that claimed. It is not part of the record, because controllers cannot read it. */
   owner: (Entry<OwnerRecord> & { by: number }) | null;
   alive: Partial<Record<Node, Entry<PresenceRecord>>>;
   suspicion: Partial<Record<Node, Entry<SuspicionRecord>>>;
@@ -61,9 +61,9 @@
   claimsBlindly?: boolean;
   /** A suspicion counts although the suspect has refuted it. */
   ignoresRefutations?: boolean;
-  /** A restarted process uses the incarnation of the previous one. */
+  /** A restarted process uses the incarnation of the previous process. */
   reusesIncarnation?: boolean;
-  /** A verdict follows from the suspicions of others without evidence of its own. */
+  /** A node reaches a verdict from the suspicions of others, without evidence of its own. */
   needsNoEvidence?: boolean;
 }
 
@@ -148,7 +148,7 @@
         to.up[node] = fresh;
         to.seen[node] = clone(to.store);
       });
-      // Its presence record expires.
+      // The presence record of the node that is down expires.
       if (state.store.alive[node] !== undefined)
         step((to) => {
           to.store.ledger++;
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -1,3 +1,4 @@
+/** Builders of partitions, machines and jobs for unit tests of scheduling decisions. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/partition.js";
 import { Bits } from "../../src/platform/bits.js";
@@ -6,8 +7,6 @@
 import { newTaskSet, type TaskSet } from "../../src/queue/task-set.js";
 import { newMachine, type Capacity, type Machine } from "../../src/workers/machine.js";
 
-/** Builders of partitions, machines and jobs for unit tests of scheduling decisions. */
-
 /** Current time of these tests in ms. */
 export const NOW = 1000;
 
@@ -53,7 +52,7 @@
 /** A quota share without limits. */
 export const unlimited = (): { cpus: number; gpus: number } => ({ cpus: Infinity, gpus: Infinity });
 
-/** Context of a scheduling cycle at `NOW` with unlimited quota; expected run times are the users' guesses. */
+/** Context of a scheduling cycle at `NOW` with unlimited quota; expected run times are the users' estimates. */
 export const schedulingContext: SchedulingContext = {
   now: NOW,
   silentMs: 5000,
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -4,20 +4,20 @@
  * Explicit-state model of a team's limit that changes while its tasks run, over two partitions. Shares are decided by the
  * production functions. The model explores every order in which owners read the versions, start and end tasks, adjust and
  * transfer shares, are replaced by a new owner, and in which unanswered writes are applied late. Once all owners have a
- * version in force, no start may raise the usage above its limit.
+ * version in force, no start may raise the usage above the limit of that version.
  */
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
-  /** Starts tasks within its share although the sum of shares is above the limit. */
+  /** An owner starts tasks within its share although the sum of shares is above the limit. */
   startsAboveLimit?: boolean;
-  /** Lowers its share below what its tasks use. */
+  /** An owner lowers its share below what its tasks use. */
   ignoresUse?: boolean;
   /** Late writes are applied even if the shares or the version have changed since. */
   unconditional?: boolean;
   /** A share whose transfer was not answered still counts as available. */
   forgetsCeded?: boolean;
-  /** Transfers share that its own tasks use. */
+  /** An owner transfers a part of its share that its own tasks use. */
   cedesUsed?: boolean;
 }
 
@@ -111,7 +111,7 @@
   const pending = [first];
   while (pending.length > 0 && seen.size < maxStates && faults.size === 0) {
     const state = pending.pop()!;
-    // Of the stamps, only whether the late write's condition still holds tells states apart.
+    // Stamps matter only for whether the condition of the late write still holds, so the key contains just that.
     const current = state.late !== null && state.late.stamp === state.stamp;
     const key = JSON.stringify([{ ...state, stamp: 0, late: state.late === null ? null : { ...state.late, stamp: current } }]);
     if (seen.has(key)) continue;
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -1,3 +1,7 @@
+/**
+ * Runs scenario files, which have one statement in each line. `given` lines describe the environment, `at N` lines an action
+ * N seconds after the start, or with `expect` a condition that must hold then.
+ */
 import { encodeJob, type JobKind, type JobSpec, type Urgency } from "@thorntrail/protocol/jobs";
 import { keys, type SliceRecord, type SuspicionRecord } from "../../src/ledger/records.js";
 import { injectFault, decodeFault } from "@thorntrail/emulator/faults";
@@ -7,10 +11,7 @@
 
 type World = AnyWorld<RehearsedController>;
 
-/**
- * Scenario files have one statement in each line. `given` lines describe the environment, `at N` lines an action N seconds
- * after the start, or with `expect` a condition that must hold then.
- */
+/** An `at` line: its time in ms, the words after the time, and the whole line. */
 interface Step {
   at: number;
   words: string[];
@@ -375,7 +376,7 @@
     return check(n === Number(c), n);
   }
   if (what === "placing") {
-    // SUBJECT placing: each controller owns one partition on average, and all are fenced and place tasks.
+    // SUBJECT placing: as many partitions are owned as there are controllers, and all of them are fenced and place tasks.
     const phases = [...world.nodes.values()].flatMap((n) => [...(n.controller?.leader.partitions.values() ?? [])].map((p) => p.phase));
     return check(phases.length === world.nodes.size && phases.every((p) => p === "serving"), phases.join());
   }
@@ -407,7 +408,7 @@
     return check(highest >= 1 && highest <= Number(c), highest);
   }
   if (subject === "met") {
-    // met WHAT at-least N: how often simulated users, or withheld reports, reached their injection point.
+    // met WHAT at-least N: how often a behaviour of the simulated users took effect, or how many kept reports were delivered.
     const counts: Record<string, number> = { ...world.simulatedUsers.effects, keptReports: world.storedReportsDelivered };
     const n = counts[what];
     if (n === undefined) throw new Error(`${step.line}: expected one of ${Object.keys(counts).join(", ")}`);
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -50,7 +50,7 @@
 export interface TakeoverRun {
   /** Violated rules and logged errors. */
   broken: string[];
-  /** Reports by which an attempt was adopted beside another of the same task; a run without any does not test the rules. */
+  /** Number of reports from which an attempt was adopted beside another attempt of the same task; a run without any tests nothing. */
   surplus: number;
   /** Number of task starts on workers. */
   started: number;
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -17,11 +17,11 @@
   clockLease?: boolean;
   /** A new owner counts a machine as fenced by the clock alone. */
   clockFence?: boolean;
-  /** A report under a newer token is applied. */
+  /** A newer token does not end the owner's term: replies under it are applied, and reports under it change nothing. */
   newerIsNews?: boolean;
   /** A read proves ownership at its end instead of its beginning. */
   provenAtEnd?: boolean;
-  /** A new owner does not wait for the time in which the former one may still answer. */
+  /** A new owner does not wait for the time in which the former owner may still answer. */
   noSilence?: boolean;
 }
 
@@ -102,7 +102,7 @@
   return { term: 0, provenAge: OLD_AGE, knowsDone: false, views: [newView(), newView()] };
 }
 
-/** Initial state. `fencing`: the first owner has just claimed and has not yet suffix from its machines. */
+/** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
 function begin(fencing: boolean): State {
   // The previous owner may answer until the silence limit.
   const leaseAge = fencing ? -SILENT_AFTER : 0;
@@ -252,7 +252,7 @@
     return true;
   }
 
-  /** A read whose result is `age` steps old, as the read began then. */
+  /** Applies a read that began `age` steps ago and returns the record as it was then. */
   private read(state: State, c: Index, found: Ledger, age: number): boolean {
     const controller = state.controllers[c];
     if (controller.term === 0) return false;
@@ -317,7 +317,7 @@
     const controller = state.controllers[c];
     if (!mayAct(controller)) return false;
     const worker = state.workers[m];
-    // In the faulty variant, such a report is redirected and changes nothing.
+    // In the faulty variant, a report under a newer token is redirected and changes nothing.
     if (worker.token > controller.term && this.wrong.newerIsNews === true) return false;
     if (!this.receive(state, c, m)) return true;
     const view = controller.views[m];
