--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -12,7 +12,7 @@
 const endsOf = (account: ClassAccount): number => ATTEMPT_ENDS.reduce((sum, end) => sum + account.ends[end], 0);
 
 // Accounting that loses attempts or counts them twice would point operators to the wrong cause.
-test("every attempt that began is still running or in exactly one end, through losses, cancellations and preemption", async () => {
+test("every attempt that began is still running or counted under exactly one end, through losses, cancellations and preemption", async () => {
   const plan = defaultWorldOptions();
   plan.teams = [{ name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
   plan.types = [TYPE];
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -92,7 +92,7 @@
 test("a start after the time limit of a cancellation is detected", () => {
   assert.match(findViolations([submitted(), asked, told(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none", /^ran_cancelled/);
 });
-test("a task that is still running when the history ends is detected", () => {
+test("a task of a cancelled job that is still running when the history ends is detected", () => {
   const left = [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn")];
   assert.deepEqual(findViolations(left, { ...limits, historyEndAt: 43_003 }), []);
   assert.match(findViolations(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
@@ -109,7 +109,7 @@
   assert.equal(broken([...polls(10_000, 80_000), ...polls(85_000, 86_000)], 0), "", "75 s have not passed");
 });
 
-test("responses are checked in real time: two overlapping ones may differ, one requested after another had arrived is never older", () => {
+test("responses are checked in real time: those of overlapping requests may differ, that of a request sent later is never older", () => {
   const answer = (at: number, asked: number, what: "unknown" | "queued" | "done" | "withdrawn" | "refused"): HistoryEvent => ({
     at,
     asked,
@@ -119,13 +119,13 @@
   });
   const ran = [submitted(), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y")];
   const judge = (...answers: HistoryEvent[]): string => findViolations([...ran, ...answers], limits).join();
-  // Sent before the other response had arrived, answered after it.
+  // The second request was sent before the first response arrived, and answered after it.
   assert.equal(judge(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
   assert.equal(judge(answer(20, 10, "done"), answer(21, 19, "queued")), "");
   assert.match(judge(answer(20, 10, "queued"), answer(30, 20, "unknown")), /^forgotten/);
   assert.match(judge(answer(20, 10, "queued"), answer(30, 21, "refused")), /^forgotten/);
   assert.match(judge(answer(20, 10, "done"), answer(30, 21, "queued")), /^went_back/);
-  // Acceptance and completion count from the first response that reported them, whoever asks later.
+  // Acceptance and completion count from the first response that reported them, whichever requests follow.
   assert.match(judge(answer(20, 10, "queued"), answer(21, 5, "unknown"), answer(30, 20.5, "unknown")), /^forgotten/);
   assert.match(judge(answer(20, 10, "done"), answer(25, 10, "done"), answer(30, 22, "queued")), /^went_back/);
   // Both statuses are final and exclude one another, whether the requests overlap or not.
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -50,7 +50,7 @@
   assert.deepEqual(removed, { ...lab, name: "old", removed: true });
 });
 
-test("in force where the owner has published the version and fenced its partition, or provably starts nothing any more", () => {
+test("a version is in force in a partition whose owner has published it and fenced the partition, or provably starts nothing any more", () => {
   const owner = { v: { owner: "nest-0", life: "l1" }, stamp: 40 };
   const statusFor = (presence: PresenceRecord | undefined, elapsedMs = 0): string => {
     const evidence: InForceEvidence = {
@@ -77,7 +77,7 @@
   );
 });
 
-/** A configuration store on a virtual state service. `settled` runs the clock until the promise has an outcome. */
+/** A configuration store on a virtual state service. `settled` runs the clock for 20 s and returns the promise's result or error. */
 function createStore(wrapState: (state: StateApi) => StateApi = (state) => state) {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 5, LIMITS).client("operator", (fn) => fn());
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -28,7 +28,7 @@
     leaseMs: 18_000,
     coolMs: 2500,
     placeholderFor: () => {
-      throw new Error("no stranger here");
+      throw new Error("no report lists a task of an unknown job");
     },
   };
   const seen = { host, addr: host, type: "m", zone: "a", spot: false, session: 1, seq: machine.seq + 1, token: 5, noticeS: null };
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -36,7 +36,7 @@
   assert.equal(copyUsageByTeam(partition).get("ops")?.cpus, 800);
 });
 
-test("taking in a report does not iterate over the partition's machines", () => {
+test("applying a report does not iterate over the partition's machines", () => {
   const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const taskSet = enqueue(partition, specOf({ tasks: 4 }));
   const machines = new CountingMap(partition.machines);
@@ -135,7 +135,7 @@
   return waits;
 }
 
-// Free capacity is kept per task shape for all gangs; the result must equal that of examining each gang.
+// The estimate keeps free capacity per task shape for all gangs; its result must equal that of examining each gang.
 test("waits of gangs of equal shape match a plain count of places", () => {
   const gang = fc.record({ tasks: fc.integer({ min: 1, max: 14 }), runS: fc.integer({ min: 1, max: 90 }) });
   fc.assert(
@@ -264,8 +264,8 @@
   runSchedulingCycle(partition, schedulingContext);
   const taskSets = [0.9, 0.95, 0.5, 0.9, 0.2].map((cpus, i) => enqueue(partition, specOf({ ref: `run-10000${i}`, cpus })));
   runSchedulingCycle(partition, schedulingContext);
-  // Two machines with three tasks of 1.1 CPUs each have 0.7 left: one place of 0.5, and 0.2 beside it or on the other
-  // machine.
+  // Two machines with three tasks of 1.1 CPUs each have 0.7 CPUs left: the task of 0.5 fits on one of them, and that of 0.2
+  // beside it or on the other machine.
   assert.deepEqual(
     taskSets.map((taskSet) => taskSet.placements.size),
     [0, 0, 1, 0, 1],
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -65,7 +65,7 @@
   assert.equal(stopped(), 4);
 });
 
-test("teams below their guarantee are those that use less than it of every guaranteed resource", () => {
+test("a team is below its guarantee if it uses less of every guaranteed resource than is guaranteed", () => {
   const both = [
     ...teams,
     { name: "mix", cpus: 100, cpus_max: 0, gpus: 10, gpus_max: 0 },
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -108,7 +108,7 @@
     const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     assert.deepEqual([...faults.unconditional], [], "every write has a condition on the key that it changes");
-    // A rental's record is removed with its last machine, so a duplicate of its first write finds no record again.
+    // A rental's record is removed with its last machine; a duplicate of its first write then finds no record, as the original did.
     assert.deepEqual(
       faults.appliedTwice.filter((what) => what !== RENTAL_WRITE),
       [],
@@ -131,7 +131,7 @@
 test("transactions applied immediately whose answers are lost, while others read the result, are reported and counted once", async () => {
   const lostAnswers = new Set<string>();
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    // Users ask every node about changes that so far only the state service and its readers have.
+    // Users ask every node about changes that so far only the state service and the nodes that have read from it know.
     const requestFaults: RehearsalPlan["fault"] = [
       { at: 5, fault: { kind: "close-looks", for: 90 } },
       { at: 10, fault: { kind: "cancel-at-end", share: 0.4, for: 80 } },
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -21,12 +21,12 @@
 
 /**
  * Compound faults: the state service refuses one owner, the other controllers confirm cancellations, and then the
- * service is down for all for longer than the time limit of a cancellation, while workers keep reporting to the former
- * owner. This combination has exposed the most defects.
+ * service is down for all, in part of the runs for longer than the time limit of a cancellation, while workers keep
+ * reporting to the former owner. This combination has exposed the most defects.
  */
 interface CompoundFault {
   seed: number;
-  /** How long the owner alone is refused; a presence lasts 9 s. */
+  /** How long the owner alone is refused; a presence key lasts 9 s. */
   refusedS: number;
   /** Time from the first refusal to the outage for all. */
   outAfterS: number;
@@ -141,7 +141,7 @@
   now: NOW,
   viaReport: true,
   placeholderFor: () => {
-    throw new Error("nobody's");
+    throw new Error("no report lists a task of an unknown job");
   },
   leaseMs: 18_000,
   coolMs: 2500,
@@ -182,7 +182,8 @@
     { verb: "start", piece, attempt },
     { verb: "stop", piece, attempt, graceS: 0 },
   ]);
-  // Not by a direct command, which could be delayed as well, and not once a cancellation of the job may be older than allowed.
+  // The start is not repeated by a direct command, which could be delayed as well, nor once a cancellation of the job may be older than
+  // the time limit allows.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   hear(2);
@@ -267,7 +268,7 @@
   return decoded.fault;
 }
 
-test("a machine between an owner without proof of ownership and its successor: all interleavings hold, and each faulty variant is detected", () => {
+test("a machine between an owner without proof of ownership and its successor: no interleaving breaks an invariant, and each faulty variant is detected", () => {
   const { states, broken } = exploreLeases();
   assert.equal(broken, null);
   assert.ok(states > 2000, `${states} states`);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -50,7 +50,7 @@
   }
 });
 
-test("a waiting job belongs to no partition for versions without support for needs", () => {
+test("versions that do not support job dependencies see a waiting job as belonging to no partition", () => {
   const record = { ...waitingAssignment(2), hi: 1 };
   assert.equal(record.part, -1);
   assert.equal(partitionOf(record), 2);
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -65,8 +65,8 @@
   return finished.size;
 }
 
-// With four times the usual photo batches, half of them were begun and a third finished: first come, first served
-// begins everything and finishes little. More than half of each class has to be served.
+// With four times the usual number of photo batches, first come, first served began half of them and finished only a
+// third, because it begins many jobs and finishes few. More than half of each class has to be served.
 test("when there is more work than capacity, more jobs finish than with first come, first served", () => {
   const job = fc.oneof(
     { weight: 3, arbitrary: fc.integer({ min: 1, max: 30 }) },
@@ -91,7 +91,7 @@
   const order = orderAt(100);
   const [large, small] = [40, 8].map((tasks, i) => enqueue(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
   assert.ok(order.effectiveArrival(small) < order.effectiveArrival(large));
-  // Most of it is done, so it should be finished first.
+  // Most of the large job is done, so it should be finished first.
   large.waiting.splice(0, 38);
   assert.ok(order.effectiveArrival(large) < order.effectiveArrival(small));
 });
@@ -111,7 +111,7 @@
   );
 });
 
-// Archive pages of sixty tasks should start within 40 s; behind every smaller job they would not.
+// A job of sixty tasks with an objective to start within 40 s would miss it if it came after every smaller job.
 test("a class with a start objective is delayed by no more than that objective", () => {
   const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const [large, small] = [60, 1].map((tasks, i) => enqueue(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
@@ -139,7 +139,7 @@
   const { partition } = partitionOf(2, { cpus: 8, gpus: 0, ram: 64 });
   const nearly = enqueue(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
   runSchedulingCycle(partition, schedulingContext);
-  // It came last, but none of its tasks wait; most of the other job is still waiting.
+  // The first job was submitted later, but none of its tasks wait; most tasks of the second job are still waiting.
   const begun = enqueue(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
   begun.submittedWall = nearly.submittedWall - 60_000;
   runSchedulingCycle(partition, schedulingContext);
--- a/test/takeovers.test.ts
+++ b/test/takeovers.test.ts
@@ -16,7 +16,7 @@
     surplus += Number(run.surplus > 0);
     started += run.started;
   }
-  // The runs must produce the guarded situation: attempts adopted beside the wanted one.
+  // The runs must produce the situation that is guarded against: attempts adopted beside the current one.
   assert.ok(surplus >= runs / 4, `in ${surplus} of ${runs} runs an attempt was adopted beside another`);
   assert.ok(started > runs * 12, `${started} started`);
 });
--- a/test/two-owners.test.ts
+++ b/test/two-owners.test.ts
@@ -5,7 +5,10 @@
 /** Splits with two of the four links; `OWNERS=all` takes every split with at most three links. */
 const ALL = process.env["OWNERS"] === "all";
 const ways = splits(ALL ? [0, 1, 2, 3] : [2]);
-/** The old owner reaches both machines, the new one only the machine with the task: it ends and clears what the old owner still holds. */
+/**
+ * The old owner reaches both machines, the new owner only the machine with the task. The new owner ends and clears the task, which the old
+ * owner still counts as running.
+ */
 const HEIR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
 
 const EXPLORATIONS: [string, Exploration][] = [
@@ -28,7 +31,7 @@
   ["a machine fenced by the clock alone", { clockFence: true }, { fencing: true }, /on two machines/],
   ["a new owner that does not wait for the former one's silence", { noSilence: true }, { fencing: true }, /on two machines/],
   [
-    "a report under a newer owner's token applied",
+    "a newer owner's token that does not end the term",
     { newerIsNews: true },
     { ends: true, ways: HEIR_REACHES_ONE },
     /started again after it was done/,
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -36,7 +36,7 @@
   return [
     `seed ${seed}`,
     `given controllers ${controllers}`,
-    // With records this small, lists of needs and slices are written before their jobs.
+    // With records this small, lists of dependencies and slices are written before their jobs.
     ...(seed % 3 === 0 ? ["given state value-kb 2 changes 5 writes 40"] : []),
     "given team ops most-cpus 900",
     "given type m cpus 16 boot 1 count 40",
@@ -133,7 +133,7 @@
 };
 
 for (const [name, { spawn, what }] of Object.entries(FAULTY_VARIANTS))
-  test(`wrong variant found: ${name}`, async () => {
+  test(`faulty variant is detected: ${name}`, async () => {
     const found: string[] = [];
     for (const seed of [1, 2, 3]) found.push(...(await playAndCheck(scenarioText(seed, 0), spawn)).broken);
     assert.match(found.join("\n"), what);
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,7 +6,7 @@
 import { unsyncedReplica } from "./world/state-replica.js";
 import { specOf } from "./world/partitions.js";
 
-// Frames as version 0.3.0 writes them. It closes the connection to a peer with another hello or schema.
+// Frames as version 0.3.0 writes them. That version closes the connection to a peer that sends another Hello or uses another schema.
 const FRAMES: [string, Message][] = [
   ["0000000900060c6e6573742d31", { Hello: { version: 3, node: "nest-1" } }],
   ["00000015040e041472756e2d3030303431320c6e6573742d30", { Query: { id: 7, part: 2, job: "run-000412", from: "nest-0" } }],
@@ -17,7 +17,7 @@
   ["000000140e1208706f6c6c182272756e2d30303034313222", { Relay: { id: 9, kind: "poll", body: '"run-000412"' } }],
 ];
 
-test("frames are those of version 0.3.0, both ways", () => {
+test("frames are encoded and decoded as by version 0.3.0", () => {
   assert.equal(PROTOCOL_VERSION, 3);
   for (const [hex, message] of FRAMES) {
     assert.equal(encodeFrame(message).toString("hex"), hex);
