--- a/packages/graphs/src/admission.ts
+++ b/packages/graphs/src/admission.ts
@@ -1,3 +1,4 @@
+/** Admission control of submitted tasks. */
 import type { Client, TaskSpec } from "./model.js";
 
 /** Limits for submitted tasks. */
--- a/packages/graphs/src/journal.ts
+++ b/packages/graphs/src/journal.ts
@@ -1,3 +1,4 @@
+/** Durable outcomes of the tasks of a graph. */
 import type { Condition, Op, Row } from "@thorntrail/protocol/state";
 
 /** Recorded outcome of a task. */
@@ -47,14 +48,14 @@
   base: number;
 }
 
-/** Outcomes of consecutive tasks of one client, and what of them is durable. */
+/** Outcomes of consecutive tasks of one client, and how many of them are not yet durable. */
 class Page {
   readonly bytes = new Uint8Array(TASKS_PER_PAGE / OUTCOMES_PER_BYTE);
   /** Stamp of the stored record; 0 if there is none. */
   stamp = 0;
   /** Number of outcomes that are in neither a stored record nor the batch in flight. */
   unwritten = 0;
-  /** While the page is in the batch in batch: the number of outcomes written by it. */
+  /** The number of outcomes that the batch in flight writes of this page; null if the page is not in the batch. */
   inFlight: number | null = null;
 
   get(index: number): Outcome | null {
@@ -68,7 +69,7 @@
   }
 }
 
-/** What a batch that was sent contains: pages written or removed, and bases written. */
+/** Contents of the batch in flight: pages written or removed, and bases written. */
 interface BatchInFlight {
   pages: { page: Page; client: string; pageNo: number; drop: boolean }[];
   bases: { state: ClientState; base: number }[];
@@ -89,12 +90,12 @@
  * Durable state of a graph: the final outcome of each task of each client, two bits each, in
  * records of 4,096 sequence numbers. Task specs are not stored: clients keep them until they
  * have received the outcome, and submit them again to the next owner. Outcomes are written in
- * batches, each conditional on the term and on the records it replaces; a
- * record is removed once the client has acknowledged all its outcomes.
+ * batches, each conditional on the term and on the records it replaces; a record is removed
+ * once the client has acknowledged all its outcomes.
  *
  * An outcome may be reported to the task's own client at once, because that client acknowledges
- * it again to the next owner. Before an outcome is reported to anybody else, `checkDurable` must have
- * returned true.
+ * it again to the next owner. Before an outcome is reported to anybody else, `checkDurable` must
+ * have returned true.
  */
 export class Journal {
   private readonly clients = new Map<string, ClientState>();
--- a/packages/graphs/src/model.ts
+++ b/packages/graphs/src/model.ts
@@ -1,3 +1,4 @@
+/** Types of a task graph: tasks, objects, executors and clients, with their scheduling state. */
 import type FlatQueue from "flatqueue";
 
 /** A task as submitted by its client. Keys are chosen by the client and unique in the graph. */
@@ -179,7 +180,7 @@
   openBytes: number;
 }
 
-/** Shared empty list: most objects have no waiting tasks and no remote copies, so a list of their own would waste memory. */
+/** Shared empty list: most objects have no waiting tasks and no remote copies, so an empty list for each would waste memory. */
 const EMPTY: never[] = [];
 /** Returns the shared empty list; extend it only with `append`. */
 export const emptyList = <T>(): T[] => EMPTY;
--- a/packages/graphs/src/objects.ts
+++ b/packages/graphs/src/objects.ts
@@ -41,7 +41,7 @@
     return object;
   }
 
-  /** Returns undefined for an unknown key and for an object that was removed. */
+  /** Returns the object, or undefined if the key is unknown or the object was removed. */
   find(key: string): GraphObject | undefined {
     const clientObject = this.clientObjects.get(key);
     if (clientObject !== undefined) return clientObject;
@@ -52,7 +52,7 @@
     return object === undefined || object.removed ? undefined : object;
   }
 
-  /** Returns false if the key of an output of such a task equals the key of a client's object. */
+  /** Returns false if a task with this key and number of outputs would have an output with the key of a client's object. */
   isKeyFree(key: string, returns: number): boolean {
     if (this.clientObjects.size === 0) return true;
     for (let i = 0; i < returns; i++) if (this.clientObjects.has(`${key}:${i}`)) return false;
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -3,7 +3,7 @@
 
 /** Maximum number of leases per CPU of an executor, however short the tasks are. */
 const MAX_LEASES_PER_CPU = 64;
-/** Executors skipped for lack of capacity for a task before the task has to wait. */
+/** Maximum number of executors without capacity that are skipped before a task has to wait. */
 const MAX_SKIPPED = 8;
 /** Fraction of the target backlog: with less work than this left, recalling a task takes longer than it saves. */
 const MIN_RECALL_FRACTION = 1 / 10;
@@ -86,7 +86,7 @@
     this.order.push(executor, key);
   }
 
-  /** The executor at the head of the order, after removal of stale entries. */
+  /** Returns the executor at the head of the order, after removal of stale entries. */
   private first(): Executor | undefined {
     for (;;) {
       const executor = this.order.peek();
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Whether the executor may receive one more task: one that starts at once, or one to queue as
-   * long as the executor has less than the target backlog and than its share of the ready tasks.
+   * Whether the executor may receive one more task: because the task starts at once, or because
+   * less is queued at the executor than the target backlog and than its share of the ready tasks.
    */
   hasCapacity(executor: Executor, cpus: number, meanMs: number, ready: number): boolean {
     if (!this.acceptsTasks(executor) || cpus > executor.cpus) return false;
@@ -120,7 +120,7 @@
     return endingCpus;
   }
 
-  /** Returns the first executor in the order with capacity for such a task, or null after too many without. */
+  /** Returns the first executor in the order with capacity for such a task, or null if the first `MAX_SKIPPED` have none. */
   pick(cpus: number, meanMs: number, ready: number): Executor | null {
     const skipped: Executor[] = [];
     let found: Executor | null = null;
@@ -164,8 +164,8 @@
   }
 
   /**
-   * If an executor is idle, returns the one with the longest backlog and those of its leases to
-   * recall, otherwise null. An executor with pending recalls is left out.
+   * If an executor is idle, returns the executor with the longest backlog and the leases to recall
+   * from it, otherwise null. An executor with pending recalls is left out.
    */
   chooseRecall(): { executor: Executor; leases: number[] } | null {
     if (this.executors.size < 2) return null;
--- a/packages/graphs/src/runtimes.ts
+++ b/packages/graphs/src/runtimes.ts
@@ -1,6 +1,6 @@
 /** Minimum weight of a new run time against the earlier estimate. */
 const MIN_SAMPLE_WEIGHT = 0.1;
-/** Functions with an estimate; bounded because their names come from clients. */
+/** Maximum number of functions with an estimate; bounded because their names come from clients. */
 const MAX_FUNCTIONS = 5000;
 
 /** Estimate for one function, in ms. */
--- a/packages/graphs/test/cluster.ts
+++ b/packages/graphs/test/cluster.ts
@@ -8,7 +8,7 @@
   task: TaskSpec;
 }
 
-/** A larger output is stored at its executor. In bytes. */
+/** Maximum size of an output that is sent inline, in bytes. A larger output is stored at its executor. */
 export const MAX_INLINE_BYTES = 100;
 
 /** Models the executors and clients of a machine, and records violations of its invariants. */
--- a/packages/graphs/test/journal.test.ts
+++ b/packages/graphs/test/journal.test.ts
@@ -59,7 +59,7 @@
   return { service, options, flush };
 }
 
-test("100,000 outcomes take under five changes per thousand, and no records once they are acknowledged", () => {
+test("100,000 outcomes take under five changes per thousand, and their records are removed once they are acknowledged", () => {
   const { service, options } = environment();
   const journal = new Journal(options());
   for (let seq = 0; seq < 100_000; seq++) {
@@ -68,7 +68,7 @@
     if (seq % 5000 === 4999) journal.acknowledge("c", 0);
     while (journal.isBatchDue()) journal.batchCommitted(service.txn(journal.draftBatch()!)!);
   }
-  // The sequence numbers are spread over the whole range, which is worse than any graph.
+  // The sequence numbers are spread over the whole range, which is worse than in any real graph.
   assert.ok(service.changes < 500, `${service.changes} changes`);
   const near = environment();
   const other = new Journal(near.options());
@@ -121,7 +121,7 @@
   flush(next);
   assert.equal(service.txn(late), null);
   assert.equal(Journal.restore(options(), service.list()).outcome("c", 2), "done");
-  // This includes a record that no other owner has written.
+  // The same holds for a record that no other owner has written.
   next.record("c", 5 * TASKS_PER_PAGE, "done");
   const further = next.draftBatch()!;
   service.takeOver();
@@ -183,7 +183,7 @@
           for (const name of ["c", "d"]) {
             let below = 0;
             while (journal.outcome(name, below) === "acknowledged") below++;
-            // A client acknowledges again a base that was not durable.
+            // A base that was not durable is lost, and the client acknowledges it again below.
             assert.ok(below <= (acknowledged.get(name) ?? 0));
           }
           for (const [name, below] of acknowledged) journal.acknowledge(name, below);
--- a/packages/graphs/test/machine.test.ts
+++ b/packages/graphs/test/machine.test.ts
@@ -48,7 +48,7 @@
   assert.equal(cluster.finals.size, 1002);
   assert.ok([...cluster.finals.values()].every(({ kind }) => kind === "done"));
   assert.equal(cluster.runs.get("base"), 2);
-  assert.equal(cluster.runs.get("root"), 1, "its inline value is kept by the owner");
+  assert.equal(cluster.runs.get("root"), 1, "its value is kept inline in the graph machine");
   assert.deepEqual(cluster.violations, []);
 });
 
