--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -1,3 +1,4 @@
+/** A whole cluster on this machine, for rehearsals and for manual use. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -1,3 +1,4 @@
+/** The users of a rehearsal on real processes. */
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { statusFromResponse, type HistoryEvent } from "../checker.js";
 import type { PlannedSubmission } from "../plan.js";
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -1,3 +1,4 @@
+/** Emulated workers on real sockets. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { decodeOrders, encodeReport, type Report, type ReportAnswer } from "@thorntrail/protocol/worker";
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -1,3 +1,4 @@
+/** The scheduler of one task graph. */
 import FlatQueue from "flatqueue";
 import { Admission, DEFAULT_LIMITS, specBytes, type AdmissionLimits } from "./admission.js";
 import {
--- a/packages/graphs/src/objects.ts
+++ b/packages/graphs/src/objects.ts
@@ -1,3 +1,4 @@
+/** Keys of a graph's objects, and their index. */
 import { emptyList, Availability, type Task, type GraphObject } from "./model.js";
 
 /** Key under which clients and executors address an object: `TASK:INDEX` for a task's output, the client's own key otherwise. */
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -1,3 +1,4 @@
+/** The executors of a graph, in the order in which they receive tasks. */
 import FlatQueue from "flatqueue";
 import type { Executor, Task } from "./model.js";
 
--- a/packages/graphs/test/cluster.ts
+++ b/packages/graphs/test/cluster.ts
@@ -1,3 +1,4 @@
+/** Model of the executors and clients of a graph, for tests. */
 import type { TaskOutcome, TaskInput, TaskOutput, DecisionSink, TaskSpec } from "../src/model.js";
 import { GraphMachine, type MachineOptions } from "../src/machine.js";
 
--- a/packages/store/src/core.ts
+++ b/packages/store/src/core.ts
@@ -1,3 +1,4 @@
+/** The decisions of the store on transactions and leases. */
 import { STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import type { Condition } from "@thorntrail/protocol/state";
 import type { Batch, EngineMeta, StoredEvent } from "./engine.js";
--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -1,8 +1,3 @@
-import { ClassicLevel, type IteratorOptions } from "classic-level";
-import { buf } from "crc-32";
-import * as zlib from "node:zlib";
-import { CorruptDataError, type Batch, type Engine, type EngineMeta, type Page, type StoredValue, type StoredEvent } from "./engine.js";
-
 /**
  * Storage engine on LevelDB. Records are grouped by prefix:
  *   k!KEY             stamp, permit and value of an existing key
@@ -14,6 +9,11 @@
  * Every value starts with a checksum, because LevelDB does not verify its own checksums in
  * ordinary reads. A batch is written with one sync and is visible only after the sync.
  */
+import { ClassicLevel, type IteratorOptions } from "classic-level";
+import { buf } from "crc-32";
+import * as zlib from "node:zlib";
+import { CorruptDataError, type Batch, type Engine, type EngineMeta, type Page, type StoredValue, type StoredEvent } from "./engine.js";
+
 const KEY_PREFIX = "k!";
 const EVENT_PREFIX = "e!";
 const REVISION_PREFIX = "r!";
--- a/packages/store/src/server.ts
+++ b/packages/store/src/server.ts
@@ -1,3 +1,4 @@
+/** The HTTP interface of the state service. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { CallError } from "@thorntrail/protocol/errors";
 import { RateLimitError } from "@thorntrail/protocol/state";
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,3 +1,4 @@
+/** The state service without its network layer. */
 import { CallError } from "@thorntrail/protocol/errors";
 import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { RateLimitError, type Condition } from "@thorntrail/protocol/state";
@@ -50,9 +51,9 @@
 const MAX_WATCHES = 10_000;
 
 /**
- * The state service without its network layer. Changes are decided sequentially and made
- * durable by group commit: while one group is being written, the next one accumulates. No
- * answer is sent before everything that it depends on is durable.
+ * Decides changes sequentially and makes them durable by group commit: while one group is
+ * being written, the next one accumulates. No answer is sent before everything that it
+ * depends on is durable.
  *
  * Requests fail with `RateLimitError`, `LimitExceededError` (too large a value, too many
  * changes or conditions), `CorruptDataError` (a read failed an integrity check) or
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,3 +1,11 @@
+/**
+ * Explicit-state model, in discrete steps of time, of one machine with one task, a former owner that has lost the state
+ * service, and the new owner. It explores every way in which reports, answers and commands of both owners can arrive, be
+ * lost, or arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease expiry.
+ * Each state must satisfy:
+ * - the new owner does not consider the task ended on a fenced machine that still has it;
+ * - the task of a job that is cancelled elsewhere just after the former owner's last proof has ended within `CANCEL` steps.
+ */
 import type { Report } from "@thorntrail/protocol/worker";
 import { addMachine, addTaskSet, newPartition } from "../../src/parts/partition.js";
 import { Bits } from "../../src/platform/bits.js";
@@ -9,15 +17,6 @@
 import { ordersFor } from "../../src/workers/orders.js";
 import { specOf } from "./partitions.js";
 
-/**
- * Explicit-state model, in discrete steps of time, of one machine with one task, a former owner that has lost the state
- * service, and the new owner. It explores every way in which reports, answers and commands of both owners can arrive, be
- * lost, or arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease expiry.
- * Each state must satisfy:
- * - the new owner does not consider the task ended on a fenced machine that still has it;
- * - the task of a job that is cancelled elsewhere just after the former owner's last proof has ended within `CANCEL` steps.
- */
-
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
   /** An answer of the new owner replaces the latest possible answer of the former owner, even if the machine has not shown the new token. */
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -1,3 +1,8 @@
+/**
+ * Explicit-state model of one partition, two controllers and the state service. The production functions decide on
+ * suspicions, refutations, verdicts and claims. Time is not modelled: a suspicion may be old enough for a verdict as soon as
+ * it is read, and a write may arrive late, twice or never.
+ */
 import type { OwnerRecord, PresenceRecord, SuspicionRecord } from "../../src/ledger/records.js";
 import {
   requiredRefutation,
@@ -10,11 +15,6 @@
 } from "../../src/membership/suspicion.js";
 import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/parts/claims.js";
 
-/**
- * Explicit-state model of one partition, two controllers and the state service. The production functions decide on
- * suspicions, refutations, verdicts and claims. Time is not modelled: a suspicion may be old enough for a verdict as soon as
- * it is read, and a write may arrive late, twice or never.
- */
 const NODES = ["a", "b"] as const;
 type Node = (typeof NODES)[number];
 
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -1,11 +1,10 @@
-import { adjustedShares, startsAllowed, totalShares, type Shares } from "../../src/configuration/quota-shares.js";
-
 /**
  * Explicit-state model of a team's limit that changes while its tasks run, over two partitions. Shares are decided by the
  * production functions. The model explores every order in which owners read the versions, start and end tasks, adjust and
  * transfer shares, are replaced by a new owner, and in which unanswered writes are applied late. Once all owners have a
  * version in force, no start may raise the usage above the limit of that version.
  */
+import { adjustedShares, startsAllowed, totalShares, type Shares } from "../../src/configuration/quota-shares.js";
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -1,3 +1,10 @@
+/**
+ * Randomised model of one partition under a sequence of owners, with several machines, arrays and gangs. It uses the
+ * production report handler, lease watch, command dispatch and scheduling cycle, and the emulator's workers. Messages between
+ * them are delayed by up to many seconds, lost, repeated and reordered. Before each takeover, attempts move to other machines
+ * and some machines become slow to reach; reports that arrive before the new owner starts are queued and read in random
+ * order. Completed tasks are durable at once.
+ */
 import { Subject } from "rxjs";
 import { findViolations, type HistoryEvent } from "@thorntrail/emulator/checker";
 import { seededRandom } from "@thorntrail/emulator/random";
@@ -28,13 +35,6 @@
 import { callsFor, TIMING } from "./calls.js";
 import { schedulingContext, enqueue, specOf } from "./partitions.js";
 
-/**
- * Randomised model of one partition under a sequence of owners, with several machines, arrays and gangs. It uses the
- * production report handler, lease watch, command dispatch and scheduling cycle, and the emulator's workers. Messages between
- * them are delayed by up to many seconds, lost, repeated and reordered. Before each takeover, attempts move to other machines
- * and some machines become slow to reach; reports that arrive before the new owner starts are queued and read in random
- * order. Completed tasks are durable at once.
- */
 const MACHINES = 6;
 const TAKEOVERS = 6;
 const RUN_SECONDS = 130;
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -1,7 +1,3 @@
-import { proofFlaw } from "../../src/workers/termination-proof.js";
-import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
-import type { Machine } from "../../src/workers/machine.js";
-
 /**
  * Explicit-state model of two controllers and two machines with one task between them. Either controller reads the state
  * service or is refused by it, claims the partition, checks leases, answers reports, sends commands and starts the task
@@ -10,6 +6,9 @@
  * termination proof is valid and what an answer renews. In each state the task must be on one machine at most, and it must
  * not be started after its result was cleared.
  */
+import { proofFlaw } from "../../src/workers/termination-proof.js";
+import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
+import type { Machine } from "../../src/workers/machine.js";
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
