--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -28,7 +28,7 @@
   bootedAt: number | null;
   removedAt: number | null;
   failed: boolean;
-  /** The cost up to `chargedUntil`, at the prices in force during that time. */
+  /** The cost up to `chargedUntil`, at the prices and spot factors in force during that time, without the periodic swing of spot prices. */
   chargedCost: number;
   chargedUntil: number;
 }
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -49,7 +49,7 @@
 const MIN_REPORT_GAP_MS = 500;
 /**
  * Interval at which a member of a gang checks the others, in ms. In gangs with more than GANG_CHECKING_MEMBERS members each
- * checks less often, because any member's check covers all.
+ * checks less often, because the check of any one member starts or completes the whole gang.
  */
 const GANG_CHECK_MS = 100;
 const GANG_CHECKING_MEMBERS = 16;
