--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -1,3 +1,4 @@
+/** A whole cluster on this machine, for rehearsals and for manual use. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -379,7 +380,7 @@
     return [...this.hosts.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host);
   }
 
-  /** A controller that is already down keeps its restart time: two processes of one name would replace each other. */
+  /** Ignored if the controller is down already, because a second process of the same name would replace the first. */
   restart(controller: string, downMs: number): void {
     if (this.down.has(controller)) return;
     this.down.add(controller);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -1,3 +1,4 @@
+/** Emulated workers on real sockets. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { decodeOrders, encodeReport, type Report, type ReportAnswer } from "@thorntrail/protocol/worker";
@@ -46,7 +47,7 @@
   private readonly reportedAt = new Map<string, number>();
   /** Copies of reports that are sent to every controller once one takes over a partition. */
   private keptReports: string[] = [];
-  /** Gang members that have fetched their image, by attempt. Indexed because each member looks this up ten times a second. */
+  /** Gang members that have fetched their image, by attempt. Indexed because each member looks up the others ten times a second. */
   private readonly gangs = new Map<string, GangMember[]>();
 
   constructor(
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -1,7 +1,3 @@
-import { proofFlaw } from "../../src/workers/termination-proof.js";
-import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
-import type { Machine } from "../../src/workers/machine.js";
-
 /**
  * Explicit-state model of two controllers and two machines with one task between them. Either controller reads the state
  * service or is refused by it, claims the partition, checks leases, answers reports, sends commands and starts the task
@@ -10,6 +6,9 @@
  * termination proof is valid and what an answer renews. In each state the task must be on one machine at most, and it must
  * not be started after its result was cleared.
  */
+import { proofFlaw } from "../../src/workers/termination-proof.js";
+import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
+import type { Machine } from "../../src/workers/machine.js";
 
 /** Faulty variants of the rules; the model has to find a fault in each. */
 export interface FaultyVariant {
@@ -17,11 +16,11 @@
   clockLease?: boolean;
   /** A new owner counts a machine as fenced by the clock alone. */
   clockFence?: boolean;
-  /** A report under a newer token is applied. */
+  /** A newer token does not end the owner's term: replies under it are applied, and reports under it change nothing. */
   newerIsNews?: boolean;
   /** A read proves ownership at its end instead of its beginning. */
   provenAtEnd?: boolean;
-  /** A new owner does not wait for the time in which the former one may still answer. */
+  /** A new owner does not wait for the time in which the former owner may still answer. */
   noSilence?: boolean;
 }
 
@@ -102,7 +101,7 @@
   return { term: 0, provenAge: OLD_AGE, knowsDone: false, views: [newView(), newView()] };
 }
 
-/** Initial state. `fencing`: the first owner has just claimed and has not yet suffix from its machines. */
+/** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
 function begin(fencing: boolean): State {
   // The previous owner may answer until the silence limit.
   const leaseAge = fencing ? -SILENT_AFTER : 0;
@@ -252,7 +251,7 @@
     return true;
   }
 
-  /** A read whose result is `age` steps old, as the read began then. */
+  /** Applies a read that began `age` steps ago and returns the record as it was then. */
   private read(state: State, c: Index, found: Ledger, age: number): boolean {
     const controller = state.controllers[c];
     if (controller.term === 0) return false;
@@ -317,7 +316,7 @@
     const controller = state.controllers[c];
     if (!mayAct(controller)) return false;
     const worker = state.workers[m];
-    // In the faulty variant, such a report is redirected and changes nothing.
+    // In the faulty variant, a report under a newer token is redirected and changes nothing.
     if (worker.token > controller.term && this.wrong.newerIsNews === true) return false;
     if (!this.receive(state, c, m)) return true;
     const view = controller.views[m];
