--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -6,7 +6,7 @@
 import { callPolicies, type Operation } from "../src/calls/policy.js";
 import { seededRandom } from "../src/platform/seeded-random.js";
 import { TIMING } from "../test/world/calls.js";
-import { median, options, progress, report, Times } from "./harness.js";
+import { median, parseOptions, progress, report, LatencyHistogram } from "./harness.js";
 
 /**
  * Controllers with several duties each ask a service that is down for a minute and then
@@ -24,7 +24,7 @@
 ];
 const OUTAGE_MS = 60_000;
 const SERVICE_RPS = 20;
-const given = options({ repeats: 200, quickRepeats: 20 });
+const given = parseOptions({ repeats: 200, quickRepeats: 20 });
 
 interface Outcome {
   asked: number;
@@ -78,7 +78,7 @@
 const asked: Record<string, number[]> = { policy: [], fixed: [] };
 const peaks: Record<string, number[]> = { policy: [], fixed: [] };
 for (const kind of ["fixed", "policy"] as const) {
-  const back = new Times();
+  const back = new LatencyHistogram();
   for (let i = 0; i < given.repeats; i++) {
     const { asked: n, peak, backMs } = await play(given.seed + i, kind);
     asked[kind]!.push(n);
@@ -91,9 +91,9 @@
   Object.assign(figures, {
     [`${kind}_calls_in_outage`]: median(asked[kind]!),
     [`${kind}_peak_calls_100ms`]: median(peaks[kind]!),
-    [`${kind}_back_p50_ms`]: back.at(50),
-    [`${kind}_back_p99_ms`]: back.at(99),
-    [`${kind}_back_worst_ms`]: back.worst,
+    [`${kind}_back_p50_ms`]: back.percentileMs(50),
+    [`${kind}_back_p99_ms`]: back.percentileMs(99),
+    [`${kind}_back_worst_ms`]: back.maxMs,
   });
 }
 report("calls", given, {
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -4,7 +4,7 @@
 import { HttpStateClient } from "../src/ledger/state-client.js";
 import type { TeamSettings } from "../src/settings/platform-file.js";
 import { Cluster } from "../test/world/cluster.js";
-import { options, progress, report, Times } from "./harness.js";
+import { parseOptions, progress, report, LatencyHistogram } from "./harness.js";
 import { Cell } from "./scale/cell.js";
 import { steadyMs } from "./scale/messages.js";
 import { playRole } from "./scale/roles.js";
@@ -28,7 +28,7 @@
 const limited = (cpus_max: number): Omit<TeamSettings, "name"> => ({ cpus: 4, cpus_max, gpus: 0, gpus_max: 0 });
 
 interface Outcome {
-  times: Times;
+  times: LatencyHistogram;
   never: number;
   /** Changes of the state service in all, for a change of the configuration. */
   writes: number;
@@ -36,11 +36,11 @@
 
 function figures(name: string, { times, never, writes }: Outcome): Record<string, number> {
   progress(
-    `${name}: ${times.count} changes, in force p50 ${times.at(50).toFixed(0)} p99 ${times.at(99).toFixed(0)} worst ${times.worst.toFixed(0)} ms, ${never} never, ${writes.toFixed(1)} writes a change`,
+    `${name}: ${times.count} changes, in force p50 ${times.percentileMs(50).toFixed(0)} p99 ${times.percentileMs(99).toFixed(0)} worst ${times.maxMs.toFixed(0)} ms, ${never} never, ${writes.toFixed(1)} writes a change`,
   );
   return {
     ...{ [`${name}_changes`]: times.count, [`${name}_never`]: never, [`${name}_writes_a_change`]: writes },
-    ...{ [`${name}_p50_ms`]: times.at(50), [`${name}_p99_ms`]: times.at(99), [`${name}_worst_ms`]: times.worst },
+    ...{ [`${name}_p50_ms`]: times.percentileMs(50), [`${name}_p99_ms`]: times.percentileMs(99), [`${name}_worst_ms`]: times.maxMs },
   };
 }
 
@@ -57,7 +57,7 @@
     await sleep(10_000);
     const api = new HttpStateClient(cell.stateAddress, TIMEOUT_MS);
     const store = new ConfigurationStore(api, teams, state);
-    const times = new Times();
+    const times = new LatencyHistogram();
     let never = 0;
     const until = async (version: number, from: number): Promise<void> => {
       while (steadyMs() - from < GIVE_UP_MS) {
@@ -105,7 +105,7 @@
 
 /** One change a cluster, each with seeds of its own. */
 async function inVirtualTime(controllers: number, trouble: Trouble, repeats: number, seed: number): Promise<Outcome> {
-  const times = new Times();
+  const times = new LatencyHistogram();
   let never = 0;
   for (let i = 0; i < repeats; i++) {
     const teams = equalTeams(20, limited(96));
@@ -129,7 +129,7 @@
 }
 
 async function measure(): Promise<void> {
-  const given = options({ repeats: 20, quickRepeats: 4 });
+  const given = parseOptions({ repeats: 20, quickRepeats: 4 });
   const controllers = given.quick ? 4 : 22;
   const changes = given.quick ? 15 : 60;
   const found: Record<string, number> = {};
--- a/measure/costs.ts
+++ b/measure/costs.ts
@@ -1,4 +1,4 @@
-import { options, progress, report } from "./harness.js";
+import { parseOptions, progress, report } from "./harness.js";
 import { startFull } from "./full.js";
 import { memoryEach } from "./memory.js";
 import { bareMs, starts } from "./start.js";
@@ -6,7 +6,7 @@
 /** Where processor time and memory go. `--against DIR`: beside another checkout, built, in turn. */
 const at = process.argv.indexOf("--against");
 const against = at < 0 ? null : process.argv.splice(at, 2)[1]!;
-const given = options({ repeats: 15, quickRepeats: 5 });
+const given = parseOptions({ repeats: 15, quickRepeats: 5 });
 
 const bare = bareMs(given.repeats);
 const here = await starts(".", given.repeats);
--- a/measure/emulator.ts
+++ b/measure/emulator.ts
@@ -8,27 +8,31 @@
 import { DEFAULT_TIMING } from "@thorntrail/emulator/environment";
 import { WorkerHost } from "../packages/emulator/src/real/worker-host.js";
 import type { JobSpec } from "../packages/protocol/src/jobs.js";
-import { options, progress, report } from "./harness.js";
+import { parseOptions, progress, report } from "./harness.js";
 
 /**
- * Workers that one process carries with their reports on time: a process of emulated workers
- * reports at the usual interval to a stand-in controller in this one, which keeps four tasks of
- * 10 s on each by direct commands, as controllers do, and clears what has ended.
+ * Measures how many emulated workers one process can run while their reports stay on time. The
+ * workers report at the default interval to a stub controller in this process, which keeps four
+ * tasks of 10 s running on each worker by commands sent to it, as controllers do, and clears ended
+ * tasks in its answers to reports.
  */
-const TASKS = 4;
-const RUN_MS = 10_000;
-const WARM_MS = 6000;
-/** Of reports, how many may be late. */
-const MOST_LATE = 0.01;
-const COUNT = "MEASURE_WORKERS";
-const FRONT = "MEASURE_FRONT";
-const LENGTH = "MEASURE_MS";
+const TASKS_PER_WORKER = 4;
+const TASK_RUN_MS = 10_000;
+const WARM_UP_MS = 6000;
+/** Largest share of reports that may be late or unanswered. */
+const MAX_LATE_SHARE = 0.01;
+/** Environment variables that pass the parameters to the worker process. */
+const WORKERS_VARIABLE = "MEASURE_WORKERS";
+const CONTROLLER_VARIABLE = "MEASURE_FRONT";
+const DURATION_VARIABLE = "MEASURE_MS";
 
-interface Seen {
+/** Counts and resource use of the worker process over the measured time, as it prints them. */
+interface WorkerProcessStats {
   reports: number;
   late: number;
   unanswered: number;
   started: number;
+  /** Processor time used, in cores. */
   core: number;
   loop_p99_ms: number;
   rss_mb: number;
@@ -40,13 +44,13 @@
   ...{ checkpointS: 0, flushS: 0, deadlineS: null },
 };
 
-/** The process of workers: prints what it saw as one line of JSON. */
-async function carry(count: number, front: string, lengthMs: number): Promise<void> {
-  const began = performance.now();
-  const seen = { started: 0 };
-  const host = new WorkerHost(new NetworkRules(), new Map([["nest-0", front]]), {
+/** Main function of the worker process: runs the workers and prints the statistics as one line of JSON. */
+async function runWorkers(count: number, controllerAddr: string, durationMs: number): Promise<void> {
+  const startedAt = performance.now();
+  const counters = { started: 0 };
+  const host = new WorkerHost(new NetworkRules(), new Map([["nest-0", controllerAddr]]), {
     clock: {
-      now: () => performance.now() - began,
+      now: () => performance.now() - startedAt,
       after: (ms, fn) => {
         const timer = setTimeout(fn, ms);
         return () => clearTimeout(timer);
@@ -56,38 +60,38 @@
     random: seededRandom(1),
     nodes: ["nest-0"],
     spec: () => SPEC,
-    runMs: () => RUN_MS,
+    runMs: () => TASK_RUN_MS,
     fetchMs: () => 500,
     slowdown: () => 1,
     failsTasks: () => false,
     savedProgress: new Map(),
-    onTaskStarted: () => void seen.started++,
+    onTaskStarted: () => void counters.started++,
     onTaskEnded: () => undefined,
   });
-  const room = { cpus: TASKS, gpus: 0, ram: TASKS };
-  for (let i = 0; i < count; i++) await host.boot(`i-${String(i).padStart(6, "0")}`, { type: "m", zone: "a", spot: false }, room);
-  await new Promise((resolve) => setTimeout(resolve, WARM_MS));
-  const before = { ...host.stats, ...seen };
-  const cpu = process.cpuUsage();
-  const from = performance.now();
-  const loop = monitorEventLoopDelay({ resolution: 10 });
-  loop.enable();
-  await new Promise((resolve) => setTimeout(resolve, lengthMs));
-  const used = process.cpuUsage(cpu);
-  const said: Seen = {
+  const capacity = { cpus: TASKS_PER_WORKER, gpus: 0, ram: TASKS_PER_WORKER };
+  for (let i = 0; i < count; i++) await host.boot(`i-${String(i).padStart(6, "0")}`, { type: "m", zone: "a", spot: false }, capacity);
+  await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
+  const before = { ...host.stats, ...counters };
+  const cpuBefore = process.cpuUsage();
+  const measuredFrom = performance.now();
+  const loopDelay = monitorEventLoopDelay({ resolution: 10 });
+  loopDelay.enable();
+  await new Promise((resolve) => setTimeout(resolve, durationMs));
+  const cpuUsed = process.cpuUsage(cpuBefore);
+  const stats: WorkerProcessStats = {
     reports: host.stats.reports - before.reports,
     late: host.stats.late - before.late,
     unanswered: host.stats.unanswered - before.unanswered,
-    started: seen.started - before.started,
-    core: (used.user + used.system) / 1000 / (performance.now() - from),
-    loop_p99_ms: loop.percentile(99) / 1e6 - 10,
+    started: counters.started - before.started,
+    core: (cpuUsed.user + cpuUsed.system) / 1000 / (performance.now() - measuredFrom),
+    loop_p99_ms: loopDelay.percentile(99) / 1e6 - 10,
     rss_mb: process.memoryUsage.rss() / 2 ** 20,
   };
-  process.stdout.write(`${JSON.stringify(said)}\n`);
+  process.stdout.write(`${JSON.stringify(stats)}\n`);
   process.exit(0);
 }
 
-function bodyOf(req: IncomingMessage): Promise<Record<string, unknown>> {
+function readJsonBody(req: IncomingMessage): Promise<Record<string, unknown>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     req.on("data", (some: Buffer) => chunks.push(some));
@@ -95,17 +99,18 @@
   });
 }
 
-interface Task {
+/** A task attempt in a worker's report. */
+interface ReportedTask {
   piece: string;
   try: number;
   status: string;
 }
 
-/** A controller that does nothing but keep machines busy. */
-function standIn(): Promise<{ addr: string; close: () => void }> {
+/** Starts a stub controller that keeps all workers busy and does nothing else. */
+function startStubController(): Promise<{ addr: string; close: () => void }> {
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
   let attempt = 0;
-  const command = (addr: string, session: number, orders: unknown[]): void => {
+  const sendCommands = (addr: string, session: number, orders: unknown[]): void => {
     const body = JSON.stringify({ baton: 1, shift: session, orders });
     const colon = addr.lastIndexOf(":");
     const headers = { "content-length": Buffer.byteLength(body) };
@@ -122,18 +127,18 @@
     req.end(body);
   };
   const server = createServer((req, res) => {
-    void bodyOf(req).then((told) => {
-      const pieces = told["pieces"] as Task[];
-      const ended = pieces.filter(({ status }) => status === "exited");
-      const clears = ended.map(({ piece, try: n }) => ({ verb: "clear", piece, try: n }));
-      const free = TASKS - (pieces.length - ended.length);
-      const text = JSON.stringify({ baton: 1, orders: clears });
+    void readJsonBody(req).then((workerReport) => {
+      const tasks = workerReport["pieces"] as ReportedTask[];
+      const endedTasks = tasks.filter(({ status }) => status === "exited");
+      const clearOrders = endedTasks.map(({ piece, try: n }) => ({ verb: "clear", piece, try: n }));
+      const freeTasks = TASKS_PER_WORKER - (tasks.length - endedTasks.length);
+      const text = JSON.stringify({ baton: 1, orders: clearOrders });
       res.writeHead(200, { "content-type": "application/json", "content-length": Buffer.byteLength(text) }).end(text);
-      if (free > 0)
-        command(
-          String(told["addr"]),
-          Number(told["shift"]),
-          Array.from({ length: free }, () => ({ verb: "start", piece: `run-000001/${++attempt % SPEC.tasks}`, try: attempt })),
+      if (freeTasks > 0)
+        sendCommands(
+          String(workerReport["addr"]),
+          Number(workerReport["shift"]),
+          Array.from({ length: freeTasks }, () => ({ verb: "start", piece: `run-000001/${++attempt % SPEC.tasks}`, try: attempt })),
         );
     });
   });
@@ -152,42 +157,48 @@
   );
 }
 
-function play(count: number, front: string, lengthMs: number): Promise<Seen> {
+/** Runs a process with `count` workers and returns its statistics. */
+function measureWorkers(count: number, controllerAddr: string, durationMs: number): Promise<WorkerProcessStats> {
   const child = spawn(process.execPath, [fileURLToPath(import.meta.url)], {
     stdio: ["ignore", "pipe", "inherit"],
-    env: { ...process.env, [COUNT]: String(count), [FRONT]: front, [LENGTH]: String(lengthMs) },
+    env: {
+      ...process.env,
+      [WORKERS_VARIABLE]: String(count),
+      [CONTROLLER_VARIABLE]: controllerAddr,
+      [DURATION_VARIABLE]: String(durationMs),
+    },
   });
   return new Promise((resolve, reject) => {
     let text = "";
     child.stdout.on("data", (some: Buffer) => (text += some.toString()));
     child.once("exit", (code) =>
-      code === 0 ? resolve(JSON.parse(text) as Seen) : reject(new Error(`the workers' process ended with ${code}`)),
+      code === 0 ? resolve(JSON.parse(text) as WorkerProcessStats) : reject(new Error(`the worker process exited with code ${code}`)),
     );
   });
 }
 
 async function measure(): Promise<void> {
-  const given = options({ repeats: 1, quickRepeats: 1 });
-  const { addr, close } = await standIn();
+  const options = parseOptions({ repeats: 1, quickRepeats: 1 });
+  const { addr, close } = await startStubController();
   const figures: Record<string, number> = {};
-  let most = 0;
-  for (const count of given.quick ? [250, 1000] : [250, 500, 1000, 1500, 2000, 3000]) {
-    const seen = await play(count, addr, given.quick ? 8000 : 20_000);
-    const late = (seen.late + seen.unanswered) / seen.reports;
+  let workersOnTime = 0;
+  for (const count of options.quick ? [250, 1000] : [250, 500, 1000, 1500, 2000, 3000]) {
+    const stats = await measureWorkers(count, addr, options.quick ? 8000 : 20_000);
+    const lateShare = (stats.late + stats.unanswered) / stats.reports;
     progress(
-      `${count} workers: ${seen.reports} reports, ${(late * 100).toFixed(2)}% late or unanswered, ${seen.started} starts, ${seen.core.toFixed(2)} of a core`,
+      `${count} workers: ${stats.reports} reports, ${(lateShare * 100).toFixed(2)}% late or unanswered, ${stats.started} starts, ${stats.core.toFixed(2)} cores`,
     );
-    if (late <= MOST_LATE && seen.core <= 1) most = count;
-    figures[`late_share_${count}`] = late;
-    figures[`core_share_${count}`] = seen.core;
-    figures[`loop_p99_ms_${count}`] = seen.loop_p99_ms;
-    figures[`rss_mb_${count}`] = seen.rss_mb;
-    figures[`starts_${count}`] = seen.started;
+    if (lateShare <= MAX_LATE_SHARE && stats.core <= 1) workersOnTime = count;
+    figures[`late_share_${count}`] = lateShare;
+    figures[`core_share_${count}`] = stats.core;
+    figures[`loop_p99_ms_${count}`] = stats.loop_p99_ms;
+    figures[`rss_mb_${count}`] = stats.rss_mb;
+    figures[`starts_${count}`] = stats.started;
   }
   close();
-  report("emulator", given, { report_interval_s: DEFAULT_TIMING.reportMs / 1000, workers_on_time: most, ...figures });
+  report("emulator", options, { report_interval_s: DEFAULT_TIMING.reportMs / 1000, workers_on_time: workersOnTime, ...figures });
 }
 
-const count = process.env[COUNT];
-if (count === undefined) await measure();
-else await carry(Number(count), process.env[FRONT]!, Number(process.env[LENGTH]));
+const workerCount = process.env[WORKERS_VARIABLE];
+if (workerCount === undefined) await measure();
+else await runWorkers(Number(workerCount), process.env[CONTROLLER_VARIABLE]!, Number(process.env[DURATION_VARIABLE]));
--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -4,7 +4,7 @@
 import { GraphMachine } from "../packages/graphs/src/machine.js";
 import type { DecisionSink, TaskSpec } from "../packages/graphs/src/model.js";
 import { seededRandom } from "../src/platform/seeded-random.js";
-import { median, options, progress, report, Times } from "./harness.js";
+import { median, parseOptions, progress, report, LatencyHistogram } from "./harness.js";
 
 /**
  * Measures the task graph scheduler without network I/O: its CPU time per task for three graph
@@ -12,7 +12,7 @@
  * lower bound max(critical path, work / width). The baseline is a FIFO scheduler that sends one
  * task at a time to each free CPU.
  */
-const given = options({ repeats: 20, quickRepeats: 3 });
+const given = parseOptions({ repeats: 20, quickRepeats: 3 });
 /** One-way latency between the owner and an executor, in ms. */
 const LATENCY_MS = 2;
 const EXECUTORS = 8;
@@ -278,7 +278,7 @@
 }
 
 /** Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for a graph of n tasks in pairs. */
-function cost(n: number): { usEach: number; heapMb: number; decision: Times } {
+function cost(n: number): { usEach: number; heapMb: number; decision: LatencyHistogram } {
   const ignore = (): void => undefined;
   const leases: [string, number][] = [];
   const out: DecisionSink = {
@@ -289,7 +289,7 @@
     final: ignore,
     ready: ignore,
   };
-  const decision = new Times();
+  const decision = new LatencyHistogram();
   globalThis.gc?.();
   const before = process.memoryUsage().heapUsed;
   const machine = new GraphMachine({
@@ -332,8 +332,8 @@
     each.set(n, [...(each.get(n) ?? []), median(costs.map(({ usEach }) => usEach))]);
     if (n === 100_000) {
       heap = Math.max(heap, costs[0]!.heapMb);
-      figures["decision_p50_us"] = costs[0]!.decision.at(50) * 1000;
-      figures["decision_p99_us"] = costs[0]!.decision.at(99) * 1000;
+      figures["decision_p50_us"] = costs[0]!.decision.percentileMs(50) * 1000;
+      figures["decision_p99_us"] = costs[0]!.decision.percentileMs(99) * 1000;
     }
   }
 for (const [n, list] of each) figures[`cost_us_per_task_${n}`] = median(list);
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -1,13 +1,13 @@
 import { loadPlan, runVirtual, DurationHistogram, type RehearsalPlan } from "../packages/emulator/src/entry.js";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
-import { options, progress, report } from "./harness.js";
+import { parseOptions, progress, report } from "./harness.js";
 
 /**
  * How long recovery takes, over many rehearsals in virtual time: the same plan, seeds and
  * faults each time, so that two versions can be compared. Times in ms from the loss.
  */
-const given = options({ repeats: 40, quickRepeats: 4 });
+const given = parseOptions({ repeats: 40, quickRepeats: 4 });
 const base = await loadPlan("deploy/rehearsal.hcl");
 
 /** What is lost, and what else goes wrong in the midst of it. */
--- a/measure/scale.ts
+++ b/measure/scale.ts
@@ -1,6 +1,6 @@
 import { parseArgs } from "node:util";
 import { existsSync } from "node:fs";
-import { progress, report, Times } from "./harness.js";
+import { progress, report, LatencyHistogram } from "./harness.js";
 import { Cell, type Role, type Snapshot } from "./scale/cell.js";
 import { faultFigures, schedule } from "./scale/fault-run.js";
 import { drawFaults, type ScaleFault } from "./scale/faults.js";
@@ -61,14 +61,14 @@
   tasksOf: ReadonlyMap<string, number>,
   from: number,
   to: number,
-): { times: Times; never: number } {
+): { times: LatencyHistogram; never: number } {
   const begun = new Map<string, { count: number; lastAt: number }>();
   for (const { jobs } of last.workers)
     for (const [ref, count, lastAt] of jobs) {
       const known = begun.get(ref) ?? { count: 0, lastAt: 0 };
       begun.set(ref, { count: known.count + count, lastAt: Math.max(known.lastAt, lastAt) });
     }
-  const times = new Times();
+  const times = new LatencyHistogram();
   let never = 0;
   for (const { ref, at } of last.clients.submissions) {
     if (!refs.has(ref) || at < from || at >= to) continue;
@@ -208,7 +208,11 @@
       const { times, never } = waits(fleet.urgent, end, tasksOf, span.from.at, span.to.at);
       const name = `${span.name}_urgent`;
       Object.assign(figures, { [`${name}_jobs`]: times.count + never, [`${name}_never_begun`]: never });
-      Object.assign(figures, { [`${name}_p50_ms`]: times.at(50), [`${name}_p99_ms`]: times.at(99), [`${name}_worst_ms`]: times.worst });
+      Object.assign(figures, {
+        [`${name}_p50_ms`]: times.percentileMs(50),
+        [`${name}_p99_ms`]: times.percentileMs(99),
+        [`${name}_worst_ms`]: times.maxMs,
+      });
     }
     for (const [duty, ms] of dutiesOf(cell)) figures[`duty_${duty}_ms`] = ms;
     const peak = peakStarts(end);
--- a/measure/scale/clients.ts
+++ b/measure/scale/clients.ts
@@ -2,7 +2,7 @@
 import { encodeJob } from "../../packages/protocol/src/jobs.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "../../packages/emulator/src/real/http.js";
 import { seededRandom } from "@thorntrail/emulator/random";
-import { Times } from "../harness.js";
+import { LatencyHistogram } from "../harness.js";
 import { steadyMs, type ClientsSeen, type FromClients, type PlannedJob, type ToClients } from "./messages.js";
 
 /**
@@ -27,8 +27,8 @@
 class Clients {
   private readonly agent = createAgent(MOST_CONNECTIONS);
   private readonly random: () => number;
-  private readonly submitTimes = new Times();
-  private readonly pollTimes = new Times();
+  private readonly submitTimes = new LatencyHistogram();
+  private readonly pollTimes = new LatencyHistogram();
   private readonly answers = new Map<number, number>();
   private readonly submissions = new Map<string, ClientsSeen["submissions"][number]>();
   private readonly accepted: string[] = [];
@@ -106,7 +106,7 @@
   }
 
   view(): Omit<ClientsSeen, "loopP99Ms" | "loopWorstMs"> {
-    const spread = (times: Times) => ({ p50: times.at(50), p99: times.at(99), worst: times.worst });
+    const spread = (times: LatencyHistogram) => ({ p50: times.percentileMs(50), p99: times.percentileMs(99), worst: times.maxMs });
     return {
       submissions: [...this.submissions.values()],
       submitMs: spread(this.submitTimes),
--- a/measure/scale/fault-run.ts
+++ b/measure/scale/fault-run.ts
@@ -1,6 +1,6 @@
 /** Carries out the faults of a scale run, and says what the checker and the controllers' own figures make of it. */
 import { findViolations } from "../../packages/emulator/src/checker.js";
-import { progress, Times } from "../harness.js";
+import { progress, LatencyHistogram } from "../harness.js";
 import type { Cell } from "./cell.js";
 import type { ScaleFault } from "./faults.js";
 
@@ -39,15 +39,15 @@
 export async function faultFigures(cell: Cell): Promise<Record<string, number | string>> {
   const history = [...cell.happenings].sort((a, b) => a.at - b.at);
   const broken = findViolations(history, { cancelMs: Infinity, teams: new Map() });
-  const fences = new Times();
+  const fences = new LatencyHistogram();
   for (const { ms } of cell.fences) fences.add(ms);
   const figures: Record<string, number | string> = {
     faults: carriedOut.join(", ") || "none",
     rules_broken: broken.length,
     first_broken: broken[0] ?? "none",
     fences: fences.count,
-    fence_p50_ms: fences.at(50),
-    fence_worst_ms: fences.worst,
+    fence_p50_ms: fences.percentileMs(50),
+    fence_worst_ms: fences.maxMs,
     fence_most_machines: Math.max(0, ...cell.fences.map(({ machines: count }) => count)),
     invariant_violations: await cell.controllerFigure("invariant_violations_total"),
   };
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -1,6 +1,6 @@
 import { writeFileSync } from "node:fs";
 import { cpus } from "node:os";
-import { options, progress, report } from "./harness.js";
+import { parseOptions, progress, report } from "./harness.js";
 import { startFull } from "./full.js";
 import { memoryEach } from "./memory.js";
 import { playRole } from "./scale/roles.js";
@@ -39,7 +39,7 @@
   const out = at < 0 ? null : process.argv.splice(at, 2)[1]!;
   const onlyAt = process.argv.indexOf("--only");
   const only = onlyAt < 0 ? null : process.argv.splice(onlyAt, 2)[1]!;
-  const given = options({ repeats: 1, quickRepeats: 1 });
+  const given = parseOptions({ repeats: 1, quickRepeats: 1 });
   const seconds = given.quick ? 8 : 20;
   const slopes: Slope[] = [];
   const add = async (what: string, work: () => Slope[] | Promise<Slope[]>): Promise<void> => {
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -3,14 +3,14 @@
 import { DurationHistogram } from "../packages/emulator/src/report.js";
 import { spawnController, type RehearsedController } from "../src/rehearsal/spawn-controller.js";
 import { specOf } from "../test/world/partitions.js";
-import { options, progress, report } from "./harness.js";
+import { parseOptions, progress, report } from "./harness.js";
 
 /**
  * What waiting for proof of ownership costs: machines die around the beginning of an outage of the state service for all,
  * with room for their tasks elsewhere. Time in seconds from a machine's end until its tasks run again, by how long before
  * (or after) the beginning of the outage it died.
  */
-const given = options({ repeats: 6, quickRepeats: 1 });
+const given = parseOptions({ repeats: 6, quickRepeats: 1 });
 const OUTAGE_AT_S = 60;
 const OUTAGE_S = 35;
 /** Seconds from a machine's end to the beginning of the outage. */
--- a/measure/store.ts
+++ b/measure/store.ts
@@ -7,25 +7,29 @@
 import { performance } from "node:perf_hooks";
 import { ClassicLevel } from "classic-level";
 import { LevelEngine } from "../packages/store/src/level-engine.js";
-import { median, options, progress, report, Times } from "./harness.js";
+import { median, parseOptions, progress, report, LatencyHistogram } from "./harness.js";
 
 /**
- * The store under 64 clients, each with one transaction of two changes at a time, as a
- * share of what the engine alone does with batches of the same size in the same run.
+ * Measures the throughput and commit latency of the store under 64 clients, each with one
+ * transaction of two changes in flight, relative to the storage engine alone with batches of the
+ * same size and to a bare HTTP server in the same run. Also measures its start-up time and its
+ * size on disk with many live keys.
  */
 const CLIENTS = 64;
-const VALUE = "v".repeat(300);
-const given = options({ repeats: 5, quickRepeats: 2 });
-const SECONDS = given.quick ? 2 : 5;
-const root = mkdtempSync(join(tmpdir(), "measure-store-"));
+/** Text of each written value, 300 bytes. */
+const PAYLOAD = "v".repeat(300);
+const options = parseOptions({ repeats: 5, quickRepeats: 2 });
+const LOAD_SECONDS = options.quick ? 2 : 5;
+const rootDir = mkdtempSync(join(tmpdir(), "measure-store-"));
 const children = new Set<ChildProcess>();
 process.on("exit", () => {
   for (const child of children) child.kill("SIGKILL");
-  rmSync(root, { recursive: true, force: true });
+  rmSync(rootDir, { recursive: true, force: true });
 });
 
-function start(dir: string, admin: string): Promise<{ child: ChildProcess; port: number; ms: number }> {
-  const began = performance.now();
+/** Starts a store process on a data directory; `ms` is the time until it listens. */
+function startStore(dir: string, admin: string): Promise<{ child: ChildProcess; port: number; ms: number }> {
+  const startedAt = performance.now();
   const child = spawn(
     process.execPath,
     ["target/main.js", "store", "serve", "--listen", "127.0.0.1:0", "--data", dir, "--config", "measure/store.hcl", "--admin", admin],
@@ -35,19 +39,19 @@
   return new Promise((resolve) => {
     child.stdout!.once("data", (line: Buffer) => {
       const { listening } = JSON.parse(line.toString()) as { listening: string };
-      resolve({ child, port: Number(listening.split(":")[1]), ms: performance.now() - began });
+      resolve({ child, port: Number(listening.split(":")[1]), ms: performance.now() - startedAt });
     });
   });
 }
 
-function stop(child: ChildProcess): Promise<void> {
+function stopProcess(child: ChildProcess): Promise<void> {
   return new Promise((resolve) => {
     child.once("exit", () => resolve());
     child.kill("SIGTERM");
   });
 }
 
-function call(agent: Agent, port: number, method: string, path: string, body?: string): Promise<{ status: number; text: string }> {
+function sendRequest(agent: Agent, port: number, method: string, path: string, body?: string): Promise<{ status: number; text: string }> {
   return new Promise((resolve, reject) => {
     const headers = body === undefined ? {} : { "content-length": Buffer.byteLength(body) };
     const req = request({ host: "127.0.0.1", port, method, path, agent, headers }, (res) => {
@@ -60,36 +64,39 @@
   });
 }
 
-async function figure(port: number, name: string): Promise<number> {
-  const { text } = await call(new Agent(), port, "GET", "/metrics");
+/** Reads one metric of the store from its administration address. */
+async function readMetric(port: number, name: string): Promise<number> {
+  const { text } = await sendRequest(new Agent(), port, "GET", "/metrics");
   return Number(new RegExp(`^thorntrail_store_${name} (\\S+)$`, "m").exec(text)![1]);
 }
 
-/** One client's connection, spoken by hand: the load must cost less than what it is put on. */
-class Client {
+/** A minimal HTTP/1.1 client on one connection, so that generating load takes less processor time than serving it. */
+class RawHttpClient {
   private readonly socket: Socket;
-  private got = "";
-  private answered: (status: number) => void = () => undefined;
+  private buffer = "";
+  /** Called with the status of the next response. */
+  private onStatus: (status: number) => void = () => undefined;
 
   constructor(port: number) {
     this.socket = connect(port, "127.0.0.1");
     this.socket.setNoDelay(true);
     this.socket.setEncoding("latin1");
     this.socket.on("data", (some: string) => {
-      this.got += some;
-      const head = this.got.indexOf("\r\n\r\n");
-      if (head < 0) return;
-      const length = Number(/content-length: (\d+)/i.exec(this.got.slice(0, head))![1]);
-      if (this.got.length < head + 4 + length) return;
-      const status = Number(this.got.slice(9, 12));
-      this.got = this.got.slice(head + 4 + length);
-      this.answered(status);
+      this.buffer += some;
+      const headEnd = this.buffer.indexOf("\r\n\r\n");
+      if (headEnd < 0) return;
+      const length = Number(/content-length: (\d+)/i.exec(this.buffer.slice(0, headEnd))![1]);
+      if (this.buffer.length < headEnd + 4 + length) return;
+      const status = Number(this.buffer.slice(9, 12));
+      this.buffer = this.buffer.slice(headEnd + 4 + length);
+      this.onStatus(status);
     });
   }
 
+  /** Posts a transaction and returns the status of the response. */
   post(body: string): Promise<number> {
     return new Promise((resolve, reject) => {
-      this.answered = resolve;
+      this.onStatus = resolve;
       this.socket.once("error", reject);
       this.socket.write(
         `POST /txn HTTP/1.1\r\nhost: store\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body}`,
@@ -103,39 +110,40 @@
   }
 }
 
-async function loaded(port: number, times: Times, seconds: number): Promise<number> {
-  const until = performance.now() + seconds * 1000;
-  let done = 0;
+/** Runs all clients for the given time and returns the changes per second. Throws if a transaction is not answered with 200. */
+async function runLoad(port: number, latencies: LatencyHistogram, seconds: number): Promise<number> {
+  const deadline = performance.now() + seconds * 1000;
+  let changes = 0;
   await Promise.all(
     Array.from({ length: CLIENTS }, async (_, c) => {
-      const client = new Client(port);
-      for (let n = 0; performance.now() < until; n++) {
-        const body = JSON.stringify({ apply: [0, 1].map((i) => ({ write: `t/j/${c}-${i}-${n % 50}`, v: { n, text: VALUE } })) });
-        const at = performance.now();
+      const client = new RawHttpClient(port);
+      for (let n = 0; performance.now() < deadline; n++) {
+        const body = JSON.stringify({ apply: [0, 1].map((i) => ({ write: `t/j/${c}-${i}-${n % 50}`, v: { n, text: PAYLOAD } })) });
+        const sentAt = performance.now();
         const status = await client.post(body);
-        if (status !== 200) throw new Error(`answered ${status}`);
-        times.add(performance.now() - at);
-        done += 2;
+        if (status !== 200) throw new Error(`a transaction was answered with status ${status}`);
+        latencies.add(performance.now() - sentAt);
+        changes += 2;
       }
       client.close();
     }),
   );
-  return done / seconds;
+  return changes / seconds;
 }
 
-/** The engine alone: the entries that so many changes in one group make, one synced batch after another. */
-async function alone(dir: string, changesPerGroup: number, seconds: number): Promise<number> {
+/** Writes the entries that a group of changes produces to the storage engine, one synced batch after another; returns changes per second. */
+async function runEngineLoad(dir: string, changesPerGroup: number, seconds: number): Promise<number> {
   const db = new ClassicLevel<string, string>(dir);
   await db.open();
-  const text = JSON.stringify({ n: 1, text: VALUE });
+  const text = JSON.stringify({ n: 1, text: PAYLOAD });
   let stamp = 0;
   let changes = 0;
-  let carry = 0;
-  const until = performance.now() + seconds * 1000;
-  while (performance.now() < until) {
-    carry += changesPerGroup;
-    const size = Math.max(1, Math.floor(carry));
-    carry -= size;
+  let fractionalChanges = 0;
+  const deadline = performance.now() + seconds * 1000;
+  while (performance.now() < deadline) {
+    fractionalChanges += changesPerGroup;
+    const size = Math.max(1, Math.floor(fractionalChanges));
+    fractionalChanges -= size;
     const batch = db.batch();
     for (let i = 0; i < size; i++) {
       if (i % 2 === 0) stamp++;
@@ -151,8 +159,8 @@
   return changes / seconds;
 }
 
-/** A server that only reads a transaction as JSON and answers: what speaking HTTP costs, in the same run. */
-const BARE = `
+/** Source of a server that only parses a transaction and answers it, as a baseline for the cost of HTTP. */
+const BARE_HTTP_SERVER = `
 import { createServer } from "node:http";
 let ledger = 0;
 const server = createServer((req, res) => {
@@ -169,82 +177,84 @@
 server.listen(0, "127.0.0.1", () => console.log(server.address().port));
 `;
 
-async function bare(seconds: number): Promise<number> {
-  const child = spawn(process.execPath, ["--input-type=module", "-e", BARE], { stdio: ["ignore", "pipe", "inherit"] });
+/** Runs the load against the bare HTTP server and returns the changes per second. */
+async function runBareHttpLoad(seconds: number): Promise<number> {
+  const child = spawn(process.execPath, ["--input-type=module", "-e", BARE_HTTP_SERVER], { stdio: ["ignore", "pipe", "inherit"] });
   children.add(child);
   const port = await new Promise<number>((resolve) => child.stdout.once("data", (line: Buffer) => resolve(Number(line.toString()))));
-  await loaded(port, new Times(), seconds / 4);
-  const changes = await loaded(port, new Times(), seconds);
-  await stop(child);
+  await runLoad(port, new LatencyHistogram(), seconds / 4);
+  const changes = await runLoad(port, new LatencyHistogram(), seconds);
+  await stopProcess(child);
   return changes;
 }
 
-const served: number[] = [];
-const http: number[] = [];
-const engine: number[] = [];
-const groups: number[] = [];
-const times = new Times();
-const ADMIN = 23_790 + (process.pid % 1000);
-for (let i = 0; i < given.repeats; i++) {
-  const { child, port } = await start(join(root, `served-${i}`), `127.0.0.1:${ADMIN}`);
-  await loaded(port, new Times(), SECONDS / 4);
-  const before = { groups: await figure(ADMIN, "groups_total"), changes: await figure(ADMIN, "changes_total") };
-  served.push(await loaded(port, times, SECONDS));
-  const size = ((await figure(ADMIN, "changes_total")) - before.changes) / ((await figure(ADMIN, "groups_total")) - before.groups);
-  groups.push(size);
-  await stop(child);
-  http.push(await bare(SECONDS));
-  engine.push(await alone(join(root, `alone-${i}`), size, SECONDS));
+const storeRates: number[] = [];
+const httpRates: number[] = [];
+const engineRates: number[] = [];
+const groupSizes: number[] = [];
+const commitLatencies = new LatencyHistogram();
+const ADMIN_PORT = 23_790 + (process.pid % 1000);
+for (let i = 0; i < options.repeats; i++) {
+  const { child, port } = await startStore(join(rootDir, `served-${i}`), `127.0.0.1:${ADMIN_PORT}`);
+  await runLoad(port, new LatencyHistogram(), LOAD_SECONDS / 4);
+  const before = { groups: await readMetric(ADMIN_PORT, "groups_total"), changes: await readMetric(ADMIN_PORT, "changes_total") };
+  storeRates.push(await runLoad(port, commitLatencies, LOAD_SECONDS));
+  const size =
+    ((await readMetric(ADMIN_PORT, "changes_total")) - before.changes) / ((await readMetric(ADMIN_PORT, "groups_total")) - before.groups);
+  groupSizes.push(size);
+  await stopProcess(child);
+  httpRates.push(await runBareHttpLoad(LOAD_SECONDS));
+  engineRates.push(await runEngineLoad(join(rootDir, `alone-${i}`), size, LOAD_SECONDS));
   progress(
-    `${i + 1} of ${given.repeats}: ${Math.round(served[i]!)} changes a second served, ${Math.round(engine[i]!)} by the engine alone, ${Math.round(http[i]!)} answered by a bare HTTP server, ${size.toFixed(1)} a group`,
+    `${i + 1} of ${options.repeats}: ${Math.round(storeRates[i]!)} changes/s by the store, ${Math.round(engineRates[i]!)} by the engine alone, ${Math.round(httpRates[i]!)} by a bare HTTP server, ${size.toFixed(1)} changes per group`,
   );
 }
 
-// Start-up and size: many live keys, few leases, a short history.
-const dir = join(root, "large");
-const keys = given.quick ? 100_000 : 1_000_000;
+// Start-up time and size on disk with many live keys, few leases and a short history.
+const largeDir = join(rootDir, "large");
+const keyCount = options.quick ? 100_000 : 1_000_000;
 {
-  const { child, port } = await start(dir, `127.0.0.1:${ADMIN}`);
-  await call(new Agent(), port, "POST", "/txn", JSON.stringify({ apply: [{ write: "t/first", v: 1 }] }));
-  await stop(child);
-  const large = await LevelEngine.open(join(dir, "db"));
-  for (let n = 0; n < keys; n += 1000)
+  const { child, port } = await startStore(largeDir, `127.0.0.1:${ADMIN_PORT}`);
+  await sendRequest(new Agent(), port, "POST", "/txn", JSON.stringify({ apply: [{ write: "t/first", v: 1 }] }));
+  await stopProcess(child);
+  const large = await LevelEngine.open(join(largeDir, "db"));
+  for (let n = 0; n < keyCount; n += 1000)
     await large.putEntries(
       Array.from({ length: 1000 }, (_, i) => [
         `k!t/j/run-${String(n + i).padStart(9, "0")}`,
-        `1 - {"part":${(n + i) % 5},"text":"${VALUE.slice(0, 150)}"}`,
+        `1 - {"part":${(n + i) % 5},"text":"${PAYLOAD.slice(0, 150)}"}`,
       ]),
-      n + 1000 >= keys,
+      n + 1000 >= keyCount,
     );
   await large.close();
 }
-const size = (folder: string): number => readdirSync(folder).reduce((sum, name) => sum + statSync(join(folder, name)).size, 0);
-const starts: number[] = [];
+const directoryBytes = (folder: string): number => readdirSync(folder).reduce((sum, name) => sum + statSync(join(folder, name)).size, 0);
+const startupTimesS: number[] = [];
 for (let i = 0; i < 3; i++) {
-  const { child, ms } = await start(dir, `127.0.0.1:${ADMIN}`);
-  starts.push(ms / 1000);
-  await stop(child);
+  const { child, ms } = await startStore(largeDir, `127.0.0.1:${ADMIN_PORT}`);
+  startupTimesS.push(ms / 1000);
+  await stopProcess(child);
 }
-const empty: number[] = [];
+const emptyStartupTimesS: number[] = [];
 for (let i = 0; i < 3; i++) {
-  const { child, ms } = await start(join(root, `empty-${i}`), `127.0.0.1:${ADMIN}`);
-  empty.push(ms / 1000);
-  await stop(child);
+  const { child, ms } = await startStore(join(rootDir, `empty-${i}`), `127.0.0.1:${ADMIN_PORT}`);
+  emptyStartupTimesS.push(ms / 1000);
+  await stopProcess(child);
 }
-report("store", given, {
+report("store", options, {
   clients: CLIENTS,
-  changes_per_s: median(served),
-  engine_changes_per_s: median(engine),
-  bare_http_changes_per_s: median(http),
-  ratio_to_bare_http: median(served.map((n, i) => n / http[i]!)),
-  ratio_to_engine: median(served.map((n, i) => n / engine[i]!)),
-  changes_per_group: median(groups),
-  commit_p50_ms: times.at(50),
-  commit_p99_ms: times.at(99),
-  commit_worst_ms: times.worst,
-  live_keys: keys,
-  startup_s: median(starts),
-  startup_empty_s: median(empty),
-  startup_s_per_million_keys: ((median(starts) - median(empty)) * 1e6) / keys,
-  bytes_per_live_key: size(join(dir, "db")) / keys,
+  changes_per_s: median(storeRates),
+  engine_changes_per_s: median(engineRates),
+  bare_http_changes_per_s: median(httpRates),
+  ratio_to_bare_http: median(storeRates.map((n, i) => n / httpRates[i]!)),
+  ratio_to_engine: median(storeRates.map((n, i) => n / engineRates[i]!)),
+  changes_per_group: median(groupSizes),
+  commit_p50_ms: commitLatencies.percentileMs(50),
+  commit_p99_ms: commitLatencies.percentileMs(99),
+  commit_worst_ms: commitLatencies.maxMs,
+  live_keys: keyCount,
+  startup_s: median(startupTimesS),
+  startup_empty_s: median(emptyStartupTimesS),
+  startup_s_per_million_keys: ((median(startupTimesS) - median(emptyStartupTimesS)) * 1e6) / keyCount,
+  bytes_per_live_key: directoryBytes(join(largeDir, "db")) / keyCount,
 });
