--- a/measure/full.ts
+++ b/measure/full.ts
@@ -5,15 +5,15 @@
 import { performance } from "node:perf_hooks";
 import { HttpClient } from "../src/platform/http.js";
 import { keys } from "../src/ledger/records.js";
-import { jobRecordOf } from "./memory.js";
-import { ask, PORT, processorMs, runOf, settingsFile, UP } from "./start.js";
+import { jobRecord } from "./memory.js";
+import { sendRawRequest, CONTROLLER_PORT, processorMs, runArguments, writeSettings, HEALTH_REQUEST } from "./start.js";
 
-const PER_TXN = 16;
+const CHANGES_PER_TRANSACTION = 16;
 /** Requests under way while the state is filled. */
-const LANES = 8;
+const CONCURRENT_REQUESTS = 8;
 
-function storeIn(place: string): Promise<{ child: ChildProcess; addr: string }> {
-  const args = ["store", "serve", "--listen", "127.0.0.1:0", "--data", join(place, "state"), "--config", "measure/store.hcl"];
+function startStore(dir: string): Promise<{ child: ChildProcess; addr: string }> {
+  const args = ["store", "serve", "--listen", "127.0.0.1:0", "--data", join(dir, "state"), "--config", "measure/store.hcl"];
   const child = spawn(process.execPath, ["target/main.js", ...args], { stdio: ["ignore", "pipe", "ignore"] });
   return new Promise((resolve, reject) => {
     child.once("exit", () => reject(new Error("the store ended at its start")));
@@ -23,26 +23,26 @@
   });
 }
 
-async function fill(addr: string, open: number, finished: number): Promise<void> {
-  const client = new HttpClient(LANES);
+async function writeJobs(addr: string, open: number, finished: number): Promise<void> {
+  const client = new HttpClient(CONCURRENT_REQUESTS);
   let next = 0;
-  const lane = async (): Promise<void> => {
+  const writeBatches = async (): Promise<void> => {
     while (next < open + finished) {
       const from = next;
-      next += PER_TXN;
+      next += CHANGES_PER_TRANSACTION;
       const apply = [];
       for (let i = from; i < Math.min(next, open + finished); i++) {
-        const record = jobRecordOf(i, i >= open);
+        const record = jobRecord(i, i >= open);
         apply.push({ write: keys.job(record.spec.ref), v: record });
       }
       const { status } = await client.call(addr, "POST", "/txn", { if: [], apply }, 10_000);
       if (status !== 200) throw new Error(`the store answered ${status}`);
     }
   };
-  await Promise.all(Array.from({ length: LANES }, lane));
+  await Promise.all(Array.from({ length: CONCURRENT_REQUESTS }, writeBatches));
 }
 
-export interface Full {
+export interface LoadedStart {
   /** Until every record is read: steady and processor time, and the most memory held up to then and five seconds on. */
   readS: number;
   processorMs: number;
@@ -50,34 +50,34 @@
 }
 
 /** A controller that starts among so many jobs. Throws if it ends by itself. */
-export async function startFull(open: number, finished: number, memMb: number): Promise<Full> {
-  const place = mkdtempSync(join(tmpdir(), "thorntrail-full-"));
-  const store = await storeIn(place);
+export async function measureLoadedStart(open: number, finished: number, memMb: number): Promise<LoadedStart> {
+  const dir = mkdtempSync(join(tmpdir(), "thorntrail-full-"));
+  const store = await startStore(dir);
   let child: ChildProcess | null = null;
   try {
-    await fill(store.addr, open, finished);
-    const config = await settingsFile(place, store.addr, { mem_mb: memMb });
-    const began = performance.now();
-    child = spawn(process.execPath, [...runOf("."), config], { stdio: "ignore" });
-    const until = began + 120_000;
-    const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+    await writeJobs(store.addr, open, finished);
+    const settingsPath = await writeSettings(dir, store.addr, { mem_mb: memMb });
+    const startedAt = performance.now();
+    child = spawn(process.execPath, [...runArguments("."), settingsPath], { stdio: "ignore" });
+    const deadline = startedAt + 120_000;
+    const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
     for (;;) {
       if (child.exitCode !== null || child.signalCode !== null) throw new Error(`ended: ${child.exitCode ?? child.signalCode}`);
-      if (performance.now() > until) throw new Error("never read all there is");
-      const answer = await ask(PORT, UP);
+      if (performance.now() > deadline) throw new Error("never read all there is");
+      const answer = await sendRawRequest(CONTROLLER_PORT, HEALTH_REQUEST);
       if (answer !== null && !answer.includes("starting")) break;
-      await pause(50);
+      await sleep(50);
     }
-    const readS = (performance.now() - began) / 1000;
-    const spent = processorMs(child.pid!);
-    await pause(5000);
+    const readS = (performance.now() - startedAt) / 1000;
+    const processorMsUsed = processorMs(child.pid!);
+    await sleep(5000);
     if (child.exitCode !== null || child.signalCode !== null) throw new Error(`ended: ${child.exitCode ?? child.signalCode}`);
-    const peak = /VmHWM:\s+(\d+)/.exec(readFileSync(`/proc/${child.pid}/status`, "utf8"));
-    return { readS, processorMs: spent, peakMb: Number(peak![1]) / 1000 };
+    const peakMatch = /VmHWM:\s+(\d+)/.exec(readFileSync(`/proc/${child.pid}/status`, "utf8"));
+    return { readS, processorMs: processorMsUsed, peakMb: Number(peakMatch![1]) / 1000 };
   } finally {
     child?.kill("SIGKILL");
     store.child.kill("SIGKILL");
     await new Promise((resolve) => setTimeout(resolve, 200));
-    rmSync(place, { recursive: true, force: true });
+    rmSync(dir, { recursive: true, force: true });
   }
 }
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -20,9 +20,9 @@
 import { callsFor } from "../test/world/calls.js";
 
 /** Bytes that one more of a thing takes of a controller: heap and buffers after a collection. */
-async function each(count: number, make: (i: number) => unknown): Promise<number> {
+async function bytesPerItem(count: number, create: (i: number) => unknown): Promise<number> {
   const held: unknown[] = new Array<unknown>(count);
-  const size = async (): Promise<number> => {
+  const heldBytes = async (): Promise<number> => {
     for (let i = 0; i < 3; i++) {
       (globalThis as { gc?: () => void }).gc?.();
       await new Promise((resolve) => setTimeout(resolve, 20));
@@ -30,65 +30,65 @@
     const { heapUsed, external } = process.memoryUsage();
     return heapUsed + external;
   };
-  const before = await size();
-  for (let i = 0; i < count; i++) held[i] = make(i);
+  const before = await heldBytes();
+  for (let i = 0; i < count; i++) held[i] = create(i);
   await new Promise((resolve) => setTimeout(resolve, 200));
-  const after = await size();
+  const after = await heldBytes();
   return held.length === 0 ? 0 : (after - before) / count;
 }
 
-const text = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
-const refOf = (i: number): string => `run-${String(i).padStart(6, "0")}`;
+const jsonRoundTrip = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
+const jobRef = (i: number): string => `run-${String(i).padStart(6, "0")}`;
 
-function specOf(i: number): JobSpec {
+function jobSpec(i: number): JobSpec {
   return {
-    ...{ ref: refOf(i), klass: "fotos", team: "mesa-azuay", kind: "array", urgency: "low", tasks: 30, cpus: 10 + (i % 7) / 10, gpus: 1 },
+    ...{ ref: jobRef(i), klass: "fotos", team: "mesa-azuay", kind: "array", urgency: "low", tasks: 30, cpus: 10 + (i % 7) / 10, gpus: 1 },
     ...{ ram: 36 + (i % 11) / 10, types: null, zone: null, oneZone: false, spread: false, spot: true, image: `img-0${i % 5}` },
     ...{ imageGb: 5 + (i % 5) / 10, guessS: 40 + (i % 97) / 10, checkpointS: 0, flushS: 0, deadlineS: null },
   };
 }
 
 /** A job as it is kept; `end`: it is done. */
-export function jobRecordOf(i: number, end: boolean): JobRecord {
-  return { spec: specOf(i), part: i % 2, hi: 30, done: end ? "/////w==" : "", at: 1.7e12 + i, ...(end ? { end: "done" } : {}) };
+export function jobRecord(i: number, end: boolean): JobRecord {
+  return { spec: jobSpec(i), part: i % 2, hi: 30, done: end ? "/////w==" : "", at: 1.7e12 + i, ...(end ? { end: "done" } : {}) };
 }
 
 /** A replica of the state that follows nothing. */
-export function mirrorHere(): StateReplica {
+export function detachedReplica(): StateReplica {
   const clock = new VirtualClock();
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
-  const mirror = new StateReplica(
+  const replica = new StateReplica(
     client,
     clock,
     new TokenBucket(clock, 1000),
     { readGapMs: 0, blockMs: 1000 },
     callsFor(clock).of("state.read"),
   );
-  new RentalIndex(mirror);
-  new JobDependencies(mirror);
-  return mirror;
+  new RentalIndex(replica);
+  new JobDependencies(replica);
+  return replica;
 }
 
 /** As they come from the state service: each record parsed from its own text. */
-async function jobs(count: number, end: boolean): Promise<number> {
-  const mirror = mirrorHere();
-  return each(count, (i) => {
-    const { k, v } = text({ k: keys.job(refOf(i)), v: jobRecordOf(i, end) }) as { k: string; v: JobRecord };
-    mirror.put(k, v, i + 1);
-    return mirror;
+async function jobRecordBytes(count: number, end: boolean): Promise<number> {
+  const replica = detachedReplica();
+  return bytesPerItem(count, (i) => {
+    const { k, v } = jsonRoundTrip({ k: keys.job(jobRef(i)), v: jobRecord(i, end) }) as { k: string; v: JobRecord };
+    replica.put(k, v, i + 1);
+    return replica;
   });
 }
 
-async function connections(count: number): Promise<number> {
+async function connectionBytes(count: number): Promise<number> {
   const scope = new Scope(systemClock, openLog("measure"), new CpuAccounting());
   const server = createNetServer({ noDelay: true, allowHalfOpen: true });
-  const door = {
+  const endpoint = {
     onReport: () => ({ kind: "silent" }) as const,
     countResponse: () => undefined,
     onInvalidReport: () => undefined,
     costs: scope.costs,
   };
-  new ReportFastPath({ endpoint: door, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(
+  new ReportFastPath({ endpoint: endpoint, httpServer: createHttpServer(), isNearSocketLimit: () => false, scope, idleMs: 60_000 }).start(
     server,
   );
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -107,7 +107,7 @@
   const request = `POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
   const clients: Socket[] = [];
   // Both ends live here; a plain client end is measured by itself and taken off.
-  const both = await each(count, () => {
+  const bytesOfBothEnds = await bytesPerItem(count, () => {
     const socket = connect({ host: "127.0.0.1", port }, () => socket.write(request));
     clients.push(socket);
     return socket.on("data", () => undefined);
@@ -115,22 +115,24 @@
   for (const socket of clients) socket.destroy();
   server.close();
   scope.close();
-  return both / 2;
+  return bytesOfBothEnds / 2;
 }
 
 /** Bytes of one more of each, by name. */
-export async function memoryEach(quick: boolean): Promise<Record<string, number>> {
+export async function measureMemory(quick: boolean): Promise<Record<string, number>> {
   const count = quick ? 4000 : 20_000;
-  const part = newPartition(0, 1, 0);
+  const partition = newPartition(0, 1, 0);
   return {
-    finished_job_bytes: await jobs(count, true),
-    open_job_record_bytes: await jobs(count, false),
-    queued_job_bytes: await each(count, (i) => {
-      const unit = newTaskSet(keys.job(refOf(i)), specOf(0), 0, 30, new Bits(30), 0, 0);
-      addTaskSet(part, unit);
-      return unit;
+    finished_job_bytes: await jobRecordBytes(count, true),
+    open_job_record_bytes: await jobRecordBytes(count, false),
+    queued_job_bytes: await bytesPerItem(count, (i) => {
+      const taskSet = newTaskSet(keys.job(jobRef(i)), jobSpec(0), 0, 30, new Bits(30), 0, 0);
+      addTaskSet(partition, taskSet);
+      return taskSet;
     }),
-    machine_bytes: await each(count, (i) => newMachine(`i-${i}`, "fotolab", "sala-cuenca", true, { cpus: 96, gpus: 8, ram: 384 }, i)),
-    connection_bytes: await connections(quick ? 200 : 800),
+    machine_bytes: await bytesPerItem(count, (i) =>
+      newMachine(`i-${i}`, "fotolab", "sala-cuenca", true, { cpus: 96, gpus: 8, ram: 384 }, i),
+    ),
+    connection_bytes: await connectionBytes(quick ? 200 : 800),
   };
 }
--- a/measure/scale/cell.ts
+++ b/measure/scale/cell.ts
@@ -14,7 +14,7 @@
 import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
 import type { MachineType } from "../../packages/protocol/src/cloud.js";
 import type { TeamSettings } from "../../src/settings/platform-file.js";
-import { runOf } from "../start.js";
+import { runArguments } from "../start.js";
 import {
   steadyMs,
   type ClientsSeen,
@@ -143,7 +143,7 @@
   constructor(private readonly plan: CellPlan) {
     process.once("exit", this.onExit);
     this.processes = new Processes(
-      [process.execPath, ...runOf(".").filter((word) => !["serve", "--config"].includes(word))],
+      [process.execPath, ...runArguments(".").filter((word) => !["serve", "--config"].includes(word))],
       (name, line) => this.hear(name, line),
       (name, how) => this.closing || this.ended.push(`${name} (${how})`),
     );
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -1,73 +1,75 @@
 import { writeFileSync } from "node:fs";
 import { cpus } from "node:os";
 import { parseOptions, progress, report } from "./harness.js";
-import { startFull } from "./full.js";
-import { memoryEach } from "./memory.js";
+import { measureLoadedStart } from "./full.js";
+import { measureMemory } from "./memory.js";
 import { playRole } from "./scale/roles.js";
 import { decisionSlopes } from "./slopes/decisions.js";
 import type { Point } from "./slopes/line.js";
 import { controllerSlopes, quotaSlopes, teamSlopes } from "./slopes/clusters.js";
 import { arraySlopes, machineSlopes, pollSlopes, rentalSlopes, startSlopes, submissionSlopes, taskSlopes } from "./slopes/processes.js";
 import { recoverySlopes } from "./slopes/recovery.js";
-import { slopeOf, type Slope } from "./slopes/slope.js";
+import { fitSlope, type Slope } from "./slopes/slope.js";
 
 /**
- * What one more of each thing costs, everything else held: at three sizes or more, with slope, intercept and
- * largest deviation from the line. `--out FILE` writes them for docs/CAPACITY.md; `--only GROUP`: one group of them.
+ * Measures what an additional machine, task, team, controller and so on costs while everything else is held constant: at
+ * three sizes or more, with slope, intercept and largest deviation from the line. `--out FILE` writes the slopes that
+ * docs/CAPACITY.md is computed from; `--only GROUP` measures one group only.
  */
 
-/** Controllers that start among so many records, all else as in production. */
+/** Time, processor time and memory of a controller's start by number of records in the state service. */
 async function startUpSlopes(sizes: number[], memMb: number): Promise<Slope[]> {
   const seconds: Point[] = [];
   const processor: Point[] = [];
   const memory: Point[] = [];
   for (const size of sizes) {
-    const full = await startFull(Math.round(size / 7), size - Math.round(size / 7), memMb);
-    seconds.push({ x: size, y: full.readS });
-    processor.push({ x: size, y: full.processorMs });
-    memory.push({ x: size, y: full.peakMb });
+    const start = await measureLoadedStart(Math.round(size / 7), size - Math.round(size / 7), memMb);
+    seconds.push({ x: size, y: start.readS });
+    processor.push({ x: size, y: start.processorMs });
+    memory.push({ x: size, y: start.peakMb });
   }
   return [
-    slopeOf("start_up_seconds", "s", "record in the state service", seconds),
-    slopeOf("start_up_processor", "ms of processor", "record in the state service", processor),
-    slopeOf("start_up_memory", "MB", "record in the state service", memory),
+    fitSlope("start_up_seconds", "s", "record in the state service", seconds),
+    fitSlope("start_up_processor", "ms of processor", "record in the state service", processor),
+    fitSlope("start_up_memory", "MB", "record in the state service", memory),
   ];
 }
 
 async function measure(): Promise<void> {
-  const at = process.argv.indexOf("--out");
-  const out = at < 0 ? null : process.argv.splice(at, 2)[1]!;
-  const onlyAt = process.argv.indexOf("--only");
-  const only = onlyAt < 0 ? null : process.argv.splice(onlyAt, 2)[1]!;
-  const given = parseOptions({ repeats: 1, quickRepeats: 1 });
-  const seconds = given.quick ? 8 : 20;
+  const outIndex = process.argv.indexOf("--out");
+  const outFile = outIndex < 0 ? null : process.argv.splice(outIndex, 2)[1]!;
+  const onlyIndex = process.argv.indexOf("--only");
+  const onlyGroup = onlyIndex < 0 ? null : process.argv.splice(onlyIndex, 2)[1]!;
+  const options = parseOptions({ repeats: 1, quickRepeats: 1 });
+  const windowS = options.quick ? 8 : 20;
   const slopes: Slope[] = [];
-  const add = async (what: string, work: () => Slope[] | Promise<Slope[]>): Promise<void> => {
-    if (only !== null && only !== what) return;
-    progress(`-- ${what}`);
-    slopes.push(...(await work()));
+  const addGroup = async (groupName: string, measureGroup: () => Slope[] | Promise<Slope[]>): Promise<void> => {
+    if (onlyGroup !== null && onlyGroup !== groupName) return;
+    progress(`-- ${groupName}`);
+    slopes.push(...(await measureGroup()));
   };
-  // Those that read the loopback interface come alone and first.
-  await add("controllers", () => controllerSlopes(given.quick ? [2, 4, 6] : [2, 4, 8, 12], seconds));
-  await add("teams", () => teamSlopes(given.quick ? [20, 60, 120] : [20, 120, 340], seconds));
-  await add("quota transfers", () => quotaSlopes(given.quick ? [2, 4, 6] : [2, 4, 8], given.quick ? 10 : 20));
-  await add("machines", () => machineSlopes(given.quick ? [30, 60, 120] : [40, 100, 200], seconds));
-  await add("running tasks", () => taskSlopes([1, 4, 16], given.quick ? 30 : 60, seconds));
-  await add("starts", () => startSlopes([20_000, 8000, 3000], given.quick ? 20 : 40, seconds));
-  await add("arrays", () => arraySlopes([1, 4, 16], given.quick ? 20 : 40, seconds));
-  await add("submissions", () => submissionSlopes(given.quick ? [2, 5, 10] : [2, 8, 20], seconds));
-  await add("rentals", () => rentalSlopes(given.quick ? [20, 40, 80] : [40, 100, 200]));
-  await add("polls", () => pollSlopes(given.quick ? [20, 80, 160] : [50, 200, 400], seconds));
-  await add("decisions", decisionSlopes);
-  await add("recovery", () => recoverySlopes([8, 16, 32]));
-  await add("start-up", () => startUpSlopes(given.quick ? [2000, 4000, 8000] : [10_000, 30_000, 60_000], 178));
-  progress("-- bytes of one more, heap and buffers after collection");
-  const bytes = await memoryEach(given.quick);
+  // Groups that read the traffic of the loopback interface run first, with nothing beside them.
+  await addGroup("controllers", () => controllerSlopes(options.quick ? [2, 4, 6] : [2, 4, 8, 12], windowS));
+  await addGroup("teams", () => teamSlopes(options.quick ? [20, 60, 120] : [20, 120, 340], windowS));
+  await addGroup("quota transfers", () => quotaSlopes(options.quick ? [2, 4, 6] : [2, 4, 8], options.quick ? 10 : 20));
+  await addGroup("machines", () => machineSlopes(options.quick ? [30, 60, 120] : [40, 100, 200], windowS));
+  await addGroup("running tasks", () => taskSlopes([1, 4, 16], options.quick ? 30 : 60, windowS));
+  await addGroup("starts", () => startSlopes([20_000, 8000, 3000], options.quick ? 20 : 40, windowS));
+  await addGroup("arrays", () => arraySlopes([1, 4, 16], options.quick ? 20 : 40, windowS));
+  await addGroup("submissions", () => submissionSlopes(options.quick ? [2, 5, 10] : [2, 8, 20], windowS));
+  await addGroup("rentals", () => rentalSlopes(options.quick ? [20, 40, 80] : [40, 100, 200]));
+  await addGroup("polls", () => pollSlopes(options.quick ? [20, 80, 160] : [50, 200, 400], windowS));
+  await addGroup("decisions", decisionSlopes);
+  await addGroup("recovery", () => recoverySlopes([8, 16, 32]));
+  await addGroup("start-up", () => startUpSlopes(options.quick ? [2000, 4000, 8000] : [10_000, 30_000, 60_000], 178));
+  progress("-- bytes per item, heap and buffers after garbage collection");
+  const bytes = await measureMemory(options.quick);
   for (const [name, each] of Object.entries(bytes)) progress(`${name}: ${each.toFixed(0)}`);
-  if (out !== null) writeFileSync(out, `${JSON.stringify({ quick: given.quick, cores: cpus().length, bytes, slopes }, null, 1)}\n`);
-  const crooked = slopes.filter(({ straight }) => !straight).map(({ name }) => name);
+  if (outFile !== null)
+    writeFileSync(outFile, `${JSON.stringify({ quick: options.quick, cores: cpus().length, bytes, slopes }, null, 1)}\n`);
+  const notStraight = slopes.filter(({ straight }) => !straight).map(({ name }) => name);
   const figures = Object.fromEntries(slopes.map(({ name, slope }) => [name, slope]));
-  report("slopes", given, { ...figures, ...bytes, not_a_line: crooked.join(" ") });
+  report("slopes", options, { ...figures, ...bytes, not_a_line: notStraight.join(" ") });
 }
 
 if (!playRole()) await measure();
--- a/measure/slopes/clusters.ts
+++ b/measure/slopes/clusters.ts
@@ -1,90 +1,114 @@
 import { equalTeams, jobOf } from "../scale/workload.js";
-import { byPairs, type Point } from "./line.js";
-import { type Seen, type Sized, planOf, observe, running, service, points, coreMs, changes } from "./observe.js";
-import { slopeOf, type Slope } from "./slope.js";
+import { perOrderedPair, type Point } from "./line.js";
+import {
+  type Observation,
+  type SizedObservations,
+  cellPlan,
+  observe,
+  runningTasks,
+  serviceJob,
+  toPoints,
+  controllerCoreMs,
+  stateChangesPerS,
+} from "./observe.js";
+import { fitSlope, type Slope } from "./slope.js";
 
-/** Slopes over several controllers, as real processes, one size after another: loopback traffic is the machine's. */
+/**
+ * Slopes of clusters of several controllers as real processes. Sizes run one after another,
+ * because the traffic of the loopback interface is counted for the whole machine.
+ */
 
-/** One more team with work, over three controllers. */
+/** Cost of a team that has a running job, with three controllers. */
 export async function teamSlopes(counts: number[], seconds: number): Promise<Slope[]> {
   const controllers = 3;
-  const sized: Sized = [];
-  // One after another: what passes over the loopback interface is all of the machine's.
+  const observations: SizedObservations = [];
   for (const size of counts) {
     const teams = equalTeams(size, { cpus: 8, cpus_max: 96, gpus: 0, gpus_max: 0 });
-    const jobs = teams.map(({ name }, i) => service(i + 1, 1, { team: name }));
-    const seen = await observe(planOf({ controllers, teams, jobs, followed: false }), seconds, (snapshot) => running(snapshot) >= size);
-    sized.push({ size, seen });
+    const jobs = teams.map(({ name }, i) => serviceJob(i + 1, 1, { team: name }));
+    const observation = await observe(
+      cellPlan({ controllers, teams, jobs, followed: false }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= size,
+    );
+    observations.push({ size, observation });
   }
-  const each = (seen: Seen): number => coreMs(seen) / controllers;
+  const perController = (observation: Observation): number => controllerCoreMs(observation) / controllers;
   return [
-    slopeOf("controller_team", "ms of processor/s of each of 3", "team with work", points(sized, each)),
-    slopeOf(
+    fitSlope("controller_team", "ms of processor/s of each of 3", "team with work", toPoints(observations, perController)),
+    fitSlope(
       "controller_team_memory",
       "MB",
       "team with work",
-      points(sized, (seen) => seen.controller.mostMb),
+      toPoints(observations, (observation) => observation.controller.mostMb),
     ),
-    slopeOf("loopback_team", "bytes/s in all, 3 controllers", "team with work", points(sized, loopback)),
+    fitSlope("loopback_team", "bytes/s in all, 3 controllers", "team with work", toPoints(observations, loopbackBytesPerS)),
   ];
 }
 
-const loopback = (seen: Seen): number => (seen.after.traffic.bytes - seen.before.traffic.bytes) / seen.seconds;
+/** Bytes per second on the loopback interface. */
+const loopbackBytesPerS = (observation: Observation): number =>
+  (observation.after.traffic.bytes - observation.before.traffic.bytes) / observation.seconds;
 
-/** One more controller, all of them idle. */
+/** Cost of a controller in an idle cluster. */
 export async function controllerSlopes(counts: number[], seconds: number): Promise<Slope[]> {
-  const sized: Sized = [];
-  for (const size of counts) sized.push({ size, seen: await observe(planOf({ controllers: size }), seconds, () => true) });
-  const perController = (read: (seen: Seen) => number): Point[] => sized.map(({ size, seen }) => ({ x: size, y: read(seen) / size }));
+  const observations: SizedObservations = [];
+  for (const size of counts) observations.push({ size, observation: await observe(cellPlan({ controllers: size }), seconds, () => true) });
+  const perController = (read: (observation: Observation) => number): Point[] =>
+    observations.map(({ size, observation }) => ({ x: size, y: read(observation) / size }));
   return [
-    slopeOf("controller_peer", "ms of processor/s of each", "controller", perController(coreMs)),
-    slopeOf(
+    fitSlope("controller_peer", "ms of processor/s of each", "controller", perController(controllerCoreMs)),
+    fitSlope(
       "controller_peer_memory",
       "MB",
       "controller",
-      points(sized, (seen) => seen.controller.mostMb),
+      toPoints(observations, (observation) => observation.controller.mostMb),
     ),
-    slopeOf(
+    fitSlope(
       "state_requests_controller",
       "requests/s in all",
       "controller",
-      points(sized, (seen) => seen.stateCalls / seen.seconds),
+      toPoints(observations, (observation) => observation.stateCalls / observation.seconds),
     ),
-    slopeOf("state_changes_controller", "changes/s in all", "controller", points(sized, changes)),
-    slopeOf("loopback_pair", "bytes/s in all", "ordered pair of controllers", byPairs(points(sized, loopback))),
-    slopeOf(
+    fitSlope("state_changes_controller", "changes/s in all", "controller", toPoints(observations, stateChangesPerS)),
+    fitSlope("loopback_pair", "bytes/s in all", "ordered pair of controllers", perOrderedPair(toPoints(observations, loopbackBytesPerS))),
+    fitSlope(
       "store_controller",
       "ms of processor/s",
       "controller",
-      points(sized, (seen) => seen.store.cores * 1000),
+      toPoints(observations, (observation) => observation.store.cores * 1000),
     ),
   ];
 }
 
-/** One more transfer of quota: an array that needs all of its team's limit, over more and more controllers. */
+/** Quota transfers and their conflicts by number of controllers, when each of 20 teams has an array that needs its whole limit. */
 export async function quotaSlopes(counts: number[], seconds: number): Promise<Slope[]> {
-  const sized: Sized = [];
+  const observations: SizedObservations = [];
   const transfers: Point[] = [];
   const conflicts: Point[] = [];
   for (const size of counts) {
     const teams = equalTeams(20, { cpus: 4, cpus_max: 64, gpus: 0, gpus_max: 0 });
     const jobs = teams.map(({ name }, i) => jobOf(i + 1, { team: name, tasks: 64 }, { atMs: 0, runMs: 600_000 }));
-    const seen = await observe(planOf({ controllers: size, teams, jobs }), seconds, (snapshot) => running(snapshot) >= 400, 1);
-    sized.push({ size, seen });
-    transfers.push({ x: size, y: seen.cell.lines.get(QUOTA_MOVED) ?? 0 });
-    conflicts.push({ x: size, y: seen.after.state.conflicts });
+    const observation = await observe(
+      cellPlan({ controllers: size, teams, jobs }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= 400,
+      1,
+    );
+    observations.push({ size, observation });
+    transfers.push({ x: size, y: observation.cell.lines.get(QUOTA_TRANSFER_MESSAGE) ?? 0 });
+    conflicts.push({ x: size, y: observation.after.state.conflicts });
   }
   return [
-    slopeOf("quota_transfers_controller", "transfers for 20 teams", "controller", transfers),
-    slopeOf("quota_conflicts_controller", "conflicts for 20 teams", "controller", conflicts),
-    slopeOf(
+    fitSlope("quota_transfers_controller", "transfers for 20 teams", "controller", transfers),
+    fitSlope("quota_conflicts_controller", "conflicts for 20 teams", "controller", conflicts),
+    fitSlope(
       "quota_running_controller",
       "tasks of 1,280 that run",
       "controller",
-      points(sized, (seen) => running(seen.after)),
+      toPoints(observations, (observation) => runningTasks(observation.after)),
     ),
   ];
 }
 
-/** What controllers log of a transfer. */
-const QUOTA_MOVED = "quota transferred";
+/** Message that controllers log for each quota transfer. */
+const QUOTA_TRANSFER_MESSAGE = "quota transferred";
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -6,105 +6,112 @@
 import { addTaskSet } from "../../src/parts/partition.js";
 import { partitionOf, schedulingContext, specOf } from "../../test/world/partitions.js";
 import { median } from "../harness.js";
-import { jobRecordOf, mirrorHere } from "../memory.js";
+import { jobRecord, detachedReplica } from "../memory.js";
 import type { Point } from "./line.js";
-import { slopeOf, type Slope } from "./slope.js";
+import { fitSlope, type Slope } from "./slope.js";
 
-/** Slopes of decisions that need no process: timed alone, in this one. */
+/** Slopes of scheduling decisions and replica updates, timed in this process without I/O. */
 
 const REPEATS = 9;
 
-/** Median over repeats, in ms, of what `act` takes after `make`. */
-function timed<T>(make: () => T, act: (made: T) => void): number {
-  act(make());
+/** Returns the median duration of `run` in ms; each repeat runs on a new input from `setUp`, which is not timed. */
+function medianMs<T>(setUp: () => T, run: (input: T) => void): number {
+  run(setUp());
   const times: number[] = [];
   for (let i = 0; i < REPEATS; i++) {
-    const made = make();
-    const began = performance.now();
-    act(made);
-    times.push(performance.now() - began);
+    const input = setUp();
+    const startedAt = performance.now();
+    run(input);
+    times.push(performance.now() - startedAt);
   }
   return median(times);
 }
 
-const MACHINE = { cpus: 16, gpus: 8, ram: 256 };
-const FULL = { cpus: 16, gpus: 0, ram: 64 };
+const GPU_MACHINE = { cpus: 16, gpus: 8, ram: 256 };
+const CPU_MACHINE = { cpus: 16, gpus: 0, ram: 64 };
 
-/** A partition with jobs of different shapes and teams, none of which has room. */
-function crowdedPartition(machines: number, waiting: number, teams: number): ReturnType<typeof partitionOf>["partition"] {
-  const { partition: part } = partitionOf(machines, FULL);
-  addWaiting(part, machines, 1, (i) => ({ ref: `run-8${String(i).padStart(6, "0")}`, cpus: 16, ram: 64, tasks: 1 }));
-  runSchedulingCycle(part, schedulingContext);
-  addWaiting(part, waiting, 1, (i) => ({
+/** Returns a partition whose machines are full, with waiting jobs of different shapes and teams, none of which fits. */
+function saturatedPartition(machines: number, waiting: number, teams: number): ReturnType<typeof partitionOf>["partition"] {
+  const { partition } = partitionOf(machines, CPU_MACHINE);
+  enqueueJobs(partition, machines, 1, (i) => ({ ref: `run-8${String(i).padStart(6, "0")}`, cpus: 16, ram: 64, tasks: 1 }));
+  runSchedulingCycle(partition, schedulingContext);
+  enqueueJobs(partition, waiting, 1, (i) => ({
     ...{ ref: `run-9${String(i).padStart(6, "0")}`, team: `team-${i % teams}`, cpus: 2 + (i % 7) },
     ...{ ram: 4 + (i % 5), tasks: 4 },
   }));
-  return part;
+  return partition;
 }
 
-function addWaiting(part: ReturnType<typeof partitionOf>["partition"], count: number, from: number, change: (i: number) => object): void {
+/** Enqueues jobs in a partition; `overridesOf` returns the members of the job description that differ from the default. */
+function enqueueJobs(
+  partition: ReturnType<typeof partitionOf>["partition"],
+  count: number,
+  firstIndex: number,
+  overridesOf: (i: number) => object,
+): void {
   for (let i = 0; i < count; i++) {
-    const spec = specOf(change(i + from));
-    addTaskSet(part, newTaskSet(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
+    const spec = specOf(overridesOf(i + firstIndex));
+    addTaskSet(partition, newTaskSet(keys.job(spec.ref), spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0));
   }
 }
 
-const overSizes = (sizes: number[], y: (size: number) => number): Point[] => sizes.map((x) => ({ x, y: y(x) }));
+const pointsOver = (sizes: number[], y: (size: number) => number): Point[] => sizes.map((x) => ({ x, y: y(x) }));
 
+/** Measures scheduling cycles by waiting jobs, machines and teams, gang placement, and updates of the state replica. */
 export function decisionSlopes(): Slope[] {
-  const scheduling = (machines: number, waiting: number, teams: number): number =>
-    timed(
-      () => crowdedPartition(machines, waiting, teams),
-      (part) => void runSchedulingCycle(part, schedulingContext),
+  const cycleMs = (machines: number, waiting: number, teams: number): number =>
+    medianMs(
+      () => saturatedPartition(machines, waiting, teams),
+      (partition) => void runSchedulingCycle(partition, schedulingContext),
     );
-  const placing = (tasks: number): number =>
-    timed(
+  const gangPlacementMs = (tasks: number): number =>
+    medianMs(
       () => {
-        const { partition: part } = partitionOf(Math.ceil(tasks / 16) + 40, { cpus: 16, gpus: 0, ram: 64 });
-        addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks, cpus: 1, ram: 2 }));
-        return part;
+        const { partition } = partitionOf(Math.ceil(tasks / 16) + 40, { cpus: 16, gpus: 0, ram: 64 });
+        enqueueJobs(partition, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks, cpus: 1, ram: 2 }));
+        return partition;
       },
-      (part) => void runSchedulingCycle(part, schedulingContext),
+      (partition) => void runSchedulingCycle(partition, schedulingContext),
     );
-  const gangOnGraphics = timed(
+  const gpuGangPlacementMs = medianMs(
     () => {
-      const { partition: part } = partitionOf(64, MACHINE);
-      addWaiting(part, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks: 256, cpus: 1, gpus: 1, ram: 8 }));
-      return part;
+      const { partition } = partitionOf(64, GPU_MACHINE);
+      enqueueJobs(partition, 1, 1, () => ({ ref: "run-900001", kind: "gang", tasks: 256, cpus: 1, gpus: 1, ram: 8 }));
+      return partition;
     },
-    (part) => void runSchedulingCycle(part, schedulingContext),
+    (partition) => void runSchedulingCycle(partition, schedulingContext),
   );
-  const following = (events: number): number =>
-    timed(
-      () => ({ mirror: mirrorHere(), records: Array.from({ length: events }, (_, i) => jobRecordOf(i, false)) }),
-      ({ mirror, records }) => records.forEach((record, i) => mirror.put(keys.job(record.spec.ref), record, i + 1)),
+  const replicaUpdateMs = (events: number): number =>
+    medianMs(
+      () => ({ replica: detachedReplica(), records: Array.from({ length: events }, (_, i) => jobRecord(i, false)) }),
+      ({ replica, records }) => records.forEach((record, i) => replica.put(keys.job(record.spec.ref), record, i + 1)),
     );
   return [
-    slopeOf(
+    fitSlope(
       "cycle_waiting_job",
       "ms",
       "waiting job (160 machines)",
-      overSizes([100, 300, 900], (size) => scheduling(160, size, 20)),
+      pointsOver([100, 300, 900], (size) => cycleMs(160, size, 20)),
     ),
-    slopeOf(
+    fitSlope(
       "cycle_machine",
       "ms",
       "machine (300 jobs waiting)",
-      overSizes([80, 160, 320], (size) => scheduling(size, 300, 20)),
+      pointsOver([80, 160, 320], (size) => cycleMs(size, 300, 20)),
     ),
-    slopeOf(
+    fitSlope(
       "cycle_team",
       "ms",
       "team (300 jobs waiting)",
-      overSizes([20, 100, 300], (size) => scheduling(160, 300, size)),
+      pointsOver([20, 100, 300], (size) => cycleMs(160, 300, size)),
     ),
-    slopeOf("place_gang_task", "ms", "task of a gang", overSizes([64, 128, 256], placing)),
-    slopeOf("followed_event", "ms", "event", overSizes([1000, 4000, 16_000], following)),
-    slopeOf(
+    fitSlope("place_gang_task", "ms", "task of a gang", pointsOver([64, 128, 256], gangPlacementMs)),
+    fitSlope("followed_event", "ms", "event", pointsOver([1000, 4000, 16_000], replicaUpdateMs)),
+    fitSlope(
       "place_gang_256_accelerators",
       "ms",
       "gang (the same thrice)",
-      [1, 2, 3].map((x) => ({ x, y: gangOnGraphics })),
+      [1, 2, 3].map((x) => ({ x, y: gpuGangPlacementMs })),
     ),
   ];
 }
--- a/measure/slopes/line.ts
+++ b/measure/slopes/line.ts
@@ -1,37 +1,38 @@
-/** Straight lines through measured points. */
+/** Least-squares line fits of measured points. */
 
+/** A measured value `y` at size `x`. */
 export interface Point {
   x: number;
   y: number;
 }
 
-/** y = intercept + slope * x, and how far the points lie from it. */
+/** The line y = intercept + slope * x, and how far the points lie from it. */
 export interface Line {
   slope: number;
   intercept: number;
-  /** Of the largest y, the largest distance of a point from the line. */
+  /** Largest vertical distance of a point from the line, as a share of the largest absolute y. */
   deviation: number;
-  /** The points lie near enough to be called a line. */
+  /** Whether the deviation is small enough for the dependence to count as linear. */
   straight: boolean;
 }
 
-/** A point further off than this share of the largest value says that the dependence is no line. */
-const STRAIGHT = 0.1;
+/** Largest deviation at which a dependence counts as linear. */
+const MAX_DEVIATION = 0.1;
 
-/** Least squares. Throws with fewer than three points, through which any line would do. */
-export function fit(points: readonly Point[]): Line {
+/** Fits a line by least squares. Throws if there are fewer than three points, because two always lie on a line. */
+export function fitLine(points: readonly Point[]): Line {
   if (points.length < 3) throw new Error(`${points.length} points: expected three or more`);
   const mean = (read: (point: Point) => number): number => points.reduce((sum, point) => sum + read(point), 0) / points.length;
   const [x, y] = [mean((p) => p.x), mean((p) => p.y)];
   const spread = points.reduce((sum, p) => sum + (p.x - x) ** 2, 0);
   const slope = spread === 0 ? 0 : points.reduce((sum, p) => sum + (p.x - x) * (p.y - y), 0) / spread;
   const intercept = y - slope * x;
-  const most = Math.max(...points.map((p) => Math.abs(p.y)), Number.MIN_VALUE);
-  const deviation = Math.max(...points.map((p) => Math.abs(p.y - intercept - slope * p.x))) / most;
-  return { slope, intercept, deviation, straight: deviation <= STRAIGHT };
+  const largestY = Math.max(...points.map((p) => Math.abs(p.y)), Number.MIN_VALUE);
+  const deviation = Math.max(...points.map((p) => Math.abs(p.y - intercept - slope * p.x))) / largestY;
+  return { slope, intercept, deviation, straight: deviation <= MAX_DEVIATION };
 }
 
-/** Against the pairs among `x` parties instead of their number. */
-export function byPairs(points: readonly Point[]): Point[] {
+/** Replaces each x, a number of parties, by the number of ordered pairs among them. */
+export function perOrderedPair(points: readonly Point[]): Point[] {
   return points.map(({ x, y }) => ({ x: x * (x - 1), y }));
 }
--- a/measure/slopes/observe.ts
+++ b/measure/slopes/observe.ts
@@ -4,23 +4,24 @@
 import { capacityOf, equalTeams, jobOf, PLAIN } from "../scale/workload.js";
 import type { Point } from "./line.js";
 
-/** A cell of real processes at one size, looked at over a span of time: what all slopes of processes are read from. */
+/** Runs a cell of real processes at one size and observes it over a time window; the source of all slopes of processes. */
 
 const ZONES = ["zone-1"];
-export const CORES_A_MACHINE = PLAIN.cpus;
-/** Limits that nothing here comes near. */
-const AMPLE_STATE = { rps: 5000, writeRps: 2000, valueKb: 32, txnOps: 64 };
-export const LOOK_MS = 500;
-const SETTLE_LIMIT_MS = 60_000;
+export const CORES_PER_MACHINE = PLAIN.cpus;
+/** Limits of the state service that no measurement here reaches. */
+const AMPLE_STATE_LIMITS = { rps: 5000, writeRps: 2000, valueKb: 32, txnOps: 64 };
+export const POLL_INTERVAL_MS = 500;
+const READY_TIMEOUT_MS = 60_000;
 
-/** What is measured between two looks at a cell. */
-export interface Seen {
+/** Measurements of a cell between two snapshots. */
+export interface Observation {
   seconds: number;
   controller: RoleUsage;
   workers: RoleUsage;
   store: RoleUsage;
   before: Snapshot;
   after: Snapshot;
+  /** Calls to the state service by all controllers. */
   stateCalls: number;
   cell: Cell;
 }
@@ -28,8 +29,9 @@
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const sum = (list: readonly number[]): number => list.reduce((a, b) => a + b, 0);
 
-export function planOf(change: Partial<CellPlan> & { machines?: number }): CellPlan {
-  const { jobs = [], machines = 200, ...rest } = change;
+/** Returns the plan of a cell with one controller, up to 200 machines and no jobs, changed by `overrides`. */
+export function cellPlan(overrides: Partial<CellPlan> & { machines?: number }): CellPlan {
+  const { jobs = [], machines = 200, ...rest } = overrides;
   return {
     controllers: 1,
     teams: equalTeams(1, { cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }),
@@ -38,7 +40,7 @@
     capacity: capacityOf({ plain: machines }, ZONES),
     jobs,
     workerProcesses: 1,
-    state: AMPLE_STATE,
+    state: AMPLE_STATE_LIMITS,
     cloudRps: 50,
     sockets: 4000,
     memMb: 178,
@@ -48,24 +50,27 @@
   };
 }
 
-/** Starts a cell, waits until `ready` and a while longer, and looks at it over `seconds`. */
-export async function observe(plan: CellPlan, seconds: number, ready: (seen: Snapshot) => boolean, warmS = 6): Promise<Seen> {
+/**
+ * Starts a cell, waits until `ready` holds and then for the warm-up time, and observes it for
+ * `seconds`. Throws if the cell is not ready in time or if a process of it exits.
+ */
+export async function observe(plan: CellPlan, seconds: number, ready: (snapshot: Snapshot) => boolean, warmUpS = 6): Promise<Observation> {
   const cell = new Cell(plan);
   try {
     await cell.start();
-    const until = Date.now() + SETTLE_LIMIT_MS;
+    const deadline = Date.now() + READY_TIMEOUT_MS;
     while (!ready(await cell.snapshot())) {
-      if (Date.now() > until)
-        throw new Error(`a cell did not come to the size asked for: ${JSON.stringify([...cell.lines]).slice(0, 400)}`);
-      await sleep(LOOK_MS);
+      if (Date.now() > deadline)
+        throw new Error(`the cell did not become ready in time; its log messages: ${JSON.stringify([...cell.lines]).slice(0, 400)}`);
+      await sleep(POLL_INTERVAL_MS);
     }
-    await sleep(warmS * 1000);
-    const callsBefore = await stateCalls(cell);
+    await sleep(warmUpS * 1000);
+    const callsBefore = await countStateCalls(cell);
     const before = await cell.snapshot();
     await sleep(seconds * 1000);
     const after = await cell.snapshot();
-    const calls = (await stateCalls(cell)) - callsBefore;
-    if (cell.ended.length > 0) throw new Error(`ended by itself: ${cell.ended.join(", ")}`);
+    const calls = (await countStateCalls(cell)) - callsBefore;
+    if (cell.ended.length > 0) throw new Error(`processes exited unexpectedly: ${cell.ended.join(", ")}`);
     const usage = cell.usage(before, after);
     const role = (name: "controller" | "workers" | "store"): RoleUsage => usage.get(name)!;
     return {
@@ -78,28 +83,41 @@
   }
 }
 
-async function stateCalls(cell: Cell): Promise<number> {
+/** Returns the calls to the state service that all controllers have made so far. */
+async function countStateCalls(cell: Cell): Promise<number> {
   const operations = ["state.read", "state.txn", "state.lease"];
   return sum(await Promise.all(operations.map((one) => cell.controllerFigure(`calls_total{operation="${one}",what="asked"}`))));
 }
 
-export const running = (seen: Snapshot): number => sum(seen.workers.map((one) => one.running));
-export const starts = (seen: Seen): number =>
-  sum(seen.after.workers.map((one) => one.starts)) - sum(seen.before.workers.map((one) => one.starts));
-export const service = (i: number, tasks: number, change: Partial<JobSpec>): PlannedJob =>
-  jobOf(i, { kind: "service", tasks, ...change }, { atMs: 0, runMs: 0 });
+/** Number of tasks that run on all workers. */
+export const runningTasks = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one.running));
+/** Number of tasks started during an observation. */
+export const taskStarts = (observation: Observation): number =>
+  sum(observation.after.workers.map((one) => one.starts)) - sum(observation.before.workers.map((one) => one.starts));
+/** Returns a service, submitted at once, whose tasks run until the cell is closed. */
+export const serviceJob = (i: number, tasks: number, overrides: Partial<JobSpec>): PlannedJob =>
+  jobOf(i, { kind: "service", tasks, ...overrides }, { atMs: 0, runMs: 0 });
 
-/** Runs the sizes beside each other: each takes a fraction of a core. */
-export async function overSizes(sizes: number[], one: (size: number) => Promise<Seen>): Promise<{ size: number; seen: Seen }[]> {
-  return Promise.all(sizes.map(async (size) => ({ size, seen: await one(size) })));
+/** Observes all sizes at the same time, because each uses only a fraction of a core. */
+export async function observeSizes(sizes: number[], observeSize: (size: number) => Promise<Observation>): Promise<SizedObservations> {
+  return Promise.all(sizes.map(async (size) => ({ size, observation: await observeSize(size) })));
 }
 
-export type Sized = { size: number; seen: Seen }[];
-export const points = (sized: Sized, y: (seen: Seen) => number, x: (seen: Seen, size: number) => number = (_, size) => size): Point[] =>
-  sized.map(({ size, seen }) => ({ x: x(seen, size), y: y(seen) }));
-export const changes = (seen: Seen): number => (seen.after.state.changes - seen.before.state.changes) / seen.seconds;
-export const coreMs = ({ controller }: Seen): number => controller.cores * 1000;
-export const bytesAWorker = (direction: "sent" | "received") => (seen: Seen) => {
+/** Observations with the sizes that they were made at. */
+export type SizedObservations = { size: number; observation: Observation }[];
+/** Converts observations to points; `x` defaults to the size. */
+export const toPoints = (
+  observations: SizedObservations,
+  y: (observation: Observation) => number,
+  x: (observation: Observation, size: number) => number = (_, size) => size,
+): Point[] => observations.map(({ size, observation }) => ({ x: x(observation, size), y: y(observation) }));
+/** Changes per second that the state service applied. */
+export const stateChangesPerS = (observation: Observation): number =>
+  (observation.after.state.changes - observation.before.state.changes) / observation.seconds;
+/** Processor time of all controllers, in ms per second. */
+export const controllerCoreMs = ({ controller }: Observation): number => controller.cores * 1000;
+/** Bytes per second that all workers sent or received. */
+export const workerBytesPerS = (direction: "sent" | "received") => (observation: Observation) => {
   const total = (snapshot: Snapshot): number => sum(snapshot.workers.map((one) => one[direction]));
-  return (total(seen.after) - total(seen.before)) / seen.seconds;
+  return (total(observation.after) - total(observation.before)) / observation.seconds;
 };
--- a/measure/slopes/processes.ts
+++ b/measure/slopes/processes.ts
@@ -3,196 +3,214 @@
 import { jobOf, PLAIN } from "../scale/workload.js";
 import type { Point } from "./line.js";
 import {
-  type Seen,
-  planOf,
+  type Observation,
+  cellPlan,
   observe,
-  overSizes,
+  observeSizes,
   sleep,
-  running,
-  starts,
-  service,
-  points,
-  coreMs,
-  bytesAWorker,
-  changes,
-  CORES_A_MACHINE,
-  LOOK_MS,
+  runningTasks,
+  taskStarts,
+  serviceJob,
+  toPoints,
+  controllerCoreMs,
+  workerBytesPerS,
+  stateChangesPerS,
+  CORES_PER_MACHINE,
+  POLL_INTERVAL_MS,
 } from "./observe.js";
-import { slopeOf, type Slope } from "./slope.js";
+import { fitSlope, type Slope } from "./slope.js";
 
-/** Slopes of one controller and its workers, as real processes: everything but one number is held. */
+/** Slopes of one controller and its workers as real processes; each varies one quantity and holds all others. */
 
-/** One more machine, each with one task that fills it and nothing that changes. */
+/** Cost of a machine in a steady state, with one task that fills it. */
 export async function machineSlopes(sizes: number[], seconds: number): Promise<Slope[]> {
-  const sized = await overSizes(sizes, (size) =>
-    observe(planOf({ jobs: [service(1, size, { cpus: CORES_A_MACHINE })] }), seconds, (seen) => running(seen) >= size),
+  const observations = await observeSizes(sizes, (size) =>
+    observe(cellPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }), seconds, (snapshot) => runningTasks(snapshot) >= size),
   );
   return [
-    slopeOf("controller_machine", "ms of processor/s", "machine", points(sized, coreMs)),
-    slopeOf(
+    fitSlope("controller_machine", "ms of processor/s", "machine", toPoints(observations, controllerCoreMs)),
+    fitSlope(
       "controller_machine_memory",
       "MB",
       "machine",
-      points(sized, (seen) => seen.controller.mostMb),
+      toPoints(observations, (observation) => observation.controller.mostMb),
     ),
-    slopeOf(
+    fitSlope(
       "worker_idle_processor",
       "ms of processor/s",
       "worker",
-      points(sized, (seen) => seen.workers.cores * 1000),
+      toPoints(observations, (observation) => observation.workers.cores * 1000),
     ),
-    slopeOf(
+    fitSlope(
       "worker_idle_memory",
       "MB",
       "worker",
-      points(sized, (seen) => seen.workers.mostMb),
+      toPoints(observations, (observation) => observation.workers.mostMb),
     ),
-    slopeOf("worker_idle_sent", "bytes/s", "worker", points(sized, bytesAWorker("sent"))),
-    slopeOf("worker_idle_received", "bytes/s", "worker", points(sized, bytesAWorker("received"))),
+    fitSlope("worker_idle_sent", "bytes/s", "worker", toPoints(observations, workerBytesPerS("sent"))),
+    fitSlope("worker_idle_received", "bytes/s", "worker", toPoints(observations, workerBytesPerS("received"))),
   ];
 }
 
-/** One more task that runs, on the same machines. */
+/** Cost of a running task, on a fixed number of machines. */
 export async function taskSlopes(perMachine: number[], machines: number, seconds: number): Promise<Slope[]> {
-  const sized = await overSizes(
+  const observations = await observeSizes(
     perMachine.map((each) => each * machines),
     (size) => {
-      const cpus = (CORES_A_MACHINE * machines) / size;
+      const cpus = (CORES_PER_MACHINE * machines) / size;
       const ram = (PLAIN.ram * machines) / size;
-      return observe(planOf({ machines, jobs: [service(1, size, { cpus, ram })] }), seconds, (seen) => running(seen) >= size);
+      return observe(
+        cellPlan({ machines, jobs: [serviceJob(1, size, { cpus, ram })] }),
+        seconds,
+        (snapshot) => runningTasks(snapshot) >= size,
+      );
     },
   );
   return [
-    slopeOf("controller_running_task", "ms of processor/s", "task", points(sized, coreMs)),
-    slopeOf(
+    fitSlope("controller_running_task", "ms of processor/s", "task", toPoints(observations, controllerCoreMs)),
+    fitSlope(
       "controller_running_task_memory",
       "MB",
       "task",
-      points(sized, (seen) => seen.controller.mostMb),
+      toPoints(observations, (observation) => observation.controller.mostMb),
     ),
-    slopeOf(
+    fitSlope(
       "worker_running_task_processor",
       "ms of processor/s",
       "task",
-      points(sized, (seen) => seen.workers.cores * 1000),
+      toPoints(observations, (observation) => observation.workers.cores * 1000),
     ),
-    slopeOf("worker_running_task_sent", "bytes/s", "task", points(sized, bytesAWorker("sent"))),
+    fitSlope("worker_running_task_sent", "bytes/s", "task", toPoints(observations, workerBytesPerS("sent"))),
   ];
 }
 
-/** Arrays that end at different times, so that starts come evenly. */
-const STAGGERED = 8;
+/** Number of arrays with different run times among which the tasks are divided, so that starts are spread evenly. */
+const STAGGERED_ARRAYS = 8;
 
+/** Divides `tasks` among `count` arrays whose run times differ by up to 30 % from `runMs`. */
 function staggeredArrays(count: number, tasks: number, runMs: number): PlannedJob[] {
   return Array.from({ length: count }, (_, i) =>
     jobOf(i + 1, { tasks: Math.ceil(tasks / count) }, { atMs: i * 100, runMs: runMs * (0.7 + (0.6 * (i + 0.5)) / count) }),
   );
 }
 
-/** One more task a second that begins, ends and is cleared away, on full machines. */
+/** Cost of a task that starts, ends and is cleared, on full machines. */
 export async function startSlopes(runMs: number[], machines: number, seconds: number): Promise<Slope[]> {
-  const slots = machines * CORES_A_MACHINE;
-  const sized = await overSizes(runMs, (run) => {
-    const tasks = Math.min(100_000 * STAGGERED, slots * Math.ceil(((seconds + 90) * 1000) / run));
-    return observe(planOf({ machines, jobs: staggeredArrays(STAGGERED, tasks, run) }), seconds, (seen) => running(seen) >= slots * 0.6);
+  const taskCapacity = machines * CORES_PER_MACHINE;
+  const observations = await observeSizes(runMs, (run) => {
+    const tasks = Math.min(100_000 * STAGGERED_ARRAYS, taskCapacity * Math.ceil(((seconds + 90) * 1000) / run));
+    return observe(
+      cellPlan({ machines, jobs: staggeredArrays(STAGGERED_ARRAYS, tasks, run) }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= taskCapacity * 0.6,
+    );
   });
-  const rate = (seen: Seen): number => starts(seen) / seen.seconds;
+  const startsPerS = (observation: Observation): number => taskStarts(observation) / observation.seconds;
   return [
-    slopeOf("controller_start", "ms of processor", "start and end", points(sized, coreMs, rate)),
-    slopeOf(
+    fitSlope("controller_start", "ms of processor", "start and end", toPoints(observations, controllerCoreMs, startsPerS)),
+    fitSlope(
       "controller_start_memory",
       "MB",
       "start and end a second",
-      points(sized, (seen) => seen.controller.mostMb, rate),
+      toPoints(observations, (observation) => observation.controller.mostMb, startsPerS),
     ),
-    slopeOf(
+    fitSlope(
       "worker_start_processor",
       "ms of processor",
       "start and end",
-      points(sized, (seen) => seen.workers.cores * 1000, rate),
+      toPoints(observations, (observation) => observation.workers.cores * 1000, startsPerS),
     ),
-    slopeOf("worker_start_sent", "bytes", "start and end", points(sized, bytesAWorker("sent"), rate)),
-    slopeOf("worker_start_received", "bytes", "start and end", points(sized, bytesAWorker("received"), rate)),
-    slopeOf("state_changes_start", "changes", "start and end", points(sized, changes, rate)),
+    fitSlope("worker_start_sent", "bytes", "start and end", toPoints(observations, workerBytesPerS("sent"), startsPerS)),
+    fitSlope("worker_start_received", "bytes", "start and end", toPoints(observations, workerBytesPerS("received"), startsPerS)),
+    fitSlope("state_changes_start", "changes", "start and end", toPoints(observations, stateChangesPerS, startsPerS)),
   ];
 }
 
-/** One more array whose tasks end, at the same rate of ends in all. */
+/** Changes of the state service by number of arrays whose tasks end, at a constant total rate of ends. */
 export async function arraySlopes(counts: number[], machines: number, seconds: number): Promise<Slope[]> {
-  const slots = machines * CORES_A_MACHINE;
+  const taskCapacity = machines * CORES_PER_MACHINE;
   const runMs = 8000;
-  const sized = await overSizes(counts, (count) => {
-    const tasks = slots * Math.ceil(((seconds + 90) * 1000) / runMs);
-    return observe(planOf({ machines, jobs: staggeredArrays(count, tasks, runMs) }), seconds, (seen) => running(seen) >= slots * 0.6);
+  const observations = await observeSizes(counts, (count) => {
+    const tasks = taskCapacity * Math.ceil(((seconds + 90) * 1000) / runMs);
+    return observe(
+      cellPlan({ machines, jobs: staggeredArrays(count, tasks, runMs) }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= taskCapacity * 0.6,
+    );
   });
-  return [slopeOf("state_changes_array", "changes/s", "array whose tasks end", points(sized, changes))];
+  return [fitSlope("state_changes_array", "changes/s", "array whose tasks end", toPoints(observations, stateChangesPerS))];
 }
 
-/** One more job of one task a second: submitted, run, polled to its end. */
+/** Cost of a one-task job that is submitted, run and polled until it is done. */
 export async function submissionSlopes(rates: number[], seconds: number): Promise<Slope[]> {
-  const sized = await overSizes(rates, (rate) => {
+  const observations = await observeSizes(rates, (rate) => {
     const jobs = Array.from({ length: rate * (seconds + 30) }, (_, i) =>
       jobOf(i + 1, { urgency: "urgent" }, { atMs: (i * 1000) / rate, runMs: 1000 }),
     );
-    const busy = service(900_000, 160, {});
-    return observe(planOf({ machines: 40, jobs: [busy, ...jobs] }), seconds, (seen) => running(seen) >= 160);
+    const longRunning = serviceJob(900_000, 160, {});
+    return observe(cellPlan({ machines: 40, jobs: [longRunning, ...jobs] }), seconds, (snapshot) => runningTasks(snapshot) >= 160);
   });
-  const accepted = (seen: Seen): number => {
+  const acceptedPerS = (observation: Observation): number => {
     const count = (snapshot: Snapshot): number => snapshot.clients.submissions.filter(({ acceptedAt }) => acceptedAt !== null).length;
-    return (count(seen.after) - count(seen.before)) / seen.seconds;
+    return (count(observation.after) - count(observation.before)) / observation.seconds;
   };
   return [
-    slopeOf("controller_small_job", "ms of processor", "job of one task", points(sized, coreMs, accepted)),
-    slopeOf("state_changes_small_job", "changes", "job of one task", points(sized, changes, accepted)),
-    slopeOf(
+    fitSlope("controller_small_job", "ms of processor", "job of one task", toPoints(observations, controllerCoreMs, acceptedPerS)),
+    fitSlope("state_changes_small_job", "changes", "job of one task", toPoints(observations, stateChangesPerS, acceptedPerS)),
+    fitSlope(
       "state_requests_small_job",
       "requests",
       "job of one task",
-      points(sized, (seen) => seen.stateCalls / seen.seconds, accepted),
+      toPoints(observations, (observation) => observation.stateCalls / observation.seconds, acceptedPerS),
     ),
-    slopeOf(
+    fitSlope(
       "store_small_job",
       "ms of processor",
       "job of one task",
-      points(sized, (seen) => seen.store.cores * 1000, accepted),
+      toPoints(observations, (observation) => observation.store.cores * 1000, acceptedPerS),
     ),
   ];
 }
 
-/** One more machine rented, from the request until it is recorded as up. */
+/** Changes of the state service for a machine, from its request until its first task runs. */
 export async function rentalSlopes(sizes: number[]): Promise<Slope[]> {
-  const counted = await Promise.all(
+  const points = await Promise.all(
     sizes.map(async (size): Promise<Point> => {
-      const cell = new Cell(planOf({ jobs: [service(1, size, { cpus: CORES_A_MACHINE })] }));
+      const cell = new Cell(cellPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }));
       try {
         await cell.start();
         const before = await cell.snapshot();
         for (;;) {
           const after = await cell.snapshot();
-          if (running(after) >= size) return { x: size, y: after.state.changes - before.state.changes };
-          await sleep(LOOK_MS);
+          if (runningTasks(after) >= size) return { x: size, y: after.state.changes - before.state.changes };
+          await sleep(POLL_INTERVAL_MS);
         }
       } finally {
         cell.close();
       }
     }),
   );
-  return [slopeOf("state_changes_machine", "changes", "machine rented and up", counted)];
+  return [fitSlope("state_changes_machine", "changes", "machine rented and up", points)];
 }
 
-/** One more poll a second of a job that runs. */
+/** Cost of a poll of a running job. */
 export async function pollSlopes(rates: number[], seconds: number): Promise<Slope[]> {
-  const sized = await overSizes(rates, (rate) =>
-    observe(planOf({ jobs: [service(1, 40, { cpus: CORES_A_MACHINE })], pollsPerS: rate }), seconds, (seen) => running(seen) >= 40),
+  const observations = await observeSizes(rates, (rate) =>
+    observe(
+      cellPlan({ jobs: [serviceJob(1, 40, { cpus: CORES_PER_MACHINE })], pollsPerS: rate }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= 40,
+    ),
   );
-  const polls = (seen: Seen): number => (seen.after.clients.polls - seen.before.clients.polls) / seen.seconds;
+  const pollsPerS = (observation: Observation): number =>
+    (observation.after.clients.polls - observation.before.clients.polls) / observation.seconds;
   return [
-    slopeOf("controller_poll", "ms of processor", "poll", points(sized, coreMs, polls)),
-    slopeOf(
+    fitSlope("controller_poll", "ms of processor", "poll", toPoints(observations, controllerCoreMs, pollsPerS)),
+    fitSlope(
       "state_requests_poll",
       "requests",
       "poll",
-      points(sized, (seen) => seen.stateCalls / seen.seconds, polls),
+      toPoints(observations, (observation) => observation.stateCalls / observation.seconds, pollsPerS),
     ),
   ];
 }
--- a/measure/slopes/slope.ts
+++ b/measure/slopes/slope.ts
@@ -1,22 +1,25 @@
 import { progress } from "../harness.js";
-import { fit, type Line, type Point } from "./line.js";
+import { fitLine, type Line, type Point } from "./line.js";
 
-/** One measured dependence: what grows, per what, and the points it was read from. */
+/** A measured linear dependence, as it is written to the slopes file. */
 export interface Slope extends Line {
   name: string;
-  /** Of y, and of x. */
+  /** Unit of y. */
   unit: string;
+  /** Unit of x. */
   per: string;
   points: Point[];
 }
 
-const figure = (value: number): string => Number(value.toPrecision(4)).toString();
+const formatFigure = (value: number): string => Number(value.toPrecision(4)).toString();
 
-/** Fits the points and says so on the terminal. */
-export function slopeOf(name: string, unit: string, per: string, points: Point[]): Slope {
-  const line = fit(points);
-  const off = `largest deviation ${(line.deviation * 100).toFixed(0)}%${line.straight ? "" : ", NOT A LINE"}`;
-  const at = points.map(({ x, y }) => `${figure(x)}: ${figure(y)}`).join(", ");
-  progress(`${name}: ${figure(line.slope)} ${unit} per ${per}, intercept ${figure(line.intercept)}, ${off} (${at})`);
+/** Fits a line to the points and prints it as progress. */
+export function fitSlope(name: string, unit: string, per: string, points: Point[]): Slope {
+  const line = fitLine(points);
+  const deviationText = `largest deviation ${(line.deviation * 100).toFixed(0)}%${line.straight ? "" : ", NOT LINEAR"}`;
+  const pointsText = points.map(({ x, y }) => `${formatFigure(x)}: ${formatFigure(y)}`).join(", ");
+  progress(
+    `${name}: ${formatFigure(line.slope)} ${unit} per ${per}, intercept ${formatFigure(line.intercept)}, ${deviationText} (${pointsText})`,
+  );
   return { name, unit, per, points, ...line };
 }
--- a/measure/start.ts
+++ b/measure/start.ts
@@ -15,14 +15,14 @@
 }
 
 /** The words of `run` in a checkout's deploy file, without the path of the settings. */
-export function runOf(dir: string): string[] {
+export function runArguments(dir: string): string[] {
   const { run } = parse(readFileSync(join(dir, "deploy/service.toml"), "utf8")) as { run: string };
   const [, ...words] = run.split(/\s+/);
   return words;
 }
 
 /** One request on a connection of its own; resolves with the answer as it came, null if there was none. */
-export function ask(port: number, text: string): Promise<string | null> {
+export function sendRawRequest(port: number, text: string): Promise<string | null> {
   return new Promise((resolve) => {
     const socket = connect({ host: "127.0.0.1", port });
     socket.on("connect", () => socket.write(text));
@@ -35,56 +35,63 @@
   });
 }
 
-export const UP = "GET /up HTTP/1.1\r\nhost: a\r\n\r\n";
-const BODY = JSON.stringify({ ref: "run-000001" });
-const SUBMIT = `POST /v2/runs HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: ${BODY.length}\r\n\r\n${BODY}`;
-export const PORT = 18_080;
+export const HEALTH_REQUEST = "GET /up HTTP/1.1\r\nhost: a\r\n\r\n";
+const SUBMISSION_BODY = JSON.stringify({ ref: "run-000001" });
+const SUBMISSION_REQUEST = `POST /v2/runs HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: ${SUBMISSION_BODY.length}\r\n\r\n${SUBMISSION_BODY}`;
+export const CONTROLLER_PORT = 18_080;
 
-export interface Started {
+export interface StartCost {
   /** Until the first answer to a health check, and to a submission; ms of the processor. */
-  firstMs: number;
+  firstAnswerMs: number;
   submissionMs: number;
 }
 
 /** Settings of one controller of two whose peer and cloud refuse; `quota`: beside the usual one. */
-export async function settingsFile(place: string, state: string, quota: Record<string, number> = {}): Promise<string> {
-  const config = join(place, "settings.toml");
+export async function writeSettings(dir: string, state: string, quota: Record<string, number> = {}): Promise<string> {
+  const path = join(dir, "settings.toml");
   const { deployment } = buildPlatform(await loadPlan("deploy/rehearsal.hcl"), DEFAULT_TIMING);
   const known = [{ host_name: "nest-1", area: "a", peer_addr: "127.0.0.1:1" }];
   const endpoints = { cloud: "127.0.0.1:1", state };
-  const settings = { host_name: "nest-0", area: "a", front: `127.0.0.1:${PORT}`, peer_listen: `127.0.0.1:${PORT + 1}`, known, endpoints };
+  const settings = {
+    host_name: "nest-0",
+    area: "a",
+    front: `127.0.0.1:${CONTROLLER_PORT}`,
+    peer_listen: `127.0.0.1:${CONTROLLER_PORT + 1}`,
+    known,
+    endpoints,
+  };
   const all = { ...deployment, quota: { ...(deployment["quota"] as Record<string, number>), ...quota } };
-  writeFileSync(config, stringify({ ...settings, deployment: all }));
-  return config;
+  writeFileSync(path, stringify({ ...settings, deployment: all }));
+  return path;
 }
 
 /** Starts the controller of a checkout alone, its services refusing, `repeats` times. */
-export async function starts(dir: string, repeats: number): Promise<Started> {
-  const place = mkdtempSync(join(tmpdir(), "thorntrail-start-"));
-  const config = await settingsFile(place, "127.0.0.1:1");
-  const first: number[] = [];
-  const submission: number[] = [];
+export async function measureStarts(dir: string, repeats: number): Promise<StartCost> {
+  const settingsDir = mkdtempSync(join(tmpdir(), "thorntrail-start-"));
+  const settingsPath = await writeSettings(settingsDir, "127.0.0.1:1");
+  const firstAnswerTimes: number[] = [];
+  const submissionTimes: number[] = [];
   for (let i = 0; i < repeats; i++) {
-    const child = spawn(process.execPath, [...runOf(dir), config], { cwd: resolve(dir), stdio: "ignore" });
-    const until = performance.now() + 20_000;
-    const answered = async (text: string): Promise<number> => {
-      while ((await ask(PORT, text)) === null) {
-        if (performance.now() > until) throw new Error(`${dir}: no answer from a started controller`);
+    const child = spawn(process.execPath, [...runArguments(dir), settingsPath], { cwd: resolve(dir), stdio: "ignore" });
+    const deadline = performance.now() + 20_000;
+    const waitForAnswer = async (text: string): Promise<number> => {
+      while ((await sendRawRequest(CONTROLLER_PORT, text)) === null) {
+        if (performance.now() > deadline) throw new Error(`${dir}: no answer from a started controller`);
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
       return processorMs(child.pid!);
     };
-    first.push(await answered(UP));
-    submission.push(await answered(SUBMIT));
+    firstAnswerTimes.push(await waitForAnswer(HEALTH_REQUEST));
+    submissionTimes.push(await waitForAnswer(SUBMISSION_REQUEST));
     child.kill("SIGKILL");
     await new Promise((resolve) => child.once("exit", resolve));
   }
-  rmSync(place, { recursive: true });
-  return { firstMs: median(first), submissionMs: median(submission) };
+  rmSync(settingsDir, { recursive: true });
+  return { firstAnswerMs: median(firstAnswerTimes), submissionMs: median(submissionTimes) };
 }
 
 /** Processor time of a runtime that does nothing, in ms. */
-export function bareMs(repeats: number): number {
+export function bareRuntimeMs(repeats: number): number {
   const times: number[] = [];
   for (let i = 0; i < repeats; i++) {
     const code = "process.stdout.write(String(require('fs').readFileSync('/proc/self/schedstat','utf8').split(' ')[0]/1e6))";
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -5,18 +5,18 @@
 import { withTables, workedOut } from "../measure/capacity/page.js";
 import { loadSlopes, loadsOf, slopeNamed, SlopesFault, type Amounts } from "../measure/scale/model.js";
 import { loadTarget, parseTarget, TargetFault } from "../measure/scale/target.js";
-import { byPairs, fit } from "../measure/slopes/line.js";
+import { perOrderedPair, fitLine } from "../measure/slopes/line.js";
 
 const PAGE = "docs/CAPACITY.md";
 const FOLDER = "docs/capacity";
 
 test("a line fit gives slope and intercept, and points that are not on a line are reported as not straight", () => {
-  const line = fit([2, 4, 8].map((x) => ({ x, y: 3 + 2 * x })));
+  const line = fitLine([2, 4, 8].map((x) => ({ x, y: 3 + 2 * x })));
   assert.deepEqual([line.slope.toFixed(6), line.intercept.toFixed(6), line.straight], ["2.000000", "3.000000", true]);
   const pairs = [2, 4, 8, 16].map((x) => ({ x, y: 5 * x * (x - 1) }));
-  assert.equal(fit(pairs).straight, false);
-  assert.equal(fit(byPairs(pairs)).straight, true);
-  assert.throws(() => fit(pairs.slice(0, 2)), /2 points: expected three or more/);
+  assert.equal(fitLine(pairs).straight, false);
+  assert.equal(fitLine(perOrderedPair(pairs)).straight, true);
+  assert.throws(() => fitLine(pairs.slice(0, 2)), /2 points: expected three or more/);
 });
 
 test("an invalid target is rejected with one line that names the file, the field and the expected value", () => {
