--- a/measure/costs.ts
+++ b/measure/costs.ts
@@ -3,7 +3,10 @@
 import { measureMemory } from "./memory.js";
 import { bareRuntimeMs, measureStarts } from "./start.js";
 
-/** Where processor time and memory go. `--against DIR`: beside another checkout, built, in turn. */
+/**
+ * Measures the processor time and the memory of a controller at its start, and its memory per item.
+ * `--against DIR` also measures the start of another checkout, which has to be built.
+ */
 const againstIndex = process.argv.indexOf("--against");
 const baselineDir = againstIndex < 0 ? null : process.argv.splice(againstIndex, 2)[1]!;
 const options = parseOptions({ repeats: 15, quickRepeats: 5 });
@@ -16,11 +19,11 @@
 );
 const memory = await measureMemory(options.quick);
 for (const [name, bytes] of Object.entries(memory)) progress(`${name}: ${bytes.toFixed(0)}`);
-// Finished jobs stay for ever, so a start among many is the one that has least room.
+// Finished jobs are never deleted, so a start with many of them comes closest to the memory limit.
 const [open, finished, memMb] = options.quick ? [1000, 6000, 140] : [10_000, 60_000, 140];
 const loadedStart = await measureLoadedStart(open, finished, memMb);
 progress(
-  `start among ${open} open and ${finished} finished jobs: ${loadedStart.readS.toFixed(1)} s, ${loadedStart.processorMs.toFixed(0)} ms, peak ${loadedStart.peakMb.toFixed(0)} MB`,
+  `start with ${open} open and ${finished} finished jobs: ${loadedStart.readS.toFixed(1)} s, ${loadedStart.processorMs.toFixed(0)} ms, peak ${loadedStart.peakMb.toFixed(0)} MB`,
 );
 report("costs", options, {
   bare_ms: bareMs,
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -19,7 +19,9 @@
 import { ReportFastPath } from "../src/workers/report-fast-path.js";
 import { callsFor } from "../test/world/calls.js";
 
-/** Bytes that one more of a thing takes of a controller: heap and buffers after a collection. */
+/** Measures the memory that records, queued jobs, machines and connections take in a controller. */
+
+/** Returns the bytes that each of `count` items adds to heap and buffers, after garbage collection. */
 async function bytesPerItem(count: number, create: (i: number) => unknown): Promise<number> {
   const held: unknown[] = new Array<unknown>(count);
   const heldBytes = async (): Promise<number> => {
@@ -48,12 +50,12 @@
   };
 }
 
-/** A job as it is kept; `end`: it is done. */
+/** Returns the record of a job; with `end`, the job is done. */
 export function jobRecord(i: number, end: boolean): JobRecord {
   return { spec: jobSpec(i), part: i % 2, hi: 30, done: end ? "/////w==" : "", at: 1.7e12 + i, ...(end ? { end: "done" } : {}) };
 }
 
-/** A replica of the state that follows nothing. */
+/** Returns a state replica that does not follow the state service. */
 export function detachedReplica(): StateReplica {
   const clock = new VirtualClock();
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
@@ -69,7 +71,7 @@
   return replica;
 }
 
-/** As they come from the state service: each record parsed from its own text. */
+/** Returns the bytes per job record in the replica. Each record is parsed from its own text, as it is when it is received. */
 async function jobRecordBytes(count: number, end: boolean): Promise<number> {
   const replica = detachedReplica();
   return bytesPerItem(count, (i) => {
@@ -79,6 +81,7 @@
   });
 }
 
+/** Returns the bytes per idle connection of a worker after its first report. */
 async function connectionBytes(count: number): Promise<number> {
   const scope = new Scope(systemClock, openLog("measure"), new CpuAccounting());
   const server = createNetServer({ noDelay: true, allowHalfOpen: true });
@@ -106,7 +109,7 @@
   });
   const request = `POST /v1/report HTTP/1.1\r\nhost: a\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
   const clients: Socket[] = [];
-  // Both ends live here; a plain client end is measured by itself and taken off.
+  // Both ends of each connection are in this process; each end counts as half.
   const bytesOfBothEnds = await bytesPerItem(count, () => {
     const socket = connect({ host: "127.0.0.1", port }, () => socket.write(request));
     clients.push(socket);
@@ -118,7 +121,7 @@
   return bytesOfBothEnds / 2;
 }
 
-/** Bytes of one more of each, by name. */
+/** Returns the bytes per item of each kind, by name. */
 export async function measureMemory(quick: boolean): Promise<Record<string, number>> {
   const count = quick ? 4000 : 20_000;
   const partition = newPartition(0, 1, 0);
--- a/measure/start.ts
+++ b/measure/start.ts
@@ -9,19 +9,21 @@
 import { loadPlan } from "../packages/emulator/src/entry.js";
 import { median } from "./harness.js";
 
-/** Processor time of a process so far, in ms, as the kernel counts it. */
+/** Measures the processor time that a controller takes to start. */
+
+/** Returns the processor time that the main thread of a process has used so far, in ms, from the kernel's scheduler statistics. */
 export function processorMs(pid: number): number {
   return Number(readFileSync(`/proc/${pid}/schedstat`, "utf8").split(" ")[0]) / 1e6;
 }
 
-/** The words of `run` in a checkout's deploy file, without the path of the settings. */
+/** Returns the arguments of the `run` command in a checkout's deploy/service.toml, without the program. */
 export function runArguments(dir: string): string[] {
   const { run } = parse(readFileSync(join(dir, "deploy/service.toml"), "utf8")) as { run: string };
   const [, ...words] = run.split(/\s+/);
   return words;
 }
 
-/** One request on a connection of its own; resolves with the answer as it came, null if there was none. */
+/** Sends a request on a new connection; resolves with the first bytes of the response, or null if there is none. */
 export function sendRawRequest(port: number, text: string): Promise<string | null> {
   return new Promise((resolve) => {
     const socket = connect({ host: "127.0.0.1", port });
@@ -40,13 +42,18 @@
 const SUBMISSION_REQUEST = `POST /v2/runs HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: ${SUBMISSION_BODY.length}\r\n\r\n${SUBMISSION_BODY}`;
 export const CONTROLLER_PORT = 18_080;
 
+/** Processor time of a controller from its start, in ms. */
 export interface StartCost {
-  /** Until the first answer to a health check, and to a submission; ms of the processor. */
+  /** Until the first answer to a health check. */
   firstAnswerMs: number;
+  /** Until the first answer to a submission. */
   submissionMs: number;
 }
 
-/** Settings of one controller of two whose peer and cloud refuse; `quota`: beside the usual one. */
+/**
+ * Writes the settings of a controller of two, whose peer and cloud refuse connections, and returns
+ * the path of the file. `quota` overrides members of the plan's quota.
+ */
 export async function writeSettings(dir: string, state: string, quota: Record<string, number> = {}): Promise<string> {
   const path = join(dir, "settings.toml");
   const { deployment } = buildPlatform(await loadPlan("deploy/rehearsal.hcl"), DEFAULT_TIMING);
@@ -65,7 +72,7 @@
   return path;
 }
 
-/** Starts the controller of a checkout alone, its services refusing, `repeats` times. */
+/** Starts the controller of a checkout `repeats` times, while all other services refuse connections, and returns the medians. */
 export async function measureStarts(dir: string, repeats: number): Promise<StartCost> {
   const settingsDir = mkdtempSync(join(tmpdir(), "thorntrail-start-"));
   const settingsPath = await writeSettings(settingsDir, "127.0.0.1:1");
@@ -76,7 +83,7 @@
     const deadline = performance.now() + 20_000;
     const waitForAnswer = async (text: string): Promise<number> => {
       while ((await sendRawRequest(CONTROLLER_PORT, text)) === null) {
-        if (performance.now() > deadline) throw new Error(`${dir}: no answer from a started controller`);
+        if (performance.now() > deadline) throw new Error(`${dir}: the controller did not answer within 20 s`);
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
       return processorMs(child.pid!);
@@ -90,7 +97,7 @@
   return { firstAnswerMs: median(firstAnswerTimes), submissionMs: median(submissionTimes) };
 }
 
-/** Processor time of a runtime that does nothing, in ms. */
+/** Returns the median processor time of a Node.js process that does nothing, in ms. */
 export function bareRuntimeMs(repeats: number): number {
   const times: number[] = [];
   for (let i = 0; i < repeats; i++) {
