--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -9,13 +9,13 @@
 import { median, parseOptions, progress, report, LatencyHistogram } from "./harness.js";
 
 /**
- * Controllers with several duties each ask a service that is down for a minute and then
- * takes so many calls a second. Baseline, in the same run on the same seeds: the fixed
- * pauses that each client had before there was one policy.
+ * Measures the load on a service during and after an outage: controllers with several retry loops
+ * each call a service that is down for a minute and then limits its rate. The baseline, with the
+ * same seeds in the same run, is a fixed pause per operation instead of the shared backoff policy.
  */
 const CONTROLLERS = 5;
-const DUTIES: [Operation, number, number][] = [
-  // Operation, duties of that kind in a controller, and the fixed pause in ms before.
+const RETRY_LOOPS: [Operation, number, number][] = [
+  // Operation, retry loops for it in each controller, fixed pause of the baseline in ms.
   ["state.read", 1, 140],
   ["state.txn", 4, 200],
   ["state.lease", 1, 2250],
@@ -24,36 +24,41 @@
 ];
 const OUTAGE_MS = 60_000;
 const SERVICE_RPS = 20;
-const given = parseOptions({ repeats: 200, quickRepeats: 20 });
+const options = parseOptions({ repeats: 200, quickRepeats: 20 });
 
-interface Outcome {
-  asked: number;
-  peak: number;
-  backMs: number[];
+/** Result of one simulated outage. */
+interface OutageResult {
+  callsInOutage: number;
+  /** Calls in the busiest 100 ms after the outage. */
+  peakCalls: number;
+  /** For each retry loop, the time from the end of the outage until its call succeeds. */
+  recoveryMs: number[];
 }
 
-async function play(seed: number, kind: "policy" | "fixed"): Promise<Outcome> {
+/** Simulates one outage in virtual time, with the shared backoff policy or with fixed pauses. */
+async function simulateOutage(seed: number, kind: "policy" | "fixed"): Promise<OutageResult> {
   const clock = new VirtualClock();
-  const luck = seededRandom(seed);
-  const served = new TokenBucket(clock, SERVICE_RPS);
-  const downAt = 2000 + luck() * 1000;
+  const random = seededRandom(seed);
+  const rateLimit = new TokenBucket(clock, SERVICE_RPS);
+  const downAt = 2000 + random() * 1000;
   const upAt = downAt + OUTAGE_MS;
   const arrivals: number[] = [];
-  const outcome: Outcome = { asked: 0, peak: 0, backMs: [] };
+  const result: OutageResult = { callsInOutage: 0, peakCalls: 0, recoveryMs: [] };
   const serve = (): Promise<void> => {
     const now = clock.now();
-    if (now < upAt) outcome.asked++;
+    if (now < upAt) result.callsInOutage++;
     else arrivals.push(now);
     if (now < upAt) return Promise.reject(new CallError("refused", "503"));
-    return served.take() ? Promise.resolve() : Promise.reject(new RateLimitError());
+    return rateLimit.take() ? Promise.resolve() : Promise.reject(new RateLimitError());
   };
   for (let c = 0; c < CONTROLLERS; c++) {
     const calls = new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), seededRandom(seed * 100 + c));
-    for (const [operation, duties, fixedMs] of DUTIES)
-      for (let d = 0; d < duties; d++) {
+    for (const [operation, loops, fixedPauseMs] of RETRY_LOOPS)
+      for (let d = 0; d < loops; d++) {
         const caller = calls.of(operation);
-        const rest = (): Promise<void> => (kind === "policy" ? caller.backOff() : new Promise((resolve) => clock.after(fixedMs, resolve)));
-        const duty = async (): Promise<void> => {
+        const waitBeforeRetry = (): Promise<void> =>
+          kind === "policy" ? caller.backOff() : new Promise((resolve) => clock.after(fixedPauseMs, resolve));
+        const callUntilSuccess = async (): Promise<void> => {
           for (;;) {
             if (
               await caller.call(serve).then(
@@ -62,41 +67,43 @@
               )
             )
               break;
-            await rest();
+            await waitBeforeRetry();
           }
-          outcome.backMs.push(clock.now() - upAt);
+          result.recoveryMs.push(clock.now() - upAt);
         };
-        clock.after(downAt + luck() * 500, () => void duty());
+        clock.after(downAt + random() * 500, () => void callUntilSuccess());
       }
   }
   await clock.run(upAt + 30_000);
-  for (const at of arrivals) outcome.peak = Math.max(outcome.peak, arrivals.filter((other) => other >= at && other < at + 100).length);
-  return outcome;
+  for (const at of arrivals)
+    result.peakCalls = Math.max(result.peakCalls, arrivals.filter((other) => other >= at && other < at + 100).length);
+  return result;
 }
 
 const figures: Record<string, number> = {};
-const asked: Record<string, number[]> = { policy: [], fixed: [] };
-const peaks: Record<string, number[]> = { policy: [], fixed: [] };
+const callsInOutage: Record<string, number[]> = { policy: [], fixed: [] };
+const peakCalls: Record<string, number[]> = { policy: [], fixed: [] };
 for (const kind of ["fixed", "policy"] as const) {
-  const back = new LatencyHistogram();
-  for (let i = 0; i < given.repeats; i++) {
-    const { asked: n, peak, backMs } = await play(given.seed + i, kind);
-    asked[kind]!.push(n);
-    peaks[kind]!.push(peak);
-    for (const ms of backMs) back.add(ms);
+  const recoveryTimes = new LatencyHistogram();
+  for (let i = 0; i < options.repeats; i++) {
+    const { callsInOutage: calls, peakCalls: peak, recoveryMs } = await simulateOutage(options.seed + i, kind);
+    callsInOutage[kind]!.push(calls);
+    peakCalls[kind]!.push(peak);
+    for (const ms of recoveryMs) recoveryTimes.add(ms);
   }
-  const duties = CONTROLLERS * DUTIES.reduce((n, [, count]) => n + count, 0) * given.repeats;
-  if (back.count !== duties) throw new Error(`${kind}: ${duties - back.count} of ${duties} duties never came back`);
-  progress(`${kind}: ${median(asked[kind]!)} calls in the outage, ${median(peaks[kind]!)} in the busiest 100 ms after it`);
+  const loopCount = CONTROLLERS * RETRY_LOOPS.reduce((n, [, count]) => n + count, 0) * options.repeats;
+  if (recoveryTimes.count !== loopCount)
+    throw new Error(`${kind}: ${loopCount - recoveryTimes.count} of ${loopCount} retry loops did not succeed within 30 s after the outage`);
+  progress(`${kind}: ${median(callsInOutage[kind]!)} calls during the outage, ${median(peakCalls[kind]!)} in the busiest 100 ms after it`);
   Object.assign(figures, {
-    [`${kind}_calls_in_outage`]: median(asked[kind]!),
-    [`${kind}_peak_calls_100ms`]: median(peaks[kind]!),
-    [`${kind}_back_p50_ms`]: back.percentileMs(50),
-    [`${kind}_back_p99_ms`]: back.percentileMs(99),
-    [`${kind}_back_worst_ms`]: back.maxMs,
+    [`${kind}_calls_in_outage`]: median(callsInOutage[kind]!),
+    [`${kind}_peak_calls_100ms`]: median(peakCalls[kind]!),
+    [`${kind}_back_p50_ms`]: recoveryTimes.percentileMs(50),
+    [`${kind}_back_p99_ms`]: recoveryTimes.percentileMs(99),
+    [`${kind}_back_worst_ms`]: recoveryTimes.maxMs,
   });
 }
-report("calls", given, {
+report("calls", options, {
   outage_s: OUTAGE_MS / 1000,
   ...figures,
   ratio_calls_to_fixed: figures["policy_calls_in_outage"]! / figures["fixed_calls_in_outage"]!,
--- a/measure/capacity.ts
+++ b/measure/capacity.ts
@@ -1,13 +1,16 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { parseArgs } from "node:util";
-import { figuresOf, loadAssumptions } from "./capacity/figures.js";
-import { withTables, workedOut } from "./capacity/page.js";
+import { computeFigures, loadAssumptions } from "./capacity/figures.js";
+import { replaceTables, renderTables } from "./capacity/page.js";
 import { loadSlopes, SlopesFault } from "./scale/model.js";
 import { loadTarget, TargetFault } from "./scale/target.js";
 
-/** Works out the tables of docs/CAPACITY.md: printed, or with `--write` put into the page. */
+/**
+ * Computes the tables of docs/CAPACITY.md from the target, the assumptions and the measured slopes, and prints them. With
+ * `--write`, writes them to the page, and the figures to docs/capacity/figures.json, instead.
+ */
 
-const EXIT_BAD_FILE = 3;
+const EXIT_INVALID_FILE = 3;
 
 const { values } = parseArgs({
   options: {
@@ -21,16 +24,16 @@
 
 try {
   const target = loadTarget(values.target);
-  const given = loadAssumptions(values.assumptions);
-  const { named, bytes } = loadSlopes(values.slopes);
-  const figures = figuresOf(target, given, named, bytes);
-  const tables = workedOut(target, given, figures);
+  const assumptions = loadAssumptions(values.assumptions);
+  const { named: slopes, bytes } = loadSlopes(values.slopes);
+  const figures = computeFigures(target, assumptions, slopes, bytes);
+  const tables = renderTables(target, assumptions, figures);
   if (values.write) {
-    writeFileSync(values.page, withTables(readFileSync(values.page, "utf8"), tables));
+    writeFileSync(values.page, replaceTables(readFileSync(values.page, "utf8"), tables));
     writeFileSync("docs/capacity/figures.json", `${JSON.stringify(figures, null, 2)}\n`);
   } else process.stdout.write(`${tables}\n`);
 } catch (error) {
   if (!(error instanceof TargetFault) && !(error instanceof SlopesFault)) throw error;
   process.stderr.write(`capacity: ${error.message}\n`);
-  process.exitCode = EXIT_BAD_FILE;
+  process.exitCode = EXIT_INVALID_FILE;
 }
--- a/measure/capacity/figures.ts
+++ b/measure/capacity/figures.ts
@@ -3,7 +3,7 @@
 import { loadsOf, slopeNamed, type Amounts, type Loads, type SlopeNames } from "../scale/model.js";
 import { TargetFault, type Target } from "../scale/target.js";
 
-/** The figures of docs/CAPACITY.md, worked out from a target, measured slopes and assumptions that are written down. */
+/** Computes the figures of docs/CAPACITY.md from a target, measured slopes and written assumptions. */
 
 const count = z.number().int().min(1);
 const positive = z.number().finite().positive();
@@ -25,61 +25,66 @@
   restarts_a_failed_machine: positive,
 });
 
+/** Assumptions that are not measured, as docs/capacity/assumptions.json holds them. */
 export type Assumptions = z.infer<typeof schema>;
 
+/** Reads the assumptions. Throws a `TargetFault` that names each invalid field. */
 export function loadAssumptions(file: string): Assumptions {
   const result = schema.safeParse(JSON.parse(readFileSync(file, "utf8")));
   if (result.success) return result.data;
   throw new TargetFault(result.error.issues.map((issue) => `${file}: ${issue.path.join(".") || "(top)"}: ${issue.message}`).join("; "));
 }
 
-export interface Hour {
+/** Amounts and computed loads at one typical hour. */
+export interface HourFigures {
   name: string;
-  /** Of one region's deployment. */
+  /** Amounts in the deployment of one region. */
   amounts: Amounts;
   loads: Loads;
 }
 
+/** All computed figures, as they are written to docs/capacity/figures.json. */
 export interface Figures {
-  hours: Hour[];
+  hours: HourFigures[];
   controlMachines: number;
-  /** Of one region's deployment. */
+  /** Quota transfers in the deployment of one region. */
   quota: { conflictsATransfer: number; transfersATeam: number };
   failures: { startsAgainADay: number; recoveredS: number };
 }
 
 const DAY_S = 86_400;
 
-/** Amounts of one region's deployment at the peak; everything is spread evenly over the regions. */
-function peakAmounts(target: Target, given: Assumptions): Amounts {
-  const region = (amount: number): number => amount / target.regions;
+/** Returns the amounts in the deployment of one region at the peak. Load is spread evenly over the regions. */
+function peakAmounts(target: Target, assumptions: Assumptions): Amounts {
+  const perRegion = (amount: number): number => amount / target.regions;
   return {
-    controllers: given.controllers_a_region,
-    machines: region(target.workers),
-    tasks: region(target.tasks_running),
+    controllers: assumptions.controllers_a_region,
+    machines: perRegion(target.workers),
+    tasks: perRegion(target.tasks_running),
     teams: target.teams,
-    startsPerS: region(target.peak_starts_per_s),
-    smallJobsPerS: (region(target.jobs_a_day) / DAY_S) * given.peak_jobs_factor,
-    pollsPerS: region(given.polled_jobs / given.poll_every_s),
-    arraysEnding: region(given.arrays_ending),
-    rentalsPerS: region(target.machines_failed_a_day + target.machines_replaced_a_day) / DAY_S,
-    openJobs: region(given.open_jobs),
-    finishedJobs: region(given.finished_jobs),
+    startsPerS: perRegion(target.peak_starts_per_s),
+    smallJobsPerS: (perRegion(target.jobs_a_day) / DAY_S) * assumptions.peak_jobs_factor,
+    pollsPerS: perRegion(assumptions.polled_jobs / assumptions.poll_every_s),
+    arraysEnding: perRegion(assumptions.arrays_ending),
+    rentalsPerS: perRegion(target.machines_failed_a_day + target.machines_replaced_a_day) / DAY_S,
+    openJobs: perRegion(assumptions.open_jobs),
+    finishedJobs: perRegion(assumptions.finished_jobs),
   };
 }
 
-function hoursOf(target: Target, given: Assumptions): { name: string; amounts: Amounts }[] {
-  const peak = peakAmounts(target, given);
-  const zonesARegion = target.zones / target.regions;
-  const left = 1 - 1 / zonesARegion;
+/** Returns the amounts of an ordinary hour, of the peak of task starts, and of an ordinary hour after the loss of a zone. */
+function amountsByHour(target: Target, assumptions: Assumptions): { name: string; amounts: Amounts }[] {
+  const peak = peakAmounts(target, assumptions);
+  const zonesPerRegion = target.zones / target.regions;
+  const remainingShare = 1 - 1 / zonesPerRegion;
   return [
     {
       name: "ordinary hour",
       amounts: {
         ...peak,
-        tasks: peak.tasks * given.ordinary_tasks_share,
-        startsPerS: peak.startsPerS * given.ordinary_starts_share,
-        smallJobsPerS: peak.smallJobsPerS / given.peak_jobs_factor,
+        tasks: peak.tasks * assumptions.ordinary_tasks_share,
+        startsPerS: peak.startsPerS * assumptions.ordinary_starts_share,
+        smallJobsPerS: peak.smallJobsPerS / assumptions.peak_jobs_factor,
       },
     },
     { name: "peak of starts", amounts: peak },
@@ -87,30 +92,35 @@
       name: "zone lost, ordinary hour",
       amounts: {
         ...peak,
-        controllers: given.controllers_a_region - given.controllers_lost_with_a_zone,
-        machines: peak.machines * left,
-        tasks: peak.tasks * given.ordinary_tasks_share,
-        startsPerS: (peak.tasks * given.ordinary_tasks_share * (1 - left)) / given.restart_s,
-        smallJobsPerS: peak.smallJobsPerS / given.peak_jobs_factor,
+        controllers: assumptions.controllers_a_region - assumptions.controllers_lost_with_a_zone,
+        machines: peak.machines * remainingShare,
+        tasks: peak.tasks * assumptions.ordinary_tasks_share,
+        startsPerS: (peak.tasks * assumptions.ordinary_tasks_share * (1 - remainingShare)) / assumptions.restart_s,
+        smallJobsPerS: peak.smallJobsPerS / assumptions.peak_jobs_factor,
       },
     },
   ];
 }
 
-export function figuresOf(target: Target, given: Assumptions, named: SlopeNames, bytes: Record<string, number>): Figures {
-  const transfers = slopeNamed(named, "quota_transfers_controller");
-  const conflicts = slopeNamed(named, "quota_conflicts_controller");
-  const at = (slope: typeof transfers): number => Math.max(0, slope.intercept + slope.slope * given.controllers_a_region);
+/** Computes all figures. Throws a `SlopesFault` if a slope is missing. */
+export function computeFigures(target: Target, assumptions: Assumptions, slopes: SlopeNames, bytes: Record<string, number>): Figures {
+  const transfers = slopeNamed(slopes, "quota_transfers_controller");
+  const conflicts = slopeNamed(slopes, "quota_conflicts_controller");
+  const atControllerCount = (slope: typeof transfers): number =>
+    Math.max(0, slope.intercept + slope.slope * assumptions.controllers_a_region);
   return {
-    hours: hoursOf(target, given).map((hour) => ({ ...hour, loads: loadsOf(named, bytes, hour.amounts) })),
-    controlMachines: target.regions * (given.state_replicas_a_region + given.controllers_a_region),
-    quota: { conflictsATransfer: at(conflicts) / Math.max(1, at(transfers)), transfersATeam: at(transfers) / TEAMS_MEASURED },
+    hours: amountsByHour(target, assumptions).map((hour) => ({ ...hour, loads: loadsOf(slopes, bytes, hour.amounts) })),
+    controlMachines: target.regions * (assumptions.state_replicas_a_region + assumptions.controllers_a_region),
+    quota: {
+      conflictsATransfer: atControllerCount(conflicts) / Math.max(1, atControllerCount(transfers)),
+      transfersATeam: atControllerCount(transfers) / QUOTA_SLOPE_TEAMS,
+    },
     failures: {
-      startsAgainADay: (target.machines_failed_a_day + target.machines_replaced_a_day) * given.restarts_a_failed_machine,
-      recoveredS: Math.max(...slopeNamed(named, "recovery_back").points.map(({ y }) => y)),
+      startsAgainADay: (target.machines_failed_a_day + target.machines_replaced_a_day) * assumptions.restarts_a_failed_machine,
+      recoveredS: Math.max(...slopeNamed(slopes, "recovery_back").points.map(({ y }) => y)),
     },
   };
 }
 
-/** Teams over which quota transfers were measured. */
-const TEAMS_MEASURED = 20;
+/** Number of teams in the measurement of quota transfers. */
+const QUOTA_SLOPE_TEAMS = 20;
--- a/measure/capacity/page.ts
+++ b/measure/capacity/page.ts
@@ -2,26 +2,27 @@
 import type { Target } from "../scale/target.js";
 import type { Assumptions, Figures } from "./figures.js";
 
-/** The tables of docs/CAPACITY.md that are worked out. Everything else on the page is written by hand. */
+/** Renders the computed tables of docs/CAPACITY.md. Everything else on the page is written by hand. */
 
-const BEGIN = "<!-- worked out: npm run capacity -- --write -->";
-const END = "<!-- worked out: end -->";
-/** Of each controller's machine. */
-const CONTROLLER_CORES = 1;
-const CONTROLLER_MB = 256;
-/** What the store of this repository was measured to take on one machine (docs/measured.md). */
-const STORE_CHANGES_PER_S = 12_580;
+const BEGIN_MARKER = "<!-- worked out: npm run capacity -- --write -->";
+const END_MARKER = "<!-- worked out: end -->";
+/** Processor and memory available to a controller on its machine. */
+const CONTROLLER_CORE_BUDGET = 1;
+const CONTROLLER_MEMORY_BUDGET_MB = 256;
+/** Changes per second that the store sustains on one machine (docs/measured.md). */
+const STORE_CAPACITY_CHANGES_PER_S = 12_580;
 
-const figure = (value: number): string =>
+const formatFigure = (value: number): string =>
   Math.abs(value) >= 100 ? Math.round(value).toLocaleString("en") : Number(value.toPrecision(3)).toString();
 
-function tableOf(head: string[], rows: string[][]): string {
+function formatTable(head: string[], rows: string[][]): string {
   const widths = head.map((title, i) => Math.max(title.length, 3, ...rows.map((row) => row[i]!.length)));
   const line = (cells: string[]): string => `| ${cells.map((cell, i) => cell.padEnd(widths[i]!)).join(" | ")} |`;
   return [line(head), line(widths.map((width) => "-".repeat(width))), ...rows.map(line)].join("\n");
 }
 
-const AMOUNTS: Record<keyof Amounts, string> = {
+/** Row titles of the amounts. */
+const AMOUNT_LABELS: Record<keyof Amounts, string> = {
   controllers: "controllers",
   machines: "workers",
   tasks: "tasks running",
@@ -35,53 +36,57 @@
   finishedJobs: "finished jobs",
 };
 
-interface Row {
+/** A row of the table of loads; `budget` is null where there is no limit to compare with. */
+interface LoadRow {
   role: string;
-  what: string;
+  resource: string;
   load: keyof Loads;
   budget: number | null;
   unit: string;
 }
 
-function rowsOf(target: Target): Row[] {
+function loadRows(target: Target): LoadRow[] {
   return [
-    { role: "worker", what: "processor", load: "worker_cores", budget: target.worker_core_share, unit: "cores" },
-    { role: "worker", what: "memory", load: "worker_mb", budget: target.worker_memory_mb, unit: "MB" },
-    { role: "worker", what: "messages", load: "worker_bytes_per_s", budget: target.worker_bytes_per_s, unit: "bytes/s" },
-    { role: "controller", what: "processor", load: "controller_cores", budget: CONTROLLER_CORES, unit: "cores" },
-    { role: "controller", what: "memory", load: "controller_mb", budget: CONTROLLER_MB, unit: "MB" },
-    { role: "state service", what: "requests", load: "state_requests_per_s", budget: null, unit: "requests/s" },
-    { role: "state service", what: "changes", load: "state_changes_per_s", budget: STORE_CHANGES_PER_S, unit: "changes/s" },
-    { role: "state service", what: "processor", load: "store_cores", budget: 1, unit: "cores" },
-    { role: "links between controllers", what: "all together", load: "peer_bytes_per_s", budget: null, unit: "bytes/s" },
+    { role: "worker", resource: "processor", load: "worker_cores", budget: target.worker_core_share, unit: "cores" },
+    { role: "worker", resource: "memory", load: "worker_mb", budget: target.worker_memory_mb, unit: "MB" },
+    { role: "worker", resource: "messages", load: "worker_bytes_per_s", budget: target.worker_bytes_per_s, unit: "bytes/s" },
+    { role: "controller", resource: "processor", load: "controller_cores", budget: CONTROLLER_CORE_BUDGET, unit: "cores" },
+    { role: "controller", resource: "memory", load: "controller_mb", budget: CONTROLLER_MEMORY_BUDGET_MB, unit: "MB" },
+    { role: "state service", resource: "requests", load: "state_requests_per_s", budget: null, unit: "requests/s" },
+    { role: "state service", resource: "changes", load: "state_changes_per_s", budget: STORE_CAPACITY_CHANGES_PER_S, unit: "changes/s" },
+    { role: "state service", resource: "processor", load: "store_cores", budget: 1, unit: "cores" },
+    { role: "links between controllers", resource: "all together", load: "peer_bytes_per_s", budget: null, unit: "bytes/s" },
   ];
 }
 
-/** What lies between the markers. */
-export function workedOut(target: Target, given: Assumptions, { hours, controlMachines, quota, failures }: Figures): string {
-  const amounts = tableOf(
+/** Renders the text between the two markers of the page. */
+export function renderTables(target: Target, assumptions: Assumptions, { hours, controlMachines, quota, failures }: Figures): string {
+  const amounts = formatTable(
     ["a region's deployment", ...hours.map(({ name }) => name)],
-    (Object.keys(AMOUNTS) as (keyof Amounts)[]).map((name) => [AMOUNTS[name], ...hours.map(({ amounts }) => figure(amounts[name]))]),
+    (Object.keys(AMOUNT_LABELS) as (keyof Amounts)[]).map((name) => [
+      AMOUNT_LABELS[name],
+      ...hours.map(({ amounts }) => formatFigure(amounts[name])),
+    ]),
   );
-  const loads = rowsOf(target).map(({ role, what, load, budget, unit }) => {
+  const loads = loadRows(target).map(({ role, resource, load, budget, unit }) => {
     const values = hours.map((hour) => hour.loads[load]);
-    const room = budget === null ? "-" : `${figure((1 - Math.max(...values) / budget) * 100)}%`;
-    return [role, `${what}, ${unit}`, ...values.map(figure), budget === null ? "-" : figure(budget), room];
+    const remaining = budget === null ? "-" : `${formatFigure((1 - Math.max(...values) / budget) * 100)}%`;
+    return [role, `${resource}, ${unit}`, ...values.map(formatFigure), budget === null ? "-" : formatFigure(budget), remaining];
   });
-  const machines = `${controlMachines} of ${target.control_machines} machines for control: in each of ${target.regions} regions ${given.state_replicas_a_region} for the state service and ${given.controllers_a_region} for controllers.`;
+  const machinesText = `${controlMachines} of ${target.control_machines} machines for control: in each of ${target.regions} regions ${assumptions.state_replicas_a_region} for the state service and ${assumptions.controllers_a_region} for controllers.`;
   return [
     amounts,
-    tableOf(["role", "what", "ordinary", "peak", "zone lost", "budget", "room left"], loads),
-    machines,
-    `Quota: ${figure(quota.transfersATeam)} transfers a team that needs all of its limit in one place, ${figure(quota.conflictsATransfer)} conflicts a transfer, over ${given.controllers_a_region} controllers.`,
-    `Failures: ${figure(failures.startsAgainADay)} tasks start again a day; a controller's partition is back after at most ${figure(failures.recoveredS)} s.`,
+    formatTable(["role", "what", "ordinary", "peak", "zone lost", "budget", "room left"], loads),
+    machinesText,
+    `Quota: ${formatFigure(quota.transfersATeam)} transfers a team that needs all of its limit in one place, ${formatFigure(quota.conflictsATransfer)} conflicts a transfer, over ${assumptions.controllers_a_region} controllers.`,
+    `Failures: ${formatFigure(failures.startsAgainADay)} tasks start again a day; a controller's partition is back after at most ${formatFigure(failures.recoveredS)} s.`,
   ].join("\n\n");
 }
 
-/** The page with its worked-out tables made anew. Throws if it has no place for them. */
-export function withTables(page: string, tables: string): string {
-  const begin = page.indexOf(BEGIN);
-  const end = page.indexOf(END);
-  if (begin < 0 || end < begin) throw new Error(`the page: expected a line ${BEGIN} and one ${END} after it`);
-  return `${page.slice(0, begin)}${BEGIN}\n\n${tables}\n\n${page.slice(end)}`;
+/** Returns the page with `tables` between its markers. Throws if a marker is missing. */
+export function replaceTables(page: string, tables: string): string {
+  const begin = page.indexOf(BEGIN_MARKER);
+  const end = page.indexOf(END_MARKER);
+  if (begin < 0 || end < begin) throw new Error(`capacity page: expected a line ${BEGIN_MARKER} and a line ${END_MARKER} after it`);
+  return `${page.slice(0, begin)}${BEGIN_MARKER}\n\n${tables}\n\n${page.slice(end)}`;
 }
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -4,14 +4,15 @@
 import { parseOptions, progress, report } from "./harness.js";
 
 /**
- * How long recovery takes, over many rehearsals in virtual time: the same plan, seeds and
- * faults each time, so that two versions can be compared. Times in ms from the loss.
+ * Measures how long recovery takes over many rehearsals in virtual time. Plan, seeds and faults
+ * are the same in each run, so that two versions can be compared. Times count from the loss of the
+ * controller.
  */
-const given = parseOptions({ repeats: 40, quickRepeats: 4 });
+const options = parseOptions({ repeats: 40, quickRepeats: 4 });
 const base = await loadPlan("deploy/rehearsal.hcl");
 
-/** What is lost, and what else goes wrong in the midst of it. */
-const LOSSES: Record<string, RehearsalPlan["fault"]> = {
+/** The faults of each scenario: the loss of a controller, alone or with other faults during the recovery. */
+const SCENARIOS: Record<string, RehearsalPlan["fault"]> = {
   crash: [{ at: 30, fault: { kind: "restart", target: "leader", for: 40 } }],
   crash_and_machine: [
     { at: 30, fault: { kind: "restart", target: "leader", for: 40 } },
@@ -32,41 +33,41 @@
 
 const figures: Record<string, number> = {};
 let rehearsals = 0;
-let broken = 0;
+let violations = 0;
 let unfinished = 0;
-for (const [loss, fault] of Object.entries(LOSSES)) {
-  const spreads = {
+for (const [scenario, fault] of Object.entries(SCENARIOS)) {
+  const histograms = {
     claimed: new DurationHistogram(),
     fenced: new DurationHistogram(),
     back: new DurationHistogram(),
     done: new DurationHistogram(),
   };
-  for (let i = 0; i < given.repeats; i++) {
-    const played = await runVirtual({
-      plan: { ...base, name: loss, fault },
-      seed: given.seed + i,
+  for (let i = 0; i < options.repeats; i++) {
+    const result = await runVirtual({
+      plan: { ...base, name: scenario, fault },
+      seed: options.seed + i,
       spawn: spawnController,
       momentOf: injectionPointOf,
     });
     rehearsals++;
-    broken += played.broken.length;
-    unfinished += played.jobs.unfinished.length;
-    for (const rule of played.broken) progress(`${loss}, seed ${given.seed + i}: ${rule}`);
-    for (const span of played.recoveries) {
-      if (span.claimed !== null) spreads.claimed.add(span.claimed);
-      if (span.fenced !== null) spreads.fenced.add(span.fenced);
-      if (span.back !== null) spreads.back.add(span.back);
+    violations += result.broken.length;
+    unfinished += result.jobs.unfinished.length;
+    for (const rule of result.broken) progress(`${scenario}, seed ${options.seed + i}: ${rule}`);
+    for (const recovery of result.recoveries) {
+      if (recovery.claimed !== null) histograms.claimed.add(recovery.claimed);
+      if (recovery.fenced !== null) histograms.fenced.add(recovery.fenced);
+      if (recovery.back !== null) histograms.back.add(recovery.back);
     }
-    const close = played.classes.find(({ name }) => name === "cierre");
-    if (close?.done_p99_s != null) spreads.done.add(close.done_p99_s * 1000);
+    const closeClass = result.classes.find(({ name }) => name === "cierre");
+    if (closeClass?.done_p99_s != null) histograms.done.add(closeClass.done_p99_s * 1000);
   }
-  for (const [phase, spread] of Object.entries(spreads)) {
-    figures[`${loss}_${phase}_p50_s`] = spread.percentileS(50) ?? NaN;
-    figures[`${loss}_${phase}_p99_s`] = spread.percentileS(99) ?? NaN;
-    figures[`${loss}_${phase}_worst_s`] = spread.maxS ?? NaN;
+  for (const [phase, histogram] of Object.entries(histograms)) {
+    figures[`${scenario}_${phase}_p50_s`] = histogram.percentileS(50) ?? NaN;
+    figures[`${scenario}_${phase}_p99_s`] = histogram.percentileS(99) ?? NaN;
+    figures[`${scenario}_${phase}_worst_s`] = histogram.maxS ?? NaN;
   }
   progress(
-    `${loss}: claimed ${spreads.claimed.percentileS(50)} s, fenced p50 ${spreads.fenced.percentileS(50)} p99 ${spreads.fenced.percentileS(99)} s, back p50 ${spreads.back.percentileS(50)} p99 ${spreads.back.percentileS(99)} s, edition close done p99 ${spreads.done.percentileS(99)} s`,
+    `${scenario}: claimed ${histograms.claimed.percentileS(50)} s, fenced p50 ${histograms.fenced.percentileS(50)} p99 ${histograms.fenced.percentileS(99)} s, back p50 ${histograms.back.percentileS(50)} p99 ${histograms.back.percentileS(99)} s, class cierre done p99 ${histograms.done.percentileS(99)} s`,
   );
 }
-report("recovery", given, { rehearsals, broken_rules: broken, unfinished_jobs: unfinished, ...figures });
+report("recovery", options, { rehearsals, broken_rules: violations, unfinished_jobs: unfinished, ...figures });
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -6,19 +6,20 @@
 import { parseOptions, progress, report } from "./harness.js";
 
 /**
- * What waiting for proof of ownership costs: machines die around the beginning of an outage of the state service for all,
- * with room for their tasks elsewhere. Time in seconds from a machine's end until its tasks run again, by how long before
- * (or after) the beginning of the outage it died.
+ * Measures how long tasks wait because controllers have to wait for proof of ownership: a machine fails around the start of
+ * an outage of the state service for all controllers, while another machine has free capacity for its tasks. Reports the
+ * seconds from the failure until the tasks run again, by the time from the failure to the start of the outage.
  */
-const given = parseOptions({ repeats: 6, quickRepeats: 1 });
+const options = parseOptions({ repeats: 6, quickRepeats: 1 });
 const OUTAGE_AT_S = 60;
 const OUTAGE_S = 35;
-/** Seconds from a machine's end to the beginning of the outage. */
-const DIED_BEFORE_S = [20, 17, 14, 11, 8, 5, 2, 0, -3];
-const TASKS = "run-000001";
-const ROOMY = "run-000002";
+/** Seconds from the failure of the machine to the start of the outage; negative: after the start. */
+const FAILED_BEFORE_S = [20, 17, 14, 11, 8, 5, 2, 0, -3];
+const JOB = "run-000001";
+const LARGE_MACHINE_JOB = "run-000002";
 
-function place(seed: number): VirtualWorld<RehearsedController> {
+/** Returns a world with eight small machines and a large one that can take the tasks of any small one. */
+function createWorld(seed: number): VirtualWorld<RehearsedController> {
   const type = { gpus: 0, ram: 100, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.3, bootS: 2, zones: ["a"] };
   return new VirtualWorld<RehearsedController>(
     {
@@ -38,46 +39,47 @@
   );
 }
 
-/** Seconds until the tasks of the machine that died run again, each; none: they did not within the run. */
-async function play(seed: number, diedBeforeS: number): Promise<number[]> {
-  const world = place(seed);
+/** Returns for each task of the failed machine the seconds until it runs again; tasks that do not within the run are left out. */
+async function simulateFailure(seed: number, failedBeforeS: number): Promise<number[]> {
+  const world = createWorld(seed);
   const submit = (ref: string, tasks: number, types: string[], runS: number): void => {
     const spec = specOf({ ref, tasks, cpus: 8, types });
     world.runTimesMs.set(ref, runS * 1000);
     void world.submit(encodeJob(spec), spec, "nest-1");
   };
   for (const name of world.nodes.keys()) world.startController(name);
-  // The large machine comes once the small ones are full, and has room for all that is lost.
+  // The large machine is rented once the tasks are on the small ones, and then has free capacity for all lost tasks.
   const { restore } = world.cloud.setCapacity("large", "*", 0, 0);
   await world.clock.run(5000);
-  submit(TASKS, 8, ["small", "large"], 300);
+  submit(JOB, 8, ["small", "large"], 300);
   await world.clock.run(20_000);
   restore();
-  submit(ROOMY, 1, ["large"], 300);
-  const diesAt = (OUTAGE_AT_S - diedBeforeS) * 1000;
-  let died = "";
-  world.clock.after(diesAt - world.clock.now(), () => {
+  submit(LARGE_MACHINE_JOB, 1, ["large"], 300);
+  const failsAtMs = (OUTAGE_AT_S - failedBeforeS) * 1000;
+  let failedHost = "";
+  world.clock.after(failsAtMs - world.clock.now(), () => {
     const host = [...world.workers.values()].find(({ offer, tasks }) => offer.type === "small" && tasks.size > 0)?.host;
-    if (host !== undefined) world.cloud.remove((died = host));
+    if (host !== undefined) world.cloud.remove((failedHost = host));
   });
   world.clock.after(OUTAGE_AT_S * 1000 - world.clock.now(), () => (world.state.outage = true));
   world.clock.after((OUTAGE_AT_S + OUTAGE_S) * 1000 - world.clock.now(), () => world.state.endOutage());
   await world.clock.run(200_000);
   for (const name of world.nodes.keys()) world.killController(name);
-  const lost = world.history.flatMap((one) => (one.kind === "on" && one.host === died ? [one.piece] : []));
-  return lost.flatMap((piece) => {
-    const again = world.history.find((one) => one.kind === "on" && one.piece === piece && one.at > diesAt);
-    return again === undefined ? [] : [(again.at - diesAt) / 1000];
+  const lostTasks = world.history.flatMap((one) => (one.kind === "on" && one.host === failedHost ? [one.piece] : []));
+  return lostTasks.flatMap((piece) => {
+    const restart = world.history.find((one) => one.kind === "on" && one.piece === piece && one.at > failsAtMs);
+    return restart === undefined ? [] : [(restart.at - failsAtMs) / 1000];
   });
 }
 
 const figures: Record<string, number> = {};
-for (const diedBeforeS of DIED_BEFORE_S) {
-  const spread = new DurationHistogram();
-  for (let i = 0; i < given.repeats; i++) for (const seconds of await play(given.seed + i, diedBeforeS)) spread.add(seconds * 1000);
-  const name = diedBeforeS < 0 ? `died_${-diedBeforeS}_s_after` : `died_${diedBeforeS}_s_before`;
-  figures[`${name}_again_p50_s`] = spread.percentileS(50) ?? NaN;
-  figures[`${name}_again_worst_s`] = spread.maxS ?? NaN;
-  progress(`${name}: ${spread.count} tasks run again, p50 ${spread.percentileS(50)} s, worst ${spread.maxS} s`);
+for (const failedBeforeS of FAILED_BEFORE_S) {
+  const histogram = new DurationHistogram();
+  for (let i = 0; i < options.repeats; i++)
+    for (const seconds of await simulateFailure(options.seed + i, failedBeforeS)) histogram.add(seconds * 1000);
+  const name = failedBeforeS < 0 ? `died_${-failedBeforeS}_s_after` : `died_${failedBeforeS}_s_before`;
+  figures[`${name}_again_p50_s`] = histogram.percentileS(50) ?? NaN;
+  figures[`${name}_again_worst_s`] = histogram.maxS ?? NaN;
+  progress(`${name}: ${histogram.count} tasks run again, p50 ${histogram.percentileS(50)} s, worst ${histogram.maxS} s`);
 }
-report("state-outage", given, { outage_s: OUTAGE_S, ...figures });
+report("state-outage", options, { outage_s: OUTAGE_S, ...figures });
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { figuresOf, loadAssumptions } from "../measure/capacity/figures.js";
-import { withTables, workedOut } from "../measure/capacity/page.js";
+import { computeFigures, loadAssumptions } from "../measure/capacity/figures.js";
+import { replaceTables, renderTables } from "../measure/capacity/page.js";
 import { loadSlopes, loadsOf, slopeNamed, SlopesFault, type Amounts } from "../measure/scale/model.js";
 import { loadTarget, parseTarget, TargetFault } from "../measure/scale/target.js";
 import { perOrderedPair, fitLine } from "../measure/slopes/line.js";
@@ -55,9 +55,9 @@
   const target = loadTarget(`${FOLDER}/target.json`);
   const assumptions = loadAssumptions(`${FOLDER}/assumptions.json`);
   const { named, bytes } = loadSlopes(`${FOLDER}/slopes.json`);
-  const figures = figuresOf(target, assumptions, named, bytes);
+  const figures = computeFigures(target, assumptions, named, bytes);
   const page = readFileSync(PAGE, "utf8");
-  assert.equal(withTables(page, workedOut(target, assumptions, figures)), page, "run: npm run capacity -- --write");
+  assert.equal(replaceTables(page, renderTables(target, assumptions, figures)), page, "run: npm run capacity -- --write");
   assert.ok(figures.controlMachines <= target.control_machines);
-  assert.throws(() => withTables("no markers", ""), /expected a line/);
+  assert.throws(() => replaceTables("no markers", ""), /expected a line/);
 });
