--- a/measure/emulator.ts
+++ b/measure/emulator.ts
@@ -94,7 +94,7 @@
 function readJsonBody(req: IncomingMessage): Promise<Record<string, unknown>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    req.on("data", (some: Buffer) => chunks.push(some));
+    req.on("data", (chunk: Buffer) => chunks.push(chunk));
     req.on("end", () => resolve(JSON.parse(Buffer.concat(chunks).toString()) as Record<string, unknown>));
   });
 }
@@ -170,7 +170,7 @@
   });
   return new Promise((resolve, reject) => {
     let text = "";
-    child.stdout.on("data", (some: Buffer) => (text += some.toString()));
+    child.stdout.on("data", (chunk: Buffer) => (text += chunk.toString()));
     child.once("exit", (code) =>
       code === 0 ? resolve(JSON.parse(text) as WorkerProcessStats) : reject(new Error(`the worker process exited with code ${code}`)),
     );
--- a/measure/store.ts
+++ b/measure/store.ts
@@ -56,7 +56,7 @@
     const headers = body === undefined ? {} : { "content-length": Buffer.byteLength(body) };
     const req = request({ host: "127.0.0.1", port, method, path, agent, headers }, (res) => {
       let text = "";
-      res.on("data", (some: Buffer) => (text += some.toString()));
+      res.on("data", (chunk: Buffer) => (text += chunk.toString()));
       res.on("end", () => resolve({ status: res.statusCode!, text }));
     });
     req.on("error", reject);
@@ -81,8 +81,8 @@
     this.socket = connect(port, "127.0.0.1");
     this.socket.setNoDelay(true);
     this.socket.setEncoding("latin1");
-    this.socket.on("data", (some: string) => {
-      this.buffer += some;
+    this.socket.on("data", (chunk: string) => {
+      this.buffer += chunk;
       const headEnd = this.buffer.indexOf("\r\n\r\n");
       if (headEnd < 0) return;
       const length = Number(/content-length: (\d+)/i.exec(this.buffer.slice(0, headEnd))![1]);
