--- a/measure/scale.ts
+++ b/measure/scale.ts
@@ -1,6 +1,6 @@
 import { parseArgs } from "node:util";
 import { existsSync } from "node:fs";
-import { progress, report, Times } from "./harness.js";
+import { progress, report, LatencyHistogram } from "./harness.js";
 import { TestCluster, type Snapshot } from "./scale/test-cluster.js";
 import { faultFigures, scheduleFaults } from "./scale/fault-run.js";
 import { randomFaults, type ScaleFault } from "./scale/faults.js";
@@ -69,14 +69,14 @@
   tasksOf: ReadonlyMap<string, number>,
   from: number,
   to: number,
-): { times: Times; neverStarted: number } {
+): { times: LatencyHistogram; neverStarted: number } {
   const started = new Map<string, { count: number; lastAt: number }>();
   for (const { jobStarts } of last.workers)
     for (const [ref, count, lastAt] of jobStarts) {
       const others = started.get(ref) ?? { count: 0, lastAt: 0 };
       started.set(ref, { count: others.count + count, lastAt: Math.max(others.lastAt, lastAt) });
     }
-  const times = new Times();
+  const times = new LatencyHistogram();
   let neverStarted = 0;
   for (const { ref, at } of last.clients.submissions) {
     if (!refs.has(ref) || at < from || at >= to) continue;
@@ -218,7 +218,11 @@
       const { times, neverStarted } = startWaits(fleet.urgentJobs, end, tasksOf, phase.from.at, phase.to.at);
       const name = `${phase.name}_urgent`;
       Object.assign(figures, { [`${name}_jobs`]: times.count + neverStarted, [`${name}_never_begun`]: neverStarted });
-      Object.assign(figures, { [`${name}_p50_ms`]: times.at(50), [`${name}_p99_ms`]: times.at(99), [`${name}_worst_ms`]: times.worst });
+      Object.assign(figures, {
+        [`${name}_p50_ms`]: times.percentileMs(50),
+        [`${name}_p99_ms`]: times.percentileMs(99),
+        [`${name}_worst_ms`]: times.maxMs,
+      });
     }
     for (const [duty, ms] of totalProcessorByDuty(cluster)) figures[`duty_${duty}_ms`] = ms;
     const peak = peakStarts(end);
--- a/measure/scale/clients.ts
+++ b/measure/scale/clients.ts
@@ -2,7 +2,7 @@
 import { encodeJob } from "../../packages/protocol/src/jobs.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "../../packages/emulator/src/real/http.js";
 import { seededRandom } from "@thorntrail/emulator/random";
-import { Times } from "../harness.js";
+import { LatencyHistogram } from "../harness.js";
 import { monotonicMs, type ClientsStats, type ClientsToCoordinator, type PlannedJob, type CoordinatorToClients } from "./messages.js";
 
 /**
@@ -28,8 +28,8 @@
 class ClientPopulation {
   private readonly agent = createAgent(MAX_CONNECTIONS);
   private readonly random: () => number;
-  private readonly submitTimes = new Times();
-  private readonly pollTimes = new Times();
+  private readonly submitTimes = new LatencyHistogram();
+  private readonly pollTimes = new LatencyHistogram();
   private readonly responses = new Map<number, number>();
   private readonly submissions = new Map<string, ClientsStats["submissions"][number]>();
   private readonly accepted: string[] = [];
@@ -109,7 +109,7 @@
   }
 
   stats(): Omit<ClientsStats, "loopP99Ms" | "loopMaxMs"> {
-    const percentiles = (times: Times) => ({ p50: times.at(50), p99: times.at(99), worst: times.worst });
+    const percentiles = (times: LatencyHistogram) => ({ p50: times.percentileMs(50), p99: times.percentileMs(99), worst: times.maxMs });
     return {
       submissions: [...this.submissions.values()],
       submitMs: percentiles(this.submitTimes),
--- a/measure/scale/fault-run.ts
+++ b/measure/scale/fault-run.ts
@@ -1,6 +1,6 @@
 /** Injects the faults of a scale run and evaluates their effect with the checker of rehearsals and the controllers' metrics. */
 import { findViolations } from "../../packages/emulator/src/checker.js";
-import { progress, Times } from "../harness.js";
+import { progress, LatencyHistogram } from "../harness.js";
 import type { TestCluster } from "./test-cluster.js";
 import type { ScaleFault } from "./faults.js";
 
@@ -42,15 +42,15 @@
 export async function faultFigures(cluster: TestCluster): Promise<Record<string, number | string>> {
   const history = [...cluster.taskHistory].sort((a, b) => a.at - b.at);
   const violations = findViolations(history, { cancelMs: Infinity, teams: new Map() });
-  const fencingTimes = new Times();
+  const fencingTimes = new LatencyHistogram();
   for (const { ms } of cluster.fencings) fencingTimes.add(ms);
   const figures: Record<string, number | string> = {
     faults: injectedFaults.join(", ") || "none",
     rules_broken: violations.length,
     first_broken: violations[0] ?? "none",
     fences: fencingTimes.count,
-    fence_p50_ms: fencingTimes.at(50),
-    fence_worst_ms: fencingTimes.worst,
+    fence_p50_ms: fencingTimes.percentileMs(50),
+    fence_worst_ms: fencingTimes.maxMs,
     fence_most_machines: Math.max(0, ...cluster.fencings.map(({ machines }) => machines)),
     invariant_violations: await cluster.controllerMetricSum("invariant_violations_total"),
   };
--- a/measure/scale/test-cluster.ts
+++ b/measure/scale/test-cluster.ts
@@ -11,7 +11,7 @@
 import { sendRequest, parseObject, readBody, sendResponse } from "../../packages/emulator/src/real/http.js";
 import { Processes } from "../../packages/emulator/src/real/processes.js";
 import { CloudStub } from "@thorntrail/emulator/real/stub-servers";
-import { runOf } from "../start.js";
+import { runArguments } from "../start.js";
 import { controllerSettings, storeSettings, TIMING, type ClusterPlan } from "./cluster-plan.js";
 import {
   monotonicMs,
@@ -106,7 +106,7 @@
   constructor(private readonly plan: ClusterPlan) {
     process.once("exit", this.onExit);
     this.processes = new Processes(
-      [process.execPath, ...runOf(".").filter((word) => !["serve", "--config"].includes(word))],
+      [process.execPath, ...runArguments(".").filter((word) => !["serve", "--config"].includes(word))],
       (name, line) => this.handleLogLine(name, line),
       (name, how) => this.closing || this.unexpectedExits.push(`${name} (${how})`),
     );
