--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -356,8 +356,8 @@
     case "sick":
       return each(resolveMachines(stage, fault.target), (name) => stage.sicken(name));
     case "start-twice": {
-      const piece = stage.startTwice();
-      return piece === null ? [] : [piece];
+      const taskId = stage.startTwice();
+      return taskId === null ? [] : [taskId];
     }
     case "capacity": {
       const { affected, restore } = stage.capacity(fault.target, fault.zone, fault.count, fault.spot);
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -175,8 +175,10 @@
       slowdown: (host) => this.slowness.get(host) ?? 1,
       failsTasks: (host) => this.failingHosts.has(host),
       savedProgress: new Map(),
-      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      onTaskStarted: (worker, taskId) =>
+        this.recordEvent({ at: this.clock.now(), kind: "on", piece: taskId, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, taskId, cause) =>
+        this.recordEvent({ at: this.clock.now(), kind: "off", piece: taskId, host: worker.host, cause }),
     });
     this.cloud.addrOf = (host) => this.addrs.get(host) ?? "127.0.0.1:1";
     this.cloud.onRemoved = (host) => this.hosts.removeMachine(host);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -32,7 +32,7 @@
 
 /** Whether the machine still lists this attempt: no `clear` command has removed it. */
 function isRegistered({ worker, task }: GangMember): boolean {
-  return worker.tasks.get(`${task.piece}#${task.attempt}`) === task;
+  return worker.tasks.get(`${task.taskId}#${task.attempt}`) === task;
 }
 
 /** Connects emulated workers to real sockets: one listener for each machine, and reports to the controllers' HTTP listeners. */
@@ -86,7 +86,7 @@
   /** Adds a started task to the members of its gang. */
   private joinGang(worker: Worker, taskId: string): void {
     for (const task of worker.tasks.values()) {
-      if (task.piece !== taskId || task.state === "exited") continue;
+      if (task.taskId !== taskId || task.state === "exited") continue;
       if (this.world.spec(task.ref)?.kind !== "gang") return;
       const key = gangKey(task.ref, task.attempt);
       const members = this.gangs.get(key);
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -412,8 +412,10 @@
       slowdown: (name) => this.slowdowns.get(name) ?? 1,
       failsTasks: (name, ref) => this.failingHosts.has(name) || this.defectiveJobs.has(ref),
       savedProgress: this.savedProgress,
-      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      onTaskStarted: (worker, taskId) =>
+        this.recordEvent({ at: this.clock.now(), kind: "on", piece: taskId, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, taskId, cause) =>
+        this.recordEvent({ at: this.clock.now(), kind: "off", piece: taskId, host: worker.host, cause }),
       mates: (ref, attempt) =>
         [...this.workers.values()].flatMap((worker) =>
           [...worker.tasks.values()].filter((t) => t.ref === ref && t.attempt === attempt).map((task) => ({ worker, task })),
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -23,8 +23,8 @@
   failsTasks: (host: string, ref: string) => boolean;
   /** Checkpointed progress in ms of run time, which survives the loss of machines; by task, or by job for gangs. */
   savedProgress: Map<string, number>;
-  onTaskStarted: (worker: Worker, piece: string) => void;
-  onTaskEnded: (worker: Worker, piece: string, cause: string) => void;
+  onTaskStarted: (worker: Worker, taskId: string) => void;
+  onTaskEnded: (worker: Worker, taskId: string, cause: string) => void;
   /** All present members of an attempt of a gang, across all machines. */
   mates: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
@@ -120,7 +120,7 @@
       seq: this.seq,
       token: this.token,
       noticeS: this.removalNoticeS,
-      tasks: [...this.tasks.values()].map(({ piece, attempt, state, cause, saved }) => ({ piece, attempt, state, cause, saved })),
+      tasks: [...this.tasks.values()].map(({ taskId, attempt, state, cause, saved }) => ({ taskId, attempt, state, cause, saved })),
     };
   }
 
@@ -213,19 +213,19 @@
     task.state = "exited";
     task.cause = cause;
     task.saved = saved;
-    if (wasStarted) this.dependencies.onTaskEnded(this, task.piece, cause ?? "");
+    if (wasStarted) this.dependencies.onTaskEnded(this, task.taskId, cause ?? "");
     this.markChanged();
   }
 
   private execute(orders: Order[]): void {
     for (const order of orders) {
-      const key = `${order.piece}#${order.attempt}`;
+      const key = `${order.taskId}#${order.attempt}`;
       const task = this.tasks.get(key);
       if (order.verb === "clear") {
         if (task?.state === "exited") this.tasks.delete(key);
       } else if (order.verb === "stop") {
         if (task !== undefined && task.state !== "exited") this.stopTask(task, order.graceS);
-      } else if (task === undefined) this.startTask(order.piece, order.attempt);
+      } else if (task === undefined) this.startTask(order.taskId, order.attempt);
     }
     this.update();
   }
@@ -245,11 +245,11 @@
     this.markChanged();
   }
 
-  private startTask(piece: string, attempt: number): void {
-    const ref = piece.slice(0, piece.lastIndexOf("/"));
+  private startTask(taskId: string, attempt: number): void {
+    const ref = taskId.slice(0, taskId.lastIndexOf("/"));
     const spec = this.dependencies.spec(ref);
     const task: WorkerTask = {
-      piece,
+      taskId,
       attempt,
       ref,
       state: "fetching",
@@ -261,11 +261,11 @@
       stopReceivedAt: null,
       memberMissingSince: null,
     };
-    this.tasks.set(`${piece}#${attempt}`, task);
+    this.tasks.set(`${taskId}#${attempt}`, task);
     this.markChanged();
     if (spec === undefined) return this.exitTask(task, "no_such");
     const activeTasks = [...this.tasks.values()].filter((t) => t !== task && t.state !== "exited");
-    if (activeTasks.some((t) => t.piece === piece)) return this.exitTask(task, "busy");
+    if (activeTasks.some((t) => t.taskId === taskId)) return this.exitTask(task, "busy");
     const used = { cpus: spec.cpus, gpus: spec.gpus, ram: spec.ram };
     for (const other of activeTasks) {
       const s = this.dependencies.spec(other.ref)!;
@@ -279,7 +279,7 @@
 
   endAllTasks(cause: string): void {
     for (const task of this.tasks.values()) {
-      if (task.imageReady && task.state !== "exited") this.dependencies.onTaskEnded(this, task.piece, cause);
+      if (task.imageReady && task.state !== "exited") this.dependencies.onTaskEnded(this, task.taskId, cause);
       task.state = "exited";
     }
     this.tasks.clear();
@@ -288,7 +288,7 @@
   // Updates over time
 
   private progressKey(task: WorkerTask): string {
-    return this.isGang(task) ? task.ref : task.piece;
+    return this.isGang(task) ? task.ref : task.taskId;
   }
 
   private isGang(task: WorkerTask): boolean {
@@ -380,7 +380,7 @@
     if (clock.now() < this.imageReadyAt(task)) return;
     this.images.add(spec.image);
     task.imageReady = true;
-    this.dependencies.onTaskStarted(this, task.piece);
+    this.dependencies.onTaskStarted(this, task.taskId);
     task.stateSince = clock.now();
     task.progressAtStateStart = this.dependencies.savedProgress.get(this.progressKey(task)) ?? 0;
     task.state = this.isGang(task) ? "gathering" : "running";
@@ -454,12 +454,12 @@
 export function startDuplicate(workers: Iterable<Worker>): string | null {
   const running = [...workers].filter((worker) => !worker.removed && !worker.hanging);
   for (const first of running) {
-    for (const { piece, state, attempt } of first.tasks.values()) {
+    for (const { taskId, state, attempt } of first.tasks.values()) {
       if (state !== "running") continue;
       for (const second of running) {
         if (second === first) continue;
-        const { report } = second.command(second.token, second.session, [{ verb: "start", piece, attempt: attempt + 1 }]);
-        if (report.tasks.some((task) => task.piece === piece && task.state !== "exited")) return piece;
+        const { report } = second.command(second.token, second.session, [{ verb: "start", taskId, attempt: attempt + 1 }]);
+        if (report.tasks.some((task) => task.taskId === taskId && task.state !== "exited")) return taskId;
       }
     }
   }
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -8,7 +8,7 @@
 /** One task attempt in a worker's report. */
 export interface ReportedTask {
   /** ID of the task, such as run-000412/3. */
-  piece: string;
+  taskId: string;
   attempt: number;
   state: TaskState;
   /** Null while the attempt has not exited. */
@@ -38,9 +38,9 @@
 
 /** A command to a worker. `graceS` is the time in seconds that a task has to stop. */
 export type Order =
-  | { verb: "start"; piece: string; attempt: number }
-  | { verb: "stop"; piece: string; attempt: number; graceS: number }
-  | { verb: "clear"; piece: string; attempt: number };
+  | { verb: "start"; taskId: string; attempt: number }
+  | { verb: "stop"; taskId: string; attempt: number; graceS: number }
+  | { verb: "clear"; taskId: string; attempt: number };
 
 const TASK_STATES: ReadonlySet<unknown> = new Set<TaskState>(["fetching", "gathering", "running", "saving", "exited"]);
 const TASK_ID_PATTERN = /^.+\/\d+$/;
@@ -55,11 +55,11 @@
 
 function decodeTask(raw: unknown): ReportedTask | null {
   if (!isRecord(raw)) return null;
-  const { piece, try: attempt, status, cause, kept } = raw;
-  if (typeof piece !== "string" || !TASK_ID_PATTERN.test(piece) || !isCount(attempt) || !TASK_STATES.has(status)) return null;
+  const { piece: taskId, try: attempt, status, cause, kept } = raw;
+  if (typeof taskId !== "string" || !TASK_ID_PATTERN.test(taskId) || !isCount(attempt) || !TASK_STATES.has(status)) return null;
   if (!isNullish(cause) && typeof cause !== "string") return null;
   if (!isNullish(kept) && typeof kept !== "boolean") return null;
-  return { piece, attempt, state: status as TaskState, cause: (cause ?? null) as ExitCause | null, saved: kept ?? false };
+  return { taskId, attempt, state: status as TaskState, cause: (cause ?? null) as ExitCause | null, saved: kept ?? false };
 }
 
 /**
@@ -79,8 +79,8 @@
   if (!isNullish(warningS) && !Number.isFinite(warningS)) return null;
   if (!isNullish(pieces) && !Array.isArray(pieces)) return null;
   const tasks: ReportedTask[] = [];
-  for (const piece of pieces ?? []) {
-    const task = decodeTask(piece);
+  for (const rawTask of pieces ?? []) {
+    const task = decodeTask(rawTask);
     if (task === null) return null;
     tasks.push(task);
   }
@@ -102,15 +102,15 @@
 /** Whether an attempt is listed more than once. Such a report is invalid, because neither entry can be trusted. */
 function hasDuplicateAttempts(tasks: readonly ReportedTask[]): boolean {
   if (tasks.length < 2) return false;
-  return new Set(tasks.map(({ piece, attempt }) => `${piece}#${attempt}`)).size < tasks.length;
+  return new Set(tasks.map(({ taskId, attempt }) => `${taskId}#${attempt}`)).size < tasks.length;
 }
 
 /** Encodes commands in the worker protocol's format. */
 export function encodeOrders(orders: Order[]): Record<string, unknown>[] {
   return orders.map((order) =>
     order.verb === "stop"
-      ? { verb: "stop", piece: order.piece, try: order.attempt, windDownS: order.graceS }
-      : { verb: order.verb, piece: order.piece, try: order.attempt },
+      ? { verb: "stop", piece: order.taskId, try: order.attempt, windDownS: order.graceS }
+      : { verb: order.verb, piece: order.taskId, try: order.attempt },
   );
 }
 
@@ -143,7 +143,7 @@
     baton: report.token,
     warningS: report.noticeS,
     pieces: report.tasks.map((task) => ({
-      piece: task.piece,
+      piece: task.taskId,
       try: task.attempt,
       status: task.state,
       ...(task.cause === null ? {} : { cause: task.cause }),
@@ -179,8 +179,8 @@
     session: shift ?? null,
     orders: (orders ?? []).map((o): Order =>
       o.verb === "stop"
-        ? { verb: "stop", piece: o.piece, attempt: o.try, graceS: o.windDownS ?? 0 }
-        : { verb: o.verb, piece: o.piece, attempt: o.try },
+        ? { verb: "stop", taskId: o.piece, attempt: o.try, graceS: o.windDownS ?? 0 }
+        : { verb: o.verb, taskId: o.piece, attempt: o.try },
     ),
   };
 }
--- a/packages/protocol/test/worker.test.ts
+++ b/packages/protocol/test/worker.test.ts
@@ -33,7 +33,7 @@
 const oddValue = fc.constantFrom<unknown>(null, undefined, "", "x", "run-000001/3", -1, 0, 1.5, 7, 2 ** 53, 1e999, true, false, [], {}, [
   null,
 ]);
-const piece = fc.record(
+const task = fc.record(
   {
     piece: fc.oneof(fc.constantFrom("run-000001/0", "a/b/12", "/1", "run-000001/", "\n/1"), oddValue),
     try: fc.oneof(fc.nat(), oddValue),
@@ -57,7 +57,7 @@
     baton: mostlyUsual(fc.nat()),
     warningS: mostlyUsual(fc.double({ noNaN: true })),
     pieces: mostlyUsual(
-      fc.array(fc.oneof({ weight: 6, arbitrary: piece as fc.Arbitrary<unknown> }, { weight: 1, arbitrary: oddValue }), { maxLength: 3 }),
+      fc.array(fc.oneof({ weight: 6, arbitrary: task as fc.Arbitrary<unknown> }, { weight: 1, arbitrary: oddValue }), { maxLength: 3 }),
     ),
   },
   { requiredKeys: ["host", "shift", "tick"] },
@@ -88,8 +88,8 @@
     token: 41,
     noticeS: 12.5,
     tasks: [
-      { piece: "run-000001/3", attempt: 2, state: "running", cause: null, saved: false },
-      { piece: "run-000001/4", attempt: 1, state: "exited", cause: "stopped", saved: true },
+      { taskId: "run-000001/3", attempt: 2, state: "running", cause: null, saved: false },
+      { taskId: "run-000001/4", attempt: 1, state: "exited", cause: "stopped", saved: true },
     ],
   };
   assert.deepEqual(decodeReport(JSON.parse(JSON.stringify(encodeReport(report)))), report);
--- a/src/parts/audit.ts
+++ b/src/parts/audit.ts
@@ -89,9 +89,9 @@
   }
 
   /** Logs that the worker is ordered to discard an attempt, whose result is durable or that has none. */
-  logCleared(partition: Partition, machine: Machine, piece: string, attempt: number): void {
+  logCleared(partition: Partition, machine: Machine, clearedTaskId: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
-    this.log.debug({ part: partition.id, term: partition.term, piece, attempt, host, session }, "attempt cleared");
+    this.log.debug({ part: partition.id, term: partition.term, piece: clearedTaskId, attempt, host, session }, "attempt cleared");
   }
 }
--- a/src/parts/progress.ts
+++ b/src/parts/progress.ts
@@ -105,8 +105,8 @@
   }
 
   /** Returns whether the task is durably recorded as done, or its job has ended. */
-  isRecordedDone(piece: string): boolean {
-    const { ref, task } = parseTaskId(piece);
+  isRecordedDone(taskId: string): boolean {
+    const { ref, task } = parseTaskId(taskId);
     const job = this.replica.get<JobRecord>(keys.job(ref));
     if (job === undefined) return false;
     if (job.v.end !== undefined) return true;
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -62,7 +62,8 @@
     const orders = machine.up ? this.orders(partition, machine) : [];
     const free = newer && machine.fenced;
     if (free)
-      for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
+      for (const order of orders)
+        if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.taskId, order.attempt);
     if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.startSentSeq = report.seq;
     recordLeaseRenewal(machine, newer, this.context.now);
     // Every answer renews the lease, so each contains the stop orders: a machine that receives nothing more would
@@ -83,7 +84,7 @@
 
   /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
   private isClearable(task: ReportedTask): boolean {
-    return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
+    return task.cause !== "done" || this.progress.isRecordedDone(task.taskId);
   }
 
   /** Handles the report in a worker's reply to a direct command. */
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -75,9 +75,9 @@
 }
 
 /** Splits a task ID as used on the wire into the job reference and the task number within the job. */
-export function parseTaskId(piece: string): { ref: string; task: number } {
-  const slash = piece.lastIndexOf("/");
-  return { ref: piece.slice(0, slash), task: Number(piece.slice(slash + 1)) };
+export function parseTaskId(id: string): { ref: string; task: number } {
+  const slash = id.lastIndexOf("/");
+  return { ref: id.slice(0, slash), task: Number(id.slice(slash + 1)) };
 }
 
 function schedulingShape(spec: JobSpec): string {
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -59,7 +59,7 @@
       machine.nextCommandAt = this.scope.clock.now() + caller.nextPauseMs(++machine.failedCommands);
     };
     const session = Math.max(1, machine.session);
-    const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
+    const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.taskId, order.attempt));
     for (const key of startKeys) {
       machine.unresolvedStarts.add(key);
       machine.placements.get(key)!.directStart = "flying";
@@ -97,7 +97,7 @@
           !orders.some(
             (order) =>
               order.verb === "stop" &&
-              attemptKey(order.piece, order.attempt) === attemptKey(taskId(placement.taskSet, placement.task), placement.attempt),
+              attemptKey(order.taskId, order.attempt) === attemptKey(taskId(placement.taskSet, placement.task), placement.attempt),
           )),
     );
     if (retryNow || (hasUnsentOrders && !failed)) void this.send(partition, machine);
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -49,16 +49,16 @@
       if (channel === "report" && placement.state === null && resolvesDirectStart(placement, context)) {
         if (!canSendStart(machine, placement, context)) continue;
         orders.push(
-          { verb: "start", piece: id, attempt: placement.attempt },
-          { verb: "stop", piece: id, attempt: placement.attempt, graceS: 0 },
+          { verb: "start", taskId: id, attempt: placement.attempt },
+          { verb: "stop", taskId: id, attempt: placement.attempt, graceS: 0 },
         );
       } else if (placement.state !== null && !(placement.state === "saving" && placement.stop.graceS > 0)) {
-        orders.push({ verb: "stop", piece: id, attempt: placement.attempt, graceS: placement.stop.graceS });
+        orders.push({ verb: "stop", taskId: id, attempt: placement.attempt, graceS: placement.stop.graceS });
       }
     } else if (placement.state === null && !placement.taskSet.ended) {
       if (channel === "direct" && placement.directStart !== "none") continue;
       if (!canSendStart(machine, placement, context)) continue;
-      orders.push({ verb: "start", piece: id, attempt: placement.attempt });
+      orders.push({ verb: "start", taskId: id, attempt: placement.attempt });
     }
   }
   // Sent only in answers to reports, which cannot overtake each other: after a `clear`, a
@@ -66,7 +66,8 @@
   if (channel === "report") {
     for (const [key, task] of machine.exited) {
       if (orders.length >= max) break;
-      if (!machine.unresolvedStarts.has(key) && isClearable(task)) orders.push({ verb: "clear", piece: task.piece, attempt: task.attempt });
+      if (!machine.unresolvedStarts.has(key) && isClearable(task))
+        orders.push({ verb: "clear", taskId: task.taskId, attempt: task.attempt });
     }
   }
   return orders;
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -176,7 +176,7 @@
 
 /** Registers an attempt that this owner did not order. An unwanted one is stopped, and its task does not start until it is gone. */
 function adoptAttempt(partition: Partition, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
-  const { ref, task: number } = parseTaskId(task.piece);
+  const { ref, task: number } = parseTaskId(task.taskId);
   const found = findTaskSet(partition, ref, number);
   const placement: Placement = {
     taskSet: found?.taskSet ?? context.placeholderFor(ref),
@@ -197,7 +197,7 @@
     placement.stop = { graceS: 0 };
     if (found !== null) removeWaiting(found.taskSet, found.task);
   }
-  addAttempt(machine, attemptKey(task.piece, task.attempt), placement);
+  addAttempt(machine, attemptKey(task.taskId, task.attempt), placement);
   findings.adopted.push({ placement, wanted });
   findings.changed = true;
   return placement;
@@ -208,7 +208,7 @@
  * recording the result. This is repeated for each report that lists the attempt: its job may be queued here only after
  * the first one, and the task must not start again.
  */
-function recordUnorderedCompletion(partition: Partition, { piece: taskId }: ReportedTask, findings: Findings): void {
+function recordUnorderedCompletion(partition: Partition, { taskId }: ReportedTask, findings: Findings): void {
   const { ref, task: number } = parseTaskId(taskId);
   const found = findTaskSet(partition, ref, number);
   if (found === null || found.taskSet.done.has(found.task)) return;
@@ -266,7 +266,7 @@
 /** Applies the state of one task that a report lists. */
 function applyTaskReport(dropContext: DropContext, task: ReportedTask, token: number, context: ReportContext): void {
   const { partition, machine, findings } = dropContext;
-  const key = attemptKey(task.piece, task.attempt);
+  const key = attemptKey(task.taskId, task.attempt);
   const registered = machine.placements.get(key);
   if (task.state === "exited") {
     machine.exited.set(key, task);
@@ -320,7 +320,7 @@
   updateMachine(partition, machine, report, context, findings);
   const listed = new Set<string>();
   for (const task of report.tasks) {
-    listed.add(attemptKey(task.piece, task.attempt));
+    listed.add(attemptKey(task.taskId, task.attempt));
     applyTaskReport(dropContext, task, report.token, context);
   }
   dropUnlistedAttempts(dropContext, listed, report, context.viaReport);
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -67,15 +67,15 @@
   }
 }
 
-const listed = (piece: string, attempt: number, state: ReportedTask["state"] = "running"): ReportedTask => ({
-  piece,
+const listed = (taskId: string, attempt: number, state: ReportedTask["state"] = "running"): ReportedTask => ({
+  taskId,
   attempt,
   state,
   cause: null,
   saved: false,
 });
-const exited = (piece: string, attempt: number, cause: ReportedTask["cause"]): ReportedTask => ({
-  ...listed(piece, attempt, "exited"),
+const exited = (taskId: string, attempt: number, cause: ReportedTask["cause"]): ReportedTask => ({
+  ...listed(taskId, attempt, "exited"),
   cause,
 });
 
@@ -199,9 +199,9 @@
 
 test("malformed reports: one that lists an attempt twice is rejected; a task number outside its job starts and drops nothing", () => {
   const wire = { host: "i-0", addr: "x", build: "m", yard: "a", shift: 1, tick: 1, baton: 5 };
-  const piece = (status: string): Record<string, unknown> => ({ piece: "run-000001/0", try: 1, status });
-  assert.equal(decodeReport({ ...wire, pieces: [piece("running"), piece("exited")] }), null);
-  assert.notEqual(decodeReport({ ...wire, pieces: [piece("running")] }), null);
+  const wireTask = (status: string): Record<string, unknown> => ({ piece: "run-000001/0", try: 1, status });
+  assert.equal(decodeReport({ ...wire, pieces: [wireTask("running"), wireTask("exited")] }), null);
+  assert.notEqual(decodeReport({ ...wire, pieces: [wireTask("running")] }), null);
   const owner = new NewOwner(2);
   const taskSet = enqueue(owner.partition, specOf({ cpus: 8 }));
   const [host] = owner.startTasks(taskSet);
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -16,7 +16,7 @@
   const tasks = [...machine.placements.values()]
     .filter((p) => only === undefined || p.taskSet === only)
     .map((p): ReportedTask => ({
-      piece: `${p.taskSet.spec.ref}/${p.task}`,
+      taskId: `${p.taskSet.spec.ref}/${p.task}`,
       attempt: p.attempt,
       state: "exited",
       cause,
@@ -34,7 +34,7 @@
   const seen = { host, addr: host, type: "m", zone: "a", spot: false, session: 1, seq: machine.seq + 1, token: 5, noticeS: null };
   const others = [...machine.placements.values()].filter((p) => only !== undefined && p.taskSet !== only);
   const running = others.map((p): ReportedTask => ({
-    piece: `${p.taskSet.spec.ref}/${p.task}`,
+    taskId: `${p.taskSet.spec.ref}/${p.task}`,
     attempt: p.attempt,
     state: "running",
     cause: null,
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -44,7 +44,7 @@
   partition.machines = machines;
   const machine = machines.get("i-0")!;
   const tasks = [0, 1, 2, 3].map((i) => ({
-    piece: `run-000001/${i}`,
+    taskId: `run-000001/${i}`,
     attempt: nextAttemptNumber(partition),
     state: "running" as const,
     cause: null,
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -156,7 +156,7 @@
   const machine = [...part.machines.values()][0]!;
   const placement = [...unit.placements.values()][0]!;
   placement.directStart = "unresolved";
-  const piece = "run-000001/0";
+  const taskId = "run-000001/0";
   const report = (seq: number, tasks: ReportedTask[]): Report => ({
     host: machine.host,
     addr: "x",
@@ -171,30 +171,30 @@
   });
   const hear = (seq: number, tasks: ReportedTask[] = []): void =>
     void applyReport(part, machine, report(seq, tasks), context, newFindings());
-  return { part, unit, machine, placement, piece, hear };
+  return { part, unit, machine, placement, taskId, hear };
 }
 
 test("a pending start of a task that should no longer run is repeated and stopped, and its capacity is freed", () => {
-  const { machine, placement, piece, hear, unit } = startedWithoutAnswer();
+  const { machine, placement, taskId, hear, unit } = startedWithoutAnswer();
   placement.stop = { graceS: 0 };
   const { attempt } = placement;
   assert.deepEqual(ordersFor(machine, "report", orders), [
-    { verb: "start", piece, attempt },
-    { verb: "stop", piece, attempt, graceS: 0 },
+    { verb: "start", taskId, attempt },
+    { verb: "stop", taskId, attempt, graceS: 0 },
   ]);
   // Not by a direct command, which could be delayed as well, and not once a cancellation of the job may be older than allowed.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   hear(2);
   assert.equal(machine.placements.size, 1, "absence from a report proves nothing: the direct start may still arrive");
-  hear(3, [{ piece, attempt, state: "exited", cause: "stopped", saved: false }]);
+  hear(3, [{ taskId, attempt, state: "exited", cause: "stopped", saved: false }]);
   assert.deepEqual([machine.placements.size, machine.used.cpus, unit.waiting.length], [0, 0, 1]);
 });
 
 test("a session known only from the reply to a command has a lease of its own, and its machine gets no new work", () => {
   // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
   // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
-  const { part, machine, piece, hear } = startedWithoutAnswer();
+  const { part, machine, taskId, hear } = startedWithoutAnswer();
   const leaseMs = 18_000;
   hear(2);
   recordLeaseRenewal(machine, true, NOW);
@@ -214,7 +214,7 @@
     const at = { ...context, now, viaReport: false };
     applyReport(part, machine, report, at, newFindings());
   };
-  const running: ReportedTask = { piece, attempt: part.term, state: "running", cause: null, saved: false };
+  const running: ReportedTask = { taskId, attempt: part.term, state: "running", cause: null, saved: false };
   const learnt = NOW + leaseMs - 500;
   reply(2, 9, learnt, []);
   reply(2, 10, learnt + 200, [running]);
@@ -243,12 +243,12 @@
       controller.onReport = (report) => {
         const answer = onReport(report);
         if (answer.kind !== "orders") return answer;
-        const stopped = new Set(answer.orders.filter(({ verb }) => verb === "stop").map(({ piece }) => piece));
-        for (const { piece, state } of report.tasks) {
-          const end = controller.replica.get<JobRecord>(keys.job(piece.slice(0, piece.lastIndexOf("/"))))?.v.end;
+        const stopped = new Set(answer.orders.filter(({ verb }) => verb === "stop").map(({ taskId }) => taskId));
+        for (const { taskId, state } of report.tasks) {
+          const end = controller.replica.get<JobRecord>(keys.job(taskId.slice(0, taskId.lastIndexOf("/"))))?.v.end;
           if (state === "exited" || end !== "withdrawn") continue;
           renewed++;
-          assert.ok(stopped.has(piece), `${piece} on ${report.host} at ${asked.clock.now()}`);
+          assert.ok(stopped.has(taskId), `${taskId} on ${report.host} at ${asked.clock.now()}`);
         }
         return answer;
       };
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -122,7 +122,7 @@
         // In the worker's first session the task progresses with the sequence number; its second session does not have the task.
         const state = states[Math.min(2, Math.floor(one.seq / 4))]!;
         const cause = state === "exited" ? "done" : null;
-        const task: ReportedTask = { piece: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
+        const task: ReportedTask = { taskId: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
         const tasks = one.session === 1 ? [task] : [];
         const newer = one.session > newest.session || (one.session === newest.session && one.seq > newest.seq);
         const findings = newFindings();
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -69,7 +69,7 @@
 
 function reportOf(at: { session: number; seq: number; token: number; task: boolean }): Report {
   const { session, seq, token, task } = at;
-  const tasks = task ? [{ piece: TASK_ID, attempt: 9, state: "running" as const, cause: null, saved: false }] : [];
+  const tasks = task ? [{ taskId: TASK_ID, attempt: 9, state: "running" as const, cause: null, saved: false }] : [];
   return { host: "i-1", addr: "x", type: "m", zone: "a", spot: false, session, seq, token, noticeS: null, tasks };
 }
 
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -154,7 +154,7 @@
       ? all.filter((w) => w.offer.zone === zone)
       : word === "all"
         ? all
-        : all.filter((w) => [...w.tasks.values()].some((t) => t.piece.startsWith(`${word}/`) && t.state !== "exited"));
+        : all.filter((w) => [...w.tasks.values()].some((t) => t.taskId.startsWith(`${word}/`) && t.state !== "exited"));
   return chosen.map((w) => w.host).sort();
 }
 
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -222,8 +222,8 @@
     slowdown: () => 1,
     failsTasks: () => false,
     savedProgress: new Map(),
-    onTaskStarted: ({ host, offer }, piece) => void history.push({ at: clock.now(), kind: "on", piece, host, ...offer }),
-    onTaskEnded: ({ host }, piece, cause) => void history.push({ at: clock.now(), kind: "off", piece, host, cause }),
+    onTaskStarted: ({ host, offer }, taskId) => void history.push({ at: clock.now(), kind: "on", piece: taskId, host, ...offer }),
+    onTaskEnded: ({ host }, taskId, cause) => void history.push({ at: clock.now(), kind: "off", piece: taskId, host, cause }),
     mates: (ref, attempt) =>
       [...hosts.values()].flatMap((worker) =>
         [...worker.tasks.values()].filter((task) => task.ref === ref && task.attempt === attempt).map((task) => ({ worker, task })),
