--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -46,7 +46,7 @@
       plan: { ...base, name: loss, fault },
       seed: given.seed + i,
       spawn: spawnController,
-      momentOf: injectionPointOf,
+      injectionPointOf,
     });
     rehearsals++;
     broken += played.broken.length;
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -25,7 +25,7 @@
     };
     const spreads = { fenced: new DurationHistogram(), back: new DurationHistogram() };
     for (const seed of SEEDS) {
-      const { recoveries } = await runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+      const { recoveries } = await runVirtual({ plan, seed, spawn: spawnController, injectionPointOf });
       for (const span of recoveries) {
         if (span.fenced !== null) spreads.fenced.add(span.fenced);
         if (span.back !== null) spreads.back.add(span.back);
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -21,7 +21,7 @@
 const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
 /** `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if it did not go as planned. */
-export async function demo(options: { plan: string; program: string[]; seed: number; momentOf: InjectionPointOf }): Promise<void> {
+export async function demo(options: { plan: string; program: string[]; seed: number; injectionPointOf: InjectionPointOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const { showProgress, endProgress } = progressLine();
   const stop = abortOnSignal();
@@ -30,7 +30,7 @@
     plan,
     timing: FAST_TIMING,
     seed: options.seed,
-    momentOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     progress: showProgress,
     settleMs: 20_000,
     stop: stop.signal,
@@ -56,7 +56,7 @@
   program: string[];
   seed: number | undefined;
   report: string | undefined;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
   /** Runs a plan in virtual time, to minimise one that broke a rule. */
   runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof runVirtual>;
 }): Promise<void> {
@@ -69,7 +69,7 @@
     plan,
     timing: DEFAULT_TIMING,
     seed,
-    momentOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     progress: showProgress,
     settleMs: plan.settle * 1000,
     stop: stop.signal,
@@ -116,7 +116,7 @@
 }
 
 /** Options of a rehearsal in virtual time. */
-export interface RehearseVirtualOptions<C extends ControllerPort> extends Pick<VirtualRunOptions<C>, "spawn" | "momentOf"> {
+export interface RehearseVirtualOptions<C extends ControllerPort> extends Pick<VirtualRunOptions<C>, "spawn" | "injectionPointOf"> {
   plan: string;
   seed: number | undefined;
   report: string | undefined;
@@ -143,8 +143,8 @@
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtualOptions<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
   const seed = options.seed ?? plan.seed;
-  const { spawn, momentOf } = options;
-  const play = (one: RehearsalPlan): ReturnType<typeof runVirtual> => runVirtual({ plan: one, seed, spawn, momentOf });
+  const { spawn, injectionPointOf } = options;
+  const play = (one: RehearsalPlan): ReturnType<typeof runVirtual> => runVirtual({ plan: one, seed, spawn, injectionPointOf });
   const { showProgress, endProgress } = progressLine();
   const seedCount = options.drawn ?? options.soak;
   if (seedCount !== undefined) {
@@ -165,7 +165,7 @@
             plan,
             planOfSeed,
             seeds,
-            (one, caseSeed) => runVirtual({ plan: one, seed: caseSeed, spawn, momentOf }),
+            (one, caseSeed) => runVirtual({ plan: one, seed: caseSeed, spawn, injectionPointOf }),
             showProgress,
           ),
         ];
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -12,7 +12,7 @@
   plan: RehearsalPlan;
   timing: Timing;
   seed: number;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
   /** Receives a progress message at the start, once a second, and at each fault. */
   progress?: (text: string) => void;
   /** How long to wait for unfinished jobs after the plan's own duration, in ms. */
@@ -48,7 +48,7 @@
     users: environment.userPort,
     simulatedUsers: environment.crowd,
     clock: environment.clock,
-    injectionPointOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     pollMs: () => environment.pollMs(),
     history: () => environment.history,
     ...(progress === undefined ? {} : { log: progress }),
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -21,7 +21,7 @@
   keepAll: boolean;
   processes: number;
   turn: string | undefined;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
 }
 
 /**
@@ -29,7 +29,7 @@
  * interrupted.
  */
 export async function rehearseSoak(options: RehearseSoakOptions): Promise<void> {
-  const { program, keep, keepAll, momentOf } = options;
+  const { program, keep, keepAll, injectionPointOf } = options;
   const plan = await loadPlan(options.plan);
   const stop = abortOnSignal(SOAK_GRACE_MS);
   const first = options.first ?? plan.seed;
@@ -49,7 +49,7 @@
     for (const seed of seeds) {
       if (stop.signal.aborted) break;
       const run = await runSoakSeed(
-        { program, plan, timing: DEFAULT_TIMING, momentOf, artifactsDir: keep, keepAll, stop: stop.signal },
+        { program, plan, timing: DEFAULT_TIMING, injectionPointOf, artifactsDir: keep, keepAll, stop: stop.signal },
         seed,
       ).catch((error: unknown) => {
         // Interrupted before all processes of the seed were running.
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -50,7 +50,7 @@
   program: readonly string[];
   plan: RehearsalPlan;
   timing: Timing;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
   /** Folder for the logs and the history of seeds that broke a rule or logged an error. */
   artifactsDir: string;
   /** Writes them for every seed. */
@@ -63,7 +63,7 @@
 
 /** Runs one seed on real processes and returns its result. Rejects if the processes cannot be started. */
 export async function runSoakSeed(options: SoakOptions, seed: number): Promise<SoakRun> {
-  const { program, timing, momentOf, stop } = options;
+  const { program, timing, injectionPointOf, stop } = options;
   const plan = soakPlan(options.plan, seed);
   const lines: string[] = [];
   const history: HistoryEvent[] = [];
@@ -72,7 +72,7 @@
     plan,
     timing,
     seed,
-    momentOf,
+    injectionPointOf,
     settleMs: plan.settle * 1000,
     onLogLine: (node, entry) => {
       lines.push(JSON.stringify({ node, ...entry }));
--- a/packages/emulator/src/virtual/clock.ts
+++ b/packages/emulator/src/virtual/clock.ts
@@ -10,7 +10,7 @@
 
 /** Virtual time that advances only during `run`; events at the same instant keep their order of scheduling. */
 export class VirtualClock implements MonotonicClock {
-  readonly stood$ = NEVER;
+  readonly stall$ = NEVER;
   private currentMs = 0;
   private scheduledCount = 0;
   private heap: ScheduledEvent[] = [];
--- a/packages/emulator/src/virtual/node-clock.ts
+++ b/packages/emulator/src/virtual/node-clock.ts
@@ -8,7 +8,7 @@
  * timer fires, as a real event loop may do.
  */
 export class NodeClock implements MonotonicClock {
-  readonly stood$ = NEVER;
+  readonly stall$ = NEVER;
   private frozen = false;
   private pendingDeliveries: (() => void)[] = [];
   private pendingTimers: (() => void)[] = [];
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -57,7 +57,7 @@
   plan: RehearsalPlan;
   seed: number;
   spawn: (asked: ControllerDependencies) => C;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
 }
 
 const POLL_MS = 5000;
@@ -95,7 +95,7 @@
     seed,
     environment: virtualEnvironment(world),
     clock: world.clock,
-    injectionPointOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     simulatedUsers: world.simulatedUsers,
     pollMs: () => POLL_MS,
     history: () => world.history,
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -61,7 +61,7 @@
   peers: {
     incoming$: Subject<{ from: string; message: unknown }>;
     send: (to: string, message: unknown) => boolean;
-    lostAt: (to: string) => number | null;
+    unreachableSince: (to: string) => number | null;
   };
   log: { error: LogLine; warn: LogLine; info: LogLine; debug: LogLine };
   life: string;
@@ -245,7 +245,7 @@
     // A process that has ended refuses connections; one that is stalled or cut off keeps them open.
     const connected = new Set<string>();
     const lostSince = new Map<string, number>();
-    const lostAt = (to: string): number | null => {
+    const unreachableSince = (to: string): number | null => {
       const down = this.nodes.get(to)?.controller === null || this.links.isRefused({ from: name, to, what: "peer" });
       if (!down) connected.add(to);
       if (!down || !connected.has(to)) lostSince.delete(to);
@@ -275,7 +275,7 @@
         command: (addr, token, session, orders) =>
           this.command(name, addr, (worker) => worker.command(token, session, orders), runInProcess),
       },
-      peers: { incoming$: node.incoming$, send, lostAt },
+      peers: { incoming$: node.incoming$, send, unreachableSince },
       log: {
         info: log,
         warn: log,
--- a/src/commands.ts
+++ b/src/commands.ts
@@ -149,7 +149,11 @@
     .option("--plan <file>", "what is played (HCL)", "deploy/demo.hcl")
     .option("--seed <n>", "luck of boots and run times", wholeNumber, 1)
     .action(async (options: { plan: string; seed: number }) =>
-      (await import("@thorntrail/emulator/entry")).demo({ ...options, program: ownCommand(), momentOf: await loadInjectionPoints() }),
+      (await import("@thorntrail/emulator/entry")).demo({
+        ...options,
+        program: ownCommand(),
+        injectionPointOf: await loadInjectionPoints(),
+      }),
     );
 
   interface Rehearse {
@@ -204,9 +208,9 @@
           keepAll,
           processes,
           turn,
-          momentOf: await loadInjectionPoints(),
+          injectionPointOf: await loadInjectionPoints(),
         });
-      await rehearseReal({ plan, program, seed, report, momentOf: await loadInjectionPoints(), runVirtual: playVirtually });
+      await rehearseReal({ plan, program, seed, report, injectionPointOf: await loadInjectionPoints(), runVirtual: playVirtually });
     });
 
   program
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -217,7 +217,7 @@
   }
 
   start(): void {
-    this.scope.listen(this.scope.clock.stood$, (ms) => this.onStall(ms));
+    this.scope.listen(this.scope.clock.stall$, (ms) => this.onStall(ms));
     this.scope.routine(
       "awake",
       () => this.settings.timing.stallMs / 5,
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -19,7 +19,7 @@
   plan: { ...plan, seconds: DURATION_S, fault },
   timing: FAST_TIMING,
   seed: 1,
-  momentOf: injectionPointOf,
+  injectionPointOf,
   progress: () => undefined,
   settleMs: 1000,
   stop: AbortSignal.timeout(30_000),
--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -110,7 +110,7 @@
     const since = (at: number | null): number | null =>
       at === null || this.upToDateSince === null ? null : this.dependencies.scope.clock.now() - Math.max(at, this.upToDateSince);
     return {
-      unlinkedMs: since(this.dependencies.peers.lostAt?.(node) ?? null),
+      unlinkedMs: since(this.dependencies.peers.unreachableSince?.(node) ?? null),
       statelessMs: since(this.observation(node).statelessAt),
     };
   }
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -66,7 +66,7 @@
       () => this.sample(),
     );
     // A stall of the process or a clock jump is not overload.
-    scope.listen(scope.clock.stood$, () => {
+    scope.listen(scope.clock.stall$, () => {
       this.lagSamples.length = 0;
       this.dueAt = Infinity;
     });
--- a/src/parts/claims.ts
+++ b/src/parts/claims.ts
@@ -18,7 +18,7 @@
   record: OwnerRecord | undefined;
   /** Returns whether the node is present, does not report itself unfit, and is not considered gone. */
   canOwn: (node: string) => boolean;
-  alive: (node: string) => boolean;
+  isPresent: (node: string) => boolean;
   reportsUnfit: (node: string) => boolean;
   /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
   successor: () => string | undefined;
@@ -38,7 +38,7 @@
  */
 export function reasonToClaim(context: ClaimContext): ClaimReason | null {
   const { self, record, home } = context;
-  if (record === undefined) return home === self || (context.presenceSettled && !context.alive(home)) ? "unowned" : null;
+  if (record === undefined) return home === self || (context.presenceSettled && !context.isPresent(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
     // A former process of this node owned it. That this one runs proves that the former has ended and answers no more workers.
@@ -47,7 +47,7 @@
   }
   if (context.canOwn(record.owner)) return home === self && context.presenceSettled ? "home again" : null;
   if (context.successor() !== self && !context.ownerOverdue) return null;
-  if (!context.alive(record.owner)) return "owner gone";
+  if (!context.isPresent(record.owner)) return "owner gone";
   return context.reportsUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
--- a/src/parts/ownership.ts
+++ b/src/parts/ownership.ts
@@ -49,13 +49,13 @@
   }
 
   /** Returns whether the node's presence key exists. */
-  alive(node: string): boolean {
+  isPresent(node: string): boolean {
     return this.dependencies.presence.isPresent(node);
   }
 
   /** Returns whether the node is present and not suspected, so that jobs may migrate to it and requests may be sent to it. */
   isHealthy(node: string): boolean {
-    return this.alive(node) && this.dependencies.detector.status(node) === "sound";
+    return this.isPresent(node) && this.dependencies.detector.status(node) === "sound";
   }
 
   /** Returns whether the node can own partitions, as far as this node can tell. */
@@ -93,7 +93,7 @@
         home,
         record,
         canOwn: (node) => this.canOwn(node),
-        alive: (node) => presence.isPresent(node),
+        isPresent: (node) => presence.isPresent(node),
         reportsUnfit: (node) => presence.reportsUnfit(node),
         successor: () => this.successor(partition),
         ownerOverdue: record !== undefined && (presence.missingMs(record.owner) ?? 0) > settings.timing.presenceMs,
@@ -154,9 +154,9 @@
       if (current?.stamp !== recorded?.stamp) return null;
       const owner = recorded?.v.owner;
       if (isLossReason(reason) && owner !== undefined && this.canOwn(owner)) return null;
-      const alive =
+      const presenceCondition =
         owner === undefined ? null : { key: keys.presenceOf(owner), stamp: this.dependencies.replica.stamp(keys.presenceOf(owner)) };
-      const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, alive, reason);
+      const conditions = claimConditions({ key, stamp: recorded?.stamp ?? 0 }, presenceCondition, reason);
       // The claim fails unless this node knows the newest configuration.
       conditions.push({ k: keys.configuration, stamp: this.dependencies.replica.stamp(keys.configuration) });
       return {
--- a/src/parts/report-handler.ts
+++ b/src/parts/report-handler.ts
@@ -77,7 +77,7 @@
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
       isClearable: (task) => this.isClearable(task),
-      onStartRefused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
+      onStartRefused: (placement, others) => this.context.startGuard.reportRefusal(partition, placement, others),
       max: MAX_ORDERS,
     });
   }
--- a/src/parts/start-guard.ts
+++ b/src/parts/start-guard.ts
@@ -15,7 +15,7 @@
   constructor(private readonly scope: Scope) {}
 
   /** Reports a violated invariant for a refused start, once per attempt; `others` are the other attempts of the task. */
-  refused(partition: Partition, placement: Placement, others: readonly Placement[]): void {
+  reportRefusal(partition: Partition, placement: Placement, others: readonly Placement[]): void {
     if (this.reported.has(placement)) return;
     this.reported.add(placement);
     const describe = (one: Placement): Record<string, unknown> => {
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -15,7 +15,7 @@
    * or never was in this incarnation. This proves nothing by itself: packet filters and a shortage of sockets refuse
    * connections as well.
    */
-  lostAt?(node: string): number | null;
+  unreachableSince?(node: string): number | null;
 }
 
 /** Unsent bytes of a connection from which on it is closed. */
@@ -119,7 +119,7 @@
     });
   }
 
-  lostAt(node: string): number | null {
+  unreachableSince(node: string): number | null {
     return this.unreachable.get(node) ?? null;
   }
 
--- a/src/platform/clock.ts
+++ b/src/platform/clock.ts
@@ -10,12 +10,12 @@
   /** Runs `fn` after `ms`; the returned function cancels it. */
   after(ms: number, fn: () => void): () => void;
   /** Emits the length in ms of each stall of the process, as soon as it is detected. */
-  readonly stood$: Observable<number>;
+  readonly stall$: Observable<number>;
 }
 
 /** The operating system's clocks and timers; does not detect stalls. */
 export const systemClock: Clock = {
-  stood$: NEVER,
+  stall$: NEVER,
   now: () => performance.now(),
   wall: () => Date.now(),
   after(ms, fn) {
--- a/src/platform/stall.ts
+++ b/src/platform/stall.ts
@@ -9,7 +9,7 @@
  * count as a stall.
  */
 export class StallDetectingClock implements Clock {
-  readonly stood$ = new Subject<number>();
+  readonly stall$ = new Subject<number>();
   private lastNow: number;
 
   constructor(
@@ -23,7 +23,7 @@
     const now = this.inner.now();
     const gapMs = now - this.lastNow;
     this.lastNow = now;
-    if (gapMs > this.limitMs) this.stood$.next(gapMs);
+    if (gapMs > this.limitMs) this.stall$.next(gapMs);
     return now;
   }
 
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -196,8 +196,8 @@
   for (const taskSet of sortTaskSets(waiting, context.order)) {
     const { spec } = taskSet;
     const used = usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const allotment = context.quotaShare(spec.team);
-    const quotaTasks = tasksThatFit(spec, { cpus: allotment.cpus - used.cpus, gpus: allotment.gpus - used.gpus });
+    const quotaShare = context.quotaShare(spec.team);
+    const quotaTasks = tasksThatFit(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus });
     const isGang = spec.kind === "gang";
     const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.maxStarts(taskSet));
     // Free capacity only shrinks during a cycle: a shape that did not fit for one job does not fit for another.
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -4,10 +4,12 @@
 
 /** Plays one plan in virtual time with this build's controller. */
 export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof runVirtual> {
-  return (await import("@thorntrail/emulator/entry")).runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+  return (await import("@thorntrail/emulator/entry")).runVirtual({ plan, seed, spawn: spawnController, injectionPointOf });
 }
 
 /** Rehearses this build's controller in virtual time. */
-export async function rehearseVirtual(options: Omit<RehearseVirtualOptions<RehearsedController>, "spawn" | "momentOf">): Promise<void> {
-  await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, momentOf: injectionPointOf });
+export async function rehearseVirtual(
+  options: Omit<RehearseVirtualOptions<RehearsedController>, "spawn" | "injectionPointOf">,
+): Promise<void> {
+  await (await import("@thorntrail/emulator/entry")).rehearseVirtual({ ...options, spawn: spawnController, injectionPointOf });
 }
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -17,7 +17,7 @@
     const base = {
       part: id,
       owner: owner?.owner ?? null,
-      ownerPresent: owner !== undefined && ownership.alive(owner.owner),
+      ownerPresent: owner !== undefined && ownership.isPresent(owner.owner),
       term: replica.stamp(keys.owner(id)),
       machines: recorded.length,
       machinesUp: recorded.filter((machine) => machine.addr !== null).length,
@@ -48,7 +48,7 @@
     served: leader.account.view(),
     stalls: stalls.count,
     stoodStillMs: stalls.ms,
-    present: settings.nodes.filter((node) => ownership.alive(node)),
+    present: settings.nodes.filter((node) => ownership.isPresent(node)),
     jobsWaitingForOthers: needs.blockedJobs,
     parts: partitions,
     configuration: { version: configuration.version, inForce: configuration.inForce() },
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -46,7 +46,7 @@
           now,
           leaseMs: this.leader.settings.timing.leaseMs,
           isClearable: () => false,
-          onStartRefused: (placement, others) => this.leader.startGuard.refused(partition, placement, others),
+          onStartRefused: (placement, others) => this.leader.startGuard.reportRefusal(partition, placement, others),
           max: MAX_DIRECT_ORDERS,
         });
     if (!fencing && orders.length === 0) return;
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -179,7 +179,7 @@
       now: NOW,
       leaseMs: 18_000,
       isClearable: () => true,
-      onStartRefused: (one, others) => guard.refused(owner.partition, one, others),
+      onStartRefused: (one, others) => guard.reportRefusal(owner.partition, one, others),
       max: 9,
     });
   const invariants = new Invariants(log);
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -76,7 +76,7 @@
   let last: RehearsedController | undefined;
   const spawn = (options: ControllerDependencies): RehearsedController =>
     (last = spawnController({ ...options, state: faults.wrapState(options) }));
-  const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+  const report = await runVirtual({ plan, seed, spawn, injectionPointOf });
   return { report, last: last! };
 }
 
@@ -200,7 +200,7 @@
   };
   // One type has no machines, so its rentals yield nothing and their records are removed.
   const plan = { ...base, machine: base.machine.map((one) => ({ ...one, count: one.name === "fotolab" ? 0 : 2, spot: 0 })), fault: [] };
-  await runVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, momentOf: injectionPointOf });
+  await runVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, injectionPointOf });
   assert.ok(removedCount > 3 && restoredCount > 3, `${removedCount} removed, ${restoredCount} restored`);
   assert.deepEqual(requestedAgain, []);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -255,7 +255,7 @@
       return controller;
     };
     const plan = { ...base, fault: Array.from({ length: 6 }, (_, i) => ({ at: 15 + i * 13, fault: restart(i) })) };
-    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, injectionPointOf });
     assert.deepEqual(report.broken, []);
   }
   assert.ok(renewed > 20, `${renewed} answers`);
@@ -285,7 +285,7 @@
 test("two or three randomly generated faults break no rule, and all work finishes", async () => {
   let both = 0;
   for (let seed = 1; seed <= 12; seed++) {
-    const report = await runVirtual({ plan: randomPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan: randomPlan(base, seed), seed, spawn: spawnController, injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (report.faults.filter(({ met }) => met.length > 0).length > 1) both++;
   }
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -20,7 +20,7 @@
 
 const base = await loadPlan("deploy/rehearsal.hcl");
 const play = (plan: RehearsalPlan, seed = 1): ReturnType<typeof runVirtual> =>
-  runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+  runVirtual({ plan, seed, spawn: spawnController, injectionPointOf });
 
 function assertPassed(report: Report): void {
   assert.deepEqual(report.broken, [], report.plan);
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -76,7 +76,7 @@
 test("with controllers that end and restart at once at any time, no rule is broken and every job finishes", async () => {
   await fc.assert(
     fc.asyncProperty(randomFaults, fc.nat(1000), async (faults, seed) => {
-      const report = await runVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf: injectionPointOf });
+      const report = await runVirtual({ plan: planWith(faults), seed, spawn: spawnController, injectionPointOf });
       assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
     }),
     { numRuns: 15, seed: 34 },
@@ -100,7 +100,7 @@
     return controller;
   };
   const faults = [12, 14, 20, 21, 22, 30].map((at): [number, FaultFields] => [at, { kind: "restart", target: "all", for: 0.1 }]);
-  const report = await runVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf: injectionPointOf });
+  const report = await runVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, injectionPointOf });
   assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
   assert.ok(answers > 100);
 });
@@ -160,7 +160,7 @@
   );
   let found = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, injectionPointOf });
     if (report.broken.length + report.jobs.unfinished.length > 0) found++;
   }
   assert.ok(found > 0, "six rehearsals under former terms, none of which broke a rule or left a job unfinished");
@@ -195,7 +195,7 @@
       return true;
     };
     const slow = { poll: () => new Promise(() => undefined) } as unknown as Jobs;
-    const scope = new Scope(Object.assign(clock, { stood$: NEVER }), {} as Log);
+    const scope = new Scope(Object.assign(clock, { stall$: NEVER }), {} as Log);
     const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
     const relay = new Relay(settings, slow, { incoming$, send }, () => ["nest-1", "nest-2"], scope, life);
     relay.start();
@@ -223,7 +223,7 @@
   const loggedReasons: unknown[] = [];
   const jobs = { poll: async () => (calls.push("poll"), { status: 200, body: {} }), cancel: async () => calls.push("cancel") };
   const log = { warn: (line: { what: string }) => void loggedReasons.push(line.what) } as unknown as Log;
-  const scope = new Scope(Object.assign(new VirtualClock(), { stood$: NEVER }), log);
+  const scope = new Scope(Object.assign(new VirtualClock(), { stall$: NEVER }), log);
   const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
   new Relay(settings, jobs as unknown as Jobs, { incoming$, send: () => true }, () => [], scope, "l").start();
   const sendRelay = (kind: string, body: string): void => incoming$.next({ from: "nest-1", message: { Relay: { id: 1, kind, body } } });
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -18,7 +18,7 @@
 async function soak(plan: RehearsalPlan, seed: number): Promise<SoakRun & { artifacts: string[] }> {
   const artifactsDir = mkdtempSync(join(tmpdir(), "soak-test-"));
   try {
-    const run = await runSoakSeed({ program, plan, timing: FAST_TIMING, momentOf: injectionPointOf, artifactsDir }, seed);
+    const run = await runSoakSeed({ program, plan, timing: FAST_TIMING, injectionPointOf, artifactsDir }, seed);
     const dir = join(artifactsDir, `seed-${seed}`);
     return { ...run, artifacts: existsSync(dir) ? readdirSync(dir).sort() : [] };
   } finally {
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -21,7 +21,7 @@
   const base = await loadPlan("deploy/soak.hcl");
   let splits = 0;
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-    const report = await runVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan: soakPlan(base, seed), seed, spawn: spawnController, injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (hadSplitWhileRefused(report.faults, LEASE_S)) splits++;
   }
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -16,7 +16,7 @@
   const world = new VirtualClock();
   const clock = new StallDetectingClock(world, 1000);
   const stalls: number[] = [];
-  clock.stood$.subscribe((ms) => {
+  clock.stall$.subscribe((ms) => {
     // A subscriber may call the clock itself.
     clock.now();
     stalls.push(ms);
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -207,7 +207,7 @@
       home: "a",
       record,
       canOwn,
-      alive: (one) => seen.alive[one as Node] !== undefined,
+      isPresent: (one) => seen.alive[one as Node] !== undefined,
       reportsUnfit: () => false,
       successor: () => NODES.find(canOwn),
       ownerOverdue: true,
