--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -99,10 +99,10 @@
 /** Formats a table of faults by injection points: `+` covered, `.` not reached, `!` a rule was broken, blank: not run. */
 export function formatCoverageTable(results: readonly CaseResult[]): string {
   const width = Math.max(...Object.keys(FAULTS_BY_NAME).map((name) => name.length));
-  const lines = INJECTION_POINTS.map((moment, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${moment}`);
+  const lines = INJECTION_POINTS.map((point, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${point}`);
   for (const fault of Object.keys(FAULTS_BY_NAME)) {
-    const cells = INJECTION_POINTS.map((moment) => {
-      const matching = results.filter((one) => one.fault === fault && one.moment === moment);
+    const cells = INJECTION_POINTS.map((point) => {
+      const matching = results.filter((one) => one.fault === fault && one.moment === point);
       if (matching.length === 0) return " ";
       return matching.some((one) => one.broken > 0) ? "!" : matching.some((one) => one.seen) ? "+" : ".";
     });
--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -22,7 +22,7 @@
     const decoded = decodeFault(req.body);
     if ("wrong" in decoded) return void res.status(400).json({ error: decoded.wrong });
     await environment.findLargestOwner();
-    res.json({ kind: decoded.fault.kind, met: injectFault(environment, decoded.fault, environment.crowd) });
+    res.json({ kind: decoded.fault.kind, met: injectFault(environment, decoded.fault, environment.simulatedUsers) });
   });
   app.post("/jobs", (req, res) => {
     const decoded = decodeJob(req.body);
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -46,7 +46,7 @@
     seed,
     environment,
     users: environment.userPort,
-    simulatedUsers: environment.crowd,
+    simulatedUsers: environment.simulatedUsers,
     clock: environment.clock,
     injectionPointOf: options.injectionPointOf,
     pollMs: () => environment.pollMs(),
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -52,7 +52,7 @@
   /** Processes that exited on their own or could not be restarted, with the reason. */
   readonly unexpectedExits: string[] = [];
   /** Simulated users whose behaviour is set by faults; they call the controllers directly, not through the load balancer. */
-  readonly crowd: SimulatedUsers;
+  readonly simulatedUsers: SimulatedUsers;
   takeovers = 0;
   /** Controllers that were killed and are not restarted yet. */
   private readonly down = new Set<string>();
@@ -90,7 +90,7 @@
       ...(options.plan.boots === undefined ? {} : { random: this.random, boots: options.plan.boots }),
     });
     const frontOf = (node: string): string => this.fronts.get(node) ?? this.balancerAddr;
-    this.crowd = new SimulatedUsers(
+    this.simulatedUsers = new SimulatedUsers(
       {
         controllers: () => this.controllers(),
         submit: (wire, spec, node, never) => this.users.submitRaw(wire, spec, frontOf(node), never),
@@ -125,7 +125,7 @@
 
   private recordEvent(event: HistoryEvent): void {
     this.history.push(event);
-    this.crowd.observe(event);
+    this.simulatedUsers.observe(event);
     this.options.onEvent?.(event);
   }
 
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -226,13 +226,13 @@
     ),
   } as unknown as FaultEnvironment;
   const plan = await parsePlan("plan.hcl", PLAN);
-  const crowd = { enableBehaviour: () => [], cancelLongestRunning: () => ({ refs: [], hosts: [] }) };
+  const simulatedUsers = { enableBehaviour: () => [], cancelLongestRunning: () => ({ refs: [], hosts: [] }) };
   const driver = new ScenarioDriver({
     plan,
     seed: 1,
     environment: stage,
     users,
-    simulatedUsers: crowd,
+    simulatedUsers,
     clock,
     injectionPointOf: () => null,
     pollMs: () => 2000,
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -226,8 +226,8 @@
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
   }
 
-  /** Tracks and logs whether a node is absent or back. `partsOf` returns the partitions that a node owns according to the records. */
-  trackAbsence(node: string, partsOf: (node: string) => number[]): void {
+  /** Tracks and logs whether a node is absent or back. `partitionsOf` returns the partitions that a node owns according to the records. */
+  trackAbsence(node: string, partitionsOf: (node: string) => number[]): void {
     const missing = this.missingMs(node);
     if (this.isPresent(node)) {
       if (missing === null) return;
@@ -235,7 +235,7 @@
       this.dependencies.scope.log.info({ peer: node, ms: Math.round(missing) }, "controller is back");
     } else if (missing === null) {
       this.missingSince.set(node, this.dependencies.scope.clock.now());
-      if (this.isSettled()) this.dependencies.scope.log.warn({ peer: node, parts: partsOf(node) }, "controller is silent");
+      if (this.isSettled()) this.dependencies.scope.log.warn({ peer: node, parts: partitionsOf(node) }, "controller is silent");
     }
   }
 }
--- a/src/parts/fence-progress.ts
+++ b/src/parts/fence-progress.ts
@@ -39,8 +39,8 @@
 
   private describe(machine: Machine, now: number): Record<string, unknown> {
     const { host, type, up, token, lastReceivedAt, answeredAt, failedCommands: directFailures, lastCommandError: directError } = machine;
-    const heardAgoMs = lastReceivedAt === -Infinity ? null : Math.round(now - lastReceivedAt);
+    const receivedAgoMs = lastReceivedAt === -Infinity ? null : Math.round(now - lastReceivedAt);
     const leaseOverInMs = Math.round(answeredAt + this.expiryMs - now);
-    return { host, type, up, token, heardAgoMs, commandsFailed: directFailures, lastFailure: directError, leaseOverInMs };
+    return { host, type, up, token, heardAgoMs: receivedAgoMs, commandsFailed: directFailures, lastFailure: directError, leaseOverInMs };
   }
 }
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -25,7 +25,10 @@
   host,
   cause,
 });
-const told = (at: number, what: "accepted" | "queued" | "done" | "withdrawn" | "unknown" | "refused" | "running"): HistoryEvent => ({
+const reportedStatus = (
+  at: number,
+  what: "accepted" | "queued" | "done" | "withdrawn" | "unknown" | "refused" | "running",
+): HistoryEvent => ({
   at,
   kind: "told",
   ref: "run-000001",
@@ -35,33 +38,33 @@
 
 const good: HistoryEvent[] = [
   submitted(),
-  told(1, "queued"),
+  reportedStatus(1, "queued"),
   on(2, 0, "x"),
   on(2, 1, "y"),
   off(9, 0, "x"),
   off(9, 1, "y"),
-  told(10, "done"),
+  reportedStatus(10, "done"),
 ];
 const bad: Record<string, HistoryEvent[]> = {
   ran_twice: [submitted(), on(2, 0, "x"), on(3, 0, "y")],
   quota: [submitted({ tasks: 3 }), on(2, 0, "x"), on(2, 1, "x"), on(2, 2, "x")],
   wrong_place: [submitted({ zone: "b" }), on(2, 0, "x")],
-  ran_cancelled: [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn"), off(50_000, 0, "x")],
-  forgotten: [submitted(), told(1, "queued"), on(2, 0, "x"), told(3, "unknown")],
-  invented: [told(1, "queued"), on(2, 0, "x")],
-  not_done: [submitted(), on(2, 0, "x"), off(3, 0, "x"), told(4, "done")],
-  went_back: [...good, told(11, "running")],
-  too_early: [submitted({ needs: ["run-000002"] }), told(1, "queued"), on(2, 0, "x")],
+  ran_cancelled: [submitted(), asked, on(2, 0, "x"), reportedStatus(3, "withdrawn"), off(50_000, 0, "x")],
+  forgotten: [submitted(), reportedStatus(1, "queued"), on(2, 0, "x"), reportedStatus(3, "unknown")],
+  invented: [reportedStatus(1, "queued"), on(2, 0, "x")],
+  not_done: [submitted(), on(2, 0, "x"), off(3, 0, "x"), reportedStatus(4, "done")],
+  went_back: [...good, reportedStatus(11, "running")],
+  too_early: [submitted({ needs: ["run-000002"] }), reportedStatus(1, "queued"), on(2, 0, "x")],
   orphaned: [
     submitted(),
     { at: 0, kind: "submitted", spec: spec({ ref: "run-000002", needs: ["run-000001"] }) },
     asked,
     on(2, 0, "x"),
     off(3, 0, "x", "stopped"),
-    told(4, "withdrawn"),
+    reportedStatus(4, "withdrawn"),
     { at: 50_000, kind: "told", ref: "run-000002", what: "queued" },
   ],
-  nothing_ran: [submitted(), told(1, "queued")],
+  nothing_ran: [submitted(), reportedStatus(1, "queued")],
 };
 
 test("a correct history breaks no rule", () => assert.deepEqual(findViolations(good, limits), []));
@@ -86,26 +89,33 @@
   const chain = ["run-000002", "run-000003"].map((ref, i) => submitted({ ref, needs: [`run-00000${i + 1}`] }));
   const said: HistoryEvent = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
   const ran = [on(2, 0, "x"), off(3, 0, "x", "stopped")];
-  assert.deepEqual(findViolations([submitted(), ...chain, asked, ...ran, told(4, "withdrawn"), said], limits), []);
+  assert.deepEqual(findViolations([submitted(), ...chain, asked, ...ran, reportedStatus(4, "withdrawn"), said], limits), []);
   assert.match(findViolations([submitted(), ...chain, ...ran, said], limits)[0] ?? "none", /^went_back/);
 });
 test("a start after the time limit of a cancellation is detected", () => {
-  assert.match(findViolations([submitted(), asked, told(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none", /^ran_cancelled/);
+  assert.match(
+    findViolations([submitted(), asked, reportedStatus(3, "withdrawn"), on(50_000, 0, "x")], limits)[0] ?? "none",
+    /^ran_cancelled/,
+  );
 });
 test("a task that is still running when the history ends is detected", () => {
-  const left = [submitted(), asked, on(2, 0, "x"), told(3, "withdrawn")];
+  const left = [submitted(), asked, on(2, 0, "x"), reportedStatus(3, "withdrawn")];
   assert.deepEqual(findViolations(left, { ...limits, historyEndAt: 43_003 }), []);
   assert.match(findViolations(left, { ...limits, historyEndAt: 43_004 })[0] ?? "none", /^ran_cancelled/);
 });
 test("a job whose polls stay unanswered long after the faults have ended is forgotten", () => {
   const polls = (from: number, to: number): HistoryEvent[] =>
     Array.from({ length: (to - from) / 5000 + 1 }, (_, i) => ({ at: from + i * 5000, kind: "unanswered", ref: "run-000001" }));
-  const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
+  const began = [submitted(), reportedStatus(1, "queued"), on(2, 0, "x")];
   const broken = (history: HistoryEvent[], faultsEndAt: number): string =>
     findViolations([...began, ...history], { ...limits, faultsEndAt }).join();
   assert.match(broken(polls(10_000, 120_000), 30_000), /^forgotten at 110\.0 s: run-000001 got no response since 10\.0 s$/);
   assert.equal(broken(polls(10_000, 120_000), 60_000), "", "the time of the faults does not count");
-  assert.equal(broken([...polls(10_000, 80_000), told(81_000, "running"), ...polls(85_000, 150_000)], 0), "", "one response is enough");
+  assert.equal(
+    broken([...polls(10_000, 80_000), reportedStatus(81_000, "running"), ...polls(85_000, 150_000)], 0),
+    "",
+    "one response is enough",
+  );
   assert.equal(broken([...polls(10_000, 80_000), ...polls(85_000, 86_000)], 0), "", "75 s have not passed");
 });
 
@@ -135,7 +145,7 @@
   const history = [
     submitted(),
     asked,
-    told(3, "withdrawn"),
+    reportedStatus(3, "withdrawn"),
     on(4, 0, "x"),
     off(5, 0, "x", "stopped"),
     on(6, 1, "x"),
@@ -155,7 +165,7 @@
     ({
       ...{ at: 0, kind: "up", host: "z", type: "m", zone: "a", spot: false, cpus: 8, gpus: 0, ram: 64, ...over },
     }) as HistoryEvent;
-  const began = [submitted(), told(1, "queued"), on(2, 0, "x")];
+  const began = [submitted(), reportedStatus(1, "queued"), on(2, 0, "x")];
   const broken = (history: HistoryEvent[], over: Partial<CheckLimits> = {}): string =>
     findViolations([...history, ...began], { ...limits, faultsEndAt: 10_000, historyEndAt: 101_000, ...over }).join();
   assert.match(broken([up()]), /^idle_room at 100\.0 s: run-000001 waits although there is free capacity$/);
@@ -169,11 +179,14 @@
     "",
   );
   const gang = (cpus: number): string =>
-    findViolations([up({ cpus }), submitted({ kind: "gang" }), told(1, "queued"), on(2, 0, "y", { at: 2 }), off(3, 0, "y", "alone")], {
-      ...limits,
-      faultsEndAt: 10_000,
-      historyEndAt: 101_000,
-    }).join();
+    findViolations(
+      [up({ cpus }), submitted({ kind: "gang" }), reportedStatus(1, "queued"), on(2, 0, "y", { at: 2 }), off(3, 0, "y", "alone")],
+      {
+        ...limits,
+        faultsEndAt: 10_000,
+        historyEndAt: 101_000,
+      },
+    ).join();
   assert.match(gang(8), /^idle_room/);
   assert.equal(gang(7), "", "all tasks of a gang must fit");
 });
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -15,7 +15,7 @@
 
 interface Fixture {
   cluster: Cluster;
-  part: Partition;
+  partition: Partition;
   /** A machine of the partition that runs tasks. */
   machine: Machine;
   starts: () => number;
@@ -37,7 +37,7 @@
   if (refused) cluster.world.links.add({ from: OWNER, to: "state", effect: { kind: "refuse" } });
   await cluster.runUntil(26);
   const starts = (): number => cluster.world.history.filter(({ kind }) => kind === "on").length;
-  return { cluster, part: partition, machine, starts };
+  return { cluster, partition, machine, starts };
 }
 
 /** A report from a machine whose tasks a newer owner has ended and cleared. */
@@ -51,7 +51,7 @@
 for (const way of ["report", "reply to a command"] as const)
   test(`a higher token in a ${way} ends the term, and the rest of the report is not applied`, async () => {
     const fixture = await startOwner({ refused: true });
-    const { cluster, part: partition, machine, starts } = fixture;
+    const { cluster, partition, machine, starts } = fixture;
     const before = { starts: starts(), attempts: machine.placements.size };
     const report = clearedReport(machine, partition.term + 7);
     if (way === "report") assert.equal(leaderOf(fixture).onReport(report).kind, "elsewhere");
@@ -65,7 +65,7 @@
 
 test("a higher token in a reply to a probe ends the term", async () => {
   const fixture = await startOwner({ refused: true });
-  const { cluster, part: partition, machine, starts } = fixture;
+  const { cluster, partition, machine, starts } = fixture;
   const before = starts();
   leaderOf(fixture).onProbeReply(clearedReport(machine, partition.term + 7));
   assert.equal(leaderOf(fixture).partitions.has(partition.id), false, "the term has ended");
@@ -76,7 +76,7 @@
 
 test("a token that was never issued: the partition is claimed again under another term, its tasks continue, and later tokens of the worker are ignored", async () => {
   const fixture = await startOwner({ refused: false });
-  const { cluster, part: partition, machine, starts } = fixture;
+  const { cluster, partition, machine, starts } = fixture;
   const before = starts();
   const wrong = partition.term + 1_000_000;
   for (let second = 26; second < 40; second++) {
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -8,11 +8,11 @@
 import type { Partition } from "../src/parts/partition.js";
 import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
-const room = { cpus: 4, gpus: 0, ram: 64 };
+const capacity = { cpus: 4, gpus: 0, ram: 64 };
 
 /** Ends every task placed on the machine with the given cause. */
-function end(part: Partition, host: string, cause: ReportedTask["cause"], only?: TaskSet): void {
-  const machine = part.machines.get(host)!;
+function end(partition: Partition, host: string, cause: ReportedTask["cause"], only?: TaskSet): void {
+  const machine = partition.machines.get(host)!;
   const tasks = [...machine.placements.values()]
     .filter((p) => only === undefined || p.taskSet === only)
     .map((p): ReportedTask => ({
@@ -40,37 +40,37 @@
     cause: null,
     saved: false,
   }));
-  applyReport(part, machine, { ...seen, tasks: [...tasks, ...running] }, context, newFindings());
+  applyReport(partition, machine, { ...seen, tasks: [...tasks, ...running] }, context, newFindings());
 }
 
 test("jobs that fail on every machine are at fault, not the machines, and are retried with one task", () => {
-  const { partition: part } = partitionOf(4, room);
-  const units = ["run-000001", "run-000002"].map((ref) => enqueue(part, specOf({ ref, tasks: 8, cpus: 1 })));
-  runSchedulingCycle(part, schedulingContext);
-  for (const host of part.machines.keys()) end(part, host, "error");
-  for (const unit of units) assert.ok(failsRepeatedly(unit), `${unit.spec.ref} failed on ${unit.failedOn.size} machines`);
-  for (const machine of part.machines.values()) assert.deepEqual([machine.draining, machine.failuresByJob.size], [false, 0]);
-  assert.equal(isReady(units[0]!, NOW), false, "it waits before it tries again");
+  const { partition } = partitionOf(4, capacity);
+  const taskSets = ["run-000001", "run-000002"].map((ref) => enqueue(partition, specOf({ ref, tasks: 8, cpus: 1 })));
+  runSchedulingCycle(partition, schedulingContext);
+  for (const host of partition.machines.keys()) end(partition, host, "error");
+  for (const taskSet of taskSets) assert.ok(failsRepeatedly(taskSet), `${taskSet.spec.ref} failed on ${taskSet.failedOn.size} machines`);
+  for (const machine of partition.machines.values()) assert.deepEqual([machine.draining, machine.failuresByJob.size], [false, 0]);
+  assert.equal(isReady(taskSets[0]!, NOW), false, "it waits before it tries again");
   const later = NOW + 60_000;
-  for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = later;
-  runSchedulingCycle(part, { ...schedulingContext, now: later });
+  for (const machine of partition.machines.values()) machine.lastReceivedAt = machine.lastReportAt = later;
+  runSchedulingCycle(partition, { ...schedulingContext, now: later });
   assert.deepEqual(
-    units.map((unit) => unit.placements.size),
+    taskSets.map((taskSet) => taskSet.placements.size),
     [1, 1],
   );
   // One task succeeds after all, so the job is not at fault.
-  end(part, [...units[0]!.placements.values()][0]!.host, "done", units[0]);
-  assert.equal(failsRepeatedly(units[0]!), false);
+  end(partition, [...taskSets[0]!.placements.values()][0]!.host, "done", taskSets[0]);
+  assert.equal(failsRepeatedly(taskSets[0]!), false);
 });
 
 test("a machine on which several jobs fail that run elsewhere is drained", () => {
-  const { partition: part } = partitionOf(3, room);
-  const a = enqueue(part, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
-  const b = enqueue(part, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
-  runSchedulingCycle(part, schedulingContext);
+  const { partition } = partitionOf(3, capacity);
+  const a = enqueue(partition, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
+  const b = enqueue(partition, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
+  runSchedulingCycle(partition, schedulingContext);
   const sick = [...a.placements.values()].map((p) => p.host).find((host) => [...b.placements.values()].some((p) => p.host === host))!;
-  end(part, sick, "error");
-  assert.equal(part.machines.get(sick)!.draining, true);
+  end(partition, sick, "error");
+  assert.equal(partition.machines.get(sick)!.draining, true);
   assert.equal(failsRepeatedly(a) || failsRepeatedly(b), false);
 });
 
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -23,7 +23,7 @@
 const TERM = 5;
 
 /** Creates a partition of two machines, one of which runs its only task. */
-function partitionWithOneTask(): { part: Partition; machine: Machine; other: Machine } {
+function partitionWithOneTask(): { partition: Partition; machine: Machine; other: Machine } {
   const { partition } = partitionOf(2, { cpus: 4, gpus: 0, ram: 8 });
   enqueue(partition, specOf({ cpus: 4 }));
   runSchedulingCycle(partition, schedulingContext);
@@ -31,7 +31,7 @@
   const machine = machines.find(({ placements }) => placements.size > 0)!;
   for (const placement of machine.placements.values()) Object.assign(placement, { state: "running", directStart: "answered" });
   machine.answeredAt = NOW;
-  return { part: partition, machine, other: machines.find((one) => one !== machine)! };
+  return { partition, machine, other: machines.find((one) => one !== machine)! };
 }
 
 function report(machine: Machine, change: Partial<Report>): Report {
@@ -72,7 +72,7 @@
 
 for (const [what, act] of INVALID_PROOFS)
   test(`invalid proof: ${what} drops no attempt and violates an invariant`, () => {
-    const { part: partition, machine, other } = partitionWithOneTask();
+    const { partition, machine, other } = partitionWithOneTask();
     const findings = newFindings();
     act(partition, machine, findings);
     assert.equal(machine.placements.size, 1, "the attempt still counts");
@@ -114,7 +114,7 @@
       void applyReport(partition, machine, report(machine, { token: TERM - 1, session: 2 }), context, findings),
   ];
   const proofs = drops.map((drop) => {
-    const { part: partition, machine } = partitionWithOneTask();
+    const { partition, machine } = partitionWithOneTask();
     const findings = newFindings();
     drop(partition, machine, findings);
     assert.deepEqual([machine.placements.size, findings.unproven.length], [0, 0]);
@@ -124,7 +124,7 @@
 });
 
 test("a restart under a stale proof of ownership is logged at info level, with the proof's age and why the last attempt is gone", () => {
-  const { part: partition, machine } = partitionWithOneTask();
+  const { partition, machine } = partitionWithOneTask();
   const lines: { entry: Record<string, unknown>; text: string }[] = [];
   const info = (entry: Record<string, unknown>, text: string): void => void lines.push({ entry, text });
   const log = { info, isLevelEnabled: () => false } as unknown as Log;
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -117,12 +117,12 @@
 
 /**
  * Waits of gangs with tasks of one size on identical machines, first come, first served with backfilling, computed
- * from the number of places alone.
+ * from the number of tasks that fit.
  */
-function plainWaits(places: number, gangs: { tasks: number; runS: number }[]): number[] {
+function plainWaits(capacity: number, gangs: { tasks: number; runS: number }[]): number[] {
   const waits = gangs.map(() => Infinity);
   const ends: { at: number; tasks: number }[] = [];
-  let free = places;
+  let free = capacity;
   for (let at: number | undefined = 0; at !== undefined; at = ends.length === 0 ? undefined : Math.min(...ends.map((end) => end.at))) {
     for (let i = ends.length - 1; i >= 0; i--) if (ends[i]!.at === at) free += ends.splice(i, 1)[0]!.tasks;
     gangs.forEach(({ tasks, runS }, i) => {
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -150,11 +150,11 @@
 
 /** A task placed on one machine by a direct start command that was not answered. */
 function startedWithoutAnswer() {
-  const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
-  const unit = enqueue(part, specOf({ tasks: 1 }));
-  runSchedulingCycle(part, schedulingContext);
-  const machine = [...part.machines.values()][0]!;
-  const placement = [...unit.placements.values()][0]!;
+  const { partition } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+  const taskSet = enqueue(partition, specOf({ tasks: 1 }));
+  runSchedulingCycle(partition, schedulingContext);
+  const machine = [...partition.machines.values()][0]!;
+  const placement = [...taskSet.placements.values()][0]!;
   placement.directStart = "unresolved";
   const taskId = "run-000001/0";
   const report = (seq: number, tasks: ReportedTask[]): Report => ({
@@ -165,17 +165,17 @@
     spot: false,
     session: 1,
     seq,
-    token: part.term,
+    token: partition.term,
     noticeS: null,
     tasks,
   });
-  const hear = (seq: number, tasks: ReportedTask[] = []): void =>
-    void applyReport(part, machine, report(seq, tasks), context, newFindings());
-  return { part, unit, machine, placement, taskId, hear };
+  const receiveReport = (seq: number, tasks: ReportedTask[] = []): void =>
+    void applyReport(partition, machine, report(seq, tasks), context, newFindings());
+  return { partition, taskSet, machine, placement, taskId, receiveReport };
 }
 
 test("a pending start of a task that should no longer run is repeated and stopped, and its capacity is freed", () => {
-  const { machine, placement, taskId, hear, unit } = startedWithoutAnswer();
+  const { machine, placement, taskId, receiveReport, taskSet } = startedWithoutAnswer();
   placement.stop = { graceS: 0 };
   const { attempt } = placement;
   assert.deepEqual(ordersFor(machine, "report", orders), [
@@ -185,18 +185,18 @@
   // Not by a direct command, which could be delayed as well, and not once a cancellation of the job may be older than allowed.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
-  hear(2);
+  receiveReport(2);
   assert.equal(machine.placements.size, 1, "absence from a report proves nothing: the direct start may still arrive");
-  hear(3, [{ taskId, attempt, state: "exited", cause: "stopped", saved: false }]);
-  assert.deepEqual([machine.placements.size, machine.used.cpus, unit.waiting.length], [0, 0, 1]);
+  receiveReport(3, [{ taskId, attempt, state: "exited", cause: "stopped", saved: false }]);
+  assert.deepEqual([machine.placements.size, machine.used.cpus, taskSet.waiting.length], [0, 0, 1]);
 });
 
 test("a session known only from the reply to a command has a lease of its own, and its machine gets no new work", () => {
   // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
   // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
-  const { part, machine, taskId, hear } = startedWithoutAnswer();
+  const { partition, machine, taskId, receiveReport } = startedWithoutAnswer();
   const leaseMs = 18_000;
-  hear(2);
+  receiveReport(2);
   recordLeaseRenewal(machine, true, NOW);
   const reply = (session: number, seq: number, now: number, tasks: ReportedTask[]): void => {
     const report = {
@@ -207,14 +207,14 @@
       spot: false,
       session,
       seq,
-      token: part.term,
+      token: partition.term,
       noticeS: null,
       tasks,
     };
     const at = { ...context, now, viaReport: false };
-    applyReport(part, machine, report, at, newFindings());
+    applyReport(partition, machine, report, at, newFindings());
   };
-  const running: ReportedTask = { taskId, attempt: part.term, state: "running", cause: null, saved: false };
+  const running: ReportedTask = { taskId, attempt: partition.term, state: "running", cause: null, saved: false };
   const learnt = NOW + leaseMs - 500;
   reply(2, 9, learnt, []);
   reply(2, 10, learnt + 200, [running]);
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -8,31 +8,31 @@
 import { order, partitionOf, enqueue, specOf } from "./world/partitions.js";
 
 function ledger() {
-  const mirror = unsyncedReplica();
-  const needs = new JobDependencies(mirror);
+  const replica = unsyncedReplica();
+  const needs = new JobDependencies(replica);
   const ready: string[] = [];
   needs.ready$.subscribe((ref) => ready.push(ref));
   let stamp = 0;
   const put = (ref: string, after: string[], change: Partial<JobSpec> = {}, more: Partial<JobRecord> = {}): void => {
     const spec = specOf({ ref, ...change, ...(after.length > 0 ? { needs: after } : {}) });
-    mirror.put(keys.job(ref), { spec, part: -1, home: 0, hi: 1, done: "", at: 10, ...more } satisfies JobRecord, ++stamp);
+    replica.put(keys.job(ref), { spec, part: -1, home: 0, hi: 1, done: "", at: 10, ...more } satisfies JobRecord, ++stamp);
   };
   const end = (ref: string, how: "done" | "withdrawn", endedAt?: number): void => {
-    const { v } = mirror.get<JobRecord>(keys.job(ref))!;
-    mirror.put(keys.job(ref), { ...v, end: how, ...(endedAt === undefined ? {} : { endedAt }) }, ++stamp);
+    const { v } = replica.get<JobRecord>(keys.job(ref))!;
+    replica.put(keys.job(ref), { ...v, end: how, ...(endedAt === undefined ? {} : { endedAt }) }, ++stamp);
   };
   return {
-    mirror,
+    replica,
     needs,
     ready,
     put,
     end,
-    list: (ref: string, i: number, refs: string[]) => mirror.put(keys.needList(ref, "x", i), { ref, needs: refs }, ++stamp),
+    list: (ref: string, i: number, refs: string[]) => replica.put(keys.needList(ref, "x", i), { ref, needs: refs }, ++stamp),
   };
 }
 
 test("a job becomes ready once, when its last dependency is done, and its times count from then", () => {
-  const { mirror, needs, ready, put, end } = ledger();
+  const { replica, needs, ready, put, end } = ledger();
   put("a", []);
   put("b", []);
   put("c", ["a", "b"]);
@@ -42,7 +42,7 @@
   end("a", "done", 400);
   assert.deepEqual(ready, ["c"]);
   assert.ok(!needs.isBlocked("c"));
-  assert.equal(needs.eligibleSinceWall(mirror.get<JobRecord>(keys.job("c"))!.v), 500);
+  assert.equal(needs.eligibleSinceWall(replica.get<JobRecord>(keys.job("c"))!.v), 500);
 });
 
 test("records may arrive in any order", () => {
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -104,7 +104,7 @@
   await world.clock.run(60_000);
   assert.equal(fleet.stats.rented, 0);
   assert.equal(
-    [...leader.partitions.values()].reduce((n, part) => n + part.taskSets.size, 0),
+    [...leader.partitions.values()].reduce((n, partition) => n + partition.taskSets.size, 0),
     0,
   );
   await world.clock.run(200_000);
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -16,7 +16,7 @@
   markFinished(taskSet, 0);
   const clock = new VirtualClock();
   const record: JobRecord = { spec: taskSet.spec, part: partition.id, hi: 1, done: "", at: 0 };
-  const mirror = {
+  const replica = {
     get: (key: string) => (key === taskSet.key || key === keys.job(taskSet.spec.ref) ? { v: record, stamp: 7 } : undefined),
     stamp: (key: string) => (key === keys.owner(partition.id) ? partition.term : 0),
     slicesOf: () => [],
@@ -33,7 +33,7 @@
     settings: { timing: { leaseMs: 18_000 }, state: { valueKb: 32 } },
     scope: { clock: { now: () => clock.now(), after: clock.after.bind(clock), wall: () => clock.now() }, log: { debug: () => undefined } },
   } as unknown as LeaderContext;
-  return { partition, taskSet, clock, drafts, leaderContext, progress: new Progress(leaderContext, mirror, committer) };
+  return { partition, taskSet, clock, drafts, leaderContext, progress: new Progress(leaderContext, replica, committer) };
 }
 
 test("a job's end that was shed because too many writes were queued is written a lease time later", async () => {
--- a/test/report-fast-path.test.ts
+++ b/test/report-fast-path.test.ts
@@ -31,14 +31,14 @@
   port: number;
   reportedHosts: string[];
   requestsToHttpServer: string[];
-  doors: InboundConnections;
+  inbound: InboundConnections;
   close: () => void;
 }
 
 async function startEnvironment(options: { sockets?: number; idleMs?: number } = {}): Promise<TestEnvironment> {
   const reportedHosts: string[] = [];
   const requestsToHttpServer: string[] = [];
-  const door: ReportEndpointDependencies = {
+  const endpoint: ReportEndpointDependencies = {
     costs: new CpuAccounting(),
     onInvalidReport: () => undefined,
     countResponse: () => undefined,
@@ -51,15 +51,15 @@
   const scope = new Scope(systemClock, silentLog);
   const others = createHttpServer((req, res) => {
     requestsToHttpServer.push(`${req.method} ${req.url}`);
-    if (req.url === "/v1/report") return handleReportRequest(door, req, res);
+    if (req.url === "/v1/report") return handleReportRequest(endpoint, req, res);
     req.resume().on("end", () => res.end(`http ${req.url}`));
   });
   const server = createServer({ noDelay: true, allowHalfOpen: true });
-  const doors = new InboundConnections(server, options.sockets ?? 1000);
+  const inbound = new InboundConnections(server, options.sockets ?? 1000);
   new ReportFastPath({
-    endpoint: door,
+    endpoint,
     httpServer: others,
-    isNearSocketLimit: () => doors.closesAfterAnswer(),
+    isNearSocketLimit: () => inbound.closesAfterAnswer(),
     scope,
     idleMs: options.idleMs ?? 60_000,
   }).start(server);
@@ -68,7 +68,7 @@
     port: (server.address() as AddressInfo).port,
     reportedHosts,
     requestsToHttpServer,
-    doors,
+    inbound,
     close: () => {
       scope.close();
       server.close();
@@ -198,7 +198,7 @@
     );
     assert.deepEqual(environment.reportedHosts, []);
     await new Promise((resolve) => setTimeout(resolve, 20));
-    assert.equal(environment.doors.count, 0, "their sockets are released");
+    assert.equal(environment.inbound.count, 0, "their sockets are released");
   } finally {
     environment.close();
   }
@@ -217,7 +217,7 @@
       "three of four sockets in use exceeds the threshold",
     );
     await new Promise((resolve) => setTimeout(resolve, 20));
-    assert.equal(environment.doors.count, 0);
+    assert.equal(environment.inbound.count, 0);
   } finally {
     environment.close();
   }
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -92,7 +92,7 @@
       const answer = onReport(report);
       if (answer.kind !== "orders") return answer;
       answers++;
-      const claims = controller.settings.nodes.map((_, part) => controller.replica.get<OwnerRecord>(keys.owner(part)));
+      const claims = controller.settings.nodes.map((_, partition) => controller.replica.get<OwnerRecord>(keys.owner(partition)));
       const claim = claims.find((entry) => entry?.stamp === answer.token);
       assert.deepEqual([claim?.v.life, claim?.v.owner], [request.life, request.platform["host_name"]]);
       return answer;
@@ -110,10 +110,10 @@
   const report = fc.record({ session: fc.integer({ min: 1, max: 2 }), seq: fc.integer({ min: 1, max: 12 }) });
   fc.assert(
     fc.property(fc.array(report, { minLength: 1, maxLength: 40 }), (reports) => {
-      const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
-      const taskSet = enqueue(part, specOf({ ref: "run-000001", tasks: 1 }));
-      runSchedulingCycle(part, schedulingContext);
-      const machine = [...part.machines.values()][0]!;
+      const { partition } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+      const taskSet = enqueue(partition, specOf({ ref: "run-000001", tasks: 1 }));
+      runSchedulingCycle(partition, schedulingContext);
+      const machine = [...partition.machines.values()][0]!;
       const [placement] = [...taskSet.placements.values()];
       placement!.directStart = "answered";
       let newest = { session: machine.session, seq: machine.seq };
@@ -134,7 +134,7 @@
           coolMs: 2500,
           placeholderFor: () => taskSet,
         };
-        assert.equal(applyReport(part, machine, seen, context, findings), newer);
+        assert.equal(applyReport(partition, machine, seen, context, findings), newer);
         finished += findings.finished.size;
         if (newer) newest = one;
         assert.ok(finished <= 1, "counted as done twice");
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -101,8 +101,8 @@
   let n = 0;
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 100_000 }), fc.integer({ min: 1, max: 100_000 }), fc.nat(5000), (old, young, extraS) => {
-      const unitOf = (tasks: number): TaskSet => enqueue(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
-      const [first, second] = [unitOf(old), unitOf(young)];
+      const taskSetOf = (tasks: number): TaskSet => enqueue(partition, specOf({ ref: `run-${String(++n).padStart(6, "0")}`, tasks }));
+      const [first, second] = [taskSetOf(old), taskSetOf(young)];
       second.submittedWall = first.submittedWall + (YIELD_S + extraS) * 1000;
       const order = orderAt(10_000);
       assert.ok(order.effectiveArrival(first) < order.effectiveArrival(second));
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -33,24 +33,24 @@
 });
 
 test("a node classifies the share of its machines that report, counting only those that should", () => {
-  const part = newPartition(0, 5, 0);
+  const partition = newPartition(0, 5, 0);
   const now = 100_000;
   const ages = [1000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000, 9000];
   ages.forEach((age, i) => {
     const machine = newMachine(`i-${i}`, "m", "a", false, { cpus: 1, gpus: 0, ram: 1 }, 0);
     Object.assign(machine, { up: true, lastReceivedAt: now - age });
-    part.machines.set(machine.host, machine);
+    partition.machines.set(machine.host, machine);
   });
-  assert.equal(reachabilityOf([part], now, 5000), "few");
-  part.takenOverAt = now - 1000;
-  assert.equal(reachabilityOf([part], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
-  part.takenOverAt = 0;
-  for (const machine of part.machines.values()) if (machine.host > "i-6") machine.lastReceivedAt = machine.lastReportAt = now;
-  assert.equal(reachabilityOf([part], now, 5000), "unsure");
-  for (const machine of part.machines.values()) machine.lastReceivedAt = machine.lastReportAt = now;
-  assert.equal(reachabilityOf([part], now, 5000), "most");
-  for (const machine of part.machines.values()) machine.deleting = true;
-  assert.equal(reachabilityOf([part], now, 5000), "unsure");
+  assert.equal(reachabilityOf([partition], now, 5000), "few");
+  partition.takenOverAt = now - 1000;
+  assert.equal(reachabilityOf([partition], now, 5000), "unsure", "a partition that was just claimed gives no evidence yet");
+  partition.takenOverAt = 0;
+  for (const machine of partition.machines.values()) if (machine.host > "i-6") machine.lastReceivedAt = machine.lastReportAt = now;
+  assert.equal(reachabilityOf([partition], now, 5000), "unsure");
+  for (const machine of partition.machines.values()) machine.lastReceivedAt = machine.lastReportAt = now;
+  assert.equal(reachabilityOf([partition], now, 5000), "most");
+  for (const machine of partition.machines.values()) machine.deleting = true;
+  assert.equal(reachabilityOf([partition], now, 5000), "unsure");
 });
 
 test("a request whose connection is established after its deadline is not sent", async () => {
--- a/test/user-api.test.ts
+++ b/test/user-api.test.ts
@@ -43,12 +43,12 @@
   for (const unready of [null, "starting"]) {
     const shed: [string[], string[]] = [[], []];
     let withoutExpress = 0;
-    const doors = shed.map((list) => depsWith(unready, list));
-    const apps = doors.map(buildApp);
+    const dependencies = shed.map((list) => depsWith(unready, list));
+    const apps = dependencies.map(buildApp);
     const servers = [
       createServer((req, res) => void apps[0]!(req, res)),
       createServer((req, res) => {
-        if (answerWithoutExpress(doors[1]!, req, res)) withoutExpress++;
+        if (answerWithoutExpress(dependencies[1]!, req, res)) withoutExpress++;
         else void apps[1]!(req, res);
       }),
     ];
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -50,9 +50,9 @@
   task: boolean;
   /** The new owner started the task again: it no longer belongs to the cancelled job. */
   restarted: boolean;
-  /** Step of the new owner's claim; `heard` holds its record of the machine since then. */
+  /** Step of the new owner's claim; `record` is its record of the machine since then. */
   claimedAt: number | null;
-  heard: {
+  record: {
     session: number;
     seq: number;
     lastReceivedAt: number;
@@ -79,7 +79,7 @@
   const taskSet = newTaskSet("t/j/run-000001", specOf({ tasks: 1 }), 0, 1, new Bits(1), 0, 0);
   addTaskSet(partition, taskSet);
   const machine: Machine = newMachine("i-1", "m", "a", false, { cpus: 9, gpus: 0, ram: 9 }, 0);
-  const { holds, ...rest } = state.heard!;
+  const { holds, ...rest } = state.record!;
   const { session, seq, lastReceivedAt, answeredAt, fenced, lost } = rest;
   Object.assign(machine, { up: true, addr: "x", session, seq, lastReceivedAt, answeredAt, fenced, lost });
   addMachine(partition, machine);
@@ -107,7 +107,7 @@
   return { partition, machine, taskSet, receive };
 }
 
-function snapshotOf(machine: Machine): NonNullable<State["heard"]> {
+function snapshotOf(machine: Machine): NonNullable<State["record"]> {
   const { session, seq, lastReceivedAt, answeredAt, fenced, lost, placements } = machine;
   return { session, seq, lastReceivedAt, answeredAt, fenced, lost, holds: placements.size > 0 };
 }
@@ -118,7 +118,7 @@
 export function exploreLeases(wrong: FaultyVariant = {}): { states: number; broken: string | null } {
   const silentAfter = SILENT_AFTER + (wrong.silentLate === true ? 2 : 0);
   let layer = new Map<string, { state: State; path: string[] }>();
-  const initial: State = { session: 1, token: OLD, leaseFrom: 0, task: true, restarted: false, claimedAt: null, heard: null, copy: null };
+  const initial: State = { session: 1, token: OLD, leaseFrom: 0, task: true, restarted: false, claimedAt: null, record: null, copy: null };
   layer.set("", { state: initial, path: [] });
   let states = 0;
   let broken: string | null = null;
@@ -130,8 +130,8 @@
       if (next.has(key)) return;
       const trace = [...path, `${now}: ${what}`];
       next.set(key, { state, path: trace });
-      const { heard, task, claimedAt, restarted } = state;
-      if (claimedAt !== null && heard!.fenced && !heard!.holds && task && broken === null)
+      const { record, task, claimedAt, restarted } = state;
+      if (claimedAt !== null && record!.fenced && !record!.holds && task && broken === null)
         broken = `the new owner may start the task elsewhere; ${trace.join("; ")}`;
       if (now > CANCEL && task && !restarted && broken === null) broken = `the task of a cancelled job is still there; ${trace.join("; ")}`;
     };
@@ -140,8 +140,8 @@
       if (now - current.leaseFrom > LEASE) Object.assign(current, { task: false, session: current.session + 1, leaseFrom: now });
       if (current.claimedAt === null && now >= 2) {
         const answeredAt = now + (wrong.skipsSilenceWait === true ? 0 : SILENT_AFTER);
-        const heard = { session: 0, seq: 0, lastReceivedAt: -1, answeredAt, fenced: false, lost: false, holds: false };
-        visit({ ...current, claimedAt: now, heard }, path, "claimed, ");
+        const record = { session: 0, seq: 0, lastReceivedAt: -1, answeredAt, fenced: false, lost: false, holds: false };
+        visit({ ...current, claimedAt: now, record }, path, "claimed, ");
       }
       visit(current, path, "");
     }
@@ -149,14 +149,14 @@
     function visit(from: State, path: string[], prefix: string): void {
       // Lease expiry is checked first, as in the lease watch.
       const s = { ...from };
-      if (s.heard !== null && !s.heard.lost) {
+      if (s.record !== null && !s.record.lost) {
         const { partition, machine } = newOwnerOf(s);
         if (isLeaseExpired(machine, now, LEASE)) {
           machine.lost = true;
           fence(partition, machine, "lease", []);
           const proof = { by: "lease over", answeredAt: machine.answeredAt, expiryMs: LEASE, provenAt: now } as const;
           dropAllAttempts({ partition, machine, now, findings: newFindings() }, proof);
-          s.heard = snapshotOf(machine);
+          s.record = snapshotOf(machine);
         }
       }
       const report = { session: s.session, seq: now, token: s.token, task: s.task };
@@ -164,11 +164,11 @@
       const copies = s.copy === null ? [report] : [s.copy, report];
       reach(s, path, `${prefix}nothing`);
       // An old report arrives again; its answer is lost.
-      if (s.copy !== null && s.heard !== null) {
+      if (s.copy !== null && s.record !== null) {
         const { machine, receive } = newOwnerOf(s);
         if (wrong.acceptsOldReports === true) machine.seq = -1;
         recordLeaseRenewal(machine, receive(reportOf(s.copy), now), now);
-        reach({ ...s, heard: snapshotOf(machine), copy: null }, path, `${prefix}an old report`);
+        reach({ ...s, record: snapshotOf(machine), copy: null }, path, `${prefix}an old report`);
       }
       // Report to the former owner while it still answers: it may start the stopped task again, unaware of the cancellation.
       if (now <= silentAfter && s.token === OLD) {
@@ -176,7 +176,7 @@
           for (const copy of copies)
             reach({ ...s, leaseFrom: now, task, copy }, path, `${prefix}answered by the former owner${task === s.task ? "" : ", started"}`);
       }
-      if (s.heard === null) return;
+      if (s.record === null) return;
       for (const answer of ["lost", "arrives"] satisfies Delivery[]) {
         const { machine, receive } = newOwnerOf(s);
         const before = machine.answeredAt;
@@ -195,23 +195,23 @@
         const stops = orders.some(({ verb }) => verb === "stop") && (machine.fenced || wrong.answerStopsNothing !== true);
         const there = answer === "arrives" ? { token: NEW, leaseFrom: now, task: s.task && !stops } : {};
         for (const copy of copies)
-          reach({ ...s, ...there, heard: snapshotOf(machine), copy }, path, `${prefix}reported to the new owner, answer ${answer}`);
+          reach({ ...s, ...there, record: snapshotOf(machine), copy }, path, `${prefix}reported to the new owner, answer ${answer}`);
       }
       // The new owner's token arrives by a direct command and is shown in the reply or in the next report.
       const shown = { ...s, token: NEW };
       reach(shown, path, `${prefix}token by command, reply lost`);
       const { machine, receive } = newOwnerOf(s);
       receive(reportOf({ ...report, token: NEW }), now, false);
-      reach({ ...shown, heard: snapshotOf(machine) }, path, `${prefix}token by command`);
+      reach({ ...shown, record: snapshotOf(machine) }, path, `${prefix}token by command`);
       // Orders by a direct command are executed if the session matches; otherwise the reply carries the current session.
-      if (s.token === NEW && s.heard.fenced && !s.heard.lost && !s.heard.holds) {
+      if (s.token === NEW && s.record.fenced && !s.record.lost && !s.record.holds) {
         const { machine: repliedMachine, receive: receiveReply } = newOwnerOf(s);
         const { answeredAt } = repliedMachine;
         const executed = repliedMachine.session === s.session;
         const after = executed ? { ...s, task: true, restarted: true } : s;
         receiveReply(reportOf({ ...report, task: after.task }), now, false);
         if (wrong.sessionIsNoLease === true) repliedMachine.answeredAt = answeredAt;
-        reach({ ...after, heard: snapshotOf(repliedMachine) }, path, `${prefix}${executed ? "started by command" : "session by command"}`);
+        reach({ ...after, record: snapshotOf(repliedMachine) }, path, `${prefix}${executed ? "started by command" : "session by command"}`);
       }
     }
     states += next.size;
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -90,8 +90,8 @@
 }
 
 /** Adds a task set with all tasks of the job to the partition's queue. */
-export function enqueue(part: Partition, spec: JobSpec): TaskSet {
+export function enqueue(partition: Partition, spec: JobSpec): TaskSet {
   const taskSet = newTaskSet(`t/j/${spec.ref}`, spec, 0, spec.tasks, new Bits(spec.tasks), 0, 0);
-  addTaskSet(part, taskSet);
+  addTaskSet(partition, taskSet);
   return taskSet;
 }
