--- a/packages/graphs/src/journal.ts
+++ b/packages/graphs/src/journal.ts
@@ -54,7 +54,7 @@
   stamp = 0;
   /** Number of outcomes that are in neither a stored record nor the batch in flight. */
   unwritten = 0;
-  /** While the page is in the batch in batch: the number of outcomes written by it. */
+  /** While the page is in the batch in flight: the number of outcomes written by it. */
   inFlight: number | null = null;
 
   get(index: number): Outcome | null {
