--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -41,7 +41,7 @@
       to: { path: "^(src/(?!overload/|platform/|settings/)|packages)" },
     },
     {
-      name: "membership-decides-nothing-about-parts",
+      name: "membership-decides-nothing-about-partitions",
       comment: "Who is there is known without knowing who leads what; the other way would be a circle of reasons.",
       severity: "error",
       from: { path: "^src/membership" },
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -8,7 +8,7 @@
 import { keys, type JobRecord } from "../src/ledger/records.js";
 import { JobDependencies } from "../src/pipelines/job-dependencies.js";
 import { RentalIndex } from "../src/ledger/rentals.js";
-import { addTaskSet, newPartition } from "../src/parts/partition.js";
+import { addTaskSet, newPartition } from "../src/partitions/partition.js";
 import { systemClock } from "../src/platform/clock.js";
 import { CpuAccounting } from "../src/platform/cpu-accounting.js";
 import { Scope } from "../src/platform/scope.js";
--- a/measure/slopes/decisions.ts
+++ b/measure/slopes/decisions.ts
@@ -3,7 +3,7 @@
 import { keys } from "../../src/ledger/records.js";
 import { runSchedulingCycle } from "../../src/queue/scheduling-cycle.js";
 import { newTaskSet } from "../../src/queue/task-set.js";
-import { addTaskSet } from "../../src/parts/partition.js";
+import { addTaskSet } from "../../src/partitions/partition.js";
 import { partitionOf, schedulingContext, specOf } from "../../test/world/partitions.js";
 import { median } from "../harness.js";
 import { jobRecordOf, mirrorHere } from "../memory.js";
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from "node:crypto";
-import { QuotaShares } from "./parts/quota-shares.js";
-import { Fitness } from "./parts/fitness.js";
-import { Guarantees } from "./parts/guarantees.js";
-import { Leader } from "./parts/leader.js";
-import { Ownership } from "./parts/ownership.js";
+import { QuotaShares } from "./partitions/quota-shares.js";
+import { Fitness } from "./partitions/fitness.js";
+import { Guarantees } from "./partitions/guarantees.js";
+import { Leader } from "./partitions/leader.js";
+import { Ownership } from "./partitions/ownership.js";
 import { Configuration } from "./configuration/configuration.js";
 import { GroupCommitter } from "./ledger/group-committer.js";
 import { StateReplica } from "./ledger/state-replica.js";
--- a/src/exchange/bid-responder.ts
+++ b/src/exchange/bid-responder.ts
@@ -1,6 +1,6 @@
 /** Bids for jobs of other partitions. */
 import { keys, type JobRecord } from "../ledger/records.js";
-import { tasksThatFit } from "../parts/partition.js";
+import { tasksThatFit } from "../partitions/partition.js";
 import type { BidRequest } from "../peers/messages.js";
 import { Bits } from "../platform/bits.js";
 import { estimateWaits, utilization } from "../queue/estimate.js";
--- a/src/exchange/dependencies.ts
+++ b/src/exchange/dependencies.ts
@@ -1,10 +1,10 @@
 /** Dependencies of the exchange, and helpers that its modules share. */
 import type { GroupCommitter } from "../ledger/group-committer.js";
 import type { StateReplica } from "../ledger/state-replica.js";
-import type { QuotaShares } from "../parts/quota-shares.js";
-import type { Leader } from "../parts/leader.js";
-import type { Ownership } from "../parts/ownership.js";
-import { usageOfTeam, type Partition, type Usage } from "../parts/partition.js";
+import type { QuotaShares } from "../partitions/quota-shares.js";
+import type { Leader } from "../partitions/leader.js";
+import type { Ownership } from "../partitions/ownership.js";
+import { usageOfTeam, type Partition, type Usage } from "../partitions/partition.js";
 import type { OverloadMonitor } from "../overload/overload.js";
 import type { PeerApi } from "../peers/links.js";
 import type { JobDependencies } from "../pipelines/job-dependencies.js";
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -5,7 +5,7 @@
 import { selectBid, bidWithMostFreeCapacity, type Bid } from "./bid-selection.js";
 import { Migration } from "./migration.js";
 import { Volunteers } from "./volunteers.js";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { firstRequestId } from "../peers/ids.js";
 import type { BidResponse } from "../peers/messages.js";
 import { estimateWaits, utilization, type EstimateContext } from "../queue/estimate.js";
--- a/src/exchange/migration.ts
+++ b/src/exchange/migration.ts
@@ -1,6 +1,6 @@
 /** Transactions that move jobs and slices to other partitions. */
 import { fitToLimit, keys, partitionOf, withPartitionAssigned, type JobRecord, type SliceRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { waitingTailLength, type TaskSet } from "../queue/task-set.js";
 import type { ExchangeDependencies } from "./dependencies.js";
 
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -1,6 +1,6 @@
 /** Transfers of team quota between partitions. */
 import { keys, type QuotaShareRecord } from "../ledger/records.js";
-import { quotaShareOf, type Partition, type Usage } from "../parts/partition.js";
+import { quotaShareOf, type Partition, type Usage } from "../partitions/partition.js";
 import type { QuotaRequest } from "../peers/messages.js";
 import type { QuotaShortage } from "../queue/scheduling-cycle.js";
 import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./dependencies.js";
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -1,4 +1,4 @@
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
 
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,6 +1,6 @@
 import type { MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../partitions/partition.js";
 import { isReady, usableCandidates, zonesInUse } from "../queue/scheduling-cycle.js";
 import { UnschedulableShapes } from "../queue/unschedulable.js";
 import { sortTaskSets, type QueueOrder } from "../queue/queue-order.js";
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -1,5 +1,5 @@
 import { CallError } from "@thorntrail/protocol/errors";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import type { Machine } from "../workers/machine.js";
 import { MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
 import { missingFromListing, type Listing } from "./listing.js";
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -1,7 +1,7 @@
 import type { MachineOffering } from "@thorntrail/protocol/cloud";
 import { CallError } from "@thorntrail/protocol/errors";
 import { keys, rentalRecords, type RentalRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { ownsPartition, waitForRate, type FleetDependencies } from "./dependencies.js";
 import type { OfferingAvailability } from "./offering-availability.js";
 import { MAX_RENTAL_COUNT, planRentals, type RentalPlan } from "./plan.js";
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -1,6 +1,6 @@
 import { CallError } from "@thorntrail/protocol/errors";
 import { type RentalRecord } from "../ledger/records.js";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { sleep } from "../platform/clock.js";
 import type { Machine } from "../workers/machine.js";
 import { ownsPartition, MAX_DELETE_HOSTS, waitForRate, type FleetDependencies } from "./dependencies.js";
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,6 +1,6 @@
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Leader } from "../parts/leader.js";
+import type { Leader } from "../partitions/leader.js";
 import { limitExceeded } from "../configuration/teams.js";
 import type { Configuration } from "../configuration/configuration.js";
 import type { TeamSettings } from "../settings/platform-file.js";
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -3,7 +3,7 @@
 import { doneTasks, fitToLimit, keys, type JobRecord } from "../ledger/records.js";
 import type { OverloadMonitor } from "../overload/overload.js";
 import type { Scope } from "../platform/scope.js";
-import type { Leader } from "../parts/leader.js";
+import type { Leader } from "../partitions/leader.js";
 import type { JobDependencies } from "../pipelines/job-dependencies.js";
 import { rank } from "../queue/queue-order.js";
 import type { Settings } from "../settings/derived.js";
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -14,8 +14,8 @@
   type SliceRecord,
 } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
-import type { Leader } from "../parts/leader.js";
-import type { Ownership } from "../parts/ownership.js";
+import type { Leader } from "../partitions/leader.js";
+import type { Ownership } from "../partitions/ownership.js";
 import type { JobDependencies } from "../pipelines/job-dependencies.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
--- a/src/parts/audit.ts
+++ b/src/partitions/audit.ts
@@ -5,9 +5,9 @@
 import { TokenBucket, type SteadyClock } from "@thorntrail/protocol/token-bucket";
 import type { Log } from "../platform/log.js";
 import { taskId, type Placement } from "../queue/task-set.js";
-import type { EndedAttempt } from "../served/class-accounting.js";
+import type { EndedAttempt } from "../job-classes/class-accounting.js";
 import type { FenceProof, Machine } from "../workers/machine.js";
-import type { Partition } from "./partition.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Rate and burst of the log lines for starts under stale proof of ownership; `staleRestarts` counts all of them. */
 const STALE_START_LINES_PER_SECOND = 5;
--- a/src/parts/fence-progress.ts
+++ b/src/partitions/fence-progress.ts
@@ -1,7 +1,7 @@
 /** Logs what a fence waits for: the machines that have not acknowledged the new term, and the results of contacting them. */
 import type { Log } from "../platform/log.js";
 import type { Machine } from "../workers/machine.js";
-import type { Partition } from "./partition.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Maximum number of machines listed in one line; the line also has the total. */
 const MAX_LISTED_MACHINES = 5;
--- a/src/parts/finding-effects.ts
+++ b/src/partitions/finding-effects.ts
@@ -1,10 +1,10 @@
 /** Acts on the findings from reports and lease expiry: durable progress, accounting, audit and follow-up orders. */
 import { taskId, type Placement, type TaskSet } from "../queue/task-set.js";
 import type { Findings } from "../workers/report-intake.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
-import type { Progress } from "./progress.js";
-import type { Recovery } from "./recovery.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
+import type { Progress } from "../partitions/progress.js";
+import type { Recovery } from "../partitions/recovery.js";
 
 /** Number of measured tasks, and multiple of their expected run time, from which a machine counts as slow. */
 const MIN_PACE_SAMPLES = 3;
--- a/src/parts/fitness.ts
+++ b/src/partitions/fitness.ts
@@ -4,7 +4,7 @@
 import type { Report, WorkerApi } from "@thorntrail/protocol/worker";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import type { Partition } from "./partition.js";
+import type { Partition } from "../partitions/partition.js";
 
 /**
  * How many of a node's machines report to it: `most`, `few`, or `unsure` if the share lies in between or there are too
--- a/src/parts/guarantees.ts
+++ b/src/partitions/guarantees.ts
@@ -7,7 +7,7 @@
 import type { Scope } from "../platform/scope.js";
 import { objectiveS, type Settings } from "../settings/derived.js";
 import type { TeamSettings } from "../settings/platform-file.js";
-import type { Usage } from "./partition.js";
+import type { Usage } from "../partitions/partition.js";
 
 /** Resource usage of one team. */
 export interface TeamUsage extends Usage {
--- a/src/parts/leader-context.ts
+++ b/src/partitions/leader-context.ts
@@ -6,11 +6,11 @@
 import type { QuotaShortage } from "../queue/scheduling-cycle.js";
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
-import type { ClassAccounting } from "../served/class-accounting.js";
-import type { Audit } from "./audit.js";
-import type { NewerToken } from "./ended-terms.js";
-import type { Partition } from "./partition.js";
-import type { StartGuard } from "./start-guard.js";
+import type { ClassAccounting } from "../job-classes/class-accounting.js";
+import type { Audit } from "../partitions/audit.js";
+import type { NewerToken } from "../partitions/ended-terms.js";
+import type { Partition } from "../partitions/partition.js";
+import type { StartGuard } from "../partitions/start-guard.js";
 
 /** Counters since the start of this process; `fencedMs` is the duration of the last fence. */
 export interface LeaderStats {
--- a/src/parts/lease-watch.ts
+++ b/src/partitions/lease-watch.ts
@@ -5,12 +5,12 @@
 import { fence } from "../workers/fence.js";
 import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
 import { isLeaseExpired } from "../workers/lease.js";
-import type { FindingEffects } from "./finding-effects.js";
-import { FenceProgress } from "./fence-progress.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
-import type { Progress } from "./progress.js";
-import type { Recovery } from "./recovery.js";
+import type { FindingEffects } from "../partitions/finding-effects.js";
+import { FenceProgress } from "../partitions/fence-progress.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
+import type { Progress } from "../partitions/progress.js";
+import type { Recovery } from "../partitions/recovery.js";
 
 /** Checks leases, fences and machines to be evacuated, and applies what follows. */
 export class LeaseWatch {
--- a/src/parts/machine-startup.ts
+++ b/src/partitions/machine-startup.ts
@@ -4,8 +4,8 @@
 import { keys, type RentalRecord } from "../ledger/records.js";
 import type { RentalIndex } from "../ledger/rentals.js";
 import type { Machine } from "../workers/machine.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Records machines as up in their rental records; a machine receives work only after that. */
 export class MachineStartup {
--- a/src/parts/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -9,12 +9,12 @@
 import { fence } from "../workers/fence.js";
 import { clearFailures } from "../workers/failure-attribution.js";
 import { dropAllAttempts, newFindings } from "../workers/report-intake.js";
-import type { FindingEffects } from "./finding-effects.js";
-import { EndedTerms, type NewerToken } from "./ended-terms.js";
-import type { LeaderContext } from "./leader-context.js";
-import { addMachine, addTaskSet, newPartition, removeTaskSet, type Partition } from "./partition.js";
-import type { Progress } from "./progress.js";
-import type { LeaseWatch } from "./lease-watch.js";
+import type { FindingEffects } from "../partitions/finding-effects.js";
+import { EndedTerms, type NewerToken } from "../partitions/ended-terms.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import { addMachine, addTaskSet, newPartition, removeTaskSet, type Partition } from "../partitions/partition.js";
+import type { Progress } from "../partitions/progress.js";
+import type { LeaseWatch } from "../partitions/lease-watch.js";
 
 /** Takes over and gives up partitions as their owner records change, and reconciles their machines and task sets with the records. */
 export class OwnedPartitions {
--- a/src/parts/ownership.ts
+++ b/src/partitions/ownership.ts
@@ -6,7 +6,7 @@
 import type { Presence } from "../membership/presence.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { claimConditions, isLossReason, reasonToClaim, type ClaimReason } from "./claims.js";
+import { claimConditions, isLossReason, reasonToClaim, type ClaimReason } from "../partitions/claims.js";
 
 /** Dependencies of `Ownership`. */
 export interface OwnershipDependencies {
--- a/src/parts/progress.ts
+++ b/src/partitions/progress.ts
@@ -13,8 +13,8 @@
 } from "../ledger/records.js";
 import type { TaskSet } from "../queue/task-set.js";
 import { parseTaskId } from "../queue/task-set.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Makes finished tasks durable before users see them as done and before workers discard the results. */
 export class Progress {
--- a/src/parts/quota-shares.ts
+++ b/src/partitions/quota-shares.ts
@@ -6,7 +6,7 @@
 import { keys, type QuotaShareRecord } from "../ledger/records.js";
 import type { Scope } from "../platform/scope.js";
 import type { Settings } from "../settings/derived.js";
-import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "./partition.js";
+import { quotaShareOf, usageOfTeam, type Partition, type Usage } from "../partitions/partition.js";
 
 /** Splits `max` over `n` partitions in whole units, with the remainder in the first; null for each if there is no limit. */
 function splitLimit(max: number, n: number): (number | null)[] {
--- a/src/parts/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -1,6 +1,6 @@
 /** Measures how long partitions take to recover after a change of owner. */
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Recovery of one partition after a change of owner. Durations are in ms from the claim; null until reached. */
 export interface RecoverySpan {
--- a/src/parts/report-handler.ts
+++ b/src/partitions/report-handler.ts
@@ -11,13 +11,13 @@
 import { newFindings, applyReport, type ReportContext } from "../workers/report-intake.js";
 import { recordLeaseRenewal } from "../workers/lease.js";
 import { ordersFor } from "../workers/orders.js";
-import type { MachineStartup } from "./machine-startup.js";
-import type { FindingEffects } from "./finding-effects.js";
-import type { NewerToken } from "./ended-terms.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
-import type { Progress } from "./progress.js";
-import type { LeaseWatch } from "./lease-watch.js";
+import type { MachineStartup } from "../partitions/machine-startup.js";
+import type { FindingEffects } from "../partitions/finding-effects.js";
+import type { NewerToken } from "../partitions/ended-terms.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
+import type { Progress } from "../partitions/progress.js";
+import type { LeaseWatch } from "../partitions/lease-watch.js";
 
 /** Maximum number of orders in one answer. */
 const MAX_ORDERS = 250;
--- a/src/parts/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -5,11 +5,11 @@
 import { choosePreemptions, PREEMPT_AFTER_PHI } from "../queue/preempt.js";
 import type { TaskSet } from "../queue/task-set.js";
 import { objectiveS } from "../settings/derived.js";
-import type { ClassShares } from "../served/class-shares.js";
+import type { ClassShares } from "../job-classes/class-shares.js";
 import type { Machine } from "../workers/machine.js";
-import type { QuotaShares } from "./quota-shares.js";
-import type { Guarantees, TeamUsage } from "./guarantees.js";
-import type { LeaderContext } from "./leader-context.js";
+import type { QuotaShares } from "../partitions/quota-shares.js";
+import type { Guarantees, TeamUsage } from "../partitions/guarantees.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
 
 /** Number of machines up to which the minimum gap between cycles applies; above it the gap grows in proportion. */
 const MACHINES_PER_GAP = 20;
--- a/src/parts/start-guard.ts
+++ b/src/partitions/start-guard.ts
@@ -1,7 +1,7 @@
 /** Reports task starts that the last check before sending refused. */
 import type { Scope } from "../platform/scope.js";
 import { taskId, type Placement } from "../queue/task-set.js";
-import type { Partition } from "./partition.js";
+import type { Partition } from "../partitions/partition.js";
 
 /**
  * Reports start orders that were refused because another attempt of the task may be on a machine. The scheduling cycle
--- a/src/parts/summary.ts
+++ b/src/partitions/summary.ts
@@ -1,7 +1,7 @@
 /** Periodic log line about each owned partition. */
-import type { QuotaShares } from "./quota-shares.js";
-import type { LeaderContext } from "./leader-context.js";
-import { copyUsageByTeam, type Partition } from "./partition.js";
+import type { QuotaShares } from "../partitions/quota-shares.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import { copyUsageByTeam, type Partition } from "../partitions/partition.js";
 
 /** Logs the machines, queue, usage and quota shares of a partition, so that logs alone show waiting work and free capacity. */
 export function summarize(context: LeaderContext, quotaShares: QuotaShares, partition: Partition): void {
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { freeCapacity, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { sortTaskSets, type QueueOrder } from "./queue-order.js";
 import type { RunTimeHistory } from "./history.js";
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -1,4 +1,4 @@
-import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
+import { tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../partitions/partition.js";
 import type { Machine } from "../workers/machine.js";
 import { sortTaskSets, rank, type QueueOrder } from "./queue-order.js";
 import { addCapacity, stoppingCapacity } from "./capacity.js";
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import type { Partition, Usage } from "../parts/partition.js";
+import type { Partition, Usage } from "../partitions/partition.js";
 import type { Capacity } from "../workers/machine.js";
 import { rank } from "./queue-order.js";
 import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -1,4 +1,4 @@
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { isAllowed, copiesThatFit, type CandidateMachine } from "./placement.js";
 import type { TaskSet } from "./task-set.js";
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -1,4 +1,4 @@
-import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../parts/partition.js";
+import { nextAttemptNumber, tasksThatFit, copyUsageByTeam, type Partition, type Usage } from "../partitions/partition.js";
 import { attemptKey, freeCapacity, addAttempt, isUsable, type Capacity, type Machine } from "../workers/machine.js";
 import { UnschedulableShapes } from "./unschedulable.js";
 import { sortTaskSets, type QueueOrder } from "./queue-order.js";
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -1,6 +1,6 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Controller } from "../controller.js";
-import type { RecoverySpan } from "../parts/recovery.js";
+import type { RecoverySpan } from "../partitions/recovery.js";
 import { estimateWaits } from "../queue/estimate.js";
 
 /** The controller's metrics in the Prometheus text format. */
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,6 +1,6 @@
 /** Direct commands from a partition's owner to its workers. */
-import type { Leader } from "../parts/leader.js";
-import type { Partition } from "../parts/partition.js";
+import type { Leader } from "../partitions/leader.js";
+import type { Partition } from "../partitions/partition.js";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -1,5 +1,5 @@
 /** Failure attribution: decides whether a failed task counts against its machine or against its job. */
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import { failsRepeatedly, type TaskSet } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
 
--- a/src/workers/fence.ts
+++ b/src/workers/fence.ts
@@ -1,5 +1,5 @@
 /** Marks machines as fenced: no start that a former owner ordered can take effect on a fenced machine. */
-import type { Partition } from "../parts/partition.js";
+import type { Partition } from "../partitions/partition.js";
 import type { FenceProof, Machine } from "./machine.js";
 
 /**
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,6 +1,6 @@
 /** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
-import { findTaskSet, type Partition } from "../parts/partition.js";
+import { findTaskSet, type Partition } from "../partitions/partition.js";
 import { taskNumber } from "../queue/attempts.js";
 import {
   isBrokenGang,
@@ -14,7 +14,7 @@
   type Placement,
   type TaskSet,
 } from "../queue/task-set.js";
-import type { AttemptEnd, EndedAttempt } from "../served/class-accounting.js";
+import type { AttemptEnd, EndedAttempt } from "../job-classes/class-accounting.js";
 import { attributeFailure, type FailureTiming } from "./failure-attribution.js";
 import { fence } from "./fence.js";
 import { proofFlaw, type TerminationProof } from "./termination-proof.js";
--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -3,7 +3,7 @@
 import { defaultWorldOptions, VirtualWorld } from "@thorntrail/emulator/entry";
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { spawnController } from "../src/rehearsal/spawn-controller.js";
-import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/served/class-accounting.js";
+import { ClassAccounting, ATTEMPT_ENDS, type ClassAccount } from "../src/job-classes/class-accounting.js";
 import { newTaskSet, type Placement } from "../src/queue/task-set.js";
 import { Bits } from "../src/platform/bits.js";
 import { specOf } from "./world/partitions.js";
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { decodeReport, type Report, type ReportedTask } from "@thorntrail/protocol/worker";
-import { nextAttemptNumber, type Partition } from "../src/parts/partition.js";
+import { nextAttemptNumber, type Partition } from "../src/partitions/partition.js";
 import { isReady, runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
-import { StartGuard } from "../src/parts/start-guard.js";
+import { StartGuard } from "../src/partitions/start-guard.js";
 import { Invariants, InvariantViolated } from "../src/platform/invariants.js";
 import { Scope } from "../src/platform/scope.js";
 import { waitingTailLength, type TaskSet } from "../src/queue/task-set.js";
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { Report } from "@thorntrail/protocol/worker";
 import type { Machine } from "../src/workers/machine.js";
-import type { Partition } from "../src/parts/partition.js";
+import type { Partition } from "../src/partitions/partition.js";
 import { Cluster } from "./world/cluster.js";
 
 /**
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -5,7 +5,7 @@
 import { failsRepeatedly, type TaskSet } from "../src/queue/task-set.js";
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { newFindings, applyReport, type ReportContext } from "../src/workers/report-intake.js";
-import type { Partition } from "../src/parts/partition.js";
+import type { Partition } from "../src/partitions/partition.js";
 import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const capacity = { cpus: 4, gpus: 0, ram: 64 };
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { planRentals } from "../src/fleet/plan.js";
 import type { MachineType } from "@thorntrail/protocol/cloud";
-import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/parts/partition.js";
+import { nextAttemptNumber, copyUsageByTeam, type Partition } from "../src/partitions/partition.js";
 import { AttemptRegistry, type Attempt } from "../src/queue/attempts.js";
 import { estimateWaits, type EstimateContext } from "../src/queue/estimate.js";
 import { UnschedulableShapes } from "../src/queue/unschedulable.js";
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobRecord } from "../src/ledger/records.js";
-import { teamsBelowGuarantee, grantGuarantees } from "../src/parts/guarantees.js";
+import { teamsBelowGuarantee, grantGuarantees } from "../src/partitions/guarantees.js";
 import { sortTaskSets, queueOrder } from "../src/queue/queue-order.js";
 import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -4,8 +4,8 @@
 import type { GroupCommitter, Draft, CommitOutcome } from "../src/ledger/group-committer.js";
 import type { StateReplica } from "../src/ledger/state-replica.js";
 import { keys, type JobRecord } from "../src/ledger/records.js";
-import type { LeaderContext } from "../src/parts/leader-context.js";
-import { Progress } from "../src/parts/progress.js";
+import type { LeaderContext } from "../src/partitions/leader-context.js";
+import { Progress } from "../src/partitions/progress.js";
 import { markFinished } from "../src/queue/task-set.js";
 import { partitionOf, enqueue, specOf } from "./world/partitions.js";
 
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import type { Partition } from "../src/parts/partition.js";
+import type { Partition } from "../src/partitions/partition.js";
 import { sortTaskSets, queueOrder, type OrderContext, type OrderMode } from "../src/queue/queue-order.js";
 import { runSchedulingCycle } from "../src/queue/scheduling-cycle.js";
 import { choosePreemptions } from "../src/queue/preempt.js";
 import { markFinished, releasePlacement, type TaskSet } from "../src/queue/task-set.js";
 import { removeAttempt } from "../src/workers/machine.js";
-import { underservedClasses, type ClassCounts } from "../src/served/class-shares.js";
+import { underservedClasses, type ClassCounts } from "../src/job-classes/class-shares.js";
 import { partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
 const RUN_S = 60;
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,5 +1,5 @@
 import type { Report } from "@thorntrail/protocol/worker";
-import { addMachine, addTaskSet, newPartition } from "../../src/parts/partition.js";
+import { addMachine, addTaskSet, newPartition } from "../../src/partitions/partition.js";
 import { Bits } from "../../src/platform/bits.js";
 import { newTaskSet } from "../../src/queue/task-set.js";
 import { fence } from "../../src/workers/fence.js";
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -8,7 +8,7 @@
   type SuspicionLimits,
   type OwnHealth,
 } from "../../src/membership/suspicion.js";
-import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/parts/claims.js";
+import { claimConditions, reasonToClaim, type ClaimReason } from "../../src/partitions/claims.js";
 
 /**
  * Explicit-state model of one partition, two controllers and the state service. The production functions decide on
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
-import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/parts/partition.js";
+import { addMachine, addTaskSet, newPartition, type Partition } from "../../src/partitions/partition.js";
 import { Bits } from "../../src/platform/bits.js";
 import { queueOrder } from "../../src/queue/queue-order.js";
 import type { SchedulingContext } from "../../src/queue/scheduling-cycle.js";
