--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -249,13 +249,13 @@
   return heldMs + ("ms" in fault ? fault.ms : 0) + ("notice" in fault ? fault.notice * 1000 : 0);
 }
 
-function resolveControllers(stage: FaultEnvironment, target: string): string[] {
-  if (target === "all") return stage.controllers();
-  return [target === "leader" ? stage.leader() : target];
+function resolveControllers(environment: FaultEnvironment, target: string): string[] {
+  if (target === "all") return environment.controllers();
+  return [target === "leader" ? environment.leader() : target];
 }
 
-function resolveMachines(stage: FaultEnvironment, target: string, max = 1): string[] {
-  const up = stage.machines();
+function resolveMachines(environment: FaultEnvironment, target: string, max = 1): string[] {
+  const up = environment.machines();
   if (target === "busiest" || target === "any") return up.slice(0, max);
   return up.filter((name) => name === target);
 }
@@ -267,57 +267,57 @@
  * report to the target.
  */
 function injectSplit(
-  stage: FaultEnvironment,
+  environment: FaultEnvironment,
   { share, reaches, way }: SplitFault,
   target: string,
 ): { affected: string[]; end: () => void } {
   const onlyTarget = reaches === "only-target";
   const machines: MachineSample = onlyTarget ? { least: 0, most: share } : { least: 1 - share, most: 1 };
-  const separatedFrom = onlyTarget ? stage.controllers().filter((name) => name !== target) : [target];
+  const separatedFrom = onlyTarget ? environment.controllers().filter((name) => name !== target) : [target];
   const ruleByDirection = {
     both: { from: machines, to: separatedFrom, effect: { kind: "cut" } },
     "to-controllers": { from: machines, to: separatedFrom, effect: { kind: "lose" } },
     "to-machines": { from: separatedFrom, to: machines, effect: { kind: "lose" } },
   } as const;
-  const affected = stage.reportingTo(target).filter((name) => isInSample(machines, name));
-  return { affected, end: stage.rule(ruleByDirection[way]) };
+  const affected = environment.reportingTo(target).filter((name) => isInSample(machines, name));
+  return { affected, end: environment.rule(ruleByDirection[way]) };
 }
 
 /** Injects the fault and returns the names of what it affected; empty if there was nothing to affect. */
-export function injectFault(stage: FaultEnvironment, fault: Fault, users: SimulatedUserControl): string[] {
-  const endAfter = (seconds: number, end: () => void): void => stage.after(seconds * 1000, end);
+export function injectFault(environment: FaultEnvironment, fault: Fault, users: SimulatedUserControl): string[] {
+  const endAfter = (seconds: number, end: () => void): void => environment.after(seconds * 1000, end);
   const each = (names: string[], act: (name: string) => void): string[] => {
     for (const name of names) act(name);
     return names;
   };
   const hang = (names: string[], seconds: number): string[] =>
     each(names, (name) => {
-      stage.hang(name, true);
-      endAfter(seconds, () => stage.hang(name, false));
+      environment.hang(name, true);
+      endAfter(seconds, () => environment.hang(name, false));
     });
   switch (fault.kind) {
     case "restart":
-      return each(resolveControllers(stage, fault.target), (name) => stage.restart(name, fault.for * 1000));
+      return each(resolveControllers(environment, fault.target), (name) => environment.restart(name, fault.for * 1000));
     case "freeze":
-      return each(resolveControllers(stage, fault.target), (name) => stage.freeze(name, fault.for * 1000));
+      return each(resolveControllers(environment, fault.target), (name) => environment.freeze(name, fault.for * 1000));
     case "restart-store":
-      stage.restartStore(fault.for * 1000);
+      environment.restartStore(fault.for * 1000);
       return ["state"];
     case "outage":
-      stage.outage(fault.of, true);
-      endAfter(fault.for, () => stage.outage(fault.of, false));
+      environment.outage(fault.of, true);
+      endAfter(fault.for, () => environment.outage(fault.of, false));
       return [fault.of];
     case "refuse":
-      return each(resolveControllers(stage, fault.target), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: fault.by, effect: { kind: "refuse" } })),
+      return each(resolveControllers(environment, fault.target), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: fault.by, effect: { kind: "refuse" } })),
       );
     case "cut":
-      return each(resolveControllers(stage, fault.target), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: fault.from === "all" ? "*" : fault.from, effect: { kind: "cut" } })),
+      return each(resolveControllers(environment, fault.target), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: fault.from === "all" ? "*" : fault.from, effect: { kind: "cut" } })),
       );
     case "delay":
-      return each(resolveControllers(stage, fault.target), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: fault.to, effect: { kind: "delay", ms: fault.ms } })),
+      return each(resolveControllers(environment, fault.target), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: fault.to, effect: { kind: "delay", ms: fault.ms } })),
       );
     case "drop":
     case "twice":
@@ -329,78 +329,78 @@
           : fault.kind === "wrong"
             ? { kind: fault.kind, form: fault.form }
             : { kind: fault.kind };
-      return each(resolveControllers(stage, fault.target), (from) =>
-        stage.rule({ from, to: fault.by, what: fault.what, effect, count: fault.count }),
+      return each(resolveControllers(environment, fault.target), (from) =>
+        environment.rule({ from, to: fault.by, what: fault.what, effect, count: fault.count }),
       );
     }
     case "limits":
-      stage.limits({
+      environment.limits({
         ...(fault.writes === undefined ? {} : { writeRps: fault.writes }),
         ...(fault.value_kb === undefined ? {} : { valueKb: fault.value_kb }),
         ...(fault.changes === undefined ? {} : { txnOps: fault.changes }),
       });
       return ["state"];
     case "lose":
-      return each(resolveMachines(stage, fault.target, fault.count), (name) => stage.lose(name));
+      return each(resolveMachines(environment, fault.target, fault.count), (name) => environment.lose(name));
     case "take":
-      return each(resolveMachines(stage, fault.target), (name) => {
-        stage.warn(name, fault.notice);
-        endAfter(fault.notice, () => stage.lose(name));
+      return each(resolveMachines(environment, fault.target), (name) => {
+        environment.warn(name, fault.notice);
+        endAfter(fault.notice, () => environment.lose(name));
       });
     case "fail":
-      return each(resolveMachines(stage, fault.target), (name) => stage.fail(name));
+      return each(resolveMachines(environment, fault.target), (name) => environment.fail(name));
     case "hang":
-      return hang(resolveMachines(stage, fault.target), fault.for);
+      return hang(resolveMachines(environment, fault.target), fault.for);
     case "slow":
-      return each(resolveMachines(stage, fault.target), (name) => stage.slow(name, fault.factor));
+      return each(resolveMachines(environment, fault.target), (name) => environment.slow(name, fault.factor));
     case "sick":
-      return each(resolveMachines(stage, fault.target), (name) => stage.sicken(name));
+      return each(resolveMachines(environment, fault.target), (name) => environment.sicken(name));
     case "start-twice": {
-      const taskId = stage.startTwice();
+      const taskId = environment.startTwice();
       return taskId === null ? [] : [taskId];
     }
     case "capacity": {
-      const { affected, restore } = stage.capacity(fault.target, fault.zone, fault.count, fault.spot);
+      const { affected, restore } = environment.capacity(fault.target, fault.zone, fault.count, fault.spot);
       if (fault.for !== undefined) endAfter(fault.for, restore);
       return affected;
     }
     case "prices":
-      stage.prices(fault.factor);
-      endAfter(fault.for, () => stage.prices(1));
+      environment.prices(fault.factor);
+      endAfter(fault.for, () => environment.prices(1));
       return ["cloud"];
     case "split":
-      return resolveControllers(stage, fault.target).flatMap((target) => {
-        const { affected, end } = injectSplit(stage, fault, target);
+      return resolveControllers(environment, fault.target).flatMap((target) => {
+        const { affected, end } = injectSplit(environment, fault, target);
         endAfter(fault.for, end);
         return affected;
       });
     case "deaf":
-      return each(resolveMachines(stage, fault.target, fault.count), (to) =>
-        endAfter(fault.for, stage.rule({ from: "*", to, effect: { kind: "lose" } })),
+      return each(resolveMachines(environment, fault.target, fault.count), (to) =>
+        endAfter(fault.for, environment.rule({ from: "*", to, effect: { kind: "lose" } })),
       );
     case "mute":
-      return each(resolveMachines(stage, fault.target, fault.count), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: "*", what: "report", effect: { kind: "lose" } })),
+      return each(resolveMachines(environment, fault.target, fault.count), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: "*", what: "report", effect: { kind: "lose" } })),
       );
     case "late-reports": {
       const { share } = fault;
       const effect = fault.for_next ? ({ kind: "keep", share } as const) : ({ kind: "again", share, mostMs: fault.ms } as const);
-      endAfter(fault.for, stage.rule({ from: "workers", to: "controllers", what: "report", effect }));
-      return stage.machines();
+      endAfter(fault.for, environment.rule({ from: "workers", to: "controllers", what: "report", effect }));
+      return environment.machines();
     }
     case "late-writes": {
       const effect = fault.at_once ? ({ kind: "drop" } as const) : ({ kind: "late", ...LATE_WRITE_DELAY } as const);
-      endAfter(fault.for, stage.rule({ from: "*", to: "state", what: "txn", effect, share: fault.share }));
-      return stage.controllers();
+      endAfter(fault.for, environment.rule({ from: "*", to: "state", what: "txn", effect, share: fault.share }));
+      return environment.controllers();
     }
     case "late-commands": {
       const effect = { kind: "late", ...LATE_COMMAND_DELAY } as const;
-      endAfter(fault.for, stage.rule({ from: "controllers", to: "workers", what: "command", effect, share: fault.share }));
-      return stage.machines();
+      endAfter(fault.for, environment.rule({ from: "controllers", to: "workers", what: "command", effect, share: fault.share }));
+      return environment.machines();
     }
     case "lose-sent":
-      return each(resolveControllers(stage, fault.target), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: fault.to === "all" ? "*" : fault.to, effect: { kind: "lose" } })),
+      return each(resolveControllers(environment, fault.target), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: fault.to === "all" ? "*" : fault.to, effect: { kind: "lose" } })),
       );
     case "cancel-now": {
       const { refs, hosts } = users.cancelLongestRunning(fault.count);
@@ -413,8 +413,8 @@
     case "close-looks":
       return users.enableBehaviour(fault.kind, 1, fault.for * 1000);
     case "cut-machine":
-      return each(resolveMachines(stage, fault.target), (from) =>
-        endAfter(fault.for, stage.rule({ from, to: "*", effect: { kind: "cut" } })),
+      return each(resolveMachines(environment, fault.target), (from) =>
+        endAfter(fault.for, environment.rule({ from, to: "*", effect: { kind: "cut" } })),
       );
   }
 }
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -26,7 +26,7 @@
   return /\(([^()]+)\)/.exec(req.headers["user-agent"] ?? "")?.[1] ?? "controllers";
 }
 
-type GangMember = ReturnType<WorkerDependencies["mates"]>[number];
+type GangMember = ReturnType<WorkerDependencies["gangMembers"]>[number];
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
@@ -52,7 +52,7 @@
   constructor(
     private readonly links: NetworkRules,
     private readonly fronts: ReadonlyMap<string, string>,
-    private readonly world: Omit<WorkerDependencies, "report" | "mates">,
+    private readonly world: Omit<WorkerDependencies, "report" | "gangMembers">,
   ) {}
 
   /** Starts a machine with its worker and its listener; resolves with the listening address. */
@@ -72,7 +72,7 @@
     const worker = new Worker(host, offer, capacity, {
       ...this.world,
       report: (node, from, report) => this.sendReport(node, from, report),
-      mates: (ref, attempt) => this.registeredMembers(ref, attempt),
+      gangMembers: (ref, attempt) => this.registeredMembers(ref, attempt),
       onTaskStarted: (startedOn, taskId) => {
         this.joinGang(startedOn, taskId);
         this.world.onTaskStarted(startedOn, taskId);
--- a/packages/emulator/src/scenario-driver.ts
+++ b/packages/emulator/src/scenario-driver.ts
@@ -151,18 +151,18 @@
   }
 
   private inject(fault: Fault, then: (met: string[]) => void): void {
-    const { environment: stage, clock, log: say } = this.options;
+    const { environment, clock, log } = this.options;
     const apply = (): void => {
       if (this.stopped) return;
-      const met = injectFault(stage, fault, this.options.simulatedUsers);
+      const met = injectFault(environment, fault, this.options.simulatedUsers);
       this.lastFaultEndMs = Math.max(this.lastFaultEndMs, clock.now() + durationMs(fault));
       this.faults.push({ at: Math.round(this.elapsedMs) / 1000, kind: fault.kind, met, fault });
       if (fault.kind === "restart" || fault.kind === "freeze" || fault.kind === "cut")
         for (const node of met) this.recoveries.recordLoss(node, clock.now());
-      say?.(`fault: ${fault.kind} affected ${met.join(", ") || "nothing"}`);
+      log?.(`fault: ${fault.kind} affected ${met.join(", ") || "nothing"}`);
       then(met);
     };
-    const prepared = stage.prepare?.();
+    const prepared = environment.prepare?.();
     if (prepared === undefined) apply();
     else void prepared.then(apply);
   }
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -64,7 +64,7 @@
     unreachableSince: (to: string) => number | null;
   };
   log: { error: LogLine; warn: LogLine; info: LogLine; debug: LogLine };
-  life: string;
+  incarnation: string;
 }
 
 /** A controller as the virtual world calls it. */
@@ -97,7 +97,7 @@
 /** Run time of tasks for which no run time is given, in ms. */
 const DEFAULT_RUN_MS = 10_000;
 /** Seed offsets of independent random sequences for simulated users and faults, so that runs without them stay the same for each seed. */
-const CROWD_SEED = 0x5eed;
+const SIMULATED_USERS_SEED = 0x5eed;
 const FAULT_SEED = 0xfa17;
 /** Stored reports are delivered within this time after a takeover begins, in ms. */
 const STORED_REPORT_DELAY_MS = 500;
@@ -171,7 +171,7 @@
         runMs: (ref) => this.runTimesMs.get(ref) ?? DEFAULT_RUN_MS,
       },
       this.clock,
-      seededRandom(options.seed ^ CROWD_SEED),
+      seededRandom(options.seed ^ SIMULATED_USERS_SEED),
     );
     this.observations$.subscribe(({ what }) => {
       if (isTakeover(what)) this.clock.after(STORED_REPORT_DELAY_MS * this.faultRandom(), () => this.deliverStoredReports());
@@ -282,7 +282,7 @@
         debug: log,
         error: (entry) => void this.errors.push(JSON.stringify(entry)),
       },
-      life: `life-${++this.incarnations}`,
+      incarnation: `life-${++this.incarnations}`,
     });
   }
 
@@ -416,7 +416,7 @@
         this.recordEvent({ at: this.clock.now(), kind: "on", piece: taskId, host: worker.host, ...worker.offer }),
       onTaskEnded: (worker, taskId, cause) =>
         this.recordEvent({ at: this.clock.now(), kind: "off", piece: taskId, host: worker.host, cause }),
-      mates: (ref, attempt) =>
+      gangMembers: (ref, attempt) =>
         [...this.workers.values()].flatMap((worker) =>
           [...worker.tasks.values()].filter((t) => t.ref === ref && t.attempt === attempt).map((task) => ({ worker, task })),
         ),
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -26,7 +26,7 @@
   onTaskStarted: (worker: Worker, taskId: string) => void;
   onTaskEnded: (worker: Worker, taskId: string, cause: string) => void;
   /** All present members of an attempt of a gang, across all machines. */
-  mates: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
+  gangMembers: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
 
 /** A task on a worker, with what the worker keeps beyond what it reports. Times in ms of the clock. */
@@ -305,7 +305,10 @@
   /** A gang runs at the speed of its slowest machine. */
   private slowdownOf(task: WorkerTask): number {
     if (!this.isGang(task)) return this.dependencies.slowdown(this.host);
-    return Math.max(1, ...this.dependencies.mates(task.ref, task.attempt).map(({ worker }) => this.dependencies.slowdown(worker.host)));
+    return Math.max(
+      1,
+      ...this.dependencies.gangMembers(task.ref, task.attempt).map(({ worker }) => this.dependencies.slowdown(worker.host)),
+    );
   }
 
   /** Records the last periodic checkpoint of a task that ends without saving. */
@@ -391,7 +394,7 @@
   private updateGathering(task: WorkerTask): void {
     const spec = this.dependencies.spec(task.ref)!;
     const { clock, gangWaitMs } = this.dependencies;
-    const members = this.dependencies.mates(task.ref, task.attempt);
+    const members = this.dependencies.gangMembers(task.ref, task.attempt);
     if (members.filter((m) => m.task.state === "gathering" || m.task.state === "running").length < spec.tasks) {
       if (clock.now() - task.stateSince > gangWaitMs) this.exitTask(task, "alone");
       return;
@@ -412,7 +415,7 @@
       return;
     }
     const { clock, gangPeerMs } = this.dependencies;
-    const members = this.dependencies.mates(task.ref, task.attempt);
+    const members = this.dependencies.gangMembers(task.ref, task.attempt);
     const activeMembers = members.filter((m) => !m.worker.isHung && (m.task.state === "running" || m.task.state === "saving"));
     if (activeMembers.length < spec.tasks) {
       // A gang is checkpointed as a whole: the progress saved is that when the first member was found missing.
@@ -436,7 +439,7 @@
       this.saveProgress(task, task.progressAtStateStart);
       return this.exitTask(task, "stopped", true);
     }
-    const members = this.dependencies.mates(task.ref, task.attempt);
+    const members = this.dependencies.gangMembers(task.ref, task.attempt);
     const stopped = members.filter((m) => m.task.stopReceivedAt !== null);
     const firstStopAt = Math.min(...stopped.map((m) => m.task.stopReceivedAt!));
     if (stopped.length >= spec.tasks) {
--- a/packages/emulator/test/crowd.test.ts
+++ b/packages/emulator/test/crowd.test.ts
@@ -132,7 +132,7 @@
   const clock = new VirtualClock();
   const links = new NetworkRules(seededRandom(1));
   const hanging = new Set<string>();
-  const stage = {
+  const environment = {
     after: (ms: number, fn: () => void) => void clock.after(ms, fn),
     rule: links.add.bind(links),
     controllers: () => ["nest-0", "nest-1"],
@@ -144,7 +144,7 @@
     enableBehaviour: () => ["nest-0"],
     cancelLongestRunning: (count) => ({ refs: hosts.slice(0, count), hosts }),
   };
-  const inject = (raw: Record<string, unknown>): string[] => injectFault(stage, fault(raw), users);
+  const inject = (raw: Record<string, unknown>): string[] => injectFault(environment, fault(raw), users);
 
   assert.deepEqual(inject({ kind: "mute", count: 2, for: 5 }), ["i-1", "i-2"]);
   assert.equal(links.isLost({ from: "i-1", to: "nest-0", what: "report" }), true);
--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -93,12 +93,12 @@
 }
 
 const OFFER = { type: "m", zone: "a", spot: false };
-const ROOM = { cpus: 1, gpus: 0, ram: 1 };
+const CAPACITY = { cpus: 1, gpus: 0, ram: 1 };
 
 test("on real sockets a cut between one controller and the machines holds its commands and no others", async () => {
   const links = new NetworkRules();
   const host = workerHost(links);
-  const addr = await host.boot("i-000001", OFFER, ROOM);
+  const addr = await host.boot("i-000001", OFFER, CAPACITY);
   const end = links.add({ from: "nest-0", to: "workers", effect: { kind: "cut" } });
   assert.equal(await post(addr, "nest-1"), 200);
   const { seq } = host.workers.get("i-000001")!;
@@ -116,8 +116,8 @@
   const host = workerHost(links);
   const names = Array.from({ length: 8 }, (_, i) => `i-00000${i + 1}`);
   const addrs = new Map<string, string>();
-  for (const name of names) addrs.set(name, await host.boot(name, OFFER, ROOM));
-  const stage = {
+  for (const name of names) addrs.set(name, await host.boot(name, OFFER, CAPACITY));
+  const environment = {
     controllers: () => ["nest-0", "nest-1"],
     reportingTo: () => names,
     rule: (asked: NetworkRule) => links.add(asked),
@@ -130,7 +130,7 @@
   const inject = (fields: Record<string, unknown>): string[] => {
     const decoded = decodeFault({ kind: "split", target: "nest-0", ...fields });
     assert.ok("fault" in decoded, JSON.stringify(decoded));
-    return injectFault(stage, decoded.fault, undefined as unknown as SimulatedUserControl);
+    return injectFault(environment, decoded.fault, undefined as unknown as SimulatedUserControl);
   };
   const only = inject({ reaches: "only-target", share: 0.5, way: "both" });
   const others = inject({ reaches: "all-but-target", share: 0.5, way: "to-machines" });
@@ -142,19 +142,19 @@
 });
 
 test("a plan with an invalid split is rejected: target, share, direction", async () => {
-  const said = async (fields: string): Promise<string> => {
+  const parseError = async (fields: string): Promise<string> => {
     const fault = `fault {\n kind = "split"\n at = 3\n reaches = "only-target"\n ${fields}\n}\n`;
     return parsePlan("plan.hcl", PLAN + fault).then(
       () => "taken",
       (error: Error) => error.message,
     );
   };
-  assert.equal(await said('target = "nest-1"'), "taken");
-  assert.match(await said('target = "nest-7"'), /plan\.hcl: fault\.2\.target: nest-7: expected a controller, leader or nest-0/);
-  assert.match(await said('target = "all"'), /plan\.hcl: fault\.2\.target: /);
-  assert.match(await said("share = 1.5"), /plan\.hcl: fault\.2\.share: .*<=1/);
-  assert.match(await said("share = 0"), /plan\.hcl: fault\.2\.share: .*>0/);
-  assert.match(await said('way = "sideways"'), /plan\.hcl: fault\.2\.way: .*to-controllers/);
+  assert.equal(await parseError('target = "nest-1"'), "taken");
+  assert.match(await parseError('target = "nest-7"'), /plan\.hcl: fault\.2\.target: nest-7: expected a controller, leader or nest-0/);
+  assert.match(await parseError('target = "all"'), /plan\.hcl: fault\.2\.target: /);
+  assert.match(await parseError("share = 1.5"), /plan\.hcl: fault\.2\.share: .*<=1/);
+  assert.match(await parseError("share = 0"), /plan\.hcl: fault\.2\.share: .*>0/);
+  assert.match(await parseError('way = "sideways"'), /plan\.hcl: fault\.2\.way: .*to-controllers/);
 });
 
 const PLAN = `
@@ -203,7 +203,7 @@
 test("the driver submits jobs once their dependencies are accepted, injects faults at injection points, polls unknown jobs, and stops", async () => {
   const clock = new VirtualClock();
   const asked: string[] = [];
-  const said: string[] = [];
+  const actions: string[] = [];
   const users: UserClient = {
     submit: async ({ spec }) => {
       asked.push(`${Math.round(clock.now() / 1000)} submit ${spec.klass}`);
@@ -216,13 +216,13 @@
     },
     cancel: () => Promise.resolve(),
   };
-  const stage = {
+  const environment = {
     after: (ms: number, fn: () => void) => void clock.after(ms, fn),
     prepare: () => Promise.resolve(),
-    prices: (factor: number) => void said.push(`${Math.round(clock.now() / 1000)} prices ${factor}`),
+    prices: (factor: number) => void actions.push(`${Math.round(clock.now() / 1000)} prices ${factor}`),
     capacity: (...of: unknown[]) => (
-      said.push(`${Math.round(clock.now() / 1000)} capacity ${of.join()}`),
-      { affected: ["m/a/ordinary"], restore: () => void said.push(`${Math.round(clock.now() / 1000)} restored`) }
+      actions.push(`${Math.round(clock.now() / 1000)} capacity ${of.join()}`),
+      { affected: ["m/a/ordinary"], restore: () => void actions.push(`${Math.round(clock.now() / 1000)} restored`) }
     ),
   } as unknown as FaultEnvironment;
   const plan = await parsePlan("plan.hcl", PLAN);
@@ -230,7 +230,7 @@
   const driver = new ScenarioDriver({
     plan,
     seed: 1,
-    environment: stage,
+    environment,
     users,
     simulatedUsers,
     clock,
@@ -243,7 +243,7 @@
   await clock.run(60_000);
   assert.deepEqual(asked.slice(0, 2), ["0 submit first", "6 submit second"]);
   // The first submission was before `from`; the fault is injected at the second.
-  assert.deepEqual(said, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
+  assert.deepEqual(actions, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
   assert.deepEqual(driver.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
   assert.ok(asked.filter((one) => one.startsWith("poll run-9")).length >= 3);
   assert.equal(driver.allFinished, true);
--- a/src/intake/relay.ts
+++ b/src/intake/relay.ts
@@ -46,9 +46,9 @@
     private readonly peers: PeerApi,
     private readonly peersWithState: () => string[],
     private readonly scope: Scope,
-    life: string,
+    incarnation: string,
   ) {
-    this.lastId = firstRequestId(life);
+    this.lastId = firstRequestId(incarnation);
   }
 
   start(): void {
--- a/src/membership/restart-backoff.ts
+++ b/src/membership/restart-backoff.ts
@@ -28,7 +28,7 @@
 
 /** Builds the presence record of a node. `ends` is included only while the incarnation is `young`. */
 export function presenceRecord(
-  life: string,
+  incarnation: string,
   unfit: boolean,
   ends: number,
   young: boolean,
@@ -36,7 +36,7 @@
   acts: PresenceRecord["acts"] | null = null,
 ): PresenceRecord {
   return {
-    life,
+    life: incarnation,
     ...(unfit ? { unfit } : {}),
     ...(young ? { ends } : {}),
     refutes,
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -15,7 +15,7 @@
 const MIN_RETRY_AFTER_S = 1;
 const MAX_RETRY_AFTER_S = 30;
 /** Limit on the factor by which timer lag extends the gap between scheduling cycles. */
-const MAX_STRETCH = 4;
+const MAX_CYCLE_GAP_FACTOR = 4;
 const MB = 1e6;
 
 /** Memory in bytes: resident size of the process, V8's heap including garbage, and the limit of that heap. */
@@ -141,8 +141,8 @@
   }
 
   /** Factor for the gap between scheduling cycles, normally `gapMs`: a lagging process gains nothing from more cycles. */
-  stretch(gapMs: number): number {
-    return Math.min(MAX_STRETCH, 1 + this.measured.lagMs / Math.max(gapMs, this.sampleIntervalMs()));
+  cycleGapFactor(gapMs: number): number {
+    return Math.min(MAX_CYCLE_GAP_FACTOR, 1 + this.measured.lagMs / Math.max(gapMs, this.sampleIntervalMs()));
   }
 }
 
--- a/src/partitions/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -60,7 +60,7 @@
     let machines = 0;
     for (const partition of this.context.partitions.values()) machines += partition.machines.size;
     const gapMs = this.context.settings.timing.passGapMs * Math.max(1, machines / MACHINES_PER_GAP);
-    return gapMs * this.overload.stretch(gapMs);
+    return gapMs * this.overload.cycleGapFactor(gapMs);
   }
 
   /** Returns the order of the queues under the present shares and guarantees. */
--- a/src/peers/ids.ts
+++ b/src/peers/ids.ts
@@ -8,6 +8,6 @@
  * peer still works on a request of its former incarnation. The answer then arrives on a new connection; if ids began
  * at 1 in every incarnation, it would match another request, and a user would receive another user's job.
  */
-export function firstRequestId(life: string): number {
-  return createHash("sha256").update(life).digest().readUInt32BE() * IDS_PER_INCARNATION;
+export function firstRequestId(incarnation: string): number {
+  return createHash("sha256").update(incarnation).digest().readUInt32BE() * IDS_PER_INCARNATION;
 }
--- a/src/rehearsal/spawn-controller.ts
+++ b/src/rehearsal/spawn-controller.ts
@@ -27,7 +27,7 @@
   const scope = new Scope(new StallDetectingClock(environment.clock, settings.timing.stallMs), log, undefined, new Invariants(log, true));
   const { state, cloud, workers } = environment;
   // The generator is seeded by the incarnation, so that a rehearsal is reproducible by its seed.
-  const random = seededRandom(createHash("sha256").update(`${settings.self} ${environment.life}`).digest().readInt32BE());
+  const random = seededRandom(createHash("sha256").update(`${settings.self} ${environment.incarnation}`).digest().readInt32BE());
   const calls = new Calls(scope.clock, callPolicies({ timing: settings.timing, writeRps: settings.state.writeRps }), random);
   const deps = {
     state,
@@ -37,7 +37,7 @@
     calls,
     ...(memory === undefined ? {} : { memory }),
   };
-  const controller = new Controller(settings, deps, scope, environment.life);
+  const controller = new Controller(settings, deps, scope, environment.incarnation);
   controller.start();
   return Object.assign(controller, {
     onReport: controller.leader.onReport.bind(controller.leader),
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -87,10 +87,10 @@
 });
 test("a job is withdrawn with a job that it depends on, directly or transitively", () => {
   const chain = ["run-000002", "run-000003"].map((ref, i) => submitted({ ref, needs: [`run-00000${i + 1}`] }));
-  const said: HistoryEvent = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
+  const confirmed: HistoryEvent = { at: 5, kind: "told", ref: "run-000003", what: "withdrawn" };
   const ran = [on(2, 0, "x"), off(3, 0, "x", "stopped")];
-  assert.deepEqual(findViolations([submitted(), ...chain, asked, ...ran, reportedStatus(4, "withdrawn"), said], limits), []);
-  assert.match(findViolations([submitted(), ...chain, ...ran, said], limits)[0] ?? "none", /^went_back/);
+  assert.deepEqual(findViolations([submitted(), ...chain, asked, ...ran, reportedStatus(4, "withdrawn"), confirmed], limits), []);
+  assert.match(findViolations([submitted(), ...chain, ...ran, confirmed], limits)[0] ?? "none", /^went_back/);
 });
 test("a start after the time limit of a cancellation is detected", () => {
   assert.match(
@@ -128,18 +128,18 @@
     what,
   });
   const ran = [submitted(), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y")];
-  const judge = (...answers: HistoryEvent[]): string => findViolations([...ran, ...answers], limits).join();
+  const violationsOf = (...answers: HistoryEvent[]): string => findViolations([...ran, ...answers], limits).join();
   // Sent before the other response had arrived, answered after it.
-  assert.equal(judge(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
-  assert.equal(judge(answer(20, 10, "done"), answer(21, 19, "queued")), "");
-  assert.match(judge(answer(20, 10, "queued"), answer(30, 20, "unknown")), /^forgotten/);
-  assert.match(judge(answer(20, 10, "queued"), answer(30, 21, "refused")), /^forgotten/);
-  assert.match(judge(answer(20, 10, "done"), answer(30, 21, "queued")), /^went_back/);
+  assert.equal(violationsOf(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
+  assert.equal(violationsOf(answer(20, 10, "done"), answer(21, 19, "queued")), "");
+  assert.match(violationsOf(answer(20, 10, "queued"), answer(30, 20, "unknown")), /^forgotten/);
+  assert.match(violationsOf(answer(20, 10, "queued"), answer(30, 21, "refused")), /^forgotten/);
+  assert.match(violationsOf(answer(20, 10, "done"), answer(30, 21, "queued")), /^went_back/);
   // Acceptance and completion count from the first response that reported them, whoever asks later.
-  assert.match(judge(answer(20, 10, "queued"), answer(21, 5, "unknown"), answer(30, 20.5, "unknown")), /^forgotten/);
-  assert.match(judge(answer(20, 10, "done"), answer(25, 10, "done"), answer(30, 22, "queued")), /^went_back/);
+  assert.match(violationsOf(answer(20, 10, "queued"), answer(21, 5, "unknown"), answer(30, 20.5, "unknown")), /^forgotten/);
+  assert.match(violationsOf(answer(20, 10, "done"), answer(25, 10, "done"), answer(30, 22, "queued")), /^went_back/);
   // Both statuses are final and exclude one another, whether the requests overlap or not.
-  assert.match(judge(asked, answer(20, 10, "done"), answer(21, 10, "withdrawn")), /^went_back/);
+  assert.match(violationsOf(asked, answer(20, 10, "done"), answer(21, 10, "withdrawn")), /^went_back/);
 });
 test("starts after a confirmed cancellation are counted; the rule is broken only after the time limit", () => {
   const history = [
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -68,9 +68,9 @@
   const a = enqueue(partition, specOf({ ref: "run-000001", tasks: 6, cpus: 1 }));
   const b = enqueue(partition, specOf({ ref: "run-000002", tasks: 6, cpus: 1 }));
   runSchedulingCycle(partition, schedulingContext);
-  const sick = [...a.placements.values()].map((p) => p.host).find((host) => [...b.placements.values()].some((p) => p.host === host))!;
-  end(partition, sick, "error");
-  assert.equal(partition.machines.get(sick)!.draining, true);
+  const faultyHost = [...a.placements.values()].map((p) => p.host).find((host) => [...b.placements.values()].some((p) => p.host === host))!;
+  end(partition, faultyHost, "error");
+  assert.equal(partition.machines.get(faultyHost)!.draining, true);
   assert.equal(failsRepeatedly(a) || failsRepeatedly(b), false);
 });
 
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -16,23 +16,23 @@
 // machines are looked at, so that work which grows with machines times tasks is detected alike on every computer.
 
 class CountingMap<K, V> extends Map<K, V> {
-  walks = 0;
+  iterations = 0;
   override values(): MapIterator<V> {
-    this.walks++;
+    this.iterations++;
     return super.values();
   }
   override [Symbol.iterator](): MapIterator<[K, V]> {
-    this.walks++;
+    this.iterations++;
     return super[Symbol.iterator]();
   }
 }
 
 test("placing an array looks at machines once for each machine filled, not once for each task", () => {
-  const { partition, looks } = partitionOf(100, { cpus: 8, gpus: 0, ram: 64 });
+  const { partition, evaluations } = partitionOf(100, { cpus: 8, gpus: 0, ram: 64 });
   const taskSet = enqueue(partition, specOf({ tasks: 800 }));
   runSchedulingCycle(partition, schedulingContext);
   assert.equal(taskSet.waiting.length, 0);
-  assert.ok(looks() <= 100 * 100, `${looks()} looks`);
+  assert.ok(evaluations() <= 100 * 100, `${evaluations()} evaluations`);
   assert.equal(copyUsageByTeam(partition).get("ops")?.cpus, 800);
 });
 
@@ -40,7 +40,7 @@
   const { partition } = partitionOf(1, { cpus: 8, gpus: 0, ram: 64 });
   const taskSet = enqueue(partition, specOf({ tasks: 4 }));
   const machines = new CountingMap(partition.machines);
-  machines.walks = 0;
+  machines.iterations = 0;
   partition.machines = machines;
   const machine = machines.get("i-0")!;
   const tasks = [0, 1, 2, 3].map((i) => ({
@@ -64,22 +64,22 @@
   assert.ok(applyReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 0);
   assert.deepEqual(machine.used, { cpus: 0, gpus: 0, ram: 0 });
-  assert.equal(machines.walks, 0);
+  assert.equal(machines.iterations, 0);
 });
 
 test("adding, finding and removing an attempt examines no other attempt of its job", () => {
   const registry = new AttemptRegistry<Attempt>();
   const taskSet = { spec: { ref: "run-000001" }, lo: 0 };
-  let looks = 0;
+  let reads = 0;
   const attemptOf = (task: number): Attempt => ({
     get taskSet() {
-      looks++;
+      reads++;
       return taskSet;
     },
     task,
   });
   for (let task = 0; task < 4000; task++) registry.add(attemptOf(task));
-  looks = 0;
+  reads = 0;
   const [one, other] = [attemptOf(4000), attemptOf(4000)];
   registry.add(one);
   registry.add(other);
@@ -88,7 +88,7 @@
   assert.deepEqual([registry.otherAttempts(other), registry.hasTask("run-000001", 4000)], [[], true]);
   registry.remove(other);
   assert.equal(registry.hasTask("run-000001", 4000), false);
-  assert.ok(looks <= 30, `${looks} looks`);
+  assert.ok(reads <= 30, `${reads} reads`);
 });
 
 test("waits of gangs and arrays on a full partition follow from the ends of its tasks", () => {
--- a/test/membership-model.test.ts
+++ b/test/membership-model.test.ts
@@ -6,17 +6,17 @@
 const MAX_STATES = 30_000;
 
 const budgets = [
-  { ends: 0, doubts: 1, late: 0, refusals: 1 },
-  { ends: 1, doubts: 1, late: 0, refusals: 0 },
-  { ends: 1, doubts: 0, late: 1, refusals: 0 },
-  { ends: 2, doubts: 0, late: 0, refusals: 0 },
+  { ends: 0, suspicions: 1, late: 0, refusals: 1 },
+  { ends: 1, suspicions: 1, late: 0, refusals: 0 },
+  { ends: 1, suspicions: 0, late: 1, refusals: 0 },
+  { ends: 2, suspicions: 0, late: 0, refusals: 0 },
 ];
 
 for (const left of budgets) {
   test(`model of suspicions and claims, every state: ${JSON.stringify(left)}`, () => {
-    const { states, faults, stuck } = explore({}, left, MAX_STATES);
+    const { states, faults, ownerless } = explore({}, left, MAX_STATES);
     assert.ok(states < MAX_STATES, `${states} states`);
-    assert.deepEqual([[...faults], stuck], [[], 0]);
+    assert.deepEqual([[...faults], ownerless], [[], 0]);
   });
 }
 
@@ -24,7 +24,7 @@
   [{ claimsBlindly: true }, budgets[0]!, /taken from one that has answered/],
   [{ ignoresRefutations: true }, budgets[0]!, /taken from one that has answered/],
   [{ needsNoEvidence: true }, budgets[0]!, /without evidence/],
-  [{ reusesIncarnation: true }, { ends: 1, doubts: 0, late: 0, refusals: 0 }, /term of the one before it/],
+  [{ reusesIncarnation: true }, { ends: 1, suspicions: 0, late: 0, refusals: 0 }, /term of the one before it/],
 ];
 
 for (const [variant, left, expectedFault] of wrongVariants) {
--- a/test/own-days.test.ts
+++ b/test/own-days.test.ts
@@ -27,13 +27,13 @@
   return file;
 }
 
-const judge = (...args: string[]): { status: number | null; out: string; err: string } => {
+const runScript = (...args: string[]): { status: number | null; out: string; err: string } => {
   const { status, stdout, stderr } = spawnSync(process.execPath, ["scripts/own-days.mjs", ...args], { encoding: "utf8" });
   return { status, out: stdout, err: stderr };
 };
 
 test("a day on which at least half of the jobs were served and no rule was broken passes, and prints its table row", () => {
-  const { status, out } = judge(report({}));
+  const { status, out } = runScript(report({}));
   assert.equal(status, 0, out);
   assert.match(out, /\| 228 \| 50 \| 300 \| 1\.00 \| 0\.95 \| 0\.70 \| cierre 0\.90\/0\.83, fotos 0\.90\/0\.51 \| - \|/);
 });
@@ -50,7 +50,7 @@
     [{ users: { submitted: 200, accepted: 90 } }, /most submissions stayed unanswered/],
   ];
   for (const [change, expected] of cases) {
-    const { status, out } = judge(report({}), report(change));
+    const { status, out } = runScript(report({}), report(change));
     assert.equal(status, 1, out);
     assert.match(out, expected);
   }
@@ -67,7 +67,7 @@
     [["--wide", broken], /--wide/],
   ];
   for (const [args, expected] of cases) {
-    const { status, err } = judge(...args);
+    const { status, err } = runScript(...args);
     assert.equal(status, 2);
     assert.match(err, expected);
     assert.equal(err.trim().split("\n").length, 1, err);
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -94,7 +94,7 @@
       answers++;
       const claims = controller.settings.nodes.map((_, partition) => controller.replica.get<OwnerRecord>(keys.owner(partition)));
       const claim = claims.find((entry) => entry?.stamp === answer.token);
-      assert.deepEqual([claim?.v.life, claim?.v.owner], [request.life, request.platform["host_name"]]);
+      assert.deepEqual([claim?.v.life, claim?.v.owner], [request.incarnation, request.platform["host_name"]]);
       return answer;
     };
     return controller;
@@ -139,9 +139,9 @@
         if (newer) newest = one;
         assert.ok(finished <= 1, "counted as done twice");
         if (!newer) assert.equal(findings.changed || findings.ended.length > 0, false);
-        const here = machine.placements.size > 0;
-        if (newer && one.session === 2) assert.equal(here, false);
-        if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !here);
+        const onMachine = machine.placements.size > 0;
+        if (newer && one.session === 2) assert.equal(onMachine, false);
+        if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !onMachine);
         assert.equal(taskSet.waiting.length + taskSet.placements.size + taskSet.done.count, 1, "the task is in exactly one state");
       }
     }),
@@ -151,7 +151,7 @@
 
 test("a new incarnation that continued under its predecessor's term would be detected", async () => {
   // Guards against an incarnation that takes its predecessor's record for its own.
-  const spawn: typeof spawnController = (request) => spawnController({ ...request, life: String(request.platform["host_name"]) });
+  const spawn: typeof spawnController = (request) => spawnController({ ...request, incarnation: String(request.platform["host_name"]) });
   const plan = planWith(
     [12, 16, 20, 24, 28, 32].flatMap((at): [number, FaultFields][] => [
       [at, { kind: "delay", target: "all", to: "workers", ms: 6000, for: 2 }],
@@ -188,7 +188,7 @@
 test("a peer's answer to a request of a former incarnation is ignored, even on a new connection", async () => {
   const clock = new VirtualClock();
   const incoming$ = new Subject<{ from: string; message: Message }>();
-  const startIncarnation = (life: string): { relay: Relay; asked: { to: string; id: number }[] } => {
+  const startIncarnation = (incarnation: string): { relay: Relay; asked: { to: string; id: number }[] } => {
     const asked: { to: string; id: number }[] = [];
     const send = (to: string, message: Message): boolean => {
       if ("Relay" in message) asked.push({ to, id: message.Relay.id });
@@ -197,7 +197,7 @@
     const slow = { poll: () => new Promise(() => undefined) } as unknown as Jobs;
     const scope = new Scope(Object.assign(clock, { stall$: NEVER }), {} as Log);
     const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
-    const relay = new Relay(settings, slow, { incoming$, send }, () => ["nest-1", "nest-2"], scope, life);
+    const relay = new Relay(settings, slow, { incoming$, send }, () => ["nest-1", "nest-2"], scope, incarnation);
     relay.start();
     return { relay, asked };
   };
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -29,7 +29,13 @@
 }
 
 /** Completes everything that runs, removes finished jobs from the queue and runs a scheduling cycle. */
-function turn(partition: Partition, nowS: number, mode: OrderMode, finished: Set<string>, change: Partial<OrderContext> = {}): void {
+function completeAndSchedule(
+  partition: Partition,
+  nowS: number,
+  mode: OrderMode,
+  finished: Set<string>,
+  change: Partial<OrderContext> = {},
+): void {
   for (const machine of partition.machines.values()) {
     for (const [key, placement] of [...machine.placements]) {
       removeAttempt(machine, key);
@@ -49,18 +55,18 @@
  * Submits twice as much low-priority work as there is capacity for; returns the number of jobs finished in the end
  * under the given order.
  */
-function day(sizes: number[], mode: OrderMode): number {
+function countFinished(sizes: number[], mode: OrderMode): number {
   const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
-  const turns = Math.ceil(sizes.reduce((sum, n) => sum + n, 0) / (4 * 8) / 2);
+  const cycles = Math.ceil(sizes.reduce((sum, n) => sum + n, 0) / (4 * 8) / 2);
   const finished = new Set<string>();
-  for (let t = 0; t <= turns; t++) {
-    const from = Math.floor((t * sizes.length) / (turns + 1));
-    const to = Math.floor(((t + 1) * sizes.length) / (turns + 1));
+  for (let t = 0; t <= cycles; t++) {
+    const from = Math.floor((t * sizes.length) / (cycles + 1));
+    const to = Math.floor(((t + 1) * sizes.length) / (cycles + 1));
     for (let i = from; i < to; i++) {
       const taskSet = enqueue(partition, specOf({ ref: `run-${String(i).padStart(6, "0")}`, tasks: sizes[i]!, cpus: 1, urgency: "low" }));
       taskSet.submittedWall = t * RUN_S * 1000;
     }
-    turn(partition, t * RUN_S, mode, finished);
+    completeAndSchedule(partition, t * RUN_S, mode, finished);
   }
   return finished.size;
 }
@@ -76,7 +82,7 @@
   let aims = 0;
   fc.assert(
     fc.property(fc.array(job, { minLength: 30, maxLength: 60 }), (sizes) => {
-      const [a, b] = [day(sizes, "arrival"), day(sizes, "aims")];
+      const [a, b] = [countFinished(sizes, "arrival"), countFinished(sizes, "aims")];
       first += a;
       aims += b;
       assert.ok(b >= a, `${b} of ${sizes.length} finished, ${a} by first come`);
@@ -203,7 +209,7 @@
         );
         taskSet.submittedWall = t * RUN_S * 1000;
       }
-      turn(partition, t * RUN_S, "aims", finished, { firstTaskAfterS: beginS });
+      completeAndSchedule(partition, t * RUN_S, "aims", finished, { firstTaskAfterS: beginS });
       for (const taskSet of large) if (taskSet.started && !began.has(taskSet)) began.set(taskSet, t * RUN_S);
     }
     return { largest: large.map((taskSet) => began.get(taskSet)), finished: finished.size };
--- a/test/two-owners.test.ts
+++ b/test/two-owners.test.ts
@@ -6,12 +6,12 @@
 const ALL = process.env["OWNERS"] === "all";
 const ways = splits(ALL ? [0, 1, 2, 3] : [2]);
 /** The old owner reaches both machines, the new one only the machine with the task: it ends and clears what the old owner still holds. */
-const HEIR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
+const SUCCESSOR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
 
 const EXPLORATIONS: [string, Exploration][] = [
   ["an owner that serves", { ways }],
   ["a new owner that fences", { fencing: true, ways }],
-  ...(ALL ? ([["a task that ends", { ends: true, ways: HEIR_REACHES_ONE }]] as [string, Exploration][]) : []),
+  ...(ALL ? ([["a task that ends", { ends: true, ways: SUCCESSOR_REACHES_ONE }]] as [string, Exploration][]) : []),
 ];
 
 for (const [what, exploration] of EXPLORATIONS)
@@ -29,8 +29,8 @@
   ["a new owner that does not wait for the former one's silence", { noSilence: true }, { fencing: true }, /on two machines/],
   [
     "a report under a newer owner's token applied",
-    { newerIsNews: true },
-    { ends: true, ways: HEIR_REACHES_ONE },
+    { appliesNewerTokens: true },
+    { ends: true, ways: SUCCESSOR_REACHES_ONE },
     /started again after it was done/,
   ],
 ];
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -52,7 +52,7 @@
   /** Writes in transit to the state service. */
   sent: Sent[];
   /** How many process ends, suspicions, repeated writes and connection refusals may still happen. */
-  left: { ends: number; doubts: number; late: number; refusals: number };
+  left: { ends: number; suspicions: number; late: number; refusals: number };
 }
 
 /** Faulty variants of the decisions; the model has to find a fault in each. */
@@ -178,12 +178,12 @@
     // A node without a presence record of its incarnation neither suspects nor claims.
     if (shown?.v.life !== life) continue;
     for (const other of NODES) {
-      if (other === node || state.left.doubts === 0) continue;
+      if (other === node || state.left.suspicions === 0) continue;
       const current = seen.suspicion[other];
       const proposed = nextSuspicion(current?.v, seen.alive[other]?.v, evidenceOf(state, other), HEALTHY, Infinity, LIMITS);
       if (proposed === null || proposed.n > MAX_SUSPICIONS) continue;
       step((to) => {
-        to.left.doubts--;
+        to.left.suspicions--;
         const conditions = [
           { k: `suspicion/${other}`, stamp: current?.stamp ?? 0 },
           { k: `alive/${other}`, stamp: seen.alive[other]!.stamp },
@@ -255,7 +255,7 @@
     seen,
     refused: null,
     sent: [],
-    left: { ends: 2, doubts: 2, late: 1, refusals: 1 },
+    left: { ends: 2, suspicions: 2, late: 1, refusals: 1 },
   };
 })();
 
@@ -275,7 +275,7 @@
   states: number;
   faults: Set<string>;
   /** States without a next step other than an injected fault, in which a controller is up but the partition has no live owner. */
-  stuck: number;
+  ownerless: number;
 }
 
 /** Explores all states, up to `maxStates`; `left` overrides how many faults of each kind may happen. */
@@ -292,7 +292,7 @@
   const visited = new Set([stateKey(first)]);
   const queue = [first];
   const faults = new Set<string>();
-  let stuck = 0;
+  let ownerless = 0;
   let states = 0;
   while (queue.length > 0 && states < maxStates) {
     const state = queue.pop()!;
@@ -311,7 +311,7 @@
     );
     const up = NODES.filter((node) => state.up[node] !== null);
     const owner = state.store.owner?.v;
-    if (unforced.length === 0 && up.length > 0 && (owner === undefined || state.up[owner.owner as Node] !== owner.life)) stuck++;
+    if (unforced.length === 0 && up.length > 0 && (owner === undefined || state.up[owner.owner as Node] !== owner.life)) ownerless++;
     for (const to of next) {
       const key = stateKey(to);
       if (visited.has(key)) continue;
@@ -319,5 +319,5 @@
       queue.push(to);
     }
   }
-  return { states, faults, stuck };
+  return { states, faults, ownerless };
 }
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -67,26 +67,26 @@
 };
 
 /**
- * Creates a partition of `n` machines that are up and fenced. `looks` counts the reads of a machine's images: one for each
+ * Creates a partition of `n` machines that are up and fenced. `evaluations` counts the reads of a machine's images: one for each
  * evaluation of a machine as a candidate.
  */
-export function partitionOf(n: number, capacity: Capacity): { partition: Partition; looks: () => number } {
+export function partitionOf(n: number, capacity: Capacity): { partition: Partition; evaluations: () => number } {
   const partition = newPartition(0, 5, 0);
   partition.phase = "serving";
-  let looks = 0;
+  let evaluations = 0;
   for (let i = 0; i < n; i++) {
     const machine: Machine = newMachine(`i-${i}`, "m", "a", false, capacity, 0);
     Object.assign(machine, { up: true, fenced: true, lastReceivedAt: NOW, lastReportAt: NOW, session: 1, token: 5 });
     const images = new Set<string>();
     Object.defineProperty(machine, "images", {
       get: () => {
-        looks++;
+        evaluations++;
         return images;
       },
     });
     addMachine(partition, machine);
   }
-  return { partition, looks: () => looks };
+  return { partition, evaluations: () => evaluations };
 }
 
 /** Adds a task set with all tasks of the job to the partition's queue. */
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -353,8 +353,8 @@
   nodeNamed: (word: string) => string,
 ): Promise<void> {
   const [, subject, what, c, d] = step.words as [string, string, string, string, string];
-  const check = (ok: boolean, saw: unknown): void => {
-    if (!ok) failures.push(`${step.line}: saw ${String(saw)}`);
+  const check = (ok: boolean, observed: unknown): void => {
+    if (!ok) failures.push(`${step.line}: saw ${String(observed)}`);
   };
   if (subject === "machines") {
     const n = world.cloud.rentedCount;
@@ -427,11 +427,11 @@
     );
     return check(states.length > 0 && states.every((state) => state === "done"), states.filter((state) => state !== "done").length);
   }
-  let saw = "nothing";
+  let observed = "nothing";
   const node = c === "at" ? nodeNamed(d) : undefined;
   await settle(
-    world.poll(subject, node).then((s) => (saw = s)),
+    world.poll(subject, node).then((s) => (observed = s)),
     5000,
   );
-  check(what === "unfinished" ? saw === "queued" || saw === "running" : saw === what, saw);
+  check(what === "unfinished" ? observed === "queued" || observed === "running" : observed === what, observed);
 }
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -224,7 +224,7 @@
     savedProgress: new Map(),
     onTaskStarted: ({ host, offer }, taskId) => void history.push({ at: clock.now(), kind: "on", piece: taskId, host, ...offer }),
     onTaskEnded: ({ host }, taskId, cause) => void history.push({ at: clock.now(), kind: "off", piece: taskId, host, cause }),
-    mates: (ref, attempt) =>
+    gangMembers: (ref, attempt) =>
       [...hosts.values()].flatMap((worker) =>
         [...worker.tasks.values()].filter((task) => task.ref === ref && task.attempt === attempt).map((task) => ({ worker, task })),
       ),
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -18,7 +18,7 @@
   /** A new owner counts a machine as fenced by the clock alone. */
   clockFence?: boolean;
   /** A report under a newer token is applied. */
-  newerIsNews?: boolean;
+  appliesNewerTokens?: boolean;
   /** A read proves ownership at its end instead of its beginning. */
   provenAtEnd?: boolean;
   /** A new owner does not wait for the time in which the former one may still answer. */
@@ -296,7 +296,7 @@
   private receive(state: State, c: Index, m: Index): boolean {
     const controller = state.controllers[c];
     const worker = state.workers[m];
-    if (worker.token > controller.term && this.wrong.newerIsNews !== true) {
+    if (worker.token > controller.term && this.wrong.appliesNewerTokens !== true) {
       Object.assign(controller, withoutPartition());
       return false;
     }
@@ -318,7 +318,7 @@
     if (!mayAct(controller)) return false;
     const worker = state.workers[m];
     // In the faulty variant, such a report is redirected and changes nothing.
-    if (worker.token > controller.term && this.wrong.newerIsNews === true) return false;
+    if (worker.token > controller.term && this.wrong.appliesNewerTokens === true) return false;
     if (!this.receive(state, c, m)) return true;
     const view = controller.views[m];
     const machine = machineOf(view);
