--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -47,7 +47,7 @@
       plan: { ...base, name: scenario, fault },
       seed: options.seed + i,
       spawn: spawnController,
-      momentOf: injectionPointOf,
+      injectionPointOf,
     });
     rehearsals++;
     violations += result.broken.length;
--- a/measure/slopes/recovery.ts
+++ b/measure/slopes/recovery.ts
@@ -26,7 +26,7 @@
     };
     const histograms = { fenced: new DurationHistogram(), back: new DurationHistogram() };
     for (const seed of SEEDS) {
-      const { recoveries } = await runVirtual({ plan, seed, spawn: spawnController, momentOf: injectionPointOf });
+      const { recoveries } = await runVirtual({ plan, seed, spawn: spawnController, injectionPointOf });
       for (const recovery of recoveries) {
         if (recovery.fenced !== null) histograms.fenced.add(recovery.fenced);
         if (recovery.back !== null) histograms.back.add(recovery.back);
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -13,7 +13,7 @@
   plan: RehearsalPlan;
   timing: Timing;
   seed: number;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
   /** Receives a progress message at the start, once a second, and at each fault. */
   progress?: (text: string) => void;
   /** How long to wait for unfinished jobs after the plan's own duration, in ms. */
@@ -47,9 +47,9 @@
     seed,
     environment,
     users: environment.userPort,
-    simulatedUsers: environment.crowd,
+    simulatedUsers: environment.simulatedUsers,
     clock: environment.clock,
-    injectionPointOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     pollMs: () => environment.pollMs(),
     history: () => environment.history,
     ...(progress === undefined ? {} : { log: progress }),
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -53,7 +53,7 @@
   /** Processes that exited on their own or could not be restarted, with the reason. */
   readonly unexpectedExits: string[] = [];
   /** Simulated users whose behaviour is set by faults; they call the controllers directly, not through the load balancer. */
-  readonly crowd: SimulatedUsers;
+  readonly simulatedUsers: SimulatedUsers;
   takeovers = 0;
   /** Controllers that were killed and are not restarted yet. */
   private readonly down = new Set<string>();
@@ -91,7 +91,7 @@
       ...(options.plan.boots === undefined ? {} : { random: this.random, boots: options.plan.boots }),
     });
     const frontOf = (node: string): string => this.fronts.get(node) ?? this.balancerAddr;
-    this.crowd = new SimulatedUsers(
+    this.simulatedUsers = new SimulatedUsers(
       {
         controllers: () => this.controllers(),
         submit: (wire, spec, node, never) => this.users.submitRaw(wire, spec, frontOf(node), never),
@@ -126,7 +126,7 @@
 
   private recordEvent(event: HistoryEvent): void {
     this.history.push(event);
-    this.crowd.observe(event);
+    this.simulatedUsers.observe(event);
     this.options.onEvent?.(event);
   }
 
@@ -176,8 +176,10 @@
       slowdown: (host) => this.slowness.get(host) ?? 1,
       failsTasks: (host) => this.failingHosts.has(host),
       savedProgress: new Map(),
-      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
+      onTaskStarted: (worker, taskId) =>
+        this.recordEvent({ at: this.clock.now(), kind: "on", piece: taskId, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, taskId, cause) =>
+        this.recordEvent({ at: this.clock.now(), kind: "off", piece: taskId, host: worker.host, cause }),
     });
     this.cloud.addrOf = (host) => this.addrs.get(host) ?? "127.0.0.1:1";
     this.cloud.onRemoved = (host) => this.hosts.removeMachine(host);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -27,13 +27,13 @@
   return /\(([^()]+)\)/.exec(req.headers["user-agent"] ?? "")?.[1] ?? "controllers";
 }
 
-type GangMember = ReturnType<WorkerDependencies["mates"]>[number];
+type GangMember = ReturnType<WorkerDependencies["gangMembers"]>[number];
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
 /** Whether the machine still lists this attempt: no `clear` command has removed it. */
 function isRegistered({ worker, task }: GangMember): boolean {
-  return worker.tasks.get(`${task.piece}#${task.attempt}`) === task;
+  return worker.tasks.get(`${task.taskId}#${task.attempt}`) === task;
 }
 
 /** Connects emulated workers to real sockets: one listener for each machine, and reports to the controllers' HTTP listeners. */
@@ -53,7 +53,7 @@
   constructor(
     private readonly links: NetworkRules,
     private readonly fronts: ReadonlyMap<string, string>,
-    private readonly world: Omit<WorkerDependencies, "report" | "mates">,
+    private readonly world: Omit<WorkerDependencies, "report" | "gangMembers">,
   ) {}
 
   /** Starts a machine with its worker and its listener; resolves with the listening address. */
@@ -73,7 +73,7 @@
     const worker = new Worker(host, offer, capacity, {
       ...this.world,
       report: (node, from, report) => this.sendReport(node, from, report),
-      mates: (ref, attempt) => this.registeredMembers(ref, attempt),
+      gangMembers: (ref, attempt) => this.registeredMembers(ref, attempt),
       onTaskStarted: (startedOn, taskId) => {
         this.joinGang(startedOn, taskId);
         this.world.onTaskStarted(startedOn, taskId);
@@ -87,7 +87,7 @@
   /** Adds a started task to the members of its gang. */
   private joinGang(worker: Worker, taskId: string): void {
     for (const task of worker.tasks.values()) {
-      if (task.piece !== taskId || task.state === "exited") continue;
+      if (task.taskId !== taskId || task.state === "exited") continue;
       if (this.world.spec(task.ref)?.kind !== "gang") return;
       const key = gangKey(task.ref, task.attempt);
       const members = this.gangs.get(key);
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -58,7 +58,7 @@
   plan: RehearsalPlan;
   seed: number;
   spawn: (asked: ControllerDependencies) => C;
-  momentOf: InjectionPointOf;
+  injectionPointOf: InjectionPointOf;
 }
 
 const POLL_MS = 5000;
@@ -96,7 +96,7 @@
     seed,
     environment: virtualEnvironment(world),
     clock: world.clock,
-    injectionPointOf: options.momentOf,
+    injectionPointOf: options.injectionPointOf,
     simulatedUsers: world.simulatedUsers,
     pollMs: () => POLL_MS,
     history: () => world.history,
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -62,10 +62,10 @@
   peers: {
     incoming$: Subject<{ from: string; message: unknown }>;
     send: (to: string, message: unknown) => boolean;
-    lostAt: (to: string) => number | null;
+    unreachableSince: (to: string) => number | null;
   };
   log: { error: LogLine; warn: LogLine; info: LogLine; debug: LogLine };
-  life: string;
+  incarnation: string;
 }
 
 /** A controller as the virtual world calls it. */
@@ -98,7 +98,7 @@
 /** Run time of tasks for which no run time is given, in ms. */
 const DEFAULT_RUN_MS = 10_000;
 /** Seed offsets of independent random sequences for simulated users and faults, so that runs without them stay the same for each seed. */
-const CROWD_SEED = 0x5eed;
+const SIMULATED_USERS_SEED = 0x5eed;
 const FAULT_SEED = 0xfa17;
 /** Stored reports are delivered within this time after a takeover begins, in ms. */
 const STORED_REPORT_DELAY_MS = 500;
@@ -172,7 +172,7 @@
         runMs: (ref) => this.runTimesMs.get(ref) ?? DEFAULT_RUN_MS,
       },
       this.clock,
-      seededRandom(options.seed ^ CROWD_SEED),
+      seededRandom(options.seed ^ SIMULATED_USERS_SEED),
     );
     this.observations$.subscribe(({ what }) => {
       if (isTakeover(what)) this.clock.after(STORED_REPORT_DELAY_MS * this.faultRandom(), () => this.deliverStoredReports());
@@ -246,7 +246,7 @@
     // A process that has ended refuses connections; one that is stalled or cut off keeps them open.
     const connected = new Set<string>();
     const lostSince = new Map<string, number>();
-    const lostAt = (to: string): number | null => {
+    const unreachableSince = (to: string): number | null => {
       const down = this.nodes.get(to)?.controller === null || this.links.isRefused({ from: name, to, what: "peer" });
       if (!down) connected.add(to);
       if (!down || !connected.has(to)) lostSince.delete(to);
@@ -276,14 +276,14 @@
         command: (addr, token, session, orders) =>
           this.command(name, addr, (worker) => worker.command(token, session, orders), runInProcess),
       },
-      peers: { incoming$: node.incoming$, send, lostAt },
+      peers: { incoming$: node.incoming$, send, unreachableSince },
       log: {
         info: log,
         warn: log,
         debug: log,
         error: (entry) => void this.errors.push(JSON.stringify(entry)),
       },
-      life: `life-${++this.incarnations}`,
+      incarnation: `life-${++this.incarnations}`,
     });
   }
 
@@ -413,9 +413,11 @@
       slowdown: (name) => this.slowdowns.get(name) ?? 1,
       failsTasks: (name, ref) => this.failingHosts.has(name) || this.defectiveJobs.has(ref),
       savedProgress: this.savedProgress,
-      onTaskStarted: (worker, piece) => this.recordEvent({ at: this.clock.now(), kind: "on", piece, host: worker.host, ...worker.offer }),
-      onTaskEnded: (worker, piece, cause) => this.recordEvent({ at: this.clock.now(), kind: "off", piece, host: worker.host, cause }),
-      mates: (ref, attempt) =>
+      onTaskStarted: (worker, taskId) =>
+        this.recordEvent({ at: this.clock.now(), kind: "on", piece: taskId, host: worker.host, ...worker.offer }),
+      onTaskEnded: (worker, taskId, cause) =>
+        this.recordEvent({ at: this.clock.now(), kind: "off", piece: taskId, host: worker.host, cause }),
+      gangMembers: (ref, attempt) =>
         [...this.workers.values()].flatMap((worker) =>
           [...worker.tasks.values()].filter((t) => t.ref === ref && t.attempt === attempt).map((task) => ({ worker, task })),
         ),
--- a/src/parts/claims.ts
+++ b/src/partitions/claims.ts
@@ -21,7 +21,7 @@
    * detector.
    */
   canOwn: (node: string) => boolean;
-  alive: (node: string) => boolean;
+  isPresent: (node: string) => boolean;
   reportsUnfit: (node: string) => boolean;
   /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
   successor: () => string | undefined;
@@ -44,7 +44,7 @@
  */
 export function reasonToClaim(context: ClaimContext): ClaimReason | null {
   const { self, record, home } = context;
-  if (record === undefined) return home === self || (context.presenceSettled && !context.alive(home)) ? "unowned" : null;
+  if (record === undefined) return home === self || (context.presenceSettled && !context.isPresent(home)) ? "unowned" : null;
   if (context.unfit) return null;
   if (record.owner === self) {
     // The recorded owner is an earlier process of this node. Because this one runs, the earlier one has ended and
@@ -54,7 +54,7 @@
   }
   if (context.canOwn(record.owner)) return home === self && context.presenceSettled ? "home again" : null;
   if (context.successor() !== self && !context.ownerOverdue) return null;
-  if (!context.alive(record.owner)) return "owner gone";
+  if (!context.isPresent(record.owner)) return "owner gone";
   return context.reportsUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
--- a/src/parts/fence-progress.ts
+++ b/src/partitions/fence-progress.ts
@@ -1,7 +1,7 @@
 /** Logs what a fence waits for: the machines that have not acknowledged the new term, and the results of contacting them. */
 import type { Log } from "../platform/log.js";
 import type { Machine } from "../workers/machine.js";
-import type { Partition } from "./partition.js";
+import type { Partition } from "../partitions/partition.js";
 
 /** Maximum number of machines listed in one line; the line also has the total. */
 const MAX_LISTED_MACHINES = 5;
@@ -39,8 +39,8 @@
 
   private describe(machine: Machine, now: number): Record<string, unknown> {
     const { host, type, up, token, lastReceivedAt, answeredAt, failedCommands: directFailures, lastCommandError: directError } = machine;
-    const heardAgoMs = lastReceivedAt === -Infinity ? null : Math.round(now - lastReceivedAt);
+    const receivedAgoMs = lastReceivedAt === -Infinity ? null : Math.round(now - lastReceivedAt);
     const leaseOverInMs = Math.round(answeredAt + this.expiryMs - now);
-    return { host, type, up, token, heardAgoMs, commandsFailed: directFailures, lastFailure: directError, leaseOverInMs };
+    return { host, type, up, token, heardAgoMs: receivedAgoMs, commandsFailed: directFailures, lastFailure: directError, leaseOverInMs };
   }
 }
--- a/src/parts/report-handler.ts
+++ b/src/partitions/report-handler.ts
@@ -11,13 +11,13 @@
 import { newFindings, applyReport, type ReportContext } from "../workers/report-intake.js";
 import { recordLeaseRenewal } from "../workers/lease.js";
 import { ordersFor } from "../workers/orders.js";
-import type { MachineStartup } from "./machine-startup.js";
-import type { FindingEffects } from "./finding-effects.js";
-import type { NewerToken } from "./ended-terms.js";
-import type { LeaderContext } from "./leader-context.js";
-import type { Partition } from "./partition.js";
-import type { Progress } from "./progress.js";
-import type { LeaseWatch } from "./lease-watch.js";
+import type { MachineStartup } from "../partitions/machine-startup.js";
+import type { FindingEffects } from "../partitions/finding-effects.js";
+import type { NewerToken } from "../partitions/ended-terms.js";
+import type { LeaderContext } from "../partitions/leader-context.js";
+import type { Partition } from "../partitions/partition.js";
+import type { Progress } from "../partitions/progress.js";
+import type { LeaseWatch } from "../partitions/lease-watch.js";
 
 /** Maximum number of orders in one answer. */
 const MAX_ORDERS = 250;
@@ -65,7 +65,8 @@
     const orders = machine.up ? this.orders(partition, machine) : [];
     const free = newer && machine.fenced;
     if (free)
-      for (const order of orders) if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.piece, order.attempt);
+      for (const order of orders)
+        if (order.verb === "clear") this.context.audit.logCleared(partition, machine, order.taskId, order.attempt);
     if (free) for (const placement of machine.placements.values()) if (placement.state === null) placement.startSentSeq = report.seq;
     recordLeaseRenewal(machine, newer, this.context.now);
     // Every answer renews the lease, so each contains the stop orders: a machine that receives nothing more would
@@ -79,14 +80,14 @@
       now: this.context.now,
       leaseMs: this.context.settings.timing.leaseMs,
       isClearable: (task) => this.isClearable(task),
-      onStartRefused: (placement, others) => this.context.startGuard.refused(partition, placement, others),
+      onStartRefused: (placement, others) => this.context.startGuard.reportRefusal(partition, placement, others),
       max: MAX_ORDERS,
     });
   }
 
   /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
   private isClearable(task: ReportedTask): boolean {
-    return task.cause !== "done" || this.progress.isRecordedDone(task.piece);
+    return task.cause !== "done" || this.progress.isRecordedDone(task.taskId);
   }
 
   /** Handles the report in a worker's reply to a direct command. */
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,6 +1,6 @@
 /** Direct commands from a partition's owner to its workers. */
-import type { Leader } from "../parts/leader.js";
-import type { Partition } from "../parts/partition.js";
+import type { Leader } from "../partitions/leader.js";
+import type { Partition } from "../partitions/partition.js";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { WorkerApi } from "@thorntrail/protocol/worker";
 import type { Calls } from "../calls/calls.js";
@@ -46,7 +46,7 @@
           now,
           leaseMs: this.leader.settings.timing.leaseMs,
           isClearable: () => false,
-          onStartRefused: (placement, others) => this.leader.startGuard.refused(partition, placement, others),
+          onStartRefused: (placement, others) => this.leader.startGuard.reportRefusal(partition, placement, others),
           max: MAX_DIRECT_ORDERS,
         });
     if (!fencing && orders.length === 0) return;
@@ -59,7 +59,7 @@
       machine.nextCommandAt = this.scope.clock.now() + caller.nextPauseMs(++machine.failedCommands);
     };
     const session = Math.max(1, machine.session);
-    const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.piece, order.attempt));
+    const startKeys = orders.filter((order) => order.verb === "start").map((order) => attemptKey(order.taskId, order.attempt));
     for (const key of startKeys) {
       machine.unresolvedStarts.add(key);
       machine.placements.get(key)!.directStart = "flying";
@@ -97,7 +97,7 @@
           !orders.some(
             (order) =>
               order.verb === "stop" &&
-              attemptKey(order.piece, order.attempt) === attemptKey(taskId(placement.taskSet, placement.task), placement.attempt),
+              attemptKey(order.taskId, order.attempt) === attemptKey(taskId(placement.taskSet, placement.task), placement.attempt),
           )),
     );
     if (retryNow || (hasUnsentOrders && !failed)) void this.send(partition, machine);
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,6 +1,6 @@
 /** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
-import { findTaskSet, type Partition } from "../parts/partition.js";
+import { findTaskSet, type Partition } from "../partitions/partition.js";
 import { taskNumber } from "../queue/attempts.js";
 import {
   isBrokenGang,
@@ -14,7 +14,7 @@
   type Placement,
   type TaskSet,
 } from "../queue/task-set.js";
-import type { AttemptEnd, EndedAttempt } from "../served/class-accounting.js";
+import type { AttemptEnd, EndedAttempt } from "../job-classes/class-accounting.js";
 import { attributeFailure, type FailureTiming } from "./failure-attribution.js";
 import { fence } from "./fence.js";
 import { proofFlaw, type TerminationProof } from "./termination-proof.js";
@@ -177,7 +177,7 @@
 
 /** Registers an attempt that this owner did not order. An unwanted one is stopped, and its task does not start until it is gone. */
 function adoptAttempt(partition: Partition, machine: Machine, task: ReportedTask, context: ReportContext, findings: Findings): Placement {
-  const { ref, task: number } = parseTaskId(task.piece);
+  const { ref, task: number } = parseTaskId(task.taskId);
   const found = findTaskSet(partition, ref, number);
   const placement: Placement = {
     taskSet: found?.taskSet ?? context.placeholderFor(ref),
@@ -198,7 +198,7 @@
     placement.stop = { graceS: 0 };
     if (found !== null) removeWaiting(found.taskSet, found.task);
   }
-  addAttempt(machine, attemptKey(task.piece, task.attempt), placement);
+  addAttempt(machine, attemptKey(task.taskId, task.attempt), placement);
   findings.adopted.push({ placement, wanted });
   findings.changed = true;
   return placement;
@@ -209,7 +209,7 @@
  * recording the result. This is repeated for each report that lists the attempt: its job may be queued here only after
  * the first one, and the task must not start again.
  */
-function recordUnorderedCompletion(partition: Partition, { piece: taskId }: ReportedTask, findings: Findings): void {
+function recordUnorderedCompletion(partition: Partition, { taskId }: ReportedTask, findings: Findings): void {
   const { ref, task: number } = parseTaskId(taskId);
   const found = findTaskSet(partition, ref, number);
   if (found === null || found.taskSet.done.has(found.task)) return;
@@ -267,7 +267,7 @@
 /** Applies the state of one task that a report lists. */
 function applyTaskReport(dropContext: DropContext, task: ReportedTask, token: number, context: ReportContext): void {
   const { partition, machine, findings } = dropContext;
-  const key = attemptKey(task.piece, task.attempt);
+  const key = attemptKey(task.taskId, task.attempt);
   const registered = machine.placements.get(key);
   if (task.state === "exited") {
     machine.exited.set(key, task);
@@ -321,7 +321,7 @@
   updateMachine(partition, machine, report, context, findings);
   const listed = new Set<string>();
   for (const task of report.tasks) {
-    listed.add(attemptKey(task.piece, task.attempt));
+    listed.add(attemptKey(task.taskId, task.attempt));
     applyTaskReport(dropContext, task, report.token, context);
   }
   dropUnlistedAttempts(dropContext, listed, report, context.viaReport);
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -150,13 +150,13 @@
 
 /** A task placed on one machine by a direct start command that was not answered. */
 function startedWithoutAnswer() {
-  const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
-  const unit = enqueue(part, specOf({ tasks: 1 }));
-  runSchedulingCycle(part, schedulingContext);
-  const machine = [...part.machines.values()][0]!;
-  const placement = [...unit.placements.values()][0]!;
+  const { partition } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+  const taskSet = enqueue(partition, specOf({ tasks: 1 }));
+  runSchedulingCycle(partition, schedulingContext);
+  const machine = [...partition.machines.values()][0]!;
+  const placement = [...taskSet.placements.values()][0]!;
   placement.directStart = "unresolved";
-  const piece = "run-000001/0";
+  const taskId = "run-000001/0";
   const report = (seq: number, tasks: ReportedTask[]): Report => ({
     host: machine.host,
     addr: "x",
@@ -165,39 +165,39 @@
     spot: false,
     session: 1,
     seq,
-    token: part.term,
+    token: partition.term,
     noticeS: null,
     tasks,
   });
-  const hear = (seq: number, tasks: ReportedTask[] = []): void =>
-    void applyReport(part, machine, report(seq, tasks), context, newFindings());
-  return { part, unit, machine, placement, piece, hear };
+  const receiveReport = (seq: number, tasks: ReportedTask[] = []): void =>
+    void applyReport(partition, machine, report(seq, tasks), context, newFindings());
+  return { partition, taskSet, machine, placement, taskId, receiveReport };
 }
 
 test("a pending start of a task that should no longer run is repeated and stopped, and its capacity is freed", () => {
-  const { machine, placement, piece, hear, unit } = startedWithoutAnswer();
+  const { machine, placement, taskId, receiveReport, taskSet } = startedWithoutAnswer();
   placement.stop = { graceS: 0 };
   const { attempt } = placement;
   assert.deepEqual(ordersFor(machine, "report", orders), [
-    { verb: "start", piece, attempt },
-    { verb: "stop", piece, attempt, graceS: 0 },
+    { verb: "start", taskId, attempt },
+    { verb: "stop", taskId, attempt, graceS: 0 },
   ]);
   // The start is not repeated by a direct command, which could be delayed as well, nor once a cancellation of the job may be older than
   // the time limit allows.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
-  hear(2);
+  receiveReport(2);
   assert.equal(machine.placements.size, 1, "absence from a report proves nothing: the direct start may still arrive");
-  hear(3, [{ piece, attempt, state: "exited", cause: "stopped", saved: false }]);
-  assert.deepEqual([machine.placements.size, machine.used.cpus, unit.waiting.length], [0, 0, 1]);
+  receiveReport(3, [{ taskId, attempt, state: "exited", cause: "stopped", saved: false }]);
+  assert.deepEqual([machine.placements.size, machine.used.cpus, taskSet.waiting.length], [0, 0, 1]);
 });
 
 test("a session known only from the reply to a command has a lease of its own, and its machine gets no new work", () => {
   // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
   // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
-  const { part, machine, piece, hear } = startedWithoutAnswer();
+  const { partition, machine, taskId, receiveReport } = startedWithoutAnswer();
   const leaseMs = 18_000;
-  hear(2);
+  receiveReport(2);
   recordLeaseRenewal(machine, true, NOW);
   const reply = (session: number, seq: number, now: number, tasks: ReportedTask[]): void => {
     const report = {
@@ -208,14 +208,14 @@
       spot: false,
       session,
       seq,
-      token: part.term,
+      token: partition.term,
       noticeS: null,
       tasks,
     };
     const at = { ...context, now, viaReport: false };
-    applyReport(part, machine, report, at, newFindings());
+    applyReport(partition, machine, report, at, newFindings());
   };
-  const running: ReportedTask = { piece, attempt: part.term, state: "running", cause: null, saved: false };
+  const running: ReportedTask = { taskId, attempt: partition.term, state: "running", cause: null, saved: false };
   const learnt = NOW + leaseMs - 500;
   reply(2, 9, learnt, []);
   reply(2, 10, learnt + 200, [running]);
@@ -244,19 +244,19 @@
       controller.onReport = (report) => {
         const answer = onReport(report);
         if (answer.kind !== "orders") return answer;
-        const stopped = new Set(answer.orders.filter(({ verb }) => verb === "stop").map(({ piece }) => piece));
-        for (const { piece, state } of report.tasks) {
-          const end = controller.replica.get<JobRecord>(keys.job(piece.slice(0, piece.lastIndexOf("/"))))?.v.end;
+        const stopped = new Set(answer.orders.filter(({ verb }) => verb === "stop").map(({ taskId }) => taskId));
+        for (const { taskId, state } of report.tasks) {
+          const end = controller.replica.get<JobRecord>(keys.job(taskId.slice(0, taskId.lastIndexOf("/"))))?.v.end;
           if (state === "exited" || end !== "withdrawn") continue;
           renewed++;
-          assert.ok(stopped.has(piece), `${piece} on ${report.host} at ${asked.clock.now()}`);
+          assert.ok(stopped.has(taskId), `${taskId} on ${report.host} at ${asked.clock.now()}`);
         }
         return answer;
       };
       return controller;
     };
     const plan = { ...base, fault: Array.from({ length: 6 }, (_, i) => ({ at: 15 + i * 13, fault: restart(i) })) };
-    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, injectionPointOf });
     assert.deepEqual(report.broken, []);
   }
   assert.ok(renewed > 20, `${renewed} answers`);
@@ -286,7 +286,7 @@
 test("two or three randomly generated faults break no rule, and all work finishes", async () => {
   let both = 0;
   for (let seed = 1; seed <= 12; seed++) {
-    const report = await runVirtual({ plan: randomPlan(base, seed), seed, spawn: spawnController, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan: randomPlan(base, seed), seed, spawn: spawnController, injectionPointOf });
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     if (report.faults.filter(({ met }) => met.length > 0).length > 1) both++;
   }
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -76,7 +76,7 @@
 test("with controllers that end and restart at once at any time, no rule is broken and every job finishes", async () => {
   await fc.assert(
     fc.asyncProperty(randomFaults, fc.nat(1000), async (faults, seed) => {
-      const report = await runVirtual({ plan: planWith(faults), seed, spawn: spawnController, momentOf: injectionPointOf });
+      const report = await runVirtual({ plan: planWith(faults), seed, spawn: spawnController, injectionPointOf });
       assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
     }),
     { numRuns: 15, seed: 34 },
@@ -92,15 +92,15 @@
       const answer = onReport(report);
       if (answer.kind !== "orders") return answer;
       answers++;
-      const claims = controller.settings.nodes.map((_, part) => controller.replica.get<OwnerRecord>(keys.owner(part)));
+      const claims = controller.settings.nodes.map((_, partition) => controller.replica.get<OwnerRecord>(keys.owner(partition)));
       const claim = claims.find((entry) => entry?.stamp === answer.token);
-      assert.deepEqual([claim?.v.life, claim?.v.owner], [request.life, request.platform["host_name"]]);
+      assert.deepEqual([claim?.v.life, claim?.v.owner], [request.incarnation, request.platform["host_name"]]);
       return answer;
     };
     return controller;
   };
   const faults = [12, 14, 20, 21, 22, 30].map((at): [number, FaultFields] => [at, { kind: "restart", target: "all", for: 0.1 }]);
-  const report = await runVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, momentOf: injectionPointOf });
+  const report = await runVirtual({ plan: planWith([...faults, [13, { kind: "lose" }]]), seed: 3, spawn, injectionPointOf });
   assert.deepEqual([report.broken, report.jobs.unfinished], [[], []]);
   assert.ok(answers > 100);
 });
@@ -110,10 +110,10 @@
   const report = fc.record({ session: fc.integer({ min: 1, max: 2 }), seq: fc.integer({ min: 1, max: 12 }) });
   fc.assert(
     fc.property(fc.array(report, { minLength: 1, maxLength: 40 }), (reports) => {
-      const { partition: part } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
-      const taskSet = enqueue(part, specOf({ ref: "run-000001", tasks: 1 }));
-      runSchedulingCycle(part, schedulingContext);
-      const machine = [...part.machines.values()][0]!;
+      const { partition } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
+      const taskSet = enqueue(partition, specOf({ ref: "run-000001", tasks: 1 }));
+      runSchedulingCycle(partition, schedulingContext);
+      const machine = [...partition.machines.values()][0]!;
       const [placement] = [...taskSet.placements.values()];
       placement!.directStart = "answered";
       let newest = { session: machine.session, seq: machine.seq };
@@ -122,7 +122,7 @@
         // In the worker's first session the task progresses with the sequence number; its second session does not have the task.
         const state = states[Math.min(2, Math.floor(one.seq / 4))]!;
         const cause = state === "exited" ? "done" : null;
-        const task: ReportedTask = { piece: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
+        const task: ReportedTask = { taskId: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
         const tasks = one.session === 1 ? [task] : [];
         const newer = one.session > newest.session || (one.session === newest.session && one.seq > newest.seq);
         const findings = newFindings();
@@ -134,14 +134,14 @@
           coolMs: 2500,
           placeholderFor: () => taskSet,
         };
-        assert.equal(applyReport(part, machine, seen, context, findings), newer);
+        assert.equal(applyReport(partition, machine, seen, context, findings), newer);
         finished += findings.finished.size;
         if (newer) newest = one;
         assert.ok(finished <= 1, "counted as done twice");
         if (!newer) assert.equal(findings.changed || findings.ended.length > 0, false);
-        const here = machine.placements.size > 0;
-        if (newer && one.session === 2) assert.equal(here, false);
-        if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !here);
+        const onMachine = machine.placements.size > 0;
+        if (newer && one.session === 2) assert.equal(onMachine, false);
+        if (newer && state === "exited" && one.session === 1) assert.ok(taskSet.done.has(0) && !onMachine);
         assert.equal(taskSet.waiting.length + taskSet.placements.size + taskSet.done.count, 1, "the task is in exactly one state");
       }
     }),
@@ -151,7 +151,7 @@
 
 test("a new incarnation that continued under its predecessor's term would be detected", async () => {
   // Guards against an incarnation that takes its predecessor's record for its own.
-  const spawn: typeof spawnController = (request) => spawnController({ ...request, life: String(request.platform["host_name"]) });
+  const spawn: typeof spawnController = (request) => spawnController({ ...request, incarnation: String(request.platform["host_name"]) });
   const plan = planWith(
     [12, 16, 20, 24, 28, 32].flatMap((at): [number, FaultFields][] => [
       [at, { kind: "delay", target: "all", to: "workers", ms: 6000, for: 2 }],
@@ -160,7 +160,7 @@
   );
   let found = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const report = await runVirtual({ plan, seed, spawn, momentOf: injectionPointOf });
+    const report = await runVirtual({ plan, seed, spawn, injectionPointOf });
     if (report.broken.length + report.jobs.unfinished.length > 0) found++;
   }
   assert.ok(found > 0, "six rehearsals under former terms, none of which broke a rule or left a job unfinished");
@@ -188,16 +188,16 @@
 test("a peer's answer to a request of a former incarnation is ignored, even on a new connection", async () => {
   const clock = new VirtualClock();
   const incoming$ = new Subject<{ from: string; message: Message }>();
-  const startIncarnation = (life: string): { relay: Relay; asked: { to: string; id: number }[] } => {
+  const startIncarnation = (incarnation: string): { relay: Relay; asked: { to: string; id: number }[] } => {
     const asked: { to: string; id: number }[] = [];
     const send = (to: string, message: Message): boolean => {
       if ("Relay" in message) asked.push({ to, id: message.Relay.id });
       return true;
     };
     const slow = { poll: () => new Promise(() => undefined) } as unknown as Jobs;
-    const scope = new Scope(Object.assign(clock, { stood$: NEVER }), {} as Log);
+    const scope = new Scope(Object.assign(clock, { stall$: NEVER }), {} as Log);
     const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
-    const relay = new Relay(settings, slow, { incoming$, send }, () => ["nest-1", "nest-2"], scope, life);
+    const relay = new Relay(settings, slow, { incoming$, send }, () => ["nest-1", "nest-2"], scope, incarnation);
     relay.start();
     return { relay, asked };
   };
@@ -223,7 +223,7 @@
   const loggedReasons: unknown[] = [];
   const jobs = { poll: async () => (calls.push("poll"), { status: 200, body: {} }), cancel: async () => calls.push("cancel") };
   const log = { warn: (line: { what: string }) => void loggedReasons.push(line.what) } as unknown as Log;
-  const scope = new Scope(Object.assign(new VirtualClock(), { stood$: NEVER }), log);
+  const scope = new Scope(Object.assign(new VirtualClock(), { stall$: NEVER }), log);
   const settings = { timing: { stateTimeoutMs: 2000 } } as Settings;
   new Relay(settings, jobs as unknown as Jobs, { incoming$, send: () => true }, () => [], scope, "l").start();
   const sendRelay = (kind: string, body: string): void => incoming$.next({ from: "nest-1", message: { Relay: { id: 1, kind, body } } });
--- a/test/two-owners.test.ts
+++ b/test/two-owners.test.ts
@@ -9,12 +9,12 @@
  * The old owner reaches both machines, the new owner only the machine with the task. The new owner ends and clears the task, which the old
  * owner still counts as running.
  */
-const HEIR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
+const SUCCESSOR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
 
 const EXPLORATIONS: [string, Exploration][] = [
   ["an owner that serves", { ways }],
   ["a new owner that fences", { fencing: true, ways }],
-  ...(ALL ? ([["a task that ends", { ends: true, ways: HEIR_REACHES_ONE }]] as [string, Exploration][]) : []),
+  ...(ALL ? ([["a task that ends", { ends: true, ways: SUCCESSOR_REACHES_ONE }]] as [string, Exploration][]) : []),
 ];
 
 for (const [what, exploration] of EXPLORATIONS)
@@ -32,8 +32,8 @@
   ["a new owner that does not wait for the former one's silence", { noSilence: true }, { fencing: true }, /on two machines/],
   [
     "a newer owner's token that does not end the term",
-    { newerIsNews: true },
-    { ends: true, ways: HEIR_REACHES_ONE },
+    { newerTokenKeepsTerm: true },
+    { ends: true, ways: SUCCESSOR_REACHES_ONE },
     /started again after it was done/,
   ],
 ];
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -155,7 +155,7 @@
       ? all.filter((w) => w.offer.zone === zone)
       : word === "all"
         ? all
-        : all.filter((w) => [...w.tasks.values()].some((t) => t.piece.startsWith(`${word}/`) && t.state !== "exited"));
+        : all.filter((w) => [...w.tasks.values()].some((t) => t.taskId.startsWith(`${word}/`) && t.state !== "exited"));
   return chosen.map((w) => w.host).sort();
 }
 
@@ -354,8 +354,8 @@
   nodeNamed: (word: string) => string,
 ): Promise<void> {
   const [, subject, what, c, d] = step.words as [string, string, string, string, string];
-  const check = (ok: boolean, saw: unknown): void => {
-    if (!ok) failures.push(`${step.line}: saw ${String(saw)}`);
+  const check = (ok: boolean, observed: unknown): void => {
+    if (!ok) failures.push(`${step.line}: saw ${String(observed)}`);
   };
   if (subject === "machines") {
     const n = world.cloud.rentedCount;
@@ -428,11 +428,11 @@
     );
     return check(states.length > 0 && states.every((state) => state === "done"), states.filter((state) => state !== "done").length);
   }
-  let saw = "nothing";
+  let observed = "nothing";
   const node = c === "at" ? nodeNamed(d) : undefined;
   await settle(
-    world.poll(subject, node).then((s) => (saw = s)),
+    world.poll(subject, node).then((s) => (observed = s)),
     5000,
   );
-  check(what === "unfinished" ? saw === "queued" || saw === "running" : saw === what, saw);
+  check(what === "unfinished" ? observed === "queued" || observed === "running" : observed === what, observed);
 }
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -15,21 +15,21 @@
 import type { CommandReply, Report, ReportAnswer, WorkerApi } from "@thorntrail/protocol/worker";
 import type { StateReplica } from "../../src/ledger/state-replica.js";
 import type { RentalIndex } from "../../src/ledger/rentals.js";
-import { Audit } from "../../src/parts/audit.js";
-import type { MachineStartup } from "../../src/parts/machine-startup.js";
-import { FindingEffects } from "../../src/parts/finding-effects.js";
-import type { Leader } from "../../src/parts/leader.js";
-import type { LeaderContext } from "../../src/parts/leader-context.js";
-import { addMachine, newPartition, type Partition } from "../../src/parts/partition.js";
-import type { Progress } from "../../src/parts/progress.js";
-import type { Recovery } from "../../src/parts/recovery.js";
-import { ReportHandler } from "../../src/parts/report-handler.js";
-import { StartGuard } from "../../src/parts/start-guard.js";
-import { LeaseWatch } from "../../src/parts/lease-watch.js";
+import { Audit } from "../../src/partitions/audit.js";
+import type { MachineStartup } from "../../src/partitions/machine-startup.js";
+import { FindingEffects } from "../../src/partitions/finding-effects.js";
+import type { Leader } from "../../src/partitions/leader.js";
+import type { LeaderContext } from "../../src/partitions/leader-context.js";
+import { addMachine, newPartition, type Partition } from "../../src/partitions/partition.js";
+import type { Progress } from "../../src/partitions/progress.js";
+import type { Recovery } from "../../src/partitions/recovery.js";
+import { ReportHandler } from "../../src/partitions/report-handler.js";
+import { StartGuard } from "../../src/partitions/start-guard.js";
+import { LeaseWatch } from "../../src/partitions/lease-watch.js";
 import { Scope } from "../../src/platform/scope.js";
 import { RunTimeHistory } from "../../src/queue/history.js";
 import { runSchedulingCycle } from "../../src/queue/scheduling-cycle.js";
-import { ClassAccounting } from "../../src/served/class-accounting.js";
+import { ClassAccounting } from "../../src/job-classes/class-accounting.js";
 import { CommandDispatcher } from "../../src/workers/command-dispatcher.js";
 import { newMachine, type Machine } from "../../src/workers/machine.js";
 import { callsFor, TIMING } from "./calls.js";
@@ -222,9 +222,9 @@
     slowdown: () => 1,
     failsTasks: () => false,
     savedProgress: new Map(),
-    onTaskStarted: ({ host, offer }, piece) => void history.push({ at: clock.now(), kind: "on", piece, host, ...offer }),
-    onTaskEnded: ({ host }, piece, cause) => void history.push({ at: clock.now(), kind: "off", piece, host, cause }),
-    mates: (ref, attempt) =>
+    onTaskStarted: ({ host, offer }, taskId) => void history.push({ at: clock.now(), kind: "on", piece: taskId, host, ...offer }),
+    onTaskEnded: ({ host }, taskId, cause) => void history.push({ at: clock.now(), kind: "off", piece: taskId, host, cause }),
+    gangMembers: (ref, attempt) =>
       [...hosts.values()].flatMap((worker) =>
         [...worker.tasks.values()].filter((task) => task.ref === ref && task.attempt === attempt).map((task) => ({ worker, task })),
       ),
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -17,7 +17,7 @@
   /** A new owner counts a machine as fenced by the clock alone. */
   clockFence?: boolean;
   /** A newer token does not end the owner's term: replies under it are applied, and reports under it change nothing. */
-  newerIsNews?: boolean;
+  newerTokenKeepsTerm?: boolean;
   /** A read proves ownership at its end instead of its beginning. */
   provenAtEnd?: boolean;
   /** A new owner does not wait for the time in which the former owner may still answer. */
@@ -295,7 +295,7 @@
   private receive(state: State, c: Index, m: Index): boolean {
     const controller = state.controllers[c];
     const worker = state.workers[m];
-    if (worker.token > controller.term && this.wrong.newerIsNews !== true) {
+    if (worker.token > controller.term && this.wrong.newerTokenKeepsTerm !== true) {
       Object.assign(controller, withoutPartition());
       return false;
     }
@@ -317,7 +317,7 @@
     if (!mayAct(controller)) return false;
     const worker = state.workers[m];
     // In the faulty variant, a report under a newer token is redirected and changes nothing.
-    if (worker.token > controller.term && this.wrong.newerIsNews === true) return false;
+    if (worker.token > controller.term && this.wrong.newerTokenKeepsTerm === true) return false;
     if (!this.receive(state, c, m)) return true;
     const view = controller.views[m];
     const machine = machineOf(view);
