--- a/src/partitions/audit.ts
+++ b/src/partitions/audit.ts
@@ -9,28 +9,31 @@
 import type { FenceProof, Machine } from "../workers/machine.js";
 import type { Partition } from "../partitions/partition.js";
 
-/** Rate and burst of the log lines for starts under stale proof of ownership; `staleRestarts` counts all of them. */
+/**
+ * Rate limit on log lines about tasks that are restarted while the proof of ownership (the newest read of the state
+ * service) is stale. `staleRestarts` counts all such restarts.
+ */
 const STALE_START_LINES_PER_SECOND = 5;
 const STALE_START_LINES_BURST = 200;
 
 /** Writes the audit log of the owned partitions. */
 export class Audit {
-  /** Number of tasks that were started again under stale proof of ownership. */
+  /** Number of task restarts that were ordered while the newest read of the state service, which proves ownership, was stale. */
   staleRestarts = 0;
   private readonly staleStartLines: TokenBucket;
 
   constructor(
     clock: SteadyClock,
     private readonly log: Log,
-    /** Returns the age of the last proof of ownership, in ms. */
+    /** Returns the age in ms of the newest read of the state service, which proves this node's ownership. */
     private readonly proofAgeMs: () => number,
-    /** Age above which a proof of ownership is stale, in ms. */
+    /** Age above which the newest read of the state service no longer counts as a fresh proof of ownership, in ms. */
     private readonly maxFreshMs: number,
   ) {
     this.staleStartLines = new TokenBucket(clock, STALE_START_LINES_PER_SECOND, STALE_START_LINES_BURST);
   }
 
-  /** Returns the fields that identify the attempt and the term under which it is handled. */
+  /** Returns the log fields that identify an attempt at a task and the partition owner's term under which it is handled. */
   private attemptFields(partition: Partition, placement: Placement): Record<string, unknown> {
     return {
       part: partition.id,
@@ -48,9 +51,9 @@
   }
 
   /**
-   * Logs that the scheduling cycle placed the task on the machine. `former` is its last earlier attempt, if any, with
-   * the proof that the attempt is gone. A restart under stale proof of ownership is logged at info level, at a
-   * limited rate.
+   * Logs that the scheduling cycle placed a task on a machine. The field `former` is the task's last earlier attempt,
+   * if any, with the proof that this attempt is gone. A restart while the proof of ownership is stale is logged at
+   * info level, at a limited rate.
    */
   logOrdered(partition: Partition, placement: Placement): void {
     const former = placement.taskSet.lastGone.get(placement.task);
@@ -61,7 +64,7 @@
     else if (this.verbose) this.log.debug({ ...this.attemptFields(partition, placement), former }, "attempt ordered");
   }
 
-  /** Logs an attempt that this owner did not order; `wanted` is whether it may continue. */
+  /** Logs an attempt that a worker reported although this owner did not order it; `wanted` is whether it may continue. */
   logAdopted(partition: Partition, placement: Placement, wanted: boolean): void {
     if (wanted) {
       if (this.verbose) this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state }, "attempt adopted");
@@ -75,20 +78,23 @@
     );
   }
 
-  /** Logs an attempt that is proven gone, with the way it ended and the proof. */
+  /** Logs an attempt that provably no longer exists on its machine, with the way it ended and the proof. */
   logGone(partition: Partition, { placement, end, kept, proof }: EndedAttempt): void {
     if (this.verbose)
       this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state, end, kept, proof }, "attempt gone");
   }
 
-  /** Logs that a machine counts as fenced, with the proof. */
+  /** Logs that a machine is fenced (no start ordered by a former owner can take effect on it), with the proof. */
   logFenced(partition: Partition, machine: Machine, proof: FenceProof): void {
     if (!this.verbose) return;
     const { host, session, token } = machine;
     this.log.debug({ part: partition.id, term: partition.term, host, session, token, proof }, "machine fenced");
   }
 
-  /** Logs the order to the worker to discard an exited attempt, which has no result or one that is durable. */
+  /**
+   * Logs that a worker was ordered to discard an exited attempt, because it has no result or its result is recorded
+   * in the state service.
+   */
   logCleared(partition: Partition, machine: Machine, clearedTaskId: string, attempt: number): void {
     if (!this.verbose) return;
     const { host, session } = machine;
--- a/src/partitions/claims.ts
+++ b/src/partitions/claims.ts
@@ -3,8 +3,8 @@
 import type { Condition } from "@thorntrail/protocol/state";
 
 /**
- * Why a partition is taken from an owner that cannot continue: its presence key is gone; it reports itself unfit to own
- * partitions; or it did not refute a suspicion.
+ * Why a partition is taken from an owner that cannot continue: its presence key (kept under a lease that the owner
+ * renews) is gone; it reports itself unfit to own partitions; or it did not refute a suspicion.
  */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
 /** Why a node claims a partition. */
@@ -34,7 +34,7 @@
   presenceSettled: boolean;
   /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
-  /** This node should not own partitions at present. */
+  /** This node should not own partitions at present: it cannot reach its workers, or its process keeps exiting. */
   unfit: boolean;
 }
 
@@ -58,7 +58,7 @@
   return context.reportsUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
-/** Returns whether the reason is the loss of the former owner. */
+/** Returns whether a partition is claimed because its former owner was lost. */
 export function isLossReason(reason: ClaimReason): reason is LossReason {
   return reason === "owner gone" || reason === "owner cut off" || reason === "owner suspected";
 }
--- a/src/partitions/ended-terms.ts
+++ b/src/partitions/ended-terms.ts
@@ -3,7 +3,10 @@
  * service showed a new owner. Also decides which workers' tokens are accepted as evidence.
  */
 
-/** A token above the term of the owner that received it: evidence that the partition has, or has had, a newer owner. */
+/**
+ * A fencing token shown by a worker that is above the term of the owner that received it: evidence that the partition
+ * has, or has had, a newer owner.
+ */
 export interface NewerToken {
   host: string;
   token: number;
@@ -13,7 +16,10 @@
 /** Maximum number of workers remembered for reporting a token that was never issued; the oldest are dropped. */
 const MAX_REFUTED_HOSTS = 1000;
 
-/** The terms ended early by this process, and the workers whose evidence proved wrong. */
+/**
+ * Remembers the terms that this process ended because a worker reported a newer token, and the workers whose tokens
+ * proved never to have been issued.
+ */
 export class EndedTerms {
   /** The last term that ended here, by partition, with the worker that reported the newer token. */
   private readonly endedByPartition = new Map<number, { term: number; host: string }>();
@@ -27,20 +33,23 @@
     return !this.refutedHosts.has(host);
   }
 
-  /** Records that the term ended because of this token. */
+  /** Records that this process ended the partition's term because a worker reported this newer token. */
   recordEnd(partition: number, term: number, { host }: NewerToken): void {
     this.endedByPartition.set(partition, { term, host });
   }
 
-  /** Returns whether exactly this term ended here. Such a term is never resumed, as its attempt numbers and tokens are in use. */
+  /**
+   * Returns whether this process ended exactly this term of the partition. Such a term is never resumed, as its
+   * attempt numbers and tokens are in use.
+   */
   hasEnded(partition: number, term: number): boolean {
     return this.endedByPartition.get(partition)?.term === term;
   }
 
   /**
    * Stops accepting tokens of the worker that ended the partition's term. Called when this controller has claimed the
-   * partition again and the ended term was still the recorded one: no other controller can have claimed it in
-   * between.
+   * partition again and the ended term was still the recorded one, so that no other controller can have claimed the
+   * partition in between.
    */
   refuteToken(partition: number): void {
     const ended = this.endedByPartition.get(partition);
--- a/src/partitions/fence-progress.ts
+++ b/src/partitions/fence-progress.ts
@@ -1,14 +1,20 @@
-/** Logs what a fence waits for: the machines that have not acknowledged the new term, and the results of contacting them. */
+/**
+ * Logs which machines have not acknowledged a new owner's term yet, and the results of contacting them. Until all
+ * machines are fenced, the new owner places no tasks.
+ */
 import type { Log } from "../platform/log.js";
 import type { Machine } from "../workers/machine.js";
 import type { Partition } from "../partitions/partition.js";
 
-/** Maximum number of machines listed in one line; the line also has the total. */
+/** Maximum number of machines listed in one log line; the line also has the total. */
 const MAX_LISTED_MACHINES = 5;
 
-/** Logs the progress of long fences. */
+/** Logs at intervals which machines a partition still waits for while it is being fenced. */
 export class FenceProgress {
-  /** Time of the last line for each partition; a `Partition` object exists for one term. */
+  /**
+   * When the last log line about each partition was written. A `Partition` object exists for one term, so each term
+   * starts without an entry.
+   */
   private readonly lastLineAt = new WeakMap<Partition, number>();
 
   constructor(
@@ -17,7 +23,10 @@
     private readonly expiryMs: number,
   ) {}
 
-  /** Writes a line if `intervalMs` has passed since the last one or since the fence began. */
+  /**
+   * Logs the machines that are not fenced, if `intervalMs` has passed since the last such line or since this node
+   * took the partition over.
+   */
   logIfDue(partition: Partition, now: number): void {
     if (now - (this.lastLineAt.get(partition) ?? partition.takenOverAt) < this.intervalMs) return;
     this.lastLineAt.set(partition, now);
--- a/src/partitions/finding-effects.ts
+++ b/src/partitions/finding-effects.ts
@@ -1,4 +1,7 @@
-/** Acts on the findings from reports and lease expiry: durable progress, accounting, audit and follow-up orders. */
+/**
+ * Acts on findings (what a worker's report or an expired lease shows about attempts and machines): records progress,
+ * keeps accounts, writes the audit log and issues follow-up orders.
+ */
 import { taskId, type Placement, type TaskSet } from "../queue/task-set.js";
 import type { Findings } from "../workers/report-intake.js";
 import type { LeaderContext } from "../partitions/leader-context.js";
@@ -6,11 +9,14 @@
 import type { Progress } from "../partitions/progress.js";
 import type { Recovery } from "../partitions/recovery.js";
 
-/** Number of measured tasks, and multiple of their expected run time, from which a machine counts as slow. */
+/**
+ * A machine counts as slow if at least this many of its tasks were measured, and they took on average (geometric
+ * mean) at least this multiple of their expected run time.
+ */
 const MIN_PACE_SAMPLES = 3;
 const SLOW_FACTOR = 2;
 
-/** Applies findings to the records, statistics and queues of a partition. */
+/** Applies findings from reports and lease checks to the records, statistics and queues of a partition. */
 export class FindingEffects {
   constructor(
     private readonly context: LeaderContext,
@@ -39,8 +45,8 @@
   }
 
   /**
-   * Reports an attempt that was to be removed on the basis of an invalid proof, which is always a defect. The attempt
-   * remains registered.
+   * Reports an attempt that was to be removed although the proof that it no longer exists is invalid, which is always
+   * a defect. The attempt remains registered.
    */
   private reportInvalidProof(partition: Partition, { placement, proof, flaw }: Findings["unproven"][number]): void {
     const { taskSet, task, attempt, host } = placement;
--- a/src/partitions/fitness.ts
+++ b/src/partitions/fitness.ts
@@ -15,18 +15,21 @@
 /** Minimum share of the machines expected to report that counts as `most`, and maximum share that counts as `few`. */
 const MIN_SHARE_FOR_MOST = 1 / 2;
 const MAX_SHARE_FOR_FEW = 1 / 10;
-/** Minimum number of machines for a decision; fewer may all be gone at the same time. */
+/** Minimum number of machines from which this node may conclude that it is cut off; fewer may all have failed at the same time. */
 const MIN_MACHINES = 3;
-/** Machines probed per round, and number of successful rounds in a row before the node counts as fit again. */
+/**
+ * Number of machines probed per round, and number of successful rounds in a row after which a cut-off node counts as
+ * fit to own partitions again.
+ */
 const PROBES_PER_ROUND = 3;
 const REQUIRED_GOOD_ROUNDS = 2;
 /**
- * Maximum pause before machines are probed again, in worker leases. A loss of contact within this time of the last one
- * doubles the pause.
+ * Maximum pause before a cut-off node probes its machines, as a multiple of the worker lease. If the node loses
+ * contact again within this time of the previous loss, the pause doubles.
  */
 const MAX_PAUSE_LEASES = 8;
 
-/** Returns how many of the partitions' machines have reported within the last `silentMs`. */
+/** Returns whether most or few of the partitions' machines have reported within the last `silentMs`, or `unsure`. */
 export function reachabilityOf(partitions: Iterable<Partition>, now: number, silentMs: number): Reachability {
   let expected = 0;
   let reporting = 0;
@@ -50,7 +53,7 @@
  * lost again soon.
  */
 export class Fitness {
-  /** This node should not own partitions at present. */
+  /** Whether this node should not own partitions at present, because it is cut off from its workers. */
   unfit = false;
   private contactLostAt = -Infinity;
   private pauseMs: number;
@@ -64,7 +67,7 @@
     private readonly rentals: RentalIndex,
     private readonly workers: WorkerApi,
     private readonly hasStateService: () => boolean,
-    /** Receives the report in each reply to a probe. */
+    /** Called with the report that a worker's reply to a probe contains. */
     private readonly onProbeReply: (report: Report) => void,
     private readonly scope: Scope,
   ) {
@@ -80,7 +83,7 @@
     );
   }
 
-  /** Records what a peer reports about its own machines. */
+  /** Records how many of its own machines a peer reports to reach. */
   notePeerReport(node: string, reported: string): void {
     this.peerReports.set(node, { reachability: reported as Reachability, at: this.scope.clock.now() });
   }
@@ -94,7 +97,8 @@
     if (this.ownReachability() !== "few") return;
     const now = this.scope.clock.now();
     const { reportMs, leaseMs } = this.settings.timing;
-    // Without the state service, other controllers may own those machines by now, which would explain missing reports.
+    // While the state service cannot be reached, other controllers may have taken over this node's machines, which
+    // would explain the missing reports.
     if (!this.hasStateService()) return;
     // If no peer receives reports from its machines either, the machines are gone or cut off from all controllers.
     const others = [...this.peerReports.values()].some(({ reachability: theirs, at }) => theirs !== "few" && now - at < reportMs);
@@ -119,8 +123,9 @@
   }
 
   /**
-   * Returns whether machines answer this node, of all partitions or of the given one. The probe is a command with the
-   * lowest token and no orders, which changes nothing whichever controller owns the machine.
+   * Probes a few machines, of all partitions or of the given one, and returns whether at least half of them answer.
+   * The probe is a command with the lowest token and no orders, which changes nothing whichever controller owns the
+   * machine.
    */
   async canReachMachines(partition?: number): Promise<boolean> {
     const registered = [...this.rentals.all()].filter(
--- a/src/partitions/guarantees.ts
+++ b/src/partitions/guarantees.ts
@@ -1,4 +1,7 @@
-/** Team guarantees: which jobs they cover, and which teams use less or more than theirs over all partitions. */
+/**
+ * Team guarantees (resources that a team is promised): which jobs they cover, and which teams use less or more than
+ * their guarantee over all partitions.
+ */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Configuration } from "../configuration/configuration.js";
 import type { StateReplica } from "../ledger/state-replica.js";
@@ -31,7 +34,7 @@
 
 /**
  * Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. A job in
- * `granted` stays covered whatever is submitted later.
+ * `granted`, the previous result, stays covered whatever is submitted later.
  */
 export function grantGuarantees(jobs: Iterable<JobRecord>, teams: readonly TeamSettings[], granted: Set<string>): Set<string> {
   const byTeam = new Map<string, JobRecord[]>();
@@ -73,7 +76,7 @@
 export class Guarantees {
   private granted = new Set<string>();
   private readonly reportsByNode = new Map<string, { use: TeamUsage[]; at: number }>();
-  /** Sum of the valid reports and the time at which the first of them expires; null if it must be recomputed. */
+  /** Sum of the peers' unexpired usage reports, and the time at which the first of them expires; null if the sum must be recomputed. */
   private remoteUsageCache: { use: ReadonlyMap<string, Usage>; until: number } | null = null;
 
   constructor(
@@ -84,7 +87,7 @@
     private readonly scope: Scope,
   ) {}
 
-  /** Starts the periodic update of the covered jobs. */
+  /** Starts the periodic update of the set of jobs that are covered by guarantees. */
   start(): void {
     this.scope.routine(
       "guarantees",
@@ -110,17 +113,17 @@
     return this.granted.has(ref);
   }
 
-  /** Records the usage reported by a peer. */
+  /** Records the resource usage by team that a peer reports for its partitions. */
   noteReport(node: string, use: TeamUsage[]): void {
     this.reportsByNode.set(node, { use, at: this.scope.clock.now() });
     this.remoteUsageCache = null;
   }
 
   /**
-   * Returns the tests for work that is ordered before other work of its priority. If the settings have an objective
-   * for guaranteed work, this is each job within a guarantee (`job`), because it has to start within seconds.
-   * Otherwise it is the work of teams that use less than their guarantee (`team`), in its usual order: under full
-   * load, ordering jobs within the guarantee by arrival would start all of them and finish few.
+   * Returns predicates that select the work to be placed before other work of its priority. If the settings have an
+   * objective for guaranteed work, these are the jobs within a guarantee (`job`), because they have to start within
+   * seconds. Otherwise it is the work of teams that use less than their guarantee (`team`), in its usual order: under
+   * full load, ordering jobs within the guarantee by arrival would start all of them and finish few.
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(objectiveS(this.settings.platform, "guarantee", undefined)))
--- a/src/partitions/leader-context.ts
+++ b/src/partitions/leader-context.ts
@@ -12,13 +12,13 @@
 import type { Partition } from "../partitions/partition.js";
 import type { StartGuard } from "../partitions/start-guard.js";
 
-/** Counters since the start of this process; `fencedMs` is the duration of the last fence. */
+/** Counters since the start of this process; `fencedMs` is how long the last fencing of a partition took. */
 export interface LeaderStats {
   starts: number;
   takeovers: number;
   preemptions: number;
   fencedMs: number;
-  /** Terms that ended because a worker reported a newer owner's token. */
+  /** Number of terms that this node ended because a worker reported a newer owner's token. */
   superseded: number;
 }
 
@@ -32,23 +32,23 @@
   readonly types: MachineType[];
   typeOf(name: string): MachineType | undefined;
   readonly stats: LeaderStats;
-  /** Outcomes of the attempts in owned partitions, by class. */
+  /** Outcomes of the attempts in owned partitions, by job class. */
   readonly account: ClassAccounting;
-  /** Emits machines that have orders to be sent without waiting for their next report. */
+  /** Emits each machine to which a command should be sent without waiting for its next report. */
   readonly dispatch$: Subject<{ partition: Partition; machine: Machine }>;
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
   readonly quotaShortage$: Subject<{ partition: Partition; team: string; want: QuotaShortage }>;
-  /** Emits each task that starts to run, with the time since its submission in seconds. */
+  /** Emits the job class of each task that starts to run, and its wait since submission in seconds. */
   readonly taskStarted$: Subject<{ klass: string; waitS: number }>;
   readonly audit: Audit;
   readonly startGuard: StartGuard;
-  /** The steady clock, in ms. */
+  /** Current time of the monotonic clock, in ms. */
   readonly now: number;
-  /** Start of the newest read of the state service that confirmed the terms of the owned partitions, in ms of the steady clock. */
+  /** When the newest read of the state service that confirmed the terms of the owned partitions began, in ms of the monotonic clock. */
   readonly provenAt: number;
   /** Reads the state service, so that `provenAt` is no older than this call. Rejects with `CallError`. */
   proveOwnership(): Promise<void>;
-  /** Returns whether workers must not be answered because cancellations or takeovers may be unknown here. */
+  /** Returns whether this node must not answer workers, because it may not know of recent cancellations and takeovers. */
   isSilent(): boolean;
   /**
    * Ends the partition's term at once because a worker reported a newer owner's token. Returns false if tokens of this
--- a/src/partitions/leader.ts
+++ b/src/partitions/leader.ts
@@ -39,11 +39,11 @@
 export class Leader implements LeaderContext {
   readonly partitions = new Map<number, Partition>();
   readonly history: RunTimeHistory;
-  /** Emits machines that have orders to be sent without waiting for their next report. */
+  /** Emits each machine to which a command should be sent without waiting for its next report. */
   readonly dispatch$ = new Subject<{ partition: Partition; machine: Machine }>();
   /** Emits teams whose quota share in a partition is too small for their queued tasks. */
   readonly quotaShortage$ = new Subject<{ partition: Partition; team: string; want: QuotaShortage }>();
-  /** Emits each task that starts to run, with the time since its submission in seconds. */
+  /** Emits the job class of each task that starts to run, and its wait since submission in seconds. */
   readonly taskStarted$ = new Subject<{ klass: string; waitS: number }>();
   types: MachineType[] = [];
   readonly recovery = new Recovery(this);
@@ -51,7 +51,7 @@
   private readonly scheduler: Scheduler;
   private readonly reportHandler: ReportHandler;
   private readonly ownedPartitions: OwnedPartitions;
-  /** End of the last stall during which this node's presence may have expired, in ms of the steady clock. */
+  /** When the last stall of this process ended that was long enough for the node's presence key to expire, in ms of the monotonic clock. */
   private stallEndedAt = -Infinity;
   readonly account = new ClassAccounting();
   readonly audit: Audit;
@@ -142,9 +142,9 @@
   }
 
   /**
-   * Returns whether no other node can own this node's partitions yet: its presence existed at the last proof and lasts
-   * longer than the time since. After that, machines that do not report here may report to a new owner, and returning
-   * them as lost or idle would end everything that runs on them.
+   * Returns whether no other node can own this node's partitions yet: its presence key existed at the newest read of
+   * the state service and lasts longer than the time since that read. Later, machines that do not report to this node
+   * may report to a new owner, and returning them as lost or idle would end everything that runs on them.
    */
   isSoleOwner(): boolean {
     return !this.isSilent() && this.replica.ageMs() < this.settings.timing.presenceMs / 2;
@@ -186,7 +186,7 @@
     return this.leaseWatch.unprovenLeases;
   }
 
-  /** Age of the last proof of ownership, in ms. */
+  /** Age in ms of the newest read of the state service, which proves this node's ownership. */
   get proofAgeMs(): number {
     return this.replica.ageMs();
   }
@@ -197,8 +197,8 @@
   }
 
   /**
-   * Called after this node has claimed the partition again while the term that it had ended was still recorded, which
-   * shows that the worker's token was never issued.
+   * Stops accepting tokens of the worker because of which this node ended its term. Called after this node has
+   * claimed the partition again while that term was still recorded, which shows that the token was never issued.
    */
   newerTokenRefuted(partition: number): void {
     this.ownedPartitions.endedTerms.refuteToken(partition);
@@ -247,7 +247,7 @@
     this.scheduler.requestCycle();
   }
 
-  /** Returns the order of the queues under the present shares and guarantees. */
+  /** Returns the order of the queues, which depends on the classes' current shares and on the team guarantees. */
   queueOrder(): QueueOrder {
     return this.scheduler.queueOrder();
   }
--- a/src/partitions/lease-watch.ts
+++ b/src/partitions/lease-watch.ts
@@ -12,14 +12,14 @@
 import type { Progress } from "../partitions/progress.js";
 import type { Recovery } from "../partitions/recovery.js";
 
-/** Checks leases, fences and machines to be evacuated, and applies what follows. */
+/** Checks leases, the fencing of partitions and machines to be evacuated, and acts on the results. */
 export class LeaseWatch {
-  /** A machine of a partition in the `fencing` phase that was not fenced at the last check. */
+  /** For each partition in the `fencing` phase, the host of a machine that was not fenced at the last check. */
   private readonly unfencedMachine = new WeakMap<Partition, string>();
   private readonly fenceProgress: FenceProgress;
   /** Number of machines, at the last check, whose lease has expired by the clock but may have been renewed by a new owner. */
   unprovenLeases = 0;
-  /** A read of the state service that may prove the expiry of leases is in progress. */
+  /** Whether a read of the state service is in progress that may prove the expiry of leases. */
   private proving = false;
 
   constructor(
@@ -32,7 +32,7 @@
     this.fenceProgress = new FenceProgress(context.scope.log, leaseMs / 4, expiryMs);
   }
 
-  /** Checks all owned partitions and requests a scheduling cycle. */
+  /** Checks the machines and the fencing of all owned partitions, and requests a scheduling cycle. */
   check(): void {
     const { expiryMs } = this.context.settings.timing;
     const { now, provenAt } = this.context;
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Reads the state service and checks again, when leases have expired by the clock but after the newest read began.
-   * During an outage of the state service no extra read is sent; the leases wait until the regular reads succeed.
+   * Reads the state service and checks all partitions again. Called when leases have expired by the clock, but only
+   * after the newest read began, so that a new owner may have renewed them. During an outage of the state service no
+   * extra read is sent; the leases wait until the regular reads succeed.
    */
   private async proveAndCheck(): Promise<void> {
     const { now, provenAt, settings } = this.context;
@@ -96,7 +97,8 @@
 
   /** Ends the `fencing` phase of the partition once all its machines are fenced. */
   checkFence(partition: Partition): void {
-    // The machine found unfenced last usually still is; checking it first avoids a scan of all machines per report.
+    // The machine that was unfenced at the last check usually still is; checking it first avoids a scan of all
+    // machines per report.
     if (partition.machines.get(this.unfencedMachine.get(partition) ?? "")?.fenced === false) return;
     for (const machine of partition.machines.values()) {
       if (machine.fenced) continue;
--- a/src/partitions/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -20,7 +20,7 @@
 export class OwnedPartitions {
   /** Takeovers in progress, as partition/term. */
   private readonly takingOver = new Set<string>();
-  /** Jobs recorded in several slices whose slices have been reconciled. */
+  /** Jobs split into slices (ranges of an array's tasks) whose slice records have been applied to the owned partitions. */
   private readonly slicesReconciled = new Set<string>();
   readonly endedTerms = new EndedTerms();
 
@@ -142,7 +142,7 @@
       const machine = partition.machines.get(host);
       if (entry === undefined || entry.partition !== partition.id) {
         if (machine !== undefined) {
-          // The record is removed only after the cloud has confirmed the deletion.
+          // The rental record is removed only after the cloud has confirmed the deletion of the machine.
           this.forgetMachine(partition, machine);
         }
         continue;
@@ -181,7 +181,7 @@
     this.effects.apply(partition, findings);
   }
 
-  /** Adds, shortens, ends or removes the task set of a job or slice record in the owned partitions. */
+  /** Applies a job or slice record to the owned partitions: adds, shortens, ends or removes its task set. */
   private reconcileWork(key: string): void {
     const isJob = key.startsWith(keys.jobs);
     const entry = this.replica.get<JobRecord | SliceRecord>(key);
@@ -195,9 +195,10 @@
       return;
     }
     if (job.end !== undefined) return;
-    // The job waits for the jobs that it needs; `needs.ready$` emits it when the last of them is done.
+    // The job waits for other jobs to be done first; `needs.ready$` emits its reference when the last of them is
+    // done.
     if (this.needs.isBlocked(ref) || this.needs.outcome(ref) !== undefined) return;
-    // Slices of a large job may be recorded before the job itself.
+    // The slices (ranges of tasks) of a large array may be recorded before the job itself.
     if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
       this.slicesReconciled.add(ref);
       this.reconcileSlices(ref);
@@ -223,7 +224,8 @@
         this.context.requestSchedulingCycle();
       }
     }
-    // A slice changed, perhaps to complete: the owner of the first slice may now record the job as done.
+    // The record of a slice changed, and all its tasks may be done: the owner of the array's first tasks may now
+    // record the job as done.
     if (!isJob) {
       const partition = this.context.partitions.get(partitionOf(job));
       const first = partition?.taskSets.get(keys.job(ref));
--- a/src/partitions/ownership.ts
+++ b/src/partitions/ownership.ts
@@ -18,7 +18,7 @@
   committer: GroupCommitter;
   scope: Scope;
   /**
-   * Called after a successful claim with its reason; `silentMs` is how long the former owner had been
+   * Called after this node has claimed a partition, with the reason; `silentMs` is how long the former owner had been
    * missing, null if it was present or there was none.
    */
   onTaken: (partition: number, term: number, reason: string, silentMs: number | null) => void;
@@ -30,7 +30,7 @@
 
 /**
  * Claims partitions for this node. Decisions follow from the presence and suspicion of the nodes; a claim is a
- * conditional write of the owner record, whose stamp becomes the term.
+ * conditional write of the owner record, whose new revision (`stamp`) becomes the term.
  */
 export class Ownership {
   private claiming = new Set<number>();
@@ -164,8 +164,9 @@
         apply: [{ write: key, v: { owner: this.dependencies.settings.self, life: this.dependencies.incarnation } satisfies OwnerRecord }],
       };
     };
-    // A transaction of its own: the stamp becomes the term, and two partitions claimed in one transaction would share
-    // a term, with attempt numbers and tokens that cannot be distinguished.
+    // The claim gets a transaction of its own: the revision that it gives the owner record becomes the term, and two
+    // partitions claimed in one transaction would share a term, with attempt numbers and tokens that cannot be
+    // distinguished.
     void this.dependencies.committer
       .commit("claim", draft, { priority: "now", exclusive: true, shedAfterMs: this.dependencies.settings.timing.presenceMs })
       .then((outcome) => {
--- a/src/partitions/partition.ts
+++ b/src/partitions/partition.ts
@@ -14,7 +14,7 @@
   term: number;
   /** `fencing`: no task starts, no task set migrates and no quota is transferred until every machine is fenced. */
   phase: "fencing" | "serving";
-  /** Start of the term on the controller's steady clock, in ms; later by the length of each stall of this process. */
+  /** When this node took the partition over, in ms of the monotonic clock; moved forward by the length of each stall of this process. */
   takenOverAt: number;
   machines: Map<string, Machine>;
   taskSets: Map<string, TaskSet>;
@@ -32,7 +32,7 @@
 /** Resource usage in cores and accelerators. */
 export type { Usage };
 
-/** Creates an empty partition in the `fencing` phase. `now` is the controller's steady clock in ms. */
+/** Creates an empty partition in the `fencing` phase. `now` is in ms of the monotonic clock. */
 export function newPartition(id: number, term: number, now: number): Partition {
   return {
     id,
@@ -98,7 +98,7 @@
   return partition.usage.get(team) ?? { cpus: 0, gpus: 0 };
 }
 
-/** Returns a copy of the usage by team that a plan may change. */
+/** Returns a copy of the partition's resource usage by team, which a placement calculation may change. */
 export function copyUsageByTeam(partition: Partition): Map<string, Usage> {
   return new Map([...partition.usage].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
 }
--- a/src/partitions/progress.ts
+++ b/src/partitions/progress.ts
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Records after one lease. Also the retry of a write that was shed because too many were queued: nothing else
-   * retries it, and a job whose tasks are all done would otherwise never end.
+   * Records the finished tasks of a task set after one lease. This also retries a write that was shed because too
+   * many were queued: nothing else retries such a write, and a job whose tasks are all done would otherwise never
+   * end.
    */
   private recordLater(partition: Partition, taskSet: TaskSet): void {
     if (taskSet.progressWriteScheduled) return;
@@ -49,7 +50,7 @@
     });
   }
 
-  /** Merges the finished tasks into the record, and ends the job if all its slices are done. */
+  /** Merges the finished tasks into the record of the job or slice, and records the job as done if all its tasks are. */
   private recordNow(partition: Partition, taskSet: TaskSet): void {
     taskSet.endWritePending = true;
     const { ref } = taskSet.spec;
@@ -92,7 +93,7 @@
     });
   }
 
-  /** Returns whether all slices after the first are recorded as done. */
+  /** Returns whether all slices (ranges of an array's tasks) after the first are recorded as done. */
   private allSlicesDone(ref: string): boolean {
     const spec = this.replica.get<JobRecord>(keys.job(ref))!.v;
     if (spec.hi >= spec.spec.tasks) return true;
--- a/src/partitions/quota-shares.ts
+++ b/src/partitions/quota-shares.ts
@@ -16,12 +16,12 @@
 }
 
 /**
- * Number of periodic reviews in which only the responsible partition's owner creates a missing record: about half the
- * lifetime of a presence key.
+ * Number of periodic reviews in which a team's missing quota record is created only by the owner of the partition
+ * responsible for the team: about half the lifetime of a presence key.
  */
 const OWNER_ONLY_REVIEWS = 2;
 
-/** Returns the limit of the settings, where 0 is no limit. */
+/** Converts a limit from the settings, where 0 means that there is none. */
 const limitOf = (max: number): Limit => (max <= 0 ? null : max);
 
 /** Returns the partition responsible for a team: the same at every controller, and spread over the partitions by a hash of the name. */
@@ -36,11 +36,11 @@
  * what is unused, so that the total usage never exceeds the limit, whichever nodes are cut off from each other.
  */
 export class QuotaShares {
-  /** Amounts in transfers whose transaction has no definite outcome yet, by partition and team. */
+  /** Quota being transferred to other partitions whose transaction has no definite outcome yet, by partition and team. */
   private readonly transferring = new Map<string, Usage>();
   /** Partitions and teams whose share is being adjusted. */
   private readonly adjusting = new Set<string>();
-  /** Keys of records that are being created. */
+  /** Keys of quota records that are being created. */
   private readonly creating = new Set<string>();
   private reviewDue = false;
   /** Number of periodic reviews since this node first read the state service. */
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Schedules one review for all records of a transaction, after the other listeners to these changes have run. */
+  /** Schedules one review for all changes made by a transaction, after the other listeners to these changes have run. */
   private reviewSoon(): void {
     if (this.reviewDue) return;
     this.reviewDue = true;
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Creates the missing records of teams. At first only the owner of the partition responsible for the team does so,
-   * because concurrent attempts of all controllers would fail each other's transactions. After `OWNER_ONLY_REVIEWS` reviews
-   * any controller creates a record that is still missing.
+   * Creates the missing quota records of teams. At first only the owner of the partition responsible for the team
+   * does so, because concurrent attempts of all controllers would fail each other's transactions. After
+   * `OWNER_ONLY_REVIEWS` reviews any controller creates a record that is still missing.
    */
   private createMissing(): void {
     const n = this.settings.nodes.length;
@@ -121,7 +121,10 @@
     return pending === undefined ? share : { cpus: share.cpus - pending.cpus, gpus: share.gpus - pending.gpus };
   }
 
-  /** Returns the share in which tasks may start: nothing while the shares still sum to more than a lowered limit. */
+  /**
+   * Returns how much of a partition's quota share may be used to start tasks: nothing while the shares of all
+   * partitions still sum to more than a lowered limit.
+   */
   private startableShare(share: Usage, record: QuotaShareRecord | undefined, team: string): Usage {
     const limits = this.configuration.version === 0 ? undefined : this.configuration.team(team);
     if (limits === undefined || record === undefined) return share;
@@ -162,7 +165,7 @@
     });
   }
 
-  /** Returns the team's record as this partition's owner would write it next; null if nothing changes. */
+  /** Returns the team's quota record as the owner of this partition would write it next; null if nothing changes. */
   private nextShares(partition: Partition, team: string): QuotaShareRecord | null {
     const record = this.replica.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const limits = this.configuration.team(team);
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -18,11 +18,11 @@
   waitedFor: string | null;
 }
 
-/** Number of recoveries kept for the view. */
+/** Number of recoveries kept for `/cluster` and the metrics. */
 const MAX_SPANS = 100;
 /**
- * Multiple of the shortest boot time after which work that still waits is assumed to do so for reasons other than the
- * recovery.
+ * Time after the end of fencing, as a multiple of the machine types' shortest boot time, after which work that still
+ * waits is assumed to wait for reasons other than the recovery.
  */
 const MAX_WAIT_BOOTS = 1;
 
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Ends the recovery, after the fence, once no task set that arrived before the fence's end is waiting, a task has
-   * started, or the shortest boot time has passed.
+   * Ends a recovery whose fencing is over once one of these holds: no task set that arrived before the end of fencing
+   * is waiting, a task has started, or the shortest boot time has passed since.
    */
   checkCompletion(partition: Partition): void {
     const span = this.openSpan(partition);
--- a/src/partitions/report-handler.ts
+++ b/src/partitions/report-handler.ts
@@ -19,7 +19,7 @@
 import type { Progress } from "../partitions/progress.js";
 import type { LeaseWatch } from "../partitions/lease-watch.js";
 
-/** Maximum number of orders in one answer. */
+/** Maximum number of orders in one answer to a worker's report. */
 const MAX_ORDERS = 250;
 
 /** Applies what workers report to the owned partitions and determines the answers. */
@@ -104,15 +104,15 @@
   }
 
   /**
-   * Handles a token above the term. The rest of such a report is ignored, as a newer owner may have stopped, cleared and
-   * restarted tasks.
+   * Handles a worker's report whose token is above the partition's term. The rest of the report is ignored, as a
+   * newer owner may have stopped, cleared and restarted tasks.
    */
   private handleNewerToken(partition: Partition, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
     if (this.context.endSupersededTerm(partition, { host, token, seenIn })) return;
     this.anomalies.info({ part: partition.id, term: partition.term, host, token, seenIn }, "a worker shows a token that nobody was given");
   }
 
-  /** Applies a report to the partition. Returns whether it was newer than all before it from this machine. */
+  /** Applies a report to the partition. Returns whether it was newer than every earlier report from this machine. */
   private applyReport(partition: Partition, machine: Machine, report: Report, viaReport: boolean): boolean {
     const findings = newFindings();
     const context: ReportContext = {
--- a/src/partitions/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -11,21 +11,19 @@
 import type { Guarantees, TeamUsage } from "../partitions/guarantees.js";
 import type { LeaderContext } from "../partitions/leader-context.js";
 
-/** Number of machines up to which the minimum gap between cycles applies; above it the gap grows in proportion. */
+/** Number of machines up to which the minimum gap between scheduling cycles applies; above it the gap grows in proportion. */
 const MACHINES_PER_GAP = 20;
 
-/** Maximum delay of a job in the queue order because of its size, in leases: half an hour at the usual lease. */
+/** Maximum delay of a job in the queue order because of its size, as a multiple of the worker lease: half an hour at the usual lease. */
 const MAX_YIELD_LEASES = 100;
 
 /**
- * Wait after which an array starts its first task whatever its size, in leases: two minutes at the usual lease, half
- * of the wait that users expect.
+ * Wait after which an array starts its first task whatever its size, as a multiple of the worker lease: two minutes
+ * at the usual lease, half of the wait that users expect.
  */
 const ARRAY_START_LEASES = 6;
 
-/**
- * Caches a function of the class: objectives are the same for all jobs of a class, and a queue has hundreds of jobs.
- */
+/** Caches a function of the job class: objectives are the same for all jobs of a class, and a queue has hundreds of jobs. */
 function memoize(read: (klass: string) => number): (klass: string) => number {
   const cache = new Map<string, number>();
   return (klass) => {
@@ -47,7 +45,7 @@
     private readonly classShares: ClassShares,
   ) {}
 
-  /** Requests a cycle after the gap between cycles; requests until then share it. */
+  /** Requests a scheduling cycle after the minimum gap between cycles; further requests made before it runs share it. */
   requestCycle(): void {
     if (this.cycleDue) return;
     this.cycleDue = true;
@@ -58,8 +56,8 @@
   }
 
   /**
-   * Returns the gap before the next cycle, in ms. The cost of a cycle is proportional to the number of machines, so the gap
-   * grows with it.
+   * Returns the gap before the next scheduling cycle, in ms. The cost of a cycle is proportional to the number of
+   * machines, so the gap grows with it.
    */
   private cycleGapMs(): number {
     let machines = 0;
@@ -68,7 +66,7 @@
     return gapMs * this.overload.cycleGapFactor(gapMs);
   }
 
-  /** Returns the order of the queues under the present shares and guarantees. */
+  /** Returns the order of the queues, which depends on the classes' current shares and on the team guarantees. */
   queueOrder(): QueueOrder {
     const { platform } = this.context.settings;
     const priority = this.guarantees.priorityTests(this.usageByTeam());
@@ -101,8 +99,8 @@
   }
 
   /**
-   * Returns the wait after which guaranteed work preempts, in ms: half of its start objective, or half a lease if
-   * there is none.
+   * Returns the wait after which work within a team's guarantee preempts other work, in ms: half of its start
+   * objective, or half a lease if there is none.
    */
   private claimAfterMs(): number {
     const aim = objectiveS(this.context.settings.platform, "guarantee", undefined);
@@ -121,7 +119,10 @@
     return [...sum.values()];
   }
 
-  /** Places tasks in each partition, chooses preemptions, and emits what must be dispatched and where quota is short. */
+  /**
+   * Places tasks in each owned partition, chooses tasks to preempt, and emits the machines that have new orders and
+   * the teams that lack quota.
+   */
   private runCycle(): void {
     if (this.context.isSilent() || this.context.types.length === 0) return;
     const { backfill } = this.context.settings.operators.queue;
--- a/src/partitions/start-guard.ts
+++ b/src/partitions/start-guard.ts
@@ -1,4 +1,4 @@
-/** Reports task starts that the last check before sending refused. */
+/** Reports task starts that were refused by the check made immediately before a start order is sent. */
 import type { Scope } from "../platform/scope.js";
 import { taskId, type Placement } from "../queue/task-set.js";
 import type { Partition } from "../partitions/partition.js";
@@ -9,7 +9,7 @@
  * The refused attempt remains registered and is ordered once the others are proven gone.
  */
 export class StartGuard {
-  /** Attempts already reported, each of which is reported once. */
+  /** Attempts whose refused start has been reported already. */
   private readonly reported = new WeakSet<Placement>();
 
   constructor(private readonly scope: Scope) {}
