--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -3,14 +3,17 @@
 import { failsRepeatedly, type TaskSet } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
 
-/** Times that failure attribution depends on: `now` on the controller's steady clock, the lease duration and the base back-off, all in ms. */
+/** Times that failure attribution depends on: `now` on the monotonic clock, the worker lease and the base back-off, all in ms. */
 export interface FailureTiming {
   now: number;
   leaseMs: number;
   coolMs: number;
 }
 
-/** Removes the failures of a job from the machines that it failed on, because the job caused them. */
+/**
+ * Removes the failures of a job from the records of the machines on which it failed, so that they no longer count
+ * against these machines.
+ */
 export function clearFailures(partition: Partition, taskSet: TaskSet): void {
   for (const host of taskSet.failedOn.keys()) {
     const machine = partition.machines.get(host);
--- a/src/workers/lease.ts
+++ b/src/workers/lease.ts
@@ -1,4 +1,4 @@
-/** Upper bound on how long a worker's lease may last, as far as the partition's owner can prove. */
+/** Tracks the latest time until which a worker's lease may last, as far as the partition's owner can prove. */
 import type { Machine } from "./machine.js";
 
 /**
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -11,10 +11,9 @@
 }
 
 /**
- * A machine of a partition, as recorded by the partition's owner. `placements` holds every
- * attempt that is or may be on the machine. Exited attempts stay in `exited` until a report
- * no longer lists them, which is after the worker has executed a `clear` order. Times are in
- * ms of the controller's steady clock.
+ * A machine of a partition, as recorded by the partition's owner. `placements` holds every attempt that is or may be
+ * on the machine. Exited attempts stay in `exited` until a report no longer lists them, which is after the worker has
+ * executed a `clear` order. Times are in ms of the controller's monotonic clock.
  */
 export interface Machine {
   host: string;
@@ -23,9 +22,12 @@
   spot: boolean;
   capacity: Capacity;
   addr: string | null;
-  /** The durable record marks the machine as up, so a later owner will know that it must be fenced. */
+  /** The machine's rental record in the state service says that it is up, so a later owner will know that it must be fenced. */
   up: boolean;
-  /** The worker has seen this owner's token, or can hold no tasks: no start ordered by a former owner can take effect. */
+  /**
+   * No start ordered by a former owner can take effect on the machine: the worker has seen this owner's token, or
+   * provably holds no tasks.
+   */
   fenced: boolean;
   session: number;
   seq: number;
@@ -36,34 +38,43 @@
   lastReportAt: number;
   /** Latest time at which the machine's lease may have been renewed, or a new one may have begun. */
   answeredAt: number;
-  /** The lease has provably expired. */
+  /** The machine's lease has provably expired, so its tasks are gone. */
   lost: boolean;
   noticeAt: number | null;
   rentedAt: number;
   idleSince: number;
   deleting: boolean;
   draining: boolean;
-  /** Failures by job reference since the last completed task. */
+  /** Number of failed tasks on this machine since the last completed one, by job reference. */
   failuresByJob: Map<string, number>;
   avoidUntil: number;
   images: Set<string>;
   placements: Map<string, Placement>;
   exited: Map<string, ReportedTask>;
-  /** Attempts whose direct start order may still arrive in this session. */
+  /**
+   * Keys of attempts whose start order was sent in a direct command (not in the answer to a report) and has not been
+   * answered, so it may still arrive in this session.
+   */
   unresolvedStarts: Set<string>;
   commandInFlight: boolean;
-  /** Number of consecutive direct commands that failed; `nextCommandAt` is when the next one may be sent. */
+  /**
+   * Number of consecutive direct commands (sent by the owner, not in answer to a report) that failed; `nextCommandAt`
+   * is when the next one may be sent.
+   */
   failedCommands: number;
   /** Why the last direct command failed; null if it succeeded. */
   lastCommandError: string | null;
   nextCommandAt: number;
-  /** Sum and number of the logarithms of actual to expected run time of its tasks, to detect slow machines. */
+  /**
+   * Sum and number of the logarithms of actual divided by expected run time, over the tasks completed on this
+   * machine; used to detect slow machines.
+   */
   runTimeRatios: { sum: number; count: number };
   /** Resources that `placements` use, updated with each attempt that is added or removed. */
   used: Capacity;
-  /** Usage by team in the whole partition; an object shared by its machines and updated together with `used`. */
+  /** Usage by team in the whole partition; one object that all machines of the partition share, updated together with `used`. */
   teamUsage: Map<string, Usage>;
-  /** Every attempt that may be on a machine of the partition; shared by its machines and updated together with `used`. */
+  /** Every attempt that may be on a machine of the partition; shared by all its machines and updated together with `used`. */
   attempts: AttemptRegistry<Placement>;
 }
 
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -11,24 +11,28 @@
   isClearable: (task: ReportedTask) => boolean;
   /** Called instead of sending a start when other attempts at the task may be on machines. */
   onStartRefused: (placement: Placement, others: readonly Placement[]) => void;
-  /** Number of orders at which no further attempt is considered. */
+  /** Limit on the number of orders: once it is reached, no further attempt is considered. */
   max: number;
 }
 
 /**
- * Returns whether a start and a stop are sent together to resolve a direct start that got no reply. Such a start may
- * arrive for as long as the session lasts: possibly after the user received the answer that the task will not start,
- * and until then the attempt uses capacity and its team's quota. After a start and a stop in one answer to a report,
- * the worker has the attempt registered and ignores a start that arrives later. This is done only while the order is
- * younger than a lease. If the job was cancelled meanwhile without this controller's knowledge, the deadline for a
- * cancellation has then not passed: this controller answers reports for at most `silentAfterMs` after the
- * cancellation, and `silentAfterMs` and a lease together are shorter than `cancel_s`.
+ * Returns whether a start and a stop are sent together to resolve a start order that was sent in a direct command
+ * (not in the answer to a report) and got no reply. Such a start may arrive for as long as the session lasts:
+ * possibly after the user received the answer that the task will not start, and until then the attempt uses capacity
+ * and its team's quota. After a start and a stop in one answer to a report, the worker has the attempt registered and
+ * ignores a start that arrives later. This is done only while the order is younger than a lease. If the job was
+ * cancelled meanwhile without this controller's knowledge, the deadline for a cancellation has then not passed: this
+ * controller answers reports for at most `silentAfterMs` after the cancellation, and `silentAfterMs` and a lease
+ * together are shorter than `cancel_s`.
  */
 function resolvesDirectStart(placement: Placement, { now, leaseMs }: WorkerOrderContext): boolean {
   return placement.directStart === "unresolved" && now - placement.orderedAt < leaseMs;
 }
 
-/** Checks, immediately before a start is sent, that no other attempt at the task may be on a machine; reports a violation. */
+/**
+ * Checks, immediately before a start is sent, that no other attempt at the task may be on a machine; if one may be,
+ * calls `onStartRefused`.
+ */
 function canSendStart({ attempts }: Machine, placement: Placement, { onStartRefused }: WorkerOrderContext): boolean {
   const others = attempts.otherAttempts(placement);
   if (others.length > 0) onStartRefused(placement, others);
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -7,7 +7,7 @@
 export const REPORT_PATH = "/v1/report";
 /** Number of bytes of an invalid body that are logged. */
 const MAX_LOGGED_BYTES = 120;
-/** Maximum size of a report body. */
+/** Maximum size of a report body in bytes. */
 export const MAX_REPORT_BYTES = 64 * 1024;
 
 /** Dependencies of the report endpoint. */
@@ -70,9 +70,9 @@
 }
 
 /**
- * Handles a report that was received by Node's HTTP server, to which the fast path for
- * reports leaves all requests that are not in the plain form. Express is bypassed because
- * its routing and body parsing cost more processor time than the report itself.
+ * Handles a report that was received by Node's HTTP server, to which the fast path (`ReportFastPath`) passes every
+ * connection with a request that it does not parse itself. Express is bypassed because its routing and body parsing
+ * cost more processor time than the report itself.
  */
 export function handleReportRequest(dependencies: ReportEndpointDependencies, req: IncomingMessage, res: ServerResponse): void {
   const chunks: Buffer[] = [];
--- a/src/workers/report-fast-path.ts
+++ b/src/workers/report-fast-path.ts
@@ -21,7 +21,10 @@
  */
 const MAX_UNREAD_ANSWER_BYTES = 2 * 64 * 1024;
 const HEADER_FIELD = /^([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\0\r\n]*?)[ \t]*$/;
-/** Headers that make a request more than a head and a body of known length; such requests are left to Node's parser. */
+/**
+ * Headers that the fast path does not support, because the request then is more than a head and a body of known
+ * length. Such requests are left to Node's HTTP parser.
+ */
 const UNSUPPORTED_HEADERS = new Set(["transfer-encoding", "expect", "upgrade", "trailer"]);
 const REASON_PHRASES: Record<number, string> = { 200: "OK", 400: "Bad Request", 421: "Misdirected Request", 503: "Service Unavailable" };
 
@@ -29,7 +32,7 @@
 export type ParseResult =
   /** The bytes are the beginning of a request that is incomplete. */
   | { kind: "more" }
-  /** Anything other than a plain report; Node's HTTP server must parse it. */
+  /** Anything other than a plain report request; Node's HTTP server must parse it. */
   | { kind: "other" }
   /** A plain report whose declared length exceeds `MAX_REPORT_BYTES`. */
   | { kind: "too-long" }
@@ -172,7 +175,7 @@
       socket.write(text, encoding);
       return;
     }
-    // Data after this request is discarded.
+    // Data that the worker sends after this request is discarded, because the connection is being closed.
     connection.detach();
     socket.on("error", () => socket.destroy());
     socket.resume();
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -38,7 +38,7 @@
   unproven: { placement: Placement; proof: TerminationProof; flaw: string }[];
   /** Machines that have become fenced, and the proof. */
   fenced: { machine: Machine; proof: FenceProof }[];
-  /** Gangs that lost a member and must be stopped before they can start again. */
+  /** Gangs that lost a task; their remaining tasks must be stopped before the gang can start again. */
   brokenGangs: Set<TaskSet>;
 }
 
@@ -50,7 +50,7 @@
   placeholderFor: (ref: string) => TaskSet;
 }
 
-/** Returns findings without any entry. */
+/** Creates empty findings, to which a report's effects are added. */
 export function newFindings(): Findings {
   return {
     changed: false,
@@ -65,7 +65,7 @@
   };
 }
 
-/** Arguments for removing attempts that all attempts of a machine share. */
+/** Arguments of `dropAttempt` that are the same for all attempts removed from a machine. */
 export interface DropContext {
   partition: Partition;
   machine: Machine;
@@ -127,7 +127,7 @@
   for (const other of taskSet.attempts.ofTask(taskSet.spec.ref, taskSet.lo + task)) other.stop ??= { graceS: 0 };
 }
 
-/** Updates the job and the machine of an attempt that has exited, according to the cause. */
+/** Updates the job and the machine of an attempt that has exited, according to the cause of the exit that the worker reported. */
 function recordExit(
   { partition, machine, now, findings }: DropContext,
   placement: Placement,
@@ -205,9 +205,9 @@
 }
 
 /**
- * Marks a task as completed whose attempt is not registered, because a former owner ordered it and stopped before
- * recording the result. This is repeated for each report that lists the attempt: its job may be queued here only after
- * the first one, and the task must not start again.
+ * Marks a task as completed although its attempt is not registered: a former owner ordered the attempt and stopped
+ * before recording the result. This is repeated for each report that lists the attempt: its job may be queued here
+ * only after the first one, and the task must not start again.
  */
 function recordUnorderedCompletion(partition: Partition, { taskId }: ReportedTask, findings: Findings): void {
   const { ref, task: number } = parseTaskId(taskId);
@@ -223,8 +223,8 @@
 }
 
 /**
- * Begins a new session. The worker killed and discarded all attempts when its lease expired, and orders that were on
- * their way to the former session have no effect.
+ * Begins a new session of the worker, which killed and discarded all attempts when its lease expired. Orders that
+ * were on their way to the former session have no effect.
  */
 function beginSession(dropContext: DropContext, { session, token }: Report): void {
   const { machine, now, findings } = dropContext;
@@ -298,12 +298,12 @@
   for (const [key, placement] of [...machine.placements]) {
     if (listed.has(key)) continue;
     if (placement.state !== null) {
-      // An attempt that was reported and is no longer listed in the same session has been removed by `clear`.
+      // An attempt that was reported and is no longer listed in the same session has been removed by a `clear` order.
       dropAttempt(dropContext, key, placement, unlistedEnd);
       continue;
     }
-    // An order in an answer is executed before the next report or never. A direct
-    // order without a reply may still arrive, so its attempt remains registered.
+    // An order in the answer to a report is executed before the worker's next report or never. A direct command that
+    // got no reply may still arrive, so its attempt remains registered.
     const settled = placement.directStart === "none" && viaReport && report.seq > placement.startSentSeq;
     if (settled && (placement.stop !== null || placement.taskSet.ended)) dropAttempt(dropContext, key, placement, unlistedEnd);
   }
--- a/src/workers/termination-proof.ts
+++ b/src/workers/termination-proof.ts
@@ -4,7 +4,7 @@
  * caller's concern.
  */
 
-/** Proof that an attempt no longer exists on its machine. Times are in ms of the controller's steady clock. */
+/** Proof that an attempt no longer exists on its machine. Times are in ms of the controller's monotonic clock. */
 export type TerminationProof =
   /** The machine's lease expired, and a read that began after the expiry (`provenAt`) still found this owner's term. */
   | { by: "lease over"; answeredAt: number; expiryMs: number; provenAt: number }
