--- a/src/queue/attempts.ts
+++ b/src/queue/attempts.ts
@@ -1,4 +1,4 @@
-/** The data of an attempt that the registry needs: its job, and its task number within its task set. */
+/** The data of an attempt that `AttemptRegistry` needs: its job, and its task number within its task set. */
 export interface Attempt {
   taskSet: { spec: { ref: string }; lo: number };
   task: number;
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -18,7 +18,7 @@
   order: QueueOrder;
   history: RunTimeHistory;
   bootMs: (machine: Machine) => number;
-  /** Time after which lower-priority work is stopped for a waiting job, in ms. */
+  /** How long a job waits before work of lower priority is stopped for it, in ms. */
   preemptAfterMs: number;
 }
 
@@ -31,17 +31,14 @@
 }
 
 /**
- * Time step of the simulation, as a fraction of the age at which a machine counts as silent. Capacity that becomes
- * free within one step is handled together.
+ * Time step of the queue simulation, as a fraction of the time without reports after which a machine gets no new
+ * tasks. Capacity that becomes free within one step is handled together.
  */
 const STEP_FRACTION = 1 / 5;
 const MAX_STEPS = 400;
 const MAX_QUEUE = 60;
 
-/**
- * Utilization of the partition: the share of its resources in use, for CPUs or accelerators, whichever is higher. 1
- * if it has no CPUs.
- */
+/** Returns the share of the partition's CPUs or of its accelerators that is in use, whichever is higher; 1 if it has no CPUs. */
 export function utilization(partition: Partition): number {
   const all = { cpus: 0, gpus: 0 };
   const used = { cpus: 0, gpus: 0 };
@@ -56,13 +53,13 @@
   return Math.max(used.cpus / all.cpus, all.gpus > 0 ? used.gpus / all.gpus : 0);
 }
 
-/** Upper bound on the counted copies of a task; no job has as many tasks. */
+/** Upper bound on the number of copies of a task that a machine is counted to hold; no job has as many tasks. */
 const MAX_COPIES = 1e6;
 
 /**
- * Number of tasks of one shape that each machine and zone can hold, updated as free capacity changes. It is shared by
- * all gangs of that shape: users submit many identical gangs, and with one instance per waiting gang, every change of
- * a machine would cost an update for each of them.
+ * Number of tasks of one shape (resource requirements and placement constraints) that each machine and zone can hold,
+ * updated as free capacity changes. It is shared by all gangs of that shape: users submit many identical gangs, and
+ * with one instance per waiting gang, every change of a machine would cost an update for each of them.
  */
 class ShapeCapacity {
   private readonly tasksPerMachine: Float64Array;
@@ -91,7 +88,7 @@
     this.tasksPerMachine[i] = now;
   }
 
-  /** The zone that can hold that many tasks now; -1 if any zone will do, null if there is none. */
+  /** Returns the number of a zone that can hold that many tasks now; -1 if they fit and need not share a zone, null if they do not fit. */
   zoneFor(tasks: number): number | null {
     if (!this.spec.oneZone) return this.tasksPerZone[0]! >= tasks ? -1 : null;
     const zone = this.tasksPerZone.findIndex((n) => n >= tasks);
@@ -104,11 +101,11 @@
   }
 }
 
-/** A job of the queue during the simulation. */
+/** A waiting job in the simulation of the queue, with the number of its tasks that are not placed yet. */
 interface QueueEntry {
   taskSet: TaskSet;
   tasks: number;
-  /** Set for a gang, which needs capacity for all of its tasks at once. */
+  /** For a gang, which needs capacity for all of its tasks at once, how many of them each machine and zone can hold; otherwise null. */
   shape: ShapeCapacity | null;
 }
 
@@ -116,9 +113,9 @@
  * Simulates the queue: machines free up as running tasks are expected to end, and booting ones count from when they
  * should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given), Infinity if the
  * partition cannot hold it. Only the first `MAX_QUEUE` jobs up to the last requested one are simulated, and others
- * have no entry; the simulation ends once all requested waits are known. So a burst of submissions does not make
- * every estimate expensive. `atOnce` receives, for each task set that has to wait, the number of tasks for which
- * there is free capacity now.
+ * have no entry in the result. The simulation ends once all requested waits are known. Both limits keep estimates
+ * cheap during a burst of submissions. `atOnce` receives, for each task set that has to wait, the number of tasks for
+ * which there is free capacity now.
  */
 export function estimateWaits(
   partition: Partition,
@@ -190,7 +187,10 @@
     insert(events, { at: due(at + expectedRunMs(spec)), machine: simulated, freed: spec, times: n });
     for (const shape of shapes.values()) shape.update(simulated.index);
   };
-  /** Places as many tasks of the entry as possible; `only`: the machines that have changed. */
+  /**
+   * Places as many tasks of the entry as possible, or all or none of a gang's, and returns whether all are placed.
+   * `only` holds the machines whose capacity has changed.
+   */
   const placeEntry = (entry: QueueEntry, at: number, only: Iterable<SimulatedMachine>): boolean => {
     const { shape } = entry;
     if (shape !== null) {
@@ -240,7 +240,7 @@
   return waits;
 }
 
-/** Keeps `events` in order of time. */
+/** Inserts an event into `events`, which stay sorted by time. */
 function insert(events: CapacityEvent[], event: CapacityEvent): void {
   let low = 0;
   let high = events.length;
--- a/src/queue/history.ts
+++ b/src/queue/history.ts
@@ -1,28 +1,34 @@
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 
-/** Initial spread of a class without observed run times: users' estimates are often wrong by half. */
+/**
+ * Initial spread (standard deviation of the logarithm of actual divided by estimated run time) of a class without
+ * observed run times: users' estimates are often wrong by half.
+ */
 const INITIAL_SPREAD = Math.log(1.5);
 const MAX_WEIGHT = 50;
-/** A replica of a service holds its capacity until its job is cancelled: longer than any wait, in seconds. */
+/**
+ * Run time in seconds that is assumed for a replica of a service, which holds its capacity until its job is
+ * cancelled; longer than any wait.
+ */
 const FOREVER_S = 1e9;
 /**
- * Median remaining run time of a task that has outrun its expected time, as a fraction of its run time so far
- * multiplied by the spread of its class.
+ * Median remaining run time of a task that has run for longer than expected, divided by its run time so far and by
+ * the spread of its class.
  */
 const OVERRUN_FRACTION = 0.7;
 
 /**
  * Run-time statistics by class. Users' estimates are off by half or more, and on some days all in the same direction,
  * so estimates are corrected by the run times observed for the class. The spread of single tasks counts as well: a
- * task that has outrun its expected time is not about to end. If it were assumed to be, a full partition would appear
- * to be about to become free, and jobs would gather where they wait the longest.
+ * task that has run for longer than expected is not necessarily about to end. If this were assumed, a full partition
+ * would appear to be about to become free, and jobs would gather where they wait the longest.
  */
 export class RunTimeHistory {
   private readonly ratios = new Map<string, { log: number; square: number; weight: number }>();
 
   constructor(private readonly mode: "learned" | "owner") {}
 
-  /** Records an observed run time in seconds. */
+  /** Records a task's observed run time in seconds for its class. */
   record(spec: JobSpec, seconds: number): void {
     if (spec.guessS <= 0 || seconds <= 0) return;
     const entry = this.ratios.get(spec.klass) ?? { log: 0, square: INITIAL_SPREAD ** 2, weight: 1 };
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -40,9 +40,9 @@
 }
 
 /**
- * Share of the machine that would be left idle, summed over CPUs, accelerators and memory. The fullest machine is
- * taken first, so that whole machines stay free for large tasks or can be returned. Idle accelerators count as much
- * as CPUs, so a task that needs none goes to a machine without any if possible.
+ * Sum of the shares of the machine's CPUs, accelerators and memory that would be idle after one task is placed on it.
+ * The machine with the lowest sum is preferred, so that whole machines stay free for large tasks or can be returned.
+ * Idle accelerators count as much as CPUs, so a task that needs none goes to a machine without any if possible.
  */
 export function leftover(spec: JobSpec, candidate: CandidateMachine): number {
   const { capacity } = candidate.machine;
@@ -55,14 +55,17 @@
 }
 
 /**
- * Placement cost of a task on a machine. A machine that already holds the image starts the task at once, which
- * outweighs fullness.
+ * Placement cost of a task on a machine. A machine that already holds the job's image starts the task at once, which
+ * counts for more than how full the machine is.
  */
 function placementCost(spec: JobSpec, candidate: CandidateMachine): number {
   return leftover(spec, candidate) + (candidate.machine.images.has(spec.image) ? 0 : 3);
 }
 
-/** Constraints for choosing one machine: a fixed zone, the remaining task limit per zone, and failures per host. */
+/**
+ * Constraints for choosing a machine for one task: a fixed zone, how many more tasks each zone may get, and the job's
+ * failures per host.
+ */
 export interface PlacementConstraints {
   zone: string | null;
   zoneCapacity: (zone: string) => number;
@@ -70,7 +73,8 @@
 }
 
 /**
- * The fullest machine that fits one task, or null if there is none. Each earlier failure on a host adds to its cost.
+ * Returns the candidate machine with the lowest cost on which one task fits, or null if there is none. Each earlier
+ * failure of the job on a host adds to that host's cost.
  */
 export function pickCandidate(spec: JobSpec, candidates: CandidateMachine[], constraints: PlacementConstraints): CandidateMachine | null {
   let best: CandidateMachine | null = null;
@@ -128,8 +132,8 @@
     return chosen;
   };
   const undo = (chosen: CandidateMachine[]): void => chosen.forEach((candidate) => occupy(candidate, spec, -1));
-  // Old attempts stay in their zones until they exit, so `oneZone` (`samePlace` on the wire) binds the job to these
-  // zones.
+  // Earlier attempts of the job's tasks stay in their zones until they exit, so `oneZone` (`samePlace` on the wire)
+  // binds the job to these zones.
   const bound = [...already].filter(([, n]) => n > 0).map(([zone]) => zone);
   if (spec.oneZone && bound.length > 1) return [];
   const zones: (string | null)[] = !spec.oneZone
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -13,11 +13,11 @@
   guaranteed: (taskSet: TaskSet) => boolean;
   /** How long work within a guarantee waits for capacity to become free by itself before it preempts, in ms. */
   claimAfterMs: number;
-  /** What each team runs beyond its guarantee, over all partitions. */
+  /** Resources that each team uses beyond its guarantee, over all partitions. */
   excess: Map<string, Usage>;
   /**
-   * How long a job waits, so that the exchange may find capacity for it in another partition, before tasks are
-   * stopped for it, in ms.
+   * How long a job waits before tasks are stopped for it, in ms; in this time the exchange may find capacity for the
+   * job in another partition.
    */
   patienceMs: number;
 }
@@ -38,7 +38,7 @@
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
-/** A start is useless if the task is stopped within this time in seconds (PROTOCOL). */
+/** A task that is stopped within this time after its start, in seconds, has done no useful work (PROTOCOL). */
 const MIN_USEFUL_RUN_S = 30;
 
 /** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
@@ -62,8 +62,8 @@
   ) {}
 
   /**
-   * Effective arrival of a job, cached. Tasks of the job with the latest one are stopped first, so that nearly
-   * finished work continues.
+   * Returns a job's effective arrival time in the queue order, cached. Tasks of the job with the latest arrival are
+   * stopped first, so that nearly finished work continues.
    */
   private arrival(taskSet: TaskSet): number {
     const known = this.arrivals.get(taskSet);
@@ -113,16 +113,17 @@
 }
 
 /**
- * Time that the exchange has to find capacity in another partition before tasks are stopped, as a fraction of `phi`.
+ * Time that the exchange (the search for other partitions) has to find capacity for a waiting job before tasks are
+ * stopped for it, as a fraction of `phi`.
  */
 export const PREEMPT_AFTER_PHI = 0.2;
 
 /**
  * Chooses tasks on one machine to stop for a job, or returns null if that does not free enough capacity. Only tasks
  * that `mayStop` allows are chosen; never a gang's, since all of it would stop. The order is lowest priority first,
- * then the latest effective arrival, since such tasks are the likeliest to be beyond their team's guarantee and the
- * farthest from completion, then the least work lost. Tasks that can save their progress and have just started come
- * after others of their priority.
+ * then the latest effective arrival, since the tasks that arrived last are the likeliest to be beyond their team's
+ * guarantee and the farthest from completion, then the least work lost. Tasks that can save their progress and have
+ * just started come after others of their priority.
  */
 function victimsOn(
   candidate: CandidateMachine,
@@ -142,7 +143,7 @@
   return fits(taskSet.spec, afterStopping.free) ? victims : null;
 }
 
-/** Where a job's tasks would go: free capacity, and capacity made by stopping other tasks. */
+/** Machines for a job's tasks: those with free capacity, and those on which other tasks would be stopped. */
 interface PreemptionPlan {
   placed: CandidateMachine[];
   preempted: { candidate: CandidateMachine; victims: Placement[]; cost: number }[];
@@ -150,8 +151,8 @@
 
 /**
  * Chooses the zone for a job that must stay in one zone: the zone that holds most of its tasks, and among those the
- * one where stopping others costs the least. If such jobs only waited for their turn, a team's long low-priority work
- * would keep urgent jobs from the only machines that can hold them.
+ * one where stopping others costs the least. If no tasks were stopped for jobs that need a single zone, a team's long
+ * low-priority work would keep urgent jobs from the only machines that can hold them.
  */
 function preemptInBestZone(
   bound: ReadonlyMap<string, number>,
@@ -205,7 +206,8 @@
     const quotaTasks = tasksThatFit(spec, { cpus: quotaShare.cpus - used.cpus, gpus: quotaShare.gpus - used.gpus });
     const isGang = spec.kind === "gang";
     const wanted = Math.min(taskSet.waiting.length, quotaTasks, context.order.maxStarts(taskSet));
-    // Free capacity only shrinks during a cycle: a shape that did not fit for one job does not fit for another.
+    // Free capacity only shrinks while preemptions are chosen: if no capacity was found for tasks with certain
+    // requirements and rights to preempt, none is found for another job's equal tasks.
     const usesGuarantee = context.guaranteed(taskSet) && now - taskSet.arrivedAt >= context.claimAfterMs;
     const shape = `${taskSet.urgency}|${usesGuarantee ? spec.team : ""}|${taskSet.shape}`;
     const mayStop = (p: Placement): boolean => isPreemptible(p, taskSet) || (usesGuarantee && isBeyondGuarantee(p, taskSet, excess));
@@ -218,8 +220,8 @@
       const task = zone === null ? spec : { ...spec, zone, oneZone: false };
       const placed = placeTasks(task, wanted, candidateMachines, zones, taskSet.failedOn, false);
       const preempted: PreemptionPlan["preempted"] = [];
-      // Stopping tasks for a job that spreads over zones would need the zones' balance as well; such jobs wait for
-      // their turn.
+      // No tasks are stopped for a job that spreads over zones, as its tasks would have to stay balanced between the
+      // zones; it waits until capacity becomes free.
       for (let missing = wanted - placed.length; missing > 0 && !spec.spread; missing--) {
         let best: { candidate: CandidateMachine; victims: Placement[]; cost: number } | null = null;
         for (const candidate of candidateMachines) {
--- a/src/queue/preemptible-capacity.ts
+++ b/src/queue/preemptible-capacity.ts
@@ -7,15 +7,15 @@
 import { addCapacity } from "./capacity.js";
 import type { TaskSet } from "./task-set.js";
 
-/** A machine during the simulation of the queue. */
+/** A machine in the simulation that estimates waits, with the numbers of its zone and of itself. */
 export interface SimulatedMachine extends CandidateMachine {
   zone: number;
   index: number;
 }
 
 /**
- * Rights to stop other work: whether work is within its team's guarantee, and what each team runs beyond its
- * guarantee.
+ * What decides which running work may be stopped for waiting work: whether the waiting work is within its team's
+ * guarantee, and what each team uses beyond its guarantee.
  */
 export interface PreemptionRights {
   guaranteed: (taskSet: TaskSet) => boolean;
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -10,7 +10,10 @@
   return RANK[urgency];
 }
 
-/** Queue order: by objectives within an urgency, by urgency, or by arrival alone. */
+/**
+ * How the queue is ordered: `aims` by urgency and then by the classes' objectives, `urgency` by urgency and then by
+ * arrival, `arrival` by arrival alone.
+ */
 export type OrderMode = "aims" | "urgency" | "arrival";
 
 /** True if the task set inherits its urgency from a job that depends on it. */
@@ -19,7 +22,10 @@
 /** Sort keys of a partition's queue; lower values come first. */
 export interface QueueOrder {
   rank: (taskSet: TaskSet) => number;
-  /** Effective arrival time in ms. */
+  /**
+   * Submission time in ms, moved by the delays and precedences of the queue order; the earliest comes first among
+   * task sets of equal rank.
+   */
   effectiveArrival: (taskSet: TaskSet) => number;
   /**
    * Maximum number of the task set's tasks that may start in one cycle; 1 for an array that comes first only so that
@@ -37,9 +43,9 @@
   /** Time in seconds within which jobs of a class should start; Infinity if the class has no such objective. */
   startObjectiveS: (klass: string) => number;
   expectedRunS: (taskSet: TaskSet) => number;
-  /** Maximum delay in seconds that a job of a class without a completion objective gets for its size. */
+  /** Maximum delay in seconds by which a job is moved back in the queue because of its size, if its class has no completion objective. */
   maxSizeDelayS: number;
-  /** Time in seconds after which an array of which no task has begun starts its first one. */
+  /** Time in seconds after its submission at which an array of which no task has begun starts its first one. */
   firstTaskAfterS: number;
   /**
    * True for work within its team's guarantee that should start within seconds for that reason: it does not wait for
@@ -47,18 +53,19 @@
    */
   withinGuarantee: (taskSet: TaskSet) => boolean;
   /**
-   * True for work of a team that runs less than its guarantee or of the most underserved class: it precedes other
-   * work of its priority and keeps its own order.
+   * True for work of a team that uses less than its guarantee, or of a class that is the least served of its
+   * priority. Such work precedes other work of its priority, in its usual order.
    */
   underserved: (taskSet: TaskSet) => boolean;
 }
 
 /**
- * Fraction of a priority step by which work with inherited urgency ranks behind work that has that urgency itself.
+ * Fraction of the step between two urgencies by which work that inherits its urgency from a dependent job ranks
+ * behind work submitted with that urgency.
  */
 const INHERITED_RANK_OFFSET = 0.5;
 
-/** Deducted from the arrival time of work that precedes the rest of its priority; longer than any wait. */
+/** Deducted from the arrival time, in ms, of work that must precede other work of its priority; longer than any wait. */
 const PRECEDENCE_MS = 1e9;
 
 /**
@@ -71,19 +78,22 @@
   return mode === "aims" && taskSet.spec.kind === "array" && !begun && nowWall - taskSet.submittedWall > beginS * 1000;
 }
 
-/** Number of a job's tasks that are expected to run at the same time; more waiting tasks count as several runs. */
+/**
+ * Number of a job's tasks that are assumed to run at the same time; a larger number of waiting tasks is assumed to
+ * run in several rounds.
+ */
 const EXPECTED_PARALLEL_TASKS = 4;
 
-/** Grows with `seconds` but stays below `limit`: every delay is bounded, so nothing waits forever. */
+/** Returns a delay that grows with `seconds` but stays below `limit`, so that no job waits forever. */
 const saturate = (limit: number, seconds: number): number => (limit * seconds) / (seconds + limit);
 
 /**
  * Creates the queue order: first come, first served within a priority. In mode `aims`, a large job of a class with a
  * completion objective counts as having arrived later, so that several small ones meet the objective instead. The
- * delay grows with the time its work takes, less for each further task, up to the objective. A job that has missed
- * its start objective is delayed further, by the length of that objective, in favour of jobs that can still meet it.
- * A job that can no longer be done in time is delayed further by the length of the completion objective. All delays
- * are bounded, so nothing waits forever.
+ * delay grows with the expected time for its waiting tasks but stays below the objective. A job that has missed its
+ * start objective is delayed further, by the length of that objective, in favour of jobs that can still meet it. A
+ * job that can no longer be done in time is delayed further by the length of the completion objective. All delays are
+ * bounded, so nothing waits forever.
  *
  * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more
  * work than capacity, first come, first served begins everything and finishes little, and a half-done array is of no
--- a/src/queue/reserve.ts
+++ b/src/queue/reserve.ts
@@ -15,11 +15,11 @@
   leftS: (taskSet: TaskSet, ranS: number) => number;
   /** Expected time in ms between renting a machine and its being up. */
   bootMs: (machine: Machine) => number;
-  /** Time in ms that a wide gang of the class waits before capacity is reserved for it. */
+  /** Longest time in ms that a gang of the class waits before capacity is reserved for it; a gang with few tasks waits less. */
   reserveAfterMs: (klass: string) => number;
 }
 
-/** Machines reserved for a gang. Jobs that end before `until` may still use them. */
+/** Machines reserved for a gang until it should fit, at time `until`. Jobs that are expected to end before then may still use them. */
 export interface Reservation {
   candidates: ReadonlySet<CandidateMachine>;
   until: number;
@@ -56,9 +56,9 @@
 }
 
 /**
- * Factor on the time before a reservation, at most 1. A wide gang blocks capacity that several narrow ones could use,
- * so it must have waited longer: a gang of the average width of the waiting gangs of its class waits half of the
- * time.
+ * Returns the factor, at most 1, on the time that a gang waits before capacity is reserved for it. A wide gang (one
+ * with many tasks) blocks capacity that several narrow ones could use, so it has to wait longer: a gang of the
+ * average width of the waiting gangs of its class waits half of the full time.
  */
 function widthFactor(partition: Partition, taskSet: TaskSet): number {
   let tasks = 0;
@@ -75,8 +75,8 @@
  * Reserves machines for a gang, so that backfilling does not starve it. Small jobs take any capacity that becomes
  * free, so a gang that needs much at once would lose machine after machine to them and never start. Free capacity is
  * reserved for the first gang of a class that has waited long enough; for a gang that needs a single zone, in the
- * zone where all its tasks should fit the soonest. A job that ends before then may still use it. Returns null if the
- * gang has not waited long enough or cannot be completed.
+ * zone where all its tasks should fit the soonest. A job that is expected to end before the gang fits may still use
+ * the reserved capacity. Returns null if the gang has not waited long enough or cannot be completed.
  */
 export function reserve(
   partition: Partition,
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -32,7 +32,7 @@
   fitsNow: Usage;
 }
 
-/** Maximum number of waiting tasks for which free capacity is checked on behalf of a team short of quota. */
+/** Maximum number of waiting tasks of a team that lacks quota for which a scheduling cycle checks whether there is free capacity. */
 const MAX_PROBED_TASKS = 16;
 
 /**
@@ -60,9 +60,9 @@
 }
 
 /**
- * True if some task of the task set may start now: tasks wait; the task set has not ended, is not migrating or
- * backing off after a failure, and is not limited to one task that is already placed; and no former attempt of a gang
- * may still be on a machine.
+ * True if some task of the task set may start now: tasks wait; the task set has not ended and is neither migrating
+ * nor backing off after a failure; it does not fail repeatedly with its single allowed task already placed; and, if
+ * it is a gang, no former attempt may still be on a machine.
  */
 export function isReady(taskSet: TaskSet, now: number): boolean {
   if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0)
@@ -71,7 +71,7 @@
   return taskSet.spec.kind !== "gang" || !taskSet.attempts.hasJob(taskSet.spec.ref);
 }
 
-/** Capacity that tasks ordered to stop will release, for each machine that has such tasks. */
+/** Returns, for each machine with tasks that were ordered to stop, the capacity that these tasks will release. */
 function stoppingCapacityByMachine(candidates: CandidateMachine[]): Map<Machine, Capacity> {
   const capacities = new Map<Machine, Capacity>();
   for (const { machine } of candidates) {
@@ -150,8 +150,8 @@
     if (chosen.length < withinQuota) {
       stopping ??= stoppingCapacityByMachine(candidates);
       reservedCount = reserveStoppingCapacity(taskSet, withinQuota - chosen.length, open, stopping, zonesInUse(partition, taskSet));
-      // A shape counts as unschedulable only if no reservation applied: a shorter job of the same shape may end early
-      // enough to use the reserved machines.
+      // A task shape (requirements and constraints) counts as unschedulable only if no reservation excluded machines:
+      // a shorter job of the same shape may end early enough to use the reserved machines.
       if (reservedCount === 0 && open.length === candidates.length && taskSet.failedOn.size === 0) {
         unschedulable.add(shape);
         if (!isGang) unschedulableSizes.add(spec);
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -6,7 +6,7 @@
 
 /** Task sets and their attempts: the state of the queued work of a partition, and the changes to it. */
 
-/** One attempt at one task on one machine, from its start order until it is proven gone. */
+/** One attempt at one task on one machine, from its start order until it is proven to no longer exist. */
 export interface Placement {
   taskSet: TaskSet;
   task: number;
@@ -19,8 +19,9 @@
   /** False if this process was stalled during the attempt, which makes its observed times unreliable. */
   timesReliable: boolean;
   /**
-   * `unresolved`: a direct start got no answer, so it may still arrive as long as the session lasts. Such an attempt
-   * is never cleared, because a late start order would start it again.
+   * State of a start order sent in a direct command, not in the answer to a report. `unresolved`: the command got no
+   * answer, so it may still arrive as long as the worker's session lasts. Such an attempt is never cleared, because a
+   * late start order would start it again.
    */
   directStart: "none" | "flying" | "unresolved" | "answered";
   stop: { graceS: number } | null;
@@ -45,18 +46,19 @@
   placements: Map<number, Placement>;
   /** All attempts that may be on machines of the partition, of this job and others. */
   attempts: AttemptRegistry<Placement>;
-  /** For tasks that are not done: the last attempt that is gone, with the proof. */
+  /** For tasks that are not done: the last attempt that is proven to no longer exist, with the proof. */
   lastGone: Map<number, TerminatedAttempt>;
   submittedWall: number;
   arrivedAt: number;
   migrated: boolean;
-  /** The exchange has looked for a better partition and has found none so far. */
-  migrationConsidered: boolean;
-  /** A transaction that gives the task set away is in progress: its tasks must not be started. */
-  migrating: boolean;
   /**
-   * Tasks from this number on are being given away as a slice and must not be started; Infinity if there are none.
+   * The exchange (the search for better partitions) has decided at least once that the task set, or its tasks other
+   * than a migrated slice, stay here.
    */
+  migrationConsidered: boolean;
+  /** A transaction that moves the task set to another partition is in progress: its tasks must not be started. */
+  migrating: boolean;
+  /** Tasks from this number on are being moved to another partition as a slice and must not be started; Infinity if there are none. */
   migratingFrom: number;
   started: boolean;
   notBefore: number;
@@ -65,7 +67,7 @@
   failedOn: Map<string, number>;
   ended: boolean;
   endWritePending: boolean;
-  /** A write of its progress is scheduled. */
+  /** A write of the task set's finished tasks to the state service is scheduled. */
   progressWriteScheduled: boolean;
   /** Equal for task sets whose tasks have the same resource requirements and placement constraints. */
   shape: string;
@@ -131,22 +133,22 @@
   if (at >= 0) taskSet.waiting.splice(at, 1);
 }
 
-/** Detaches an attempt that is proven gone and already removed from the registry, and requeues its task. */
+/** Detaches an attempt that provably no longer exists and is already removed from the registry, and requeues its task. */
 export function releasePlacement(taskSet: TaskSet, placement: Placement): void {
   if (taskSet.placements.get(placement.task) === placement) taskSet.placements.delete(placement.task);
   requeue(taskSet, placement.task);
 }
 
 /**
- * Puts the task back at the head of the waiting tasks, unless it is done, is being given away, or another attempt of
- * it may still be on a machine.
+ * Puts the task back at the head of the waiting tasks, unless it is done, is being moved to another partition, or may
+ * still have another attempt on a machine.
  */
 export function requeue(taskSet: TaskSet, task: number): void {
   if (taskSet.done.has(task) || task >= taskSet.migratingFrom || taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task)) return;
   if (!taskSet.waiting.includes(task)) taskSet.waiting.unshift(task);
 }
 
-/** Records the proof that allows the task to start again, for the log of its next start. */
+/** Records a task's last attempt that no longer exists, with the kind of proof, for the log line about the task's next start. */
 export function recordGoneAttempt(taskSet: TaskSet, task: number, gone: TerminatedAttempt): void {
   if (!taskSet.done.has(task)) taskSet.lastGone.set(task, gone);
 }
@@ -175,8 +177,8 @@
 }
 
 /**
- * Number of consecutive tasks at the end that are neither done nor have an attempt that may be on a machine; counts
- * up to `max`.
+ * Number of consecutive tasks at the end of the task set that are neither done nor have an attempt that may be on a
+ * machine; counts up to `max`.
  */
 export function waitingTailLength(taskSet: TaskSet, max: number): number {
   const waits = (task: number): boolean => !taskSet.done.has(task) && !taskSet.attempts.hasTask(taskSet.spec.ref, taskSet.lo + task);
@@ -199,7 +201,7 @@
   return taskSet.placements.size > 0 ? 0 : 1;
 }
 
-/** Truncates the task set after the tasks from `hi` on have become a slice of their own. */
+/** Truncates the task set after its tasks from `hi` on have become a slice (a range of an array's tasks) of their own. */
 export function truncate(taskSet: TaskSet, hi: number): void {
   taskSet.hi = hi;
   for (const task of [...taskSet.lastGone.keys()]) if (task >= hi - taskSet.lo) taskSet.lastGone.delete(task);
--- a/src/queue/unschedulable.ts
+++ b/src/queue/unschedulable.ts
@@ -6,9 +6,9 @@
 }
 
 /**
- * Task sizes that found no capacity during one cycle, in which free capacity only shrinks: a task that needs at least
- * as much of everything, under the same conditions, finds none either. A team's hundreds of small jobs each need
- * slightly different amounts, so trying each would look at every machine for every job.
+ * Sizes of tasks for which one scheduling cycle found no capacity. Free capacity only shrinks during a cycle: a task
+ * that needs at least as much of every resource, under the same constraints, finds none either. A team's hundreds of
+ * small jobs each need slightly different amounts, so without this every machine would be examined for every job.
  */
 export class UnschedulableShapes {
   private readonly minimalSizes = new Map<string, Capacity[]>();
