--- a/src/exchange/bid-responder.ts
+++ b/src/exchange/bid-responder.ts
@@ -1,4 +1,4 @@
-/** Bids for jobs of other partitions. */
+/** Computes a partition's bids for jobs of other partitions: when it would start such a job and how long the job would run. */
 import { keys, type JobRecord } from "../ledger/records.js";
 import { tasksThatFit } from "../partitions/partition.js";
 import type { BidRequest } from "../peers/messages.js";
@@ -12,8 +12,8 @@
   constructor(private readonly dependencies: ExchangeDependencies) {}
 
   /**
-   * Sends a bid for the job. The bid has an infinite wait if the partition is not served here, the job's record is not
-   * available, or this controller lacks proof of authority or sheds load.
+   * Sends a bid for the job. The bid has an infinite wait if this node does not serve the partition, the job's record
+   * is not available, or this controller has no recent proof that it still owns the partition, or sheds load.
    */
   onBidRequest(query: BidRequest): void {
     const partition = this.dependencies.leader.partitions.get(query.part);
--- a/src/exchange/bid-selection.ts
+++ b/src/exchange/bid-selection.ts
@@ -1,4 +1,4 @@
-/** Comparison of bids. */
+/** Comparison of the bids that partitions send for a job. */
 
 /**
  * Bid of a partition for a job: when the job would start there and how long it would run. The members are those of the
@@ -9,7 +9,7 @@
   waitMs: number;
   runMs: number;
   utilization: number;
-  /** Number of tasks that could start now if the others have to wait. */
+  /** Number of the job's tasks that could start now if its other tasks have to wait. */
   atOnce: number;
 }
 
--- a/src/exchange/dependencies.ts
+++ b/src/exchange/dependencies.ts
@@ -1,4 +1,4 @@
-/** Dependencies of the exchange, and helpers that its modules share. */
+/** Dependencies of the exchange (the search for better partitions for waiting jobs), and helpers that its modules share. */
 import type { GroupCommitter } from "../ledger/group-committer.js";
 import type { StateReplica } from "../ledger/state-replica.js";
 import type { QuotaShares } from "../partitions/quota-shares.js";
@@ -53,7 +53,7 @@
   return owner !== undefined && ownership.isHealthy(owner) ? owner : null;
 }
 
-/** Returns the portion of the team's quota share in the partition that no task uses. */
+/** Returns how much of the team's quota share in the partition no task uses. */
 export function unusedQuota({ quotaShares }: ExchangeDependencies, partition: Partition, team: string): Usage {
   const granted = quotaShares.grantedShare(partition.id, team);
   const used = usageOfTeam(partition, team);
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -13,7 +13,7 @@
 import { failsRepeatedly, waitingTailLength, type TaskSet } from "../queue/task-set.js";
 import { objectiveS } from "../settings/derived.js";
 
-/** Bid request that has been sent and not decided. */
+/** A bid request that has been sent to other partitions and on which no decision has been made yet. */
 interface PendingBidRequest {
   id: number;
   partition: Partition;
@@ -28,10 +28,10 @@
 }
 
 /**
- * Superscheduler with symmetric initiation. Jobs with a short expected wait in their
- * home partition stay. For the others, bids are requested first from volunteers; if there
- * are none or none is better than the home partition, from all other partitions. At most
- * one bid request is pending at a time.
+ * Superscheduler (assigns waiting jobs to partitions) with symmetric initiation: partitions with free capacity
+ * announce themselves as volunteers, and partitions with waiting jobs request bids. Jobs with a short expected wait
+ * in their home partition stay. For other jobs, bids are requested first from volunteers; if there are none or none
+ * is better than the home partition, from all other partitions. At most one bid request is pending at a time.
  */
 export class Exchange {
   private readonly volunteers: Volunteers;
@@ -41,7 +41,10 @@
   private readonly nextRequestAt = new Map<string, number>();
   private pendingRequest: PendingBidRequest | null = null;
   private lastRequestId: number;
-  /** Counters for metrics. */
+  /**
+   * Counters for metrics: jobs kept in their partition, jobs moved to a volunteer and to another partition, slices
+   * moved, and bid requests.
+   */
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
   constructor(private readonly dependencies: ExchangeDependencies) {
@@ -75,7 +78,7 @@
     );
   }
 
-  /** Returns whether the whole job may migrate: nothing of it has started, and it has not migrated before. */
+  /** Returns whether the whole job may migrate to another partition: none of its tasks has started, and it has not migrated before. */
   private isMigratable(taskSet: TaskSet): boolean {
     return (
       !taskSet.migrated &&
@@ -91,12 +94,17 @@
     );
   }
 
-  /** Returns whether waiting tasks at the end of an array may migrate as a slice, even if others have started here. */
+  /**
+   * Returns whether waiting tasks at the end of an array may migrate as a slice with a record of its own, even if
+   * tasks before them have started here.
+   */
   private isSliceable(taskSet: TaskSet): boolean {
     const { kind, oneZone, spread, klass } = taskSet.spec;
-    // Other partitions would repeat the failures before they consider the job faulty.
+    // A job that fails repeatedly stays here: other partitions would repeat its failures before they consider it
+    // faulty.
     if (failsRepeatedly(taskSet)) return false;
-    // A job that is late already would take capacity from jobs that can still start in time.
+    // A job that has already missed its start objective stays here: it would take capacity from jobs that can still
+    // start in time.
     if (
       this.dependencies.scope.clock.wall() - taskSet.submittedWall >
       objectiveS(this.dependencies.settings.platform, "wait", klass) * 1000
@@ -199,7 +207,7 @@
     return true;
   }
 
-  /** Records a bid and decides once all have arrived. */
+  /** Records another partition's bid, and decides about the job once all bids have arrived. */
   private onBid(answer: BidResponse): void {
     const request = this.pendingRequest;
     if (request === null || request.id !== answer.id || !request.unanswered.delete(answer.part)) return;
@@ -207,7 +215,7 @@
     if (request.unanswered.size === 0) request.decide?.();
   }
 
-  /** Migrates the job, or a slice of it, to the best bid, asks the remaining partitions, or keeps the job here. */
+  /** Decides by the bids whether to migrate the job or a slice of it, to ask the remaining partitions, or to keep the job here. */
   private decide(id: number): void {
     const request = this.pendingRequest;
     if (request === null || request.id !== id) return;
--- a/src/exchange/migration.ts
+++ b/src/exchange/migration.ts
@@ -8,11 +8,11 @@
 export class Migration {
   constructor(
     private readonly dependencies: ExchangeDependencies,
-    /** Allows another bid request for the remainder of a job after the migration of a slice. */
+    /** Called when the migration of a slice (tasks at the end of an array) has ended, to allow another bid request for the array. */
     private readonly allowBidRequests: (taskSet: TaskSet) => void,
   ) {}
 
-  /** Migrates a whole job. It must not start here until the outcome of the transaction is known. */
+  /** Migrates a whole job to another partition. The job must not start here until the outcome of the transaction is known. */
   migrate(partition: Partition, taskSet: TaskSet, target: number): void {
     taskSet.migrating = true;
     this.dependencies.scope.log.debug({ part: partition.id, term: partition.term, to: target, job: taskSet.spec.ref }, "migration begun");
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Migrates up to `maxTasks` waiting tasks at the end of an array as a slice of their own.
-   * Until the outcome of the transaction is known, they are queued in neither partition.
+   * Migrates up to `maxTasks` waiting tasks at the end of an array to another partition, as a slice (range of tasks)
+   * with a record of its own. Until the outcome of the transaction is known, they are queued in neither partition.
    */
   migrateSlice(partition: Partition, taskSet: TaskSet, target: number, maxTasks: number): void {
     const endBefore = taskSet.hi;
--- a/src/exchange/quota-transfers.ts
+++ b/src/exchange/quota-transfers.ts
@@ -5,10 +5,13 @@
 import type { QuotaShortage } from "../queue/scheduling-cycle.js";
 import { liveOwnerOf, unusedQuota, type ExchangeDependencies } from "./dependencies.js";
 
-/** Interval between the turns of two giving partitions, as a fraction of the report interval: longer than a transaction usually takes. */
+/**
+ * Interval between the turns of two partitions that give quota for the same request, as a fraction of the report
+ * interval: longer than a transaction usually takes.
+ */
 const TURN_INTERVAL_SHARE = 1 / 50;
 
-/** Quota request of another partition that waits for the giving partition's turn. */
+/** A quota request from another partition that waits until it is the giving partition's turn to transfer quota. */
 interface PendingQuotaRequest {
   givingPartition: Partition;
   request: QuotaRequest;
@@ -23,14 +26,17 @@
  * fail.
  */
 export class QuotaTransfers {
-  /** When the next request may be sent, by partition and team. */
+  /** When the next quota request may be sent, by requesting partition and team. */
   private readonly nextRequestAt = new Map<string, number>();
-  /** The newest request for each combination of giving partition, team and requesting partition, until its turn. */
+  /**
+   * The newest request for each combination of giving partition, team and requesting partition, until it is the
+   * giving partition's turn.
+   */
   private readonly pendingRequests = new Map<string, PendingQuotaRequest>();
 
   constructor(private readonly dependencies: ExchangeDependencies) {}
 
-  /** Sends a request for each shortage that the owned partitions report. */
+  /** Starts sending a quota request for each quota shortage that the owned partitions report. */
   start(): void {
     this.dependencies.scope.listen(this.dependencies.leader.quotaShortage$, ({ partition, team, want: shortage }) =>
       this.requestQuota(partition, team, shortage),
@@ -58,7 +64,7 @@
     }
   }
 
-  /** Schedules the transfer from each owned partition to the requesting one, at the partition's turn. */
+  /** Schedules a quota transfer from each owned partition to the requesting one, when it is the owned partition's turn. */
   onQuotaRequest(request: QuotaRequest): void {
     for (const partition of this.dependencies.leader.partitions.values()) {
       if (partition.id === request.part || partition.phase !== "serving") continue;
@@ -85,8 +91,8 @@
   }
 
   /**
-   * Returns how many partitions precede `giver`: those with a larger share, or an equal one and a lower number. The
-   * order is the same at all nodes, since they read the same record.
+   * Returns how many partitions give quota for the request before `giver`: those with a larger share, or an equal one
+   * and a lower number. The order is the same at all nodes, since they read the same record.
    */
   private givingOrder(giver: number, { part: partition, team, cpus }: QuotaRequest): number {
     const quotaRecord = this.quotaRecord(team);
@@ -97,7 +103,7 @@
     return shares.filter((share, id) => id !== giver && id !== partition && isBefore(share, id)).length;
   }
 
-  /** Transfers what is still needed and available. */
+  /** Transfers the quota that the requesting partition still needs and the giving one can spare. */
   private transferQuota(label: string): void {
     const pending = this.pendingRequests.get(label);
     this.pendingRequests.delete(label);
--- a/src/exchange/volunteers.ts
+++ b/src/exchange/volunteers.ts
@@ -30,12 +30,15 @@
     }
   }
 
-  /** Records an announcement. */
+  /** Records another controller's announcement that a partition has free capacity. */
   onVolunteer(message: Volunteer): void {
     this.announcements.set(message.part, { utilization: message.utilization, receivedAt: this.dependencies.scope.clock.now() });
   }
 
-  /** Returns whether the partition is a volunteer: an announcement is valid until half an interval after the next one was due. */
+  /**
+   * Returns whether the partition has recently announced free capacity: an announcement is valid until half an
+   * interval after the next one was due.
+   */
   isVolunteer(partition: number): boolean {
     const receivedAt = this.announcements.get(partition)?.receivedAt ?? -Infinity;
     return this.dependencies.scope.clock.now() - receivedAt < exchangeSettings(this.dependencies).sigma * 1500;
