--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -42,7 +42,10 @@
 /** Maximum number of machine names that the cloud accepts in one delete request. */
 export const MAX_DELETE_HOSTS = 100;
 
-/** Whether this controller still owns the partition. Must be checked immediately before each cloud call, not before waiting for the rate limit. */
+/**
+ * Returns whether this controller certainly still owns the partition. Call it immediately before each cloud call,
+ * after waiting for the rate limit.
+ */
 export function ownsPartition({ leader }: FleetDependencies, partition: Partition): boolean {
   return leader.isSoleOwner() && leader.partitions.get(partition.id) === partition;
 }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -38,7 +38,7 @@
     this.reconciler.start();
   }
 
-  /** Must be called after this process stalled for `ms`. */
+  /** Called by the controller after its process stalled for `ms`. */
   onStall(ms: number): void {
     this.reconciler.onStall(ms);
   }
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -2,22 +2,25 @@
 import type { Settings } from "../settings/derived.js";
 import type { Machine } from "../workers/machine.js";
 
-/** Machine names that the cloud listed, and the monotonic time at which reading the list began. */
+/** Names of the machines in the cloud's list, and the time of the monotonic clock at which reading the list began. */
 export interface Listing {
   readAt: number;
   hosts: ReadonlySet<string>;
 }
 
-/** Maximum age of the cloud's list, as a multiple of the lag in the settings (PROTOCOL). */
+/** Maximum staleness of the cloud's list of machines, as a multiple of `list_lag_s` in the settings (PROTOCOL). */
 const MAX_LIST_LAGS = 2;
-/** Margin in report intervals on a machine's age, which is derived from the time of day and may be too high. */
+/**
+ * Margin, in report intervals, on the age from which a machine should be listed: the age is derived from the time of
+ * day and may be too high.
+ */
 const SLACK_REPORTS = 1;
 
 /**
  * Whether an unresponsive machine is missing from a list that should contain it. Lists are stale and may be wrong, so
- * the list must contain every machine of the partition that has reported the new term and is old enough to be listed,
- * and there must be at least one. A missing entry is a reason to delete the machine, but only the deletion proves
- * that it is gone.
+ * the list must contain every other machine of the partition that has reported the owner's term and is old enough to
+ * be listed, and there must be at least one such machine. A missing entry is a reason to delete the machine, but only
+ * the deletion proves that it is gone.
  */
 export function missingFromListing(list: Listing, partition: Partition, machine: Machine, settings: Settings): boolean {
   const { cloud, clock_off_ms } = settings.platform.deployment;
--- a/src/fleet/offering-availability.ts
+++ b/src/fleet/offering-availability.ts
@@ -3,8 +3,8 @@
 import { offeringKey } from "./plan.js";
 
 /**
- * Number of report intervals for which a peer's message makes an offering count as sought; a peer that still needs
- * the offering sends another message before they end.
+ * Time in report intervals for which a machine offering counts as sought after a peer's message that the cloud
+ * refused it. A peer that still needs the offering sends another message within this time.
  */
 const SOUGHT_REPORTS = 3;
 
@@ -16,7 +16,7 @@
 /** Tracks which machine offerings the cloud recently refused, to this controller and to peers. */
 export class OfferingAvailability {
   private readonly refused = new Map<string, Refusal>();
-  /** Offerings refused to peers, with the time until which they count as sought. */
+  /** Machine offerings that the cloud refused to peers, with the time until which peers count as still seeking them. */
   private readonly soughtUntil = new Map<string, number>();
 
   constructor(private readonly deps: FleetDependencies) {}
@@ -29,7 +29,7 @@
     });
   }
 
-  /** Whether the offering is not in a pause after a refusal. */
+  /** Returns whether machines of the offering may be requested: no pause after a refusal is running. */
   isAvailable(offering: MachineOffering): boolean {
     const refusal = this.refused.get(offeringKey(offering));
     return refusal === undefined || refusal.until <= this.deps.scope.clock.now();
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -20,7 +20,7 @@
   /** False for an offering that the cloud refused recently. */
   isAvailable: (offer: MachineOffering) => boolean;
   quotaShare: (team: string) => Usage;
-  /** Time in ms after its arrival in which nothing is rented for a job that may still migrate to another partition. */
+  /** For how long after a job's arrival no machine is rented for it, in ms, because it may still migrate to another partition. */
   migrationGraceMs: number;
   /** Capacity that becomes free within this time in ms counts as free: a machine rented now would not be up sooner. */
   freeSoonMs: number;
@@ -28,7 +28,7 @@
   remainingMs: (placement: Placement) => number;
 }
 
-/** Returns the key of a machine offering: type, zone, and spot or on-demand. */
+/** Returns a machine offering as a string for use as a map key: type, zone, and spot or on-demand. */
 export function offeringKey(offer: MachineOffering): string {
   return `${offer.type}/${offer.zone}/${offer.spot ? "spot" : "ordinary"}`;
 }
@@ -48,9 +48,9 @@
 }
 
 /**
- * Plans rentals for a partition's queue. Waiting tasks are first placed on free and booting
- * machines; the rest is placed on hypothetical machines of the offering that is cheapest per
- * task, and later tasks use the capacity that is left on those.
+ * Plans rentals for a partition's queue. Waiting tasks are first placed on free and booting machines; the remaining
+ * tasks are placed on hypothetical machines of the offering that is cheapest per task, and later tasks use the
+ * capacity that is left on those.
  */
 export function planRentals(partition: Partition, context: PlanContext): RentalPlan {
   const toRent = new Map<string, { offer: MachineOffering; count: number }>();
@@ -86,7 +86,8 @@
     if (left === 0 || (isGang && left < taskSet.waiting.length)) continue;
     // No machines are rented for a job that fails on every machine.
     if (failsRepeatedly(taskSet)) continue;
-    // A machine rented while the job still bids for other partitions might come up after the job has migrated.
+    // A machine rented while bids of other partitions for the job are still awaited might come up after the job has
+    // migrated.
     if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs)
       continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
@@ -122,7 +123,7 @@
       const name = offeringKey(offer);
       const entry = toRent.get(name) ?? { offer, count: 0 };
       toRent.set(name, entry);
-      // Adds all machines of the offering that the remaining tasks fill completely.
+      // Adds as many machines of the offering as the remaining tasks fill completely, but at least one.
       const n = spec.spread ? 1 : Math.max(1, Math.floor(left / best.tasksPerMachine));
       for (let k = 0; k < n && entry.count < MAX_RENTAL_COUNT; k++) {
         const capacity = { cpus: type.cpus, gpus: type.gpus, ram: type.ram };
@@ -135,13 +136,14 @@
   return { toRent, needed };
 }
 
-/** Failures per waiting task after which a machine no longer counts as capacity for a job. */
+/** Number of a job's failures on one machine, per waiting task, above which the machine no longer counts as capacity for the job. */
 const MAX_FAILURES_PER_TASK = 2;
 
 /**
  * Whether the job has failed so often on the machine that another machine must be tried. With one job and one
- * machine, failures can be attributed to neither: the machine has failed no other job, the job has failed on no other
- * machine, and it would be restarted there forever. Running the job on another machine shows which of them is faulty.
+ * machine, failures can be attributed to neither: no other job has failed on the machine, the job has failed on no
+ * other machine, and the job would be restarted on this machine forever. Running the job on another machine shows
+ * which of them is faulty.
  */
 function failsRepeatedlyOn(taskSet: TaskSet, host: string): boolean {
   return (taskSet.failedOn.get(host) ?? 0) > MAX_FAILURES_PER_TASK * taskSet.waiting.length;
@@ -152,7 +154,10 @@
 export const MAX_RENTAL_COUNT = 50;
 const MAX_ROUNDS = 64;
 
-/** Returns the allowed zone in which the fewest tasks lack capacity; ties go to the cheapest offering. Null: no zone is possible. */
+/**
+ * Returns the allowed zone in which the fewest of the job's tasks lack capacity, with ties decided by the price of
+ * the missing machines; null if no zone is possible.
+ */
 function bestZone(
   partition: Partition,
   taskSet: TaskSet,
@@ -181,7 +186,7 @@
 interface PricedOffering {
   type: MachineType;
   offer: MachineOffering;
-  /** Tasks per machine. */
+  /** Number of the job's waiting tasks that one machine of the offering can hold. */
   tasksPerMachine: number;
   cost: number;
 }
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -10,7 +10,7 @@
 /** Compares the cloud's list of machines with the records, to find machines that failed and unregistered ones. */
 export class Reconciler {
   private readonly unregisteredSince = new Map<string, number>();
-  /** The newest list that was read completely. */
+  /** The newest list of the cloud's machines that was read completely. */
   private listing: Listing | null = null;
 
   constructor(
@@ -34,12 +34,15 @@
     return false;
   }
 
-  /** Whether the newest list reliably shows that the machine is gone. */
+  /** Returns whether the newest list of the cloud's machines reliably shows that the machine is gone. */
   isMissing(partition: Partition, machine: Machine): boolean {
     return this.listing !== null && missingFromListing(this.listing, partition, machine, this.deps.settings);
   }
 
-  /** Extends the grace time of unregistered machines by a stall, because this process may have missed records written meanwhile. */
+  /**
+   * Extends the grace time of unregistered machines (those that no rental record names) by the length of a stall of
+   * this process, which may have missed records written meanwhile.
+   */
   onStall(ms: number): void {
     for (const [host, since] of this.unregisteredSince) this.unregisteredSince.set(host, since + ms);
   }
@@ -64,7 +67,8 @@
             unregistered.add(listed.host);
             const since = this.unregisteredSince.get(listed.host) ?? now;
             this.unregisteredSince.set(listed.host, since);
-            // Unrecorded for longer than the list may lag and a pending rental may take to be recorded.
+            // No rental record has named the machine for longer than the cloud's list may lag and a rental may take
+            // to be recorded.
             if (now - since > Math.max(lagMs * 4, this.deps.settings.timing.leaseMs)) expired.push(listed.host);
           } else if (partition !== undefined && listed.state === "failed") {
             const machine = partition.machines.get(listed.host);
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -6,10 +6,16 @@
 import type { OfferingAvailability } from "./offering-availability.js";
 import { MAX_RENTAL_COUNT, planRentals, type RentalPlan } from "./plan.js";
 
-/** Number of completed rentals remembered: many times what can be requested from the cloud while a late copy of a record is in transit. */
+/**
+ * Number of completed rentals whose names are kept: many times the number that can be requested from the cloud while
+ * a delayed write of a rental record is in transit.
+ */
 const MAX_COMPLETED_RENTALS = 1000;
 
-/** Time, in bid answer limits, that a job may wait to send bid requests before machines are rented for it. */
+/**
+ * Number of bid timeouts (`answer_limit`) for which no machine is rented for a new job, which may have to wait before
+ * it can request bids from other partitions.
+ */
 const BID_WAIT_ANSWER_LIMITS = 2;
 
 /**
@@ -21,8 +27,8 @@
   private readonly plans = new WeakMap<Partition, { at: number; plan: RentalPlan }>();
   private rentalCount = 0;
   /**
-   * The newest rentals whose result has been recorded. They need not be durable: only this incarnation can write
-   * rental records under its own terms.
+   * Names of the newest rentals whose result has been recorded. They need not survive a restart: only this run of the
+   * process can write rental records under its own terms.
    */
   private readonly completed = new Set<string>();
 
@@ -42,14 +48,15 @@
   private async rent(): Promise<void> {
     if (this.deps.leader.isSilent() || this.deps.leader.types.length === 0) return;
     for (const partition of [...this.deps.leader.partitions.values()]) {
-      // Completes rentals begun earlier by this controller or a former owner before new ones are begun.
+      // Rentals that this controller or a former owner began earlier are completed before new ones are begun.
       let pending = false;
       for (const [key, record] of this.deps.rentals.pendingRentals(partition.id)) {
         pending = true;
         await this.executeRental(partition, key.slice(keys.rentals.length), record);
       }
       if (pending || partition.phase !== "serving") continue;
-      // Each machine adds reports, and reports are never shed because they renew leases.
+      // Nothing is rented while this process is overloaded: each machine adds reports, which are never shed because
+      // they renew leases.
       if (this.deps.overload.sheds("growth")) continue;
       const plan = this.plan(partition);
       for (const { offer, count } of plan.toRent.values()) {
@@ -90,8 +97,9 @@
   }
 
   /**
-   * A multiple of the shortest boot time, in ms; 0 if that exceeds half of the tightest objective for the time to start,
-   * because waiting for capacity would then make jobs late.
+   * Time in ms within which capacity that becomes free counts as free already: a multiple of the shortest boot time,
+   * or 0 if that exceeds half of the tightest objective for the time to start, because waiting for capacity would
+   * then make jobs late.
    */
   private freeSoonMs(): number {
     const { platform, operators } = this.deps.settings;
@@ -137,7 +145,8 @@
       await waitForRate(this.deps);
       // Ownership may have ended while waiting for the rate limit; the new owner then repeats the rental under the same name.
       if (!ownsPartition(this.deps, partition)) return;
-      // A late copy of an earlier write restored the record of a rental that is already completed.
+      // The rental is already completed, and a late copy of an earlier write has restored its record: the record is
+      // removed again without calling the cloud.
       if (this.completed.has(name)) return await this.recordRental(partition, name, rental, []);
       const hosts = await this.deps.cloud.rent(name, rental, rental.count);
       const offer: MachineOffering = { type: rental.type, zone: rental.zone, spot: rental.spot };
@@ -179,8 +188,8 @@
       },
       { priority: "soon" },
     );
-    // "settled" means that an earlier attempt was executed and only its answer lost. A record that still
-    // lists no hosts is left for another owner to complete.
+    // `settled` means that there was nothing left to write, usually because an earlier attempt at the transaction was
+    // applied and only its answer lost. A record that still lists no hosts is left for another owner to complete.
     const remaining = this.deps.replica.get<RentalRecord>(key);
     if (outcome === "done" || (outcome === "settled" && (remaining === undefined || remaining.v.hosts !== undefined)))
       this.completed.add(name);
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -7,36 +7,48 @@
 import type { OfferingAvailability } from "./offering-availability.js";
 import type { Renter } from "./renting.js";
 
-/** Maximum factor by which a low price extends the idle time, so that even the cheapest idle machine is returned eventually. */
+/**
+ * Maximum factor by which a low price extends the time for which a machine may idle, so that even the cheapest idle
+ * machine is returned eventually.
+ */
 const MAX_CHEAPNESS = 8;
 
-/** Share of the idle time that remains if another partition seeks the machine; it is not zero because handing a machine over costs a boot. */
+/**
+ * Factor on the time for which a machine may idle if another partition seeks a machine of its kind; not zero, because
+ * handing a machine over costs a boot.
+ */
 const SOUGHT_IDLE_SHARE = 0.5;
 
 /** Maximum share of a partition's machines that may be deleted so that placement can resume. */
 const MAX_DELETED_SHARE = 0.1;
 
 /**
- * Number of machines that must have reported the new term before a single silent one is deleted. With a higher
- * number, a partition of two machines would wait for a whole lease with all its tasks, only to cover the rarer case
- * that this node alone cannot reach one of them.
+ * Number of machines that must have reported the new owner's term before a single silent machine that delays fencing
+ * is deleted. With a higher number, a partition of two machines would wait for a whole lease with all its tasks, only
+ * to cover the rarer case that this node alone cannot reach one of them.
  */
 const MIN_ANSWERS = 1;
 
-/** Report intervals without a report after which a machine is late. */
+/** Number of report intervals without a report after which a machine counts as late. */
 const LATE_REPORTS = 1.6;
-/** Report intervals without a report after which a spot machine that gave no notice counts as preempted. */
+/**
+ * Number of report intervals without a report after which a spot machine that gave no preemption notice counts as
+ * preempted by the cloud.
+ */
 const SILENT_REPORTS = 3;
 
 /** Number of a partition's machines in each state. */
 interface Tally {
   unfenced: number;
-  /** Have reported the current term. */
+  /** Machines that have reported the current owner's term. */
   answered: number;
   late: number;
 }
 
-/** Whether `n` machines are few enough to be deleted; with more of them, or in a small partition, this node itself may be unable to reach them. */
+/**
+ * Returns whether `n` silent machines are few enough to be deleted; with more of them, or in a small partition, this
+ * node itself may be unable to reach them.
+ */
 function isDeletableCount(partition: Partition, n: number): boolean {
   return n <= partition.machines.size * MAX_DELETED_SHARE;
 }
@@ -54,7 +66,7 @@
     private readonly deps: FleetDependencies,
     private readonly availability: OfferingAvailability,
     private readonly renter: Renter,
-    /** Whether the newest list reliably shows that the machine is gone. */
+    /** Returns whether the newest list of the cloud's machines reliably shows that the machine is gone. */
     private readonly isMissing: (partition: Partition, machine: Machine) => boolean,
   ) {}
 
@@ -85,7 +97,8 @@
     if (machine.placements.size > 0) return null;
     if (machine.draining) return "faulty";
     if (machine.noticeAt !== null) return "notice";
-    // A gang's machines come up one by one; those that wait for the others are not idle.
+    // Machines needed for waiting tasks are kept: a gang's machines come up one by one, and those that wait for the
+    // gang's other machines are not idle.
     if (needed.has(machine.host)) return null;
     const sought = this.availability.isSoughtByPeer(machine);
     const idleMs = bootMs * idle_per_boot * this.cheapness(machine) * (sought ? SOUGHT_IDLE_SHARE : 1);
@@ -105,7 +118,8 @@
     if (partition.phase !== "fencing" || machine.fenced || scope.clock.now() - partition.takenOverAt < settings.timing.leaseMs / 4)
       return false;
     if (isDeletableCount(partition, tally.unfenced)) return true;
-    // The machine was preempted, or the former owner returned it and could no longer record that.
+    // The cloud's list no longer shows the machine: it was preempted, or the former owner returned it and could no
+    // longer record that.
     if (this.isMissing(partition, machine)) return true;
     // By now a silent machine's lease would have expired: this one keeps reporting, but does not receive this controller's
     // answers. It is deleted only if at least as many machines have shown the current term as are unfenced.
@@ -114,7 +128,7 @@
     return tally.unfenced === 1 && tally.answered - Number(machine.token >= partition.term) >= MIN_ANSWERS;
   }
 
-  /** Counts the partition's machines by state in one pass. */
+  /** Counts the partition's unfenced machines, those that have reported the current term, and those whose reports are late. */
   private tally(partition: Partition): Tally {
     const tally = { unfenced: 0, answered: 0, late: 0 };
     const { reportMs } = this.deps.settings.timing;
@@ -138,11 +152,15 @@
     const now = this.deps.scope.clock.now();
     if (!machine.up || machine.lastReceivedAt === -Infinity || now - partition.takenOverAt < reportMs * SILENT_REPORTS) return false;
     if (machine.noticeAt !== null) return silentFor(machine, now, reportMs * LATE_REPORTS);
-    // Counts all late machines, because a network cut becomes visible in one machine's reports first.
+    // All late machines are counted, not only those silent for as long as this one, because a network cut becomes
+    // visible in one machine's reports first.
     return machine.spot && silentFor(machine, now, reportMs * SILENT_REPORTS) && isDeletableCount(partition, tally.late);
   }
 
-  /** Factor by which this machine is cheaper than the most expensive type; cheaper machines may idle longer. */
+  /**
+   * Returns the factor by which this machine is cheaper than the most expensive type, from 1 to `MAX_CHEAPNESS`;
+   * cheaper machines may idle longer.
+   */
   private cheapness(machine: Machine): number {
     const maxPrice = Math.max(...this.deps.leader.types.map((t) => t.price));
     const price = this.deps.leader.priceOf(machine);
