--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -27,15 +27,15 @@
   lagging: () => boolean;
 }
 
-/** What this node has observed of one peer. Times are steady, in ms. */
+/** What this node has observed of one peer. Times are in ms of the monotonic clock. */
 interface PeerObservation {
   /** The unrefuted suspicion, identified by incarnation and number, and the time at which this node first saw it. */
   suspicion: { id: string; at: number } | null;
   /** Time at which the peer's suspicion record was last seen to change. */
   lastSuspectedAt: number;
-  /** Time since which the peer reports that it cannot reach the state service. */
+  /** When the peer began to report that it cannot reach the state service; null if it does not report that. */
   statelessAt: number | null;
-  /** Status that was logged last. */
+  /** The peer's status at the last evaluation, to log a change to `gone` only once. */
   reportedStatus: PeerStatus;
 }
 
@@ -49,7 +49,7 @@
 export class FailureDetector {
   private readonly observations = new Map<string, PeerObservation>();
   private readonly writing = new Set<string>();
-  /** Time since which this node's own view is up to date; earlier observations may be due to a fault of this node. */
+  /** When this node's own view became up to date, null while it is not; earlier observations may be due to a fault of this node. */
   private upToDateSince: number | null = null;
   readonly stats = { suspicions: 0, refuted: 0, verdicts: 0 };
 
@@ -63,7 +63,8 @@
       const observation = this.observation(from);
       observation.statelessAt = message.Health.stateOk ? null : (observation.statelessAt ?? scope.clock.now());
     });
-    // A suspicion of this node is refuted as soon as it is read, because the verdict limit of its observers is running.
+    // A suspicion of this node is refuted as soon as it is read, because peers that have seen it consider this node
+    // gone after a time limit.
     scope.listen(replica.changes$, (key) => {
       if (!key.startsWith(keys.suspicions)) return;
       this.observation(key.slice(keys.suspicions.length)).lastSuspectedAt = scope.clock.now();
@@ -87,25 +88,31 @@
     return observation;
   }
 
-  /** Discounts a stall of this process, in ms: observations missed meanwhile are no evidence. */
+  /**
+   * Called after this process stalled for `ms`: suspicions of peers count as that much younger, since observations
+   * missed meanwhile are no evidence.
+   */
   onStall(ms: number): void {
     this.upToDateSince = null;
     for (const observation of this.observations.values()) if (observation.suspicion !== null) observation.suspicion.at += ms;
   }
 
-  /** Time limits of suspicions, as ratios of the presence lease. */
+  /** Returns the time limits of suspicions, which are fractions or multiples of the presence lease. */
   private limits(): SuspicionLimits {
     const { presenceMs } = this.dependencies.settings.timing;
     return { suspectMs: presenceMs / 32, verdictMs: presenceMs / 4, repeatMs: presenceMs };
   }
 
-  /** Whether this node's own observations are reliable. */
+  /**
+   * Returns whether this node's own view is up to date and whether its timers fire late, which decides if its
+   * observations are reliable.
+   */
   private health(): OwnHealth {
     const { presence, replica, settings } = this.dependencies;
     return { upToDate: presence.ownVisible() && replica.ageMs() < settings.timing.contactMs, lagging: this.dependencies.lagging() };
   }
 
-  /** Age of the evidence against a peer, counting only the time in which this node's own view was up to date. */
+  /** Returns for how long there has been evidence against a peer, counting only the time since this node's own view became up to date. */
   private evidence(node: string): Evidence {
     const since = (at: number | null): number | null =>
       at === null || this.upToDateSince === null ? null : this.dependencies.scope.clock.now() - Math.max(at, this.upToDateSince);
@@ -170,7 +177,7 @@
     observation.reportedStatus = status;
   }
 
-  /** Writes a suspicion unless the peer's suspicion or presence changes first. */
+  /** Writes a suspicion of the peer, unless the peer's suspicion record or presence record changes before the write. */
   private writeSuspicion(node: string, record: SuspicionRecord): void {
     if (this.writing.has(node)) return;
     this.writing.add(node);
@@ -194,7 +201,7 @@
     });
   }
 
-  /** This node's status of a peer whose presence record still exists. */
+  /** Returns whether this node considers a peer, whose presence record still exists, sound, suspected or gone. */
   status(node: string): PeerStatus {
     const suspicion = this.observations.get(node)?.suspicion ?? null;
     const unrefutedMs = suspicion === null ? null : this.dependencies.scope.clock.now() - suspicion.at;
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -18,7 +18,7 @@
   state: StateApi;
   replica: StateReplica;
   rate: TokenBucket;
-  /** Backoff of repeated renewals. */
+  /** Provides the backoff before a failed renewal of the presence key is repeated. */
   calls: Caller;
   scope: Scope;
   /** Whether this node cannot reach its workers and so should not own partitions. */
@@ -28,26 +28,26 @@
 }
 
 /**
- * Presence of the nodes: each has a key under a lease that expires unless the node renews it. That a peer is silent,
- * or that the state service refuses requests, does not make a node absent.
+ * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A node does not count
+ * as absent because a peer gets no answer from it, or because the state service refuses requests.
  *
- * A process may restart while the key of its former incarnation still exists. Nobody renews that key, and it may
+ * A process may restart while the key of its former incarnation still exists. Nobody renews this old key, and it may
  * expire at any time, so a node counts itself as present only by a key that names its current incarnation. Writes of
  * the former incarnation may still be applied late, so each write is conditional on the key as it was read; otherwise
  * a late write could hide a healthy node.
  */
 export class Presence {
   private leaseId: number | null = null;
-  /** Time of the request that last granted or renewed the lease, in steady ms. */
+  /** When the last request that granted or renewed the lease was sent, in ms of the monotonic clock. */
   private extendedAt = -Infinity;
-  /** Lease with which this node's key was last written. */
+  /** Lease under which this node's presence key was last written. */
   private attachedLeaseId: number | null = null;
   private renewing = false;
   private renewalScheduled = false;
-  /** Consecutive early exits before this incarnation; null until the records are loaded. */
+  /** Number of consecutive earlier runs of this node's process that exited early; null until the state service's records are loaded. */
   private earlyExits: number | null = null;
   private readonly startedAt: number;
-  /** Time since which a node is absent, in steady ms. */
+  /** When each absent node was first found absent, in ms of the monotonic clock. */
   private readonly missingSince = new Map<string, number>();
 
   constructor(private readonly dependencies: PresenceDependencies) {
@@ -125,7 +125,7 @@
     });
   }
 
-  /** Counts early exits by the record of the former incarnation. */
+  /** Derives the number of consecutive early exits from the presence record of the former incarnation. */
   private countEarlyExits(former: PresenceRecord | undefined): void {
     this.earlyExits = precedingEarlyExits(former);
     const ms = restartBackoffMs(this.earlyExits, this.dependencies.settings.timing.leaseMs);
@@ -133,7 +133,7 @@
       this.dependencies.scope.log.warn({ ends: this.earlyExits, ms }, "this controller keeps ending: others should lead for a while");
   }
 
-  /** The presence record that this node should show now. */
+  /** Returns the presence record that this node should publish now. */
   private desiredRecord(): PresenceRecord {
     const young = this.ageMs() < this.dependencies.settings.timing.leaseMs;
     return presenceRecord(
@@ -146,7 +146,7 @@
     );
   }
 
-  /** Number up to which this incarnation has to refute suspicions. */
+  /** Returns the number of the newest suspicion that this incarnation has to refute; 0 if there is none. */
   private refutation(): number {
     const { replica, settings, incarnation } = this.dependencies;
     return requiredRefutation(replica.get<SuspicionRecord>(keys.suspicion(settings.self))?.v, incarnation);
@@ -185,12 +185,12 @@
     return this.dependencies.replica.get<PresenceRecord>(keys.presenceOf(node))?.v;
   }
 
-  /** Whether any incarnation of the node is present. */
+  /** Returns whether the node has a presence key, of whichever incarnation. */
   isPresent(node: string): boolean {
     return this.record(node) !== undefined;
   }
 
-  /** Whether the published record is that of this incarnation. */
+  /** Returns whether this node's published presence record is that of its current incarnation. */
   ownVisible(): boolean {
     return this.record(this.dependencies.settings.self)?.life === this.dependencies.incarnation;
   }
@@ -224,7 +224,10 @@
     return [...this.missingSince.keys()].map((node) => ({ node, ms: Math.round(this.missingMs(node)!) }));
   }
 
-  /** Discounts a stall of this process, in ms: records missed meanwhile prove nothing about other nodes. */
+  /**
+   * Called after this process stalled for `ms`: absences of nodes count as that much shorter, since records missed
+   * meanwhile prove nothing about other nodes.
+   */
   onStall(ms: number): void {
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
   }
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -1,6 +1,6 @@
 import type { PresenceRecord, SuspicionRecord } from "../ledger/records.js";
 
-/** Decisions of the failure detector. Pure functions. */
+/** Decisions of the failure detector as pure functions: when a peer is suspected, and when it counts as gone. */
 
 /** This node's own evidence against a peer, as ages in ms; null means that there is none of the kind. */
 export interface Evidence {
@@ -23,11 +23,11 @@
 
 /** Time limits of suspicions, in ms. */
 export interface SuspicionLimits {
-  /** Age of evidence from which on the peer is suspected. */
+  /** Minimum age of evidence against a peer for it to be suspected. */
   suspectMs: number;
-  /** Time after which an unrefuted suspicion makes the peer count as gone, while the evidence persists. */
+  /** Time after which a peer whose suspicion is unrefuted counts as gone, while the evidence against it persists. */
   verdictMs: number;
-  /** Pause before the next suspicion of the same incarnation, doubled with each refuted one. */
+  /** Pause after a refuted suspicion before the next one of the same incarnation; doubled with each further refuted suspicion. */
   repeatMs: number;
 }
 
@@ -45,7 +45,7 @@
   return suspicion.life === presence.life && presence.refutes < suspicion.n;
 }
 
-/** Number that the incarnation has to publish in `refutes` to refute all suspicions of it. */
+/** Returns the number that the incarnation has to publish in `refutes` to refute all suspicions of it. */
 export function requiredRefutation(suspicion: SuspicionRecord | undefined, incarnation: string): number {
   return suspicion?.life === incarnation ? suspicion.n : 0;
 }
@@ -71,8 +71,9 @@
 }
 
 /**
- * Status of a peer whose suspicion this node has seen unrefuted for `unrefutedMs`; null means that there is none.
- * Without evidence of its own, a node never takes a peer for gone because of another node's suspicion.
+ * Returns the status of a peer whose suspicion this node has seen unrefuted for `unrefutedMs`, which is null if there
+ * is no such suspicion. Without evidence of its own, a node never takes a peer for gone because of another node's
+ * suspicion.
  */
 export function peerStatus(unrefutedMs: number | null, evidence: Evidence, health: OwnHealth, limits: SuspicionLimits): PeerStatus {
   if (unrefutedMs === null) return "sound";
