--- a/src/partitions/claims.ts
+++ b/src/partitions/claims.ts
@@ -7,7 +7,11 @@
  * renews) is gone; it reports itself unfit to own partitions; or it did not refute a suspicion.
  */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
-/** Why a node claims a partition. */
+/**
+ * Why a node claims a partition: its owner was lost (`LossReason`); it has no owner record; an earlier process of
+ * this node owned it; this process ended its own term because of a worker's newer token; or it returns from another
+ * healthy owner to this node, its home controller.
+ */
 export type ClaimReason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
 /** What a node knows about one partition and about the presence of the other nodes when it decides on a claim. */
@@ -23,7 +27,7 @@
   canOwn: (node: string) => boolean;
   isPresent: (node: string) => boolean;
   reportsUnfit: (node: string) => boolean;
-  /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
+  /** Returns the eligible node that should take the partition over: its home controller, else the node that owns the fewest partitions. */
   successor: () => string | undefined;
   /**
    * The owner's presence key has been missing for longer than the lifetime of a key, so the successor seems unable to
--- a/src/partitions/ended-terms.ts
+++ b/src/partitions/ended-terms.ts
@@ -21,7 +21,7 @@
  * proved never to have been issued.
  */
 export class EndedTerms {
-  /** The last term that ended here, by partition, with the worker that reported the newer token. */
+  /** The last term that this process ended, by partition, with the worker that reported the newer token. */
   private readonly endedByPartition = new Map<number, { term: number; host: string }>();
   private readonly refutedHosts = new Set<string>();
 
--- a/src/partitions/fitness.ts
+++ b/src/partitions/fitness.ts
@@ -12,7 +12,7 @@
  */
 export type Reachability = "most" | "few" | "unsure";
 
-/** Minimum share of the machines expected to report that counts as `most`, and maximum share that counts as `few`. */
+/** Minimum share of a node's machines that report to it for the result `most`, and maximum share for `few`. */
 const MIN_SHARE_FOR_MOST = 1 / 2;
 const MAX_SHARE_FOR_FEW = 1 / 10;
 /** Minimum number of machines from which this node may conclude that it is cut off; fewer may all have failed at the same time. */
@@ -74,7 +74,7 @@
     this.pauseMs = settings.timing.leaseMs / 2;
   }
 
-  /** Starts the periodic check. */
+  /** Starts the periodic check whether this node reaches its workers. */
   start(): void {
     this.scope.routine(
       "fitness",
--- a/src/partitions/leader.ts
+++ b/src/partitions/leader.ts
@@ -119,10 +119,10 @@
   }
 
   /**
-   * Returns whether workers must not be answered. Without a recent read, cancellations and takeovers may be unknown
-   * here, and workers' leases must end within `cancel_s`, so answers stop in time. A read from before a stall in
-   * which the partition may have been lost does not count: this node would consider machines lost whose leases a new
-   * owner renews, and return them to the cloud.
+   * Returns whether this node must not answer workers. Without a recent read of the state service it may not know of
+   * cancellations and takeovers, and workers' leases must end within `cancel_s`, so answers stop in time. A read from
+   * before a stall in which the partition may have been lost does not count: this node would consider machines lost
+   * whose leases a new owner renews, and return them to the cloud.
    */
   isSilent(): boolean {
     return this.replica.ageMs() > this.settings.timing.silentAfterMs || this.replica.currentAsOf < this.stallEndedAt;
--- a/src/partitions/machine-startup.ts
+++ b/src/partitions/machine-startup.ts
@@ -19,7 +19,7 @@
     private readonly committer: GroupCommitter,
   ) {}
 
-  /** Records all machines of the rental that have come up, in one write. */
+  /** Records all machines of this machine's rental that have come up, in one write. */
   record(partition: Partition, machine: Machine): void {
     const key = this.rentals.get(machine.host)?.key;
     if (key === undefined || machine.addr === null || this.pending.has(key)) return;
@@ -51,7 +51,7 @@
     void this.committer.commit("up", draft, { priority: "soon" }).then((outcome) => {
       this.pending.delete(key);
       if (outcome === "shed") return;
-      // Records machines that came up during the write.
+      // Records the rental's machines that came up during the write.
       const hosts = this.replica.get<RentalRecord>(key)?.v.hosts ?? {};
       const remaining = Object.entries(hosts).find(([host, addr]) => addr === "" && reportedAddress(host) !== null);
       const next = remaining === undefined ? undefined : partition.machines.get(remaining[0]);
--- a/src/partitions/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -60,7 +60,7 @@
     else if (key.startsWith(keys.quotaShares)) this.context.requestSchedulingCycle();
   }
 
-  /** Gives up the partition if its record names another owner or term, and starts a takeover if it names this process. */
+  /** Gives up the partition if its owner record names another owner or term, and starts a takeover if the record names this process. */
   private reconcileOwner(id: number): void {
     const entry = this.replica.get<OwnerRecord>(keys.owner(id));
     const current = this.context.partitions.get(id);
--- a/src/partitions/ownership.ts
+++ b/src/partitions/ownership.ts
@@ -38,7 +38,7 @@
 
   constructor(private readonly dependencies: OwnershipDependencies) {}
 
-  /** Starts the periodic review of all partitions. */
+  /** Starts the periodic review of all partitions, which decides which of them this node claims. */
   start(): void {
     const { presenceMs } = this.dependencies.settings.timing;
     this.dependencies.scope.routine(
@@ -137,7 +137,7 @@
     );
   }
 
-  /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
+  /** Returns the eligible node that should take the partition over: its home controller, else the node that owns the fewest partitions. */
   private successor(partition: number): string | undefined {
     const candidates = this.dependencies.settings.nodes.filter((node) => this.canOwn(node));
     if (candidates.includes(this.home(partition))) return this.home(partition);
--- a/src/partitions/partition.ts
+++ b/src/partitions/partition.ts
@@ -12,7 +12,10 @@
 export interface Partition {
   id: number;
   term: number;
-  /** `fencing`: no task starts, no task set migrates and no quota is transferred until every machine is fenced. */
+  /**
+   * `fencing`: no task starts, no task set migrates and no quota is transferred until every machine is fenced, so
+   * that no start ordered by a former owner can take effect on it. `serving`: all machines are fenced.
+   */
   phase: "fencing" | "serving";
   /** When this node took the partition over, in ms of the monotonic clock; moved forward by the length of each stall of this process. */
   takenOverAt: number;
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -14,7 +14,7 @@
   fencedMs: number | null;
   placedMs: number | null;
   backMs: number | null;
-  /** Host of the last machine found unfenced, for which placement had to wait. */
+  /** Host of the machine that was found unfenced last, for which the placement of tasks had to wait. */
   waitedFor: string | null;
 }
 
@@ -38,7 +38,10 @@
 
   constructor(private readonly context: LeaderContext) {}
 
-  /** Begins a recovery at the claim; `silentMs` is how long the former owner had been missing. */
+  /**
+   * Begins to measure a partition's recovery when this node has claimed the partition; `silentMs` is how long the
+   * former owner had been missing.
+   */
   recordClaim(partition: number, term: number, reason: string, silentMs: number | null): void {
     const span: RecoverySpan = {
       part: partition,
