--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -65,8 +65,8 @@
       orders.push({ verb: "start", taskId: id, attempt: placement.attempt });
     }
   }
-  // Clears are sent only in answers to reports, which cannot overtake each other: after a `clear`, a repeated `start`
-  // of the attempt that arrives later would run it again.
+  // `clear` orders, which discard an exited attempt, are sent only in answers to reports, since these cannot overtake
+  // each other: after a `clear`, a repeated `start` of the attempt that arrives later would run it again.
   if (channel === "report") {
     for (const [key, task] of machine.exited) {
       if (orders.length >= max) break;
--- a/src/workers/report-fast-path.ts
+++ b/src/workers/report-fast-path.ts
@@ -91,7 +91,7 @@
   socket: Socket;
   /** Removes the fast path's listeners from the socket. */
   detach: () => void;
-  /** Beginning of a request that is incomplete. */
+  /** Received bytes of a request that is not complete yet; null if there are none. */
   pending: Buffer | null;
   lastReceivedAt: number;
 }
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -150,7 +150,8 @@
     case "no_room":
       machine.avoidUntil = Math.max(machine.avoidUntil, now + timing.coolMs);
       break;
-    // `busy` refers to another attempt at the task, which the same report lists and the registry counts.
+    // `busy` means that the machine has another attempt at the task. The same report lists that attempt, so it is in
+    // the registry.
     case "busy":
     case "no_such":
       taskSet.failures++;
