--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -41,7 +41,7 @@
 /** A task that is stopped within this time after its start, in seconds, has done no useful work (PROTOCOL). */
 const MIN_USEFUL_RUN_S = 30;
 
-/** 1 for a task that can save its progress and has just started, which is stopped last; otherwise 0. */
+/** Returns 1 for a task that can save its progress and has just started, so that it is stopped last among its priority; otherwise 0. */
 function recentlyStarted(placement: Placement, now: number): number {
   const { runningAt, taskSet } = placement;
   return taskSet.spec.checkpointS > 0 && (runningAt === null || now - runningAt < MIN_USEFUL_RUN_S * 1000) ? 1 : 0;
@@ -92,8 +92,8 @@
 }
 
 /**
- * True for a task of strictly lower priority that belongs to no gang; stopping one task of a gang would stop all of
- * it.
+ * Returns whether a running task has strictly lower priority than `taskSet` and belongs to no gang; stopping one task
+ * of a gang would stop all of it.
  */
 function isPreemptible(placement: Placement, taskSet: TaskSet): boolean {
   return placement.taskSet.spec.kind !== "gang" && rank(placement.taskSet.urgency) > rank(taskSet.urgency);
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -116,8 +116,8 @@
 
 /**
  * Delay in seconds by which a job counts as having arrived later than it did. Work without a completion objective
- * that urgent work depends on gets no delay: all jobs before one deadline should be finished together, instead of the
- * small ones of many.
+ * that urgent work depends on gets no delay: all jobs that one urgent job depends on should be finished together,
+ * rather than the small ones that many urgent jobs depend on.
  */
 function arrivalDelayS(taskSet: TaskSet, context: OrderContext): number {
   const within = context.finishObjectiveS(taskSet.spec.klass);
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -23,7 +23,7 @@
   changedMachines: Set<Machine>;
   /** Attempts that were placed. */
   placements: Placement[];
-  /** By team whose quota share in this partition is exhausted: the quota that its waiting tasks lack. */
+  /** The quota that a team's waiting tasks lack, for each team whose quota share in this partition is exhausted. */
   shortages: Map<string, QuotaShortage>;
 }
 
@@ -36,8 +36,8 @@
 const MAX_PROBED_TASKS = 16;
 
 /**
- * Number of attempts of the job that are, or may be, on machines per zone, over all of its slices. Empty for a job
- * without zone constraints.
+ * Returns for each zone how many attempts at tasks of the job are, or may be, on machines, over all slices of the
+ * job. Empty for a job without zone constraints.
  */
 export function zonesInUse(partition: Partition, taskSet: TaskSet): Map<string, number> {
   const zones = new Map<string, number>();
