--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -42,8 +42,8 @@
   private pendingRequest: PendingBidRequest | null = null;
   private lastRequestId: number;
   /**
-   * Counters for metrics: jobs kept in their partition, jobs moved to a volunteer and to another partition, slices
-   * moved, and bid requests.
+   * Counters for metrics: jobs kept in their partition, jobs moved to volunteers, jobs moved to other partitions,
+   * slices moved, and bid requests.
    */
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
