--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -38,7 +38,7 @@
     this.reconciler.start();
   }
 
-  /** Called by the controller after its process stalled for `ms`. */
+  /** Called by the controller after its process stalled for `ms`, so that unregistered machines are not deleted too early. */
   onStall(ms: number): void {
     this.reconciler.onStall(ms);
   }
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -37,7 +37,7 @@
  */
 const SILENT_REPORTS = 3;
 
-/** Number of a partition's machines in each state. */
+/** Numbers of a partition's machines that are unfenced, that have reported the current term, and that report late. */
 interface Tally {
   unfenced: number;
   /** Machines that have reported the current owner's term. */
@@ -121,8 +121,9 @@
     // The cloud's list no longer shows the machine: it was preempted, or the former owner returned it and could no
     // longer record that.
     if (this.isMissing(partition, machine)) return true;
-    // By now a silent machine's lease would have expired: this one keeps reporting, but does not receive this controller's
-    // answers. It is deleted only if at least as many machines have shown the current term as are unfenced.
+    // The lease of a silent machine would have expired by now, so this machine keeps reporting but does not receive
+    // this controller's answers. It is deleted only if at least as many machines have shown the current term as are
+    // unfenced.
     const { silentAfterMs, expiryMs } = settings.timing;
     if (scope.clock.now() - partition.takenOverAt > silentAfterMs + expiryMs && tally.answered >= tally.unfenced) return true;
     return tally.unfenced === 1 && tally.answered - Number(machine.token >= partition.term) >= MIN_ANSWERS;
@@ -144,8 +145,8 @@
   /**
    * Whether the cloud has probably preempted the machine. Spot machines are preempted frequently, and their tasks
    * cannot start elsewhere until their lease has certainly expired; deleting the machine proves immediately that they
-   * have ended. A machine that gave notice is deleted as soon as its reports are late. Of the machines that gave
-   * none, only a few are deleted, only spot machines, and only after more missed reports.
+   * have ended. A machine that gave notice is deleted as soon as its reports are late. Of the machines that gave no
+   * notice, only a few are deleted, only spot machines, and only after more missed reports.
    */
   private seemsPreempted(partition: Partition, machine: Machine, tally: Tally): boolean {
     const { reportMs } = this.deps.settings.timing;
