--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -10,7 +10,7 @@
 import { precedingEarlyExits, restartBackoffMs, presenceRecord } from "./restart-backoff.js";
 import { requiredRefutation } from "./suspicion.js";
 
-/** Dependencies of the presence of a node. */
+/** Dependencies of `Presence`. */
 export interface PresenceDependencies {
   settings: Settings;
   /** Identifies this run of the process. */
@@ -23,7 +23,10 @@
   scope: Scope;
   /** Whether this node cannot reach its workers and so should not own partitions. */
   cutOff: () => boolean;
-  /** The configuration version that this node applies; null if the configuration was never changed. */
+  /**
+   * Returns the configuration version that this node applies, with the newest term up to which its partitions are
+   * fenced; null if the configuration was never changed.
+   */
   acts: () => PresenceRecord["acts"] | null;
 }
 
