--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -66,7 +66,7 @@
   lastCommandError: string | null;
   nextCommandAt: number;
   /**
-   * Sum and number of the logarithms of actual divided by expected run time, over the tasks completed on this
+   * Sum and number of the logarithms of actual divided by expected run time, over the array tasks completed on this
    * machine; used to detect slow machines.
    */
   runTimeRatios: { sum: number; count: number };
--- a/src/workers/report-endpoint.ts
+++ b/src/workers/report-endpoint.ts
@@ -82,7 +82,7 @@
     if (size <= MAX_REPORT_BYTES) chunks.push(chunk);
     else {
       chunks.length = 0;
-      // The rest of the body is not read, because no worker sends a report of this size.
+      // The rest of the body is discarded, because no worker sends a report of this size.
       send(dependencies, res, REPORT_TOO_LARGE, { connection: "close" });
       req.removeAllListeners("data").resume();
       res.on("finish", () => req.destroy());
--- a/src/workers/report-fast-path.ts
+++ b/src/workers/report-fast-path.ts
@@ -156,7 +156,7 @@
         return;
       }
       if (request.kind === "other") return this.handOff(connection, bytes);
-      // The rest of the request is not read, because no worker sends a report of this size.
+      // The rest of the request is discarded, because no worker sends a report of this size.
       if (request.kind === "too-long") return this.send(connection, REPORT_TOO_LARGE, true);
       const close = request.close || this.dependencies.isNearSocketLimit();
       this.send(connection, answerReport(this.dependencies.endpoint, bytes.subarray(request.bodyStart, request.bodyEnd)), close);
