--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -150,9 +150,10 @@
 }
 
 /**
- * Chooses the zone for a job that must stay in one zone: the zone that holds most of its tasks, and among those the
- * one where stopping others costs the least. If no tasks were stopped for jobs that need a single zone, a team's long
- * low-priority work would keep urgent jobs from the only machines that can hold them.
+ * Chooses the zone, and the tasks to stop in it, for a job that must stay in one zone: the zone that its attempts are
+ * in already, otherwise the zone where most of its tasks find capacity, and among equal ones the one where stopping
+ * other tasks costs the least. If no tasks were stopped for jobs that need a single zone, a team's long low-priority
+ * work would keep urgent jobs from the only machines that can hold them.
  */
 function preemptInBestZone(
   bound: ReadonlyMap<string, number>,
--- a/src/queue/unschedulable.ts
+++ b/src/queue/unschedulable.ts
@@ -21,7 +21,7 @@
     return !oneZone && !spread;
   }
 
-  /** Records that a task of this size found no capacity. Jobs with zone constraints are ignored. */
+  /** Records that a task of this size found no capacity. Jobs that must stay in one zone or spread over zones are ignored. */
   add(spec: JobSpec): void {
     if (!this.applies(spec)) return;
     const key = this.key(spec);
