--- a/src/partitions/claims.ts
+++ b/src/partitions/claims.ts
@@ -3,11 +3,15 @@
 import type { Condition } from "@thorntrail/protocol/state";
 
 /**
- * Why a partition is taken from an owner that cannot continue: its presence key is gone; it reports itself unfit to own
- * partitions; or it did not refute a suspicion.
+ * Why a partition is taken from an owner that cannot continue: its presence key (kept under a lease that the owner
+ * renews) is gone; it reports itself unfit to own partitions; or it did not refute a suspicion.
  */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
-/** Why a node claims a partition. */
+/**
+ * Why a node claims a partition: its owner was lost (`LossReason`); it has no owner record; an earlier process of
+ * this node owned it; this process ended its own term because of a worker's newer token; or it returns from another
+ * healthy owner to this node, its home controller.
+ */
 export type ClaimReason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
 /** What a node knows about one partition and about the presence of the other nodes when it decides on a claim. */
@@ -23,7 +27,7 @@
   canOwn: (node: string) => boolean;
   isPresent: (node: string) => boolean;
   reportsUnfit: (node: string) => boolean;
-  /** Returns the eligible node that should take the partition over: its home controller, else the one that owns the fewest. */
+  /** Returns the eligible node that should take the partition over: its home controller, else the node that owns the fewest partitions. */
   successor: () => string | undefined;
   /**
    * The owner's presence key has been missing for longer than the lifetime of a key, so the successor seems unable to
@@ -34,7 +38,7 @@
   presenceSettled: boolean;
   /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
-  /** This node should not own partitions at present. */
+  /** This node should not own partitions at present: it cannot reach its workers, or its process keeps exiting. */
   unfit: boolean;
 }
 
@@ -58,7 +62,7 @@
   return context.reportsUnfit(record.owner) ? "owner cut off" : "owner suspected";
 }
 
-/** Returns whether the reason is the loss of the former owner. */
+/** Returns whether a partition is claimed because its former owner was lost. */
 export function isLossReason(reason: ClaimReason): reason is LossReason {
   return reason === "owner gone" || reason === "owner cut off" || reason === "owner suspected";
 }
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -14,15 +14,15 @@
   fencedMs: number | null;
   placedMs: number | null;
   backMs: number | null;
-  /** Host of the last machine found unfenced, for which placement had to wait. */
+  /** Host of the machine that was found unfenced last, for which the placement of tasks had to wait. */
   waitedFor: string | null;
 }
 
-/** Number of recoveries kept for the view. */
+/** Number of recoveries kept for `/cluster` and the metrics. */
 const MAX_SPANS = 100;
 /**
- * Multiple of the shortest boot time after which work that still waits is assumed to do so for reasons other than the
- * recovery.
+ * Time after the end of fencing, as a multiple of the machine types' shortest boot time, after which work that still
+ * waits is assumed to wait for reasons other than the recovery.
  */
 const MAX_WAIT_BOOTS = 1;
 
@@ -38,7 +38,10 @@
 
   constructor(private readonly context: LeaderContext) {}
 
-  /** Begins a recovery at the claim; `silentMs` is how long the former owner had been missing. */
+  /**
+   * Begins to measure a partition's recovery when this node has claimed the partition; `silentMs` is how long the
+   * former owner had been missing.
+   */
   recordClaim(partition: number, term: number, reason: string, silentMs: number | null): void {
     const span: RecoverySpan = {
       part: partition,
@@ -78,8 +81,8 @@
   }
 
   /**
-   * Ends the recovery, after the fence, once no task set that arrived before the fence's end is waiting, a task has
-   * started, or the shortest boot time has passed.
+   * Ends a recovery whose fencing is over once one of these holds: no task set that arrived before the end of fencing
+   * is waiting, a task has started, or the shortest boot time has passed since.
    */
   checkCompletion(partition: Partition): void {
     const span = this.openSpan(partition);
--- a/src/queue/unschedulable.ts
+++ b/src/queue/unschedulable.ts
@@ -6,9 +6,9 @@
 }
 
 /**
- * Task sizes that found no capacity during one cycle, in which free capacity only shrinks: a task that needs at least
- * as much of everything, under the same conditions, finds none either. A team's hundreds of small jobs each need
- * slightly different amounts, so trying each would look at every machine for every job.
+ * Sizes of tasks for which one scheduling cycle found no capacity. Free capacity only shrinks during a cycle: a task
+ * that needs at least as much of every resource, under the same constraints, finds none either. A team's hundreds of
+ * small jobs each need slightly different amounts, so without this every machine would be examined for every job.
  */
 export class UnschedulableShapes {
   private readonly minimalSizes = new Map<string, Capacity[]>();
@@ -21,7 +21,7 @@
     return !oneZone && !spread;
   }
 
-  /** Records that a task of this size found no capacity. Jobs with zone constraints are ignored. */
+  /** Records that a task of this size found no capacity. Jobs that must stay in one zone or spread over zones are ignored. */
   add(spec: JobSpec): void {
     if (!this.applies(spec)) return;
     const key = this.key(spec);
