--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -1,6 +1,6 @@
 /**
- * Pairwise coverage: every pair of fault, injection point, duration and second fault occurs in some rehearsal, without
- * running all combinations.
+ * Generates a campaign of rehearsals (test runs of a plan) with pairwise coverage: every pair of values of two of the
+ * factors fault, injection point, duration and second fault occurs in at least one rehearsal.
  */
 import { make, sorters } from "covertable";
 import { decodeFault, type Fault } from "./faults.js";
@@ -43,21 +43,24 @@
   "late reports": (s) => ({ kind: "late-reports", share: 0.5, ms: 25_000, for: s }),
 };
 
-/** One combination of a fault, an injection point, a duration and a second fault. */
+/** One combination of a fault, its injection point (the event at which it is injected), its duration and a second fault. */
 export interface CoverageCase {
   fault: string;
   moment: InjectionPoint;
   length: DurationName;
-  /** A second fault injected during the run, or `none`. */
+  /** Name of a second fault that is injected later in the run, or `none`. */
   beside: string;
 }
 
-/** Warm-up time in seconds; until it has passed, there are no machines to affect. */
+/** Time in seconds at the start of a run without faults, because no machines are up yet that a fault could affect. */
 const WARMUP_S = 12;
 
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
 
-/** Returns cases that cover every pair of values of two factors; the seed selects among such lists. */
+/**
+ * Returns cases in which every pair of values of two different factors, such as a fault and an injection point, occurs.
+ * The seed selects one of many such lists.
+ */
 export function pairwiseCases(seed: number): CoverageCase[] {
   const factors = {
     fault: Object.keys(FAULTS_BY_NAME),
@@ -75,23 +78,26 @@
   return decoded.fault;
 }
 
-/** Replaces the plan's faults by those of one case. For an injection point of a takeover, adds a restart that causes a takeover. */
+/**
+ * Returns the plan with the faults of one case instead of its own. If the injection point occurs only during or after a
+ * takeover, adds a controller restart that causes one.
+ */
 export function planForCase(base: RehearsalPlan, one: CoverageCase): RehearsalPlan {
   const fault: RehearsalPlan["fault"] = [
     { moment: one.moment, after: one.moment === "first-placement" ? 0 : WARMUP_S, fault: buildFault(one.fault, one.length) },
   ];
   if (one.moment === "fencing") fault.push({ at: 20, fault: buildFault("restart", "short") });
-  // Down long enough for another controller to take over the partition, which then returns to its home controller.
+  // Keeps the controller down long enough for another one to take over its partition, which is handed back afterwards.
   if (one.moment === "handing-over") fault.push({ at: 20, fault: buildFault("restart", "long") });
   if (one.beside !== "none") fault.push({ at: 26, fault: buildFault(one.beside, "short") });
   return { ...base, name: `${one.fault}, ${one.length}, at ${one.moment}${one.beside === "none" ? "" : `, beside ${one.beside}`}`, fault };
 }
 
-/** The result of the rehearsal of one case. */
+/** The result of running a plan with the faults of one case. */
 export interface CaseResult {
   fault: string;
   moment: InjectionPoint;
-  /** The injection point occurred and the fault affected something. */
+  /** Whether the injection point occurred and the fault injected there affected something. */
   seen: boolean;
   broken: number;
   unfinished: number;
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -16,7 +16,7 @@
 
 /** An event of a run as observed outside the controllers. Times (`at`, `asked`) are in ms. */
 export type HistoryEvent =
-  /** `never`: the reason why the job must not be accepted. */
+  /** A user submits a job. `never` is set if the submission is faulty: the reason why it must not be accepted. */
   | { at: number; kind: "submitted"; spec: JobSpec; never?: string }
   /** A response received at `at`; `asked` is when the poll, submission or cancellation it answers was sent. */
   | { at: number; kind: "told"; ref: string; what: ReportedStatus; asked?: number }
@@ -30,11 +30,11 @@
   | { at: number; kind: "up"; host: string; type: string; zone: string; spot: boolean; cpus: number; gpus: number; ram: number }
   | { at: number; kind: "gone"; host: string };
 
-/** What a history is checked against. All times are in ms. */
+/** Limits that the recorded history of a run is checked against. All times are in ms. */
 export interface CheckLimits {
   cancelMs: number;
   teams: Map<string, { cpus: number; gpus: number }>;
-  /** When the last injected fault has ended. Without it, unanswered polls and idle capacity are not checked. */
+  /** Time at which the last injected fault has ended. If it is absent, unanswered polls and idle capacity are not checked. */
   faultsEndAt?: number;
   /** When the history ends; tasks that have not ended by then are still on their machines. */
   historyEndAt?: number;
@@ -116,8 +116,8 @@
         break;
       }
       case "told": {
-        // A status that is not final is checked only against a final status received before its request was sent: of two overlapping
-        // requests, either response may be the older one.
+        // A non-final status contradicts an earlier final one only if its request was sent after the final status had been received:
+        // responses to overlapping requests may arrive in either order.
         const { ref, what, asked = event.at } = event;
         unansweredSince.delete(ref);
         const finalSoFar = finalStatus.get(ref);
@@ -215,8 +215,8 @@
 }
 
 /**
- * Counts task starts after a user received confirmation that the job is withdrawn. The rule `ran_cancelled` is broken
- * only after `cancelMs`.
+ * Counts task starts after a user received confirmation that the job is withdrawn (cancelled). Such a start breaks the
+ * rule `ran_cancelled` only if it is more than `cancelMs` after the confirmation.
  */
 export function countStartsAfterWithdrawal(history: readonly HistoryEvent[]): number {
   const withdrawn = new Set<string>();
@@ -243,7 +243,7 @@
     this.nextCheckAt = limits.faultsEndAt ?? Infinity;
   }
 
-  /** Restarts the measured wait of a job when one of its tasks has started. */
+  /** Resets the measured waiting time of a job, because one of its tasks has started. */
   taskStarted(ref: string): void {
     this.waitingSince.delete(ref);
   }
--- a/packages/emulator/src/cli.ts
+++ b/packages/emulator/src/cli.ts
@@ -1,4 +1,4 @@
-/** Shared by the rehearsal commands: progress output, interruption by signals, and the division of cases between processes. */
+/** Helpers of the rehearsal commands: progress output, interruption by signals, and the division of runs between processes. */
 
 /** Thrown when a command cannot be carried out; the message is printed and the class name decides the exit code. */
 export class CommandFailed extends Error {}
@@ -22,7 +22,7 @@
   };
 }
 
-/** Returns an `AbortController` that SIGINT, SIGTERM and SIGHUP abort. The process exits with 130 if it is still running `graceMs` later. */
+/** Returns an `AbortController` that SIGINT, SIGTERM and SIGHUP abort. If the process still runs `graceMs` later, it exits with 130. */
 export function abortOnSignal(graceMs = 500): AbortController {
   const stop = new AbortController();
   for (const signal of ["SIGINT", "SIGTERM", "SIGHUP"] as const) {
@@ -34,7 +34,10 @@
   return stop;
 }
 
-/** Returns the cases of one turn of several: turn `0/4` has the first, the fifth and so on. Throws `CommandFailed` if the turn is malformed. */
+/**
+ * Returns the elements of `all` that one of several processes runs: the turn `0/4` (process 0 of 4) selects the first, the fifth and
+ * so on; undefined selects all. Throws `CommandFailed` if the turn is malformed.
+ */
 export function selectTurn<T>(all: T[], turn: string | undefined): T[] {
   if (turn === undefined) return all;
   const match = /^(\d{1,3})\/(\d{1,3})$/.exec(turn);
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -9,7 +9,7 @@
   after(ms: number, fn: () => void): () => void;
 }
 
-/** Configuration of the cloud model. */
+/** Machine types, capacity, list lag and boot behaviour of the cloud model. */
 export interface CloudModelOptions {
   types: MachineType[];
   /** Number of machines that exist, by `type/zone/ordinary` and `type/zone/spot`. */
@@ -17,7 +17,7 @@
   lagMs: number;
   /** Random source. Without it, every machine boots in its nominal time, and prices and the lag of lists are constant. */
   random?: () => number;
-  /** Shares of machines that never boot, take two to five times as long, or are up within two seconds. */
+  /** Shares of machines that never boot, take two to five times their nominal boot time, or are up within two seconds. */
   boots?: { never: number; slow: number; early: number };
 }
 
@@ -38,8 +38,9 @@
 /** Minimum charge per machine, in seconds of use. */
 const MIN_CHARGE_S = 60;
 
-/** For wrong lists: the additional lag in ms, and the number of deleted machines that a list contains. */
+/** Additional lag of a list that is deliberately outdated, in ms. */
 const STALE_LIST_EXTRA_LAG_MS = 20_000;
+/** Maximum number of deleted machines that a deliberately wrong list contains. */
 const DELETED_MACHINES_LISTED = 3;
 
 const offeringKey = ({ type, zone, spot }: MachineOffering): string => `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
@@ -167,7 +168,7 @@
     return nominal * (0.6 + random() * 0.9);
   }
 
-  /** Removes the machine and everything on it, because it was deleted or reclaimed by the cloud. */
+  /** Removes a machine, with everything on it, that a controller deleted or that the cloud reclaimed. */
   remove(host: string): void {
     const machine = this.machines.get(host);
     if (machine === undefined || machine.removedAt !== null) return;
@@ -205,14 +206,14 @@
   }
 
   /**
-   * Returns the list of machines as of some time ago. The lag varies, so a list can be older than the previous list.
-   * `olderMs` is added to the lag.
+   * Returns the list of machines as it was `lagMs` ago or earlier. The lag varies, so a list can be older than the
+   * previous list. `olderMs` is added to the lag.
    */
   list(from: string | undefined, maxMachines: number, olderMs = 0): { machines: ListedMachine[]; more: boolean } {
     const { lagMs, random } = this.options;
     const asOf = this.clock.now() - lagMs * (random === undefined || random() < 0.8 ? 1 : 1 + random()) - olderMs;
     const machines: ListedMachine[] = [];
-    // Host names are assigned in ascending order, so the map is in the order of the list.
+    // Host names are assigned in ascending order, so the map's insertion order is the order by name that paging requires.
     for (const m of this.machines.values()) {
       if (m.createdAt > asOf || (m.removedAt !== null && m.removedAt <= asOf) || (from !== undefined && m.host <= from)) continue;
       if (machines.length >= maxMachines) return { machines, more: true };
@@ -222,7 +223,10 @@
     return { machines, more: false };
   }
 
-  /** Returns a wrong list: much older than usual, with deleted machines, or empty as for another request. Undefined for other forms. */
+  /**
+   * Returns a deliberately wrong list: much older than usual, with deleted machines, or empty like the response to another request.
+   * Returns undefined for other forms.
+   */
   invalidList(
     form: WrongResponseForm,
     from: string | undefined,
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -124,16 +124,17 @@
   plan: string;
   seed: number | undefined;
   report: string | undefined;
-  /** Runs at most this number of cases, each with a fault at an injection point instead of the plan's own faults. */
+  /** Maximum number of cases of a campaign to run, each with a fault at an injection point instead of the plan's own faults. */
   campaign: number | undefined;
-  /** Number of seeds, from `seed` on. For each seed, two or three randomly generated faults replace the plan's own. */
+  /** Number of seeds to run, from `seed` on. For each seed, two or three randomly generated faults replace the plan's own. */
   drawn?: number | undefined;
-  /** Number of seeds, from `seed` on. For each seed, the faults that a soak generates are added to the plan's own. */
+  /** Number of seeds to run, from `seed` on. For each seed, the many random faults of a soak run are added to the plan's own. */
   soak?: number | undefined;
-  /** Runs only this share of the cases, such as `2/8`; set for each of the processes that share a campaign. */
+  /** Share of the cases or seeds to run: `2/8` is every eighth, from the third on. Set for child processes that divide a campaign. */
   turn?: string | undefined;
-  /** Number of processes that share the campaign, and the command that starts each. */
+  /** Number of child processes between which the cases or seeds are divided. */
   processes?: number | undefined;
+  /** The command that starts a child process. */
   program?: string[];
 }
 
@@ -141,8 +142,9 @@
 const MAX_MINIMISE_RUNS = 60;
 
 /**
- * `thorntrail rehearse --virtual`: runs the plan once, with each case of a campaign, or with generated faults. Prints the broken rules and
- * the minimised plan that still breaks them; a campaign's cases are not minimised.
+ * `thorntrail rehearse --virtual`: runs the plan in virtual time, either once, for each case of a campaign (combinations of a fault and
+ * an injection point), or with randomly generated faults. Prints the broken rules and a minimised plan that still breaks a rule; a
+ * campaign's cases are not minimised.
  */
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtualOptions<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
@@ -238,7 +240,7 @@
 });
 
 interface RandomisedResult {
-  /** For each seed, the number of faults that affected at least one target. */
+  /** One entry for each seed that was run; `met` is the number of its faults that affected at least one target. */
   played: { seed: number; met: number; splitWhileRefused: boolean }[];
   bad: { seed: number; broken: string[]; unfinished: string[]; trouble: string[]; shortest: { work: string[]; fault: unknown } }[];
 }
@@ -287,7 +289,7 @@
   if (bad.length > 0) process.exitCode = 4;
 }
 
-/** Divides independent cases between child processes and returns the report of each. Rejects if a child fails. */
+/** Divides independent runs between child processes and returns the report of each child. Rejects if a child fails. */
 async function runInProcesses<T>(
   options: {
     plan: string;
@@ -374,7 +376,10 @@
   }
 }
 
-/** `thorntrail fault KIND key=value...`: has a running emulator carry out one fault. Throws `CommandFailed` if it is malformed or refused. */
+/**
+ * `thorntrail fault KIND key=value...`: requests one fault from a running emulator. Throws `CommandFailed` if the fault is malformed or
+ * the emulator rejects it.
+ */
 export async function faultCommand(options: { emulator: string; kind: string; fields: string[] }): Promise<Record<string, unknown>> {
   parseAddress(options.emulator, "--emulator");
   const request: Record<string, unknown> = { kind: options.kind };
@@ -384,7 +389,7 @@
     const value = field.slice(separator + 1);
     request[field.slice(0, separator)] = /^-?\d+(\.\d+)?$/.test(value) ? Number(value) : value;
   }
-  // Validated here first, so that a mistake is reported without a running emulator.
+  // The fault is validated here first, so that a mistake is reported without a running emulator.
   const decoded = decodeFault(request);
   if ("wrong" in decoded) throw new CommandFailed(`fault ${options.kind}: ${decoded.wrong}`);
   const answer = await sendRequest(false, options.emulator, "POST", "/faults", JSON.stringify(request), 5000);
--- a/packages/emulator/src/endpoint-selector.ts
+++ b/packages/emulator/src/endpoint-selector.ts
@@ -3,13 +3,13 @@
  * machines. They are plain data, so that rules can be sent to other processes.
  */
 
-/** The machines whose names hash into the range from `least` to `most`, within 0 to 1. Machines rented later are included. */
+/** The machines whose names hash to a number from `least` to `most`, within 0 to 1. Machines rented later are included. */
 export interface MachineSample {
   least: number;
   most: number;
 }
 
-/** A name, `*`, `workers`, `controllers`, a list of names, or a sample of the machines. */
+/** The name of an endpoint, `*` (all), `workers`, `controllers`, a list of names, or a sample of the machines. */
 export type EndpointSelector = string | readonly string[] | MachineSample;
 
 const SERVICE_NAMES = new Set(["state", "cloud"]);
--- a/packages/emulator/src/environment.ts
+++ b/packages/emulator/src/environment.ts
@@ -1,8 +1,8 @@
-/** Timing of test environments, and the platform that a plan describes. */
+/** Timing of test environments, and conversion of a plan (machines, workload and faults) to the platform's settings. */
 import type { MachineType } from "@thorntrail/protocol/cloud";
 import type { RehearsalPlan } from "./plan.js";
 
-/** Times of an environment that plans do not define, in ms; `cloudRps` is in requests per second. */
+/** Timing parameters that plan files do not define, in ms; `cloudRps` is the cloud's limit in requests per second. */
 export interface Timing {
   reportMs: number;
   leaseMs: number;
@@ -13,7 +13,7 @@
   cloudRps: number;
 }
 
-/** The times of production installations. */
+/** Timing of production installations. */
 export const DEFAULT_TIMING: Timing = {
   reportMs: 2500,
   leaseMs: 18_000,
@@ -24,7 +24,7 @@
   cloudRps: 5,
 };
 
-/** Shorter times, for a demonstration that a user waits for. */
+/** Shorter times, for runs that a user or a test waits for, such as the demonstration. */
 export const FAST_TIMING: Timing = {
   ...DEFAULT_TIMING,
   reportMs: 1000,
@@ -36,7 +36,7 @@
   cloudRps: 10,
 };
 
-/** Converts a plan to the settings of the platform and to the machine types and capacity of the cloud model. */
+/** Converts a plan to the platform's `deployment` settings and to the machine types and capacity of the cloud model. */
 export function buildPlatform(
   plan: RehearsalPlan,
   timing: Timing,
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -1,6 +1,6 @@
 /**
- * Fault definitions, shared by the command line, plan files and randomly generated plans, and valid both for real
- * processes and in virtual time.
+ * Fault definitions, shared by the command line, plan files and randomly generated plans. The same faults are injected
+ * into real processes and in virtual time.
  */
 import { z } from "zod";
 import type { NetworkRule } from "./network-rules.js";
@@ -8,7 +8,7 @@
 
 const seconds = z.number().finite().min(0).max(3600);
 const withDuration = { for: seconds.default(10) };
-/** The name of a controller, `leader` (the owner of the most machines) or `all`. */
+/** The name of a controller, `leader` (the controller that owns the most machines) or `all`. */
 const controllerTarget = z.string().min(1).default("leader");
 /** The name of a machine, `busiest` or `any`. */
 const machineTarget = z.string().min(1).default("busiest");
@@ -28,7 +28,7 @@
   z.strictObject({ kind: z.literal("outage"), of: service, ...withDuration }),
   /** The service answers requests of one controller with 503. */
   z.strictObject({ kind: z.literal("refuse"), target: controllerTarget, by: service, ...withDuration }),
-  /** Holds packets between the controller and the given peers, and delivers them when the fault ends. */
+  /** Holds messages between the controller and the endpoints named in `from`, and delivers them when the fault ends. */
   z.strictObject({
     kind: z.literal("cut"),
     target: controllerTarget,
@@ -42,7 +42,7 @@
     ms: z.number().min(1).max(60_000),
     ...withDuration,
   }),
-  /** Executes the given number of requests and drops their responses. */
+  /** The service executes the given number of the controller's requests, but their responses are lost. */
   z.strictObject({
     kind: z.literal("drop"),
     target: controllerTarget,
@@ -50,7 +50,7 @@
     what: z.string().default("*"),
     count: count.default(1),
   }),
-  /** Executes the given number of requests late, after the client has given up. */
+  /** The service executes the given number of the controller's requests `ms` late and sends no responses. */
   z.strictObject({
     kind: z.literal("late"),
     target: controllerTarget,
@@ -67,8 +67,8 @@
     count: count.default(1),
   }),
   /**
-   * Executes requests and returns wrong responses: truncated, a list older than the previous one, a list with deleted
-   * machines, a response to another request, or 5xx.
+   * The service executes the given number of the controller's requests and returns wrong responses: truncated, a list
+   * older than the previous one, a list with deleted machines, a response to another request, or an error 500.
    */
   z.strictObject({
     kind: z.literal("wrong"),
@@ -89,7 +89,7 @@
   z.strictObject({ kind: z.literal("lose"), target: machineTarget, count: count.default(1) }),
   /** Announces the removal of the machine by the cloud, then removes it. */
   z.strictObject({ kind: z.literal("take"), target: machineTarget, notice: seconds.default(20) }),
-  /** The machine fails by itself and stays listed as failed. */
+  /** The machine fails by itself, and the cloud lists it as failed until it is deleted. */
   z.strictObject({ kind: z.literal("fail"), target: machineTarget }),
   z.strictObject({ kind: z.literal("hang"), target: machineTarget, ...withDuration }),
   z.strictObject({ kind: z.literal("slow"), target: machineTarget, factor: z.number().min(1).max(100).default(4) }),
@@ -97,9 +97,9 @@
   z.strictObject({ kind: z.literal("sick"), target: machineTarget }),
   z.strictObject({ kind: z.literal("cut-machine"), target: machineTarget, ...withDuration }),
   /**
-   * A share of the machines reaches only the target, or every controller except the target, in both directions or in
-   * one. The two variants select machines from opposite ends of the range of name hashes, so two splits of one target
-   * whose shares add up to at most 1 affect disjoint machines.
+   * Network split: a share of the machines is cut off from all controllers but the target, or from the target alone
+   * (`reaches`), in both directions or in one (`way`). The two values of `reaches` select machines from opposite ends of
+   * the range of name hashes, so two splits of one target whose shares add up to at most 1 affect disjoint machines.
    */
   z.strictObject({
     kind: z.literal("split"),
@@ -127,11 +127,11 @@
   /** This share of all transactions gets no response and is executed 2 to 12 s later or, with `at_once`, immediately. */
   z.strictObject({ kind: z.literal("late-writes"), share: share.default(0.2), at_once: z.boolean().default(false), ...withDuration }),
   /**
-   * This share of the direct commands to machines gets no response and is executed once, 2 to 16 s later, if token and
-   * session still match.
+   * This share of the commands that controllers send to machines gets no response and is executed once, 2 to 16 s later,
+   * if the worker then still accepts the command's token and session.
    */
   z.strictObject({ kind: z.literal("late-commands"), share: share.default(0.2), ...withDuration }),
-  /** One-way loss: what the controller sends to the given peers is lost, what they send to it arrives. */
+  /** One-way loss: messages from the controller to the endpoints named in `to` are lost, those in the other direction arrive. */
   z.strictObject({
     kind: z.literal("lose-sent"),
     target: controllerTarget,
@@ -141,8 +141,8 @@
   /** Deliberate violation to verify that it is detected: a running task is started a second time on another machine. */
   z.strictObject({ kind: z.literal("start-twice") }),
   /**
-   * Users cancel the given number of running jobs with the longest remaining run time within 0.2 s; up to eight of
-   * their machines hang for `hang`.
+   * Within 0.2 s, users cancel the given number of running jobs, those with the longest remaining run time. Up to eight
+   * of the machines that run these jobs hang for `hang` seconds.
    */
   z.strictObject({ kind: z.literal("cancel-now"), count: count.default(5), hang: seconds.default(0) }),
   /** Users cancel this share of the jobs when their last task ends. */
@@ -168,7 +168,7 @@
 ]);
 /** A validated fault. */
 export type Fault = z.infer<typeof faultSchema>;
-/** The name of a kind of fault. */
+/** The name of a kind of fault, such as `restart`. */
 export type FaultKind = Fault["kind"];
 
 /** The names of all kinds of faults. */
@@ -186,7 +186,7 @@
 /** What simulated users do in addition to their planned requests. */
 export type UserBehaviour = "cancel-at-end" | "odd-requests" | "close-looks";
 
-/** The offerings whose capacity was changed, and a function that restores it. */
+/** Result of a change of the cloud's capacity: the affected offerings (such as `m/a/spot`) and a function that undoes the change. */
 export interface CapacityOverride {
   affected: string[];
   restore: () => void;
@@ -194,7 +194,7 @@
 
 /** The environment that faults are injected into: the virtual world or real processes. Times in ms. */
 export interface FaultEnvironment {
-  /** Collects the current state of the environment; has to complete before a fault is injected. */
+  /** Refreshes the state that `leader` returns; the returned promise has to be resolved before a fault is injected. */
   prepare?(): Promise<void>;
   after(ms: number, fn: () => void): void;
   controllers(): string[];
@@ -207,7 +207,10 @@
   restart(controller: string, downMs: number): void;
   freeze(controller: string, ms: number): void;
   restartStore(downMs: number): void;
-  /** Begins (`on`) or ends an outage. In virtual time, leases get their full time to live again when an outage begins or ends. */
+  /**
+   * Begins (`on`) or ends an outage of a service. In virtual time, leases in the state service get their full time to live
+   * again when its outage begins or ends.
+   */
   outage(of: "state" | "cloud", on: boolean): void;
   /** Adds a network rule and returns the function that removes it. */
   rule(asked: NetworkRule): () => void;
@@ -218,7 +221,7 @@
   hang(machine: string, on: boolean): void;
   slow(machine: string, factor: number): void;
   sicken(machine: string): void;
-  /** Starts some running task on a second machine. Returns the task's id, or null if there is none to start. */
+  /** Starts some running task a second time, on another machine. Returns the task's id, or null if that is not possible. */
   startTwice(): string | null;
   /** Sets the number of available machines of a type (`*`: all) in a zone (`*`: all); undefined leaves it unchanged. */
   capacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityOverride;
@@ -228,7 +231,7 @@
 
 /** The simulated users, as far as faults control them. */
 export interface SimulatedUserControl {
-  /** Enables the behaviour for this time in ms; returns the controllers that receive its requests. */
+  /** Enables a behaviour of the users for `ms` milliseconds; returns the controllers to which they send the requests. */
   enableBehaviour(behaviour: UserBehaviour, share: number, ms: number): string[];
   /**
    * Cancels the given number of running jobs with the longest remaining run time. Returns them and the machines they
@@ -264,8 +267,8 @@
 type SplitFault = Extract<Fault, { kind: "split" }>;
 
 /**
- * Separates a share of the machines from the target, or from every other controller. Returns the separated machines that
- * currently report to the target (`affected`), and a function that ends the split.
+ * Cuts off a share of the machines from the target controller, or from every other controller. Returns the separated
+ * machines that currently report to the target (`affected`), and a function that ends the split.
  */
 function injectSplit(
   environment: FaultEnvironment,
--- a/packages/emulator/src/network-rules.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Network faults between two endpoints, for virtual time and real sockets alike. A rule states which calls it applies
- * to, for how long or how many times, and its effect on them. Endpoints are names of controllers and machines, `state`
+ * Network faults between endpoints, used both in virtual time and with real sockets. A rule states which calls it applies
+ * to, at most how many, and its effect on them. Endpoints are controllers and machines, by name, and the services `state`
  * and `cloud`.
  */
 import { matchesEndpoint, type EndpointSelector } from "./endpoint-selector.js";
@@ -8,32 +8,32 @@
 /** The ways in which a response can be wrong. */
 export type WrongResponseForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
-/** The effect of a rule on a call. */
+/** The effect of a network rule on the calls that it matches. */
 export type RuleEffect =
   /** Messages are held and delivered in order when the rule ends; the sender gets no response. */
   | { kind: "cut" }
-  /** Answered with 503 and not executed. */
+  /** Requests are answered with 503 and not executed; connections between controllers are refused. */
   | { kind: "refuse" }
   | { kind: "delay"; ms: number }
-  /** Executed, but the response is lost. */
+  /** The request is executed, but its response is lost. */
   | { kind: "drop" }
-  /** Executed `ms` later, or at random between `leastMs` and `ms`; no response is sent. */
+  /** The request is executed after `ms`, or after a random delay between `leastMs` and `ms`; no response is sent. */
   | { kind: "late"; ms: number; leastMs?: number }
-  /** Executed a second time immediately afterwards. */
+  /** The request is executed twice in a row. */
   | { kind: "twice" }
-  /** Lost without an error. */
+  /** The message is lost without an error. */
   | { kind: "lose" }
   /** For this share of the messages, a copy arrives again 2 s to `mostMs` later. */
   | { kind: "again"; share: number; mostMs: number }
   /** For this share of the messages, a copy is stored and delivered when a controller takes over a partition. */
   | { kind: "keep"; share: number }
-  /** Executed, but the response is wrong. */
+  /** The request is executed, but its response is wrong. */
   | { kind: "wrong"; form: WrongResponseForm };
 
-/** Effects on a call that has arrived. */
+/** Effects that apply once a request has arrived at its receiver. */
 type ArrivalEffect = Exclude<RuleEffect, { kind: "cut" | "delay" | "lose" | "again" | "keep" }>;
 
-/** A message between two endpoints, as rules match it. */
+/** Sender, receiver and kind of a message, by which network rules match it. */
 export interface NetworkCall {
   from: string;
   to: string;
@@ -41,15 +41,15 @@
   what: string;
 }
 
-/** A rule to add, as plain data. */
+/** A network rule as plain data: the calls it applies to and its effect on them. */
 export interface NetworkRule {
   from: EndpointSelector;
   to: EndpointSelector;
   what?: string;
   effect: RuleEffect;
-  /** Number of calls that the rule applies to; without it, all until the rule is removed. */
+  /** Number of calls that the rule applies to; if absent, all until the rule is removed. */
   count?: number;
-  /** Share of the matching calls that the rule applies to; without it, all. */
+  /** Share of the matching calls that the rule applies to, from 0 to 1; if absent, all. */
   share?: number;
 }
 
@@ -58,12 +58,12 @@
   held: (() => void)[];
 }
 
-/** Effects on a message in transit, independent of its kind of request. */
+/** Effects on a message in transit; all others apply when a request has arrived at its receiver. */
 const IN_TRANSIT_EFFECTS = new Set<RuleEffect["kind"]>(["cut", "delay", "lose", "again", "keep"]);
-/** Minimum delay of the copy of a message, in ms. */
+/** Minimum delay in ms after which the effect `again` delivers the copy of a message. */
 const MIN_COPY_DELAY_MS = 2000;
 
-/** The active network rules and the decisions that follow from them. */
+/** Holds the active network rules and decides how they affect each call. */
 export class NetworkRules {
   private rules: ActiveRule[] = [];
   private lastRuleId = 0;
@@ -99,7 +99,7 @@
     return rule !== undefined;
   }
 
-  /** Whether a cut applies to the call. Messages that cannot be held, such as the response to a caller that has given up, are lost. */
+  /** Whether a cut applies to the call. Used for messages that are dropped instead of held during a cut, such as responses. */
   isCut(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
@@ -114,7 +114,7 @@
     return rule?.effect.kind === "delay" ? rule.effect.ms : 0;
   }
 
-  /** Whether the message is lost. */
+  /** Whether a rule with the effect `lose` applies to the message. */
   isLost(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "lose") !== undefined;
   }
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -1,4 +1,4 @@
-/** Plan files: an environment, the work submitted to it, and the faults injected into it. */
+/** Plan files, which describe a rehearsal: an environment, the work submitted to it, and the faults injected into it. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import { loadHcl, parseHcl } from "@thorntrail/store/settings";
 import { z } from "zod";
@@ -9,8 +9,8 @@
 const name = z.string().min(1).max(100);
 
 /**
- * Points in a run at which a plan can inject a fault. `handing-over`: a partition returns to its home controller; `cession`: a transfer of
- * quota between partitions; `pipeline-release`: the record that a job is done, on which other jobs may depend.
+ * Events of a run at which a plan can inject a fault. `handing-over`: a partition returns to its home controller; `cession`: a transfer of
+ * quota between partitions; `pipeline-release`: a controller records that a job is done, which may release jobs that depend on it.
  */
 export const INJECTION_POINTS = [
   "submission",
@@ -24,7 +24,7 @@
   "rental-in-flight",
   "pipeline-release",
 ] as const;
-/** The name of an injection point. */
+/** The name of an injection point (an event that a planned fault waits for). */
 export type InjectionPoint = (typeof INJECTION_POINTS)[number];
 
 const machineSchema = z.strictObject({
@@ -55,25 +55,28 @@
   spot: z.boolean().default(false),
   one_zone: z.boolean().default(false),
   image_gb: nonNegative.default(1),
-  /** In seconds from the submission. */
+  /** Time in seconds from its submission within which a job has to be done. */
   deadline: positive.optional(),
-  /** Interval between submissions in seconds; the first is at `from`. */
+  /** Interval between submissions of these jobs in seconds; the first is submitted at `from`. */
   every: positive,
   from: nonNegative.default(0),
   jobs: z.number().int().min(1).max(10_000),
-  /** Name of other work: each job depends on the job of that work with the same index. */
+  /** Name of another work entry of the plan: each job depends on the job with the same index of that entry. */
   after: name.optional(),
   /** Each job is cancelled this many seconds after it was accepted. */
   cancelled_after: positive.optional(),
 });
 
-/** When a fault is injected: `at` this many seconds, or at the first occurrence of the injection point `moment` from `from` seconds on. */
+/**
+ * When a fault is injected: `at` seconds after the start of the run, or at the first occurrence of the injection point
+ * `moment` that is at least `from` seconds after the start.
+ */
 const timing = z
   .object({ at: nonNegative.optional(), moment: z.enum(INJECTION_POINTS).optional(), from: z.union([nonNegative, z.string()]).optional() })
   .loose();
 const faultSchemaWithTime = timing.transform((raw, context) => {
   const { at, moment, from, ...rest } = raw;
-  // The fault kind `cut` has a member `from` of its own, which is a string.
+  // A number is the earliest time for `moment`; a string is the member `from` that the fault kind `cut` has of its own.
   const after = typeof from === "number" ? from : 0;
   if (typeof from === "string") Object.assign(rest, { from });
   if ((at === undefined) === (moment === undefined)) {
@@ -96,7 +99,7 @@
     seconds: positive.max(3600),
     controllers: z.number().int().min(1).max(9).default(3),
     seed: z.number().int().min(0).default(1),
-    /** How long a run waits, after `seconds`, for unfinished jobs. Jobs that are then still unfinished count as a failure. */
+    /** How long a run waits for unfinished jobs once `seconds` have passed. Jobs that are then still unfinished count as a failure. */
     settle: nonNegative.default(60),
     state: z
       .strictObject({
@@ -147,9 +150,9 @@
         });
     });
   });
-/** A validated plan. */
+/** A validated plan: cluster, workload and faults of a rehearsal. */
 export type RehearsalPlan = z.infer<typeof planSchema>;
-/** A fault of a plan with its time or injection point. */
+/** A fault of a plan with the time or the injection point at which it is injected. */
 export type TimedFault = RehearsalPlan["fault"][number];
 
 const LIST_BLOCKS = ["team", "machine", "work", "fault"];
@@ -164,7 +167,7 @@
   return parseHcl(file, text, planSchema as z.ZodType<RehearsalPlan>, LIST_BLOCKS);
 }
 
-/** One submission of a plan: its time, its job and the actual run time of the job's tasks. */
+/** One submission of a plan: its time, its job, the actual run time of the job's tasks, and when the job is cancelled. */
 export interface PlannedSubmission {
   atMs: number;
   spec: JobSpec;
--- a/packages/emulator/src/random-plans.ts
+++ b/packages/emulator/src/random-plans.ts
@@ -1,13 +1,13 @@
 /**
- * Randomly generated plans: two or three faults of all kinds, the later ones placed relative to the first. Three of ten
- * seeds generate a scenario in which two controllers both act as owner of a partition. The plan of a seed describes its
- * run completely and can be replayed on its own.
+ * Generates random rehearsal plans from seeds: two or three faults of many kinds, the later ones placed relative to the
+ * first. Three of ten seeds generate a scenario in which two controllers both act as owner of a partition. A generated
+ * plan contains all faults of its run, so it can be replayed without the generator.
  */
 import { decodeFault } from "./faults.js";
 import { seededRandom } from "./random.js";
 import { INJECTION_POINTS, type TimedFault, type RehearsalPlan } from "./plan.js";
 
-/** Generates the definition of one fault. */
+/** Generates one fault as it is written in a plan file. */
 type FaultGenerator = (random: RandomSource) => Record<string, unknown>;
 
 class RandomSource {
@@ -27,8 +27,8 @@
 }
 
 /**
- * Ranges of durations in seconds: an instant, a few report intervals, about the duration of a lease, longer than a lease,
- * and longer than the time limit for a cancellation.
+ * Ranges from which the durations of faults are drawn, in seconds: an instant, a few report intervals, about the duration
+ * of a lease, longer than a lease, and longer than the time limit for a cancellation.
  */
 const DURATIONS_S: readonly (readonly [number, number])[] = [
   [0.1, 1],
@@ -113,10 +113,10 @@
 const DUAL_OWNER_SHARE = 0.3;
 
 /**
- * One controller loses the state service and keeps answering workers until it has to stop; the commands of its
- * successors arrive late. Meanwhile machines contact other controllers, jobs are cancelled, and some machines then
- * receive nothing from any controller. Independently generated faults almost never combine in this way: earlier defects
- * of this kind were found only by reading the code.
+ * Generates a scenario with two acting owners: one controller loses the state service and keeps answering workers until
+ * it has to stop; the commands of its successors arrive late. Meanwhile machines contact other controllers, jobs are
+ * cancelled, and some machines then receive nothing from any controller. Independently generated faults almost never
+ * combine in this way: earlier defects of this kind were found only by reading the code.
  */
 function dualOwnerFaults(random: RandomSource, at: number): TimedFault[] {
   const formerOwner = random.pick(CONTROLLERS);
@@ -129,8 +129,8 @@
       ]),
     ],
   ];
-  // For half of the seeds all steps occur: the commands of the successors are delayed throughout, those of the former owner are delayed
-  // too, and afterwards the machines can be neither reached nor deleted.
+  // In half of these scenarios all steps occur: the successors' commands are delayed by at least 15 s, the former owner's commands are
+  // delayed too, and afterwards the successors can neither reach the machines nor delete them.
   const allSteps = random.pick([true, false]);
   const include = (share: number): boolean => allSteps || random.decimal(0, 1) < share;
   const successors = CONTROLLERS.filter((name) => name !== formerOwner);
@@ -157,8 +157,8 @@
 }
 
 /**
- * Further faults that only soak runs generate, so that the plans of `rehearse --drawn` stay the same for each seed. The
- * more frequent ones are listed twice.
+ * Faults of soak runs. Those that only soak runs generate are listed here, because an addition to `FAULT_GENERATORS`
+ * would change the plan that `rehearse --drawn` generates for each seed. More frequent kinds are listed several times.
  */
 const SOAK_FAULT_GENERATORS: readonly FaultGenerator[] = [
   ...FAULT_GENERATORS,
@@ -185,18 +185,22 @@
   (random) => ({ kind: "freeze", target: randomController(random), for: random.decimal(1, 25) }),
 ];
 
-/** Share of the soak seeds that add a scenario in which the state service refuses one controller while the network splits its machines. */
+/**
+ * Share of the seeds of soak runs that add a scenario in which the state service refuses the requests of one controller
+ * while the network splits its machines.
+ */
 const REFUSED_SPLIT_SHARE = 0.4;
 /**
- * Derives the seed of an independent random sequence, so that the other faults of a seed stay the same. Odd and large,
- * because seeds are consecutive.
+ * Factor that derives the seed of this scenario's own random sequence from the seed of the run, so that the run's other
+ * faults do not depend on the scenario. Odd and large, so that consecutive seeds give unrelated sequences.
  */
 const REFUSED_SPLIT_SEED_FACTOR = 0x9e3779b1;
 
 /**
- * The state service refuses one controller for longer than a lease; some of its machines reach only that controller,
- * others every controller but it. The successor answers the second group while the refused controller may still consider
- * these machines its own, and cannot reach the first group.
+ * Generates a scenario in which the state service refuses one controller for longer than a lease, while some machines
+ * reach only that controller and others every controller but it. The successor (the next owner of the controller's
+ * partition) answers the second group while the refused controller may still consider these machines its own, and cannot
+ * reach the first group.
  */
 function refusedWhileSplitFaults(random: RandomSource, at: number): TimedFault[] {
   const target = random.pick(CONTROLLERS);
@@ -209,12 +213,12 @@
     [after, { kind: "split", target, reaches: "only-target", share: onlyTargetShare, way: randomWay(), for: lastsS }],
     [after, { kind: "split", target, reaches: "all-but-target", share: 1 - onlyTargetShare, way: randomWay(), for: lastsS }],
   ];
-  // Without the cloud, a successor cannot end its wait for a machine by deleting it.
+  // During an outage of the cloud, the successor cannot end its wait for an unreachable machine by deleting it.
   if (random.decimal(0, 1) < 0.8) faults.push([random.decimal(0, 4), { kind: "outage", of: "cloud", for: random.decimal(30, 50) }]);
   return faults.map(([later, raw]) => ({ at: at + later, fault: parseFault(raw) }));
 }
 
-/** Warm-up time in seconds: by then machines are up and the first work runs. */
+/** Time in seconds at the start of a run without faults; by its end, machines are up and the first work runs. */
 const WARMUP_S = 12;
 
 function parseFault(raw: Record<string, unknown>): TimedFault["fault"] {
@@ -254,7 +258,7 @@
   const lastsS = "for" in first ? (first.for ?? 0) : 0;
   for (let more = random.integer(1, 2); more > 0; more--) {
     const second = randomFault(random);
-    // During the first fault, around its end, or at the next occurrence of an injection point after its start.
+    // The further fault is placed during the first one, around the end of the first, or at an injection point after its start.
     const relation = random.integer(0, 2);
     if (relation === 0) fault.push({ at: at + random.decimal(0, Math.max(2, lastsS)), fault: second });
     else if (relation === 1) fault.push({ at: at + Math.max(0, lastsS + random.decimal(-1, 1)), fault: second });
--- a/packages/emulator/src/real/admin.ts
+++ b/packages/emulator/src/real/admin.ts
@@ -7,7 +7,7 @@
 import type { TestEnvironment } from "./test-environment.js";
 
 const MAX_BODY = "64kb";
-/** Minimum run time of jobs submitted through this interface, in seconds. They run for their estimate (`guessS`) if that is longer. */
+/** Minimum run time in seconds of a job submitted through this interface. The job runs for its estimate (`guessS`) if that is longer. */
 const MIN_RUN_S = 0.1;
 
 /**
--- a/packages/emulator/src/real/balancer.ts
+++ b/packages/emulator/src/real/balancer.ts
@@ -2,15 +2,21 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from "node:net";
 import { sendRequest } from "./http.js";
 
-/** Interval and timeout of the health probes. */
+/** Interval and timeout of the health probes of each controller. */
 const PROBE_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 500;
-/** Maximum number of nodes tried for one connection, and of failures in a row after which a node is skipped for `SKIP_MS`. */
+/**
+ * Maximum number of controllers tried for one client connection, and number of failed connections in a row after which a controller is
+ * skipped for `SKIP_MS`.
+ */
 const MAX_TRIES = 3;
 const SKIP_MS = 3000;
-/** How long a node stays out once unhealthy. The delay doubles, up to `max`, if the node last became unhealthy less than `window` ago. */
+/**
+ * Minimum time for which an unhealthy controller receives no connections. It doubles, up to `max`, if the controller becomes unhealthy
+ * again less than `window` after the last time.
+ */
 const READMIT_DELAY_MS = { initial: 3000, max: 60_000, window: 120_000 };
-/** Connections of a node that is still unhealthy after this time are reset. */
+/** Connections to a controller that is still unhealthy this long after it became so are reset. */
 const RESET_DELAY_MS = 5000;
 const SLOW_START_MS = 10_000;
 
@@ -73,7 +79,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Names of the nodes that currently receive connections. */
+  /** Names of the controllers that pass their health checks. */
   get healthy(): string[] {
     return this.nodes.filter((node) => node.healthy).map(({ name }) => name);
   }
@@ -103,7 +109,10 @@
     }
   }
 
-  /** Prefers nodes with fewer open connections. A node that has just become healthy is admitted with a probability that rises over `SLOW_START_MS`. */
+  /**
+   * Chooses the healthy controller with the fewest open connections. One that has just become healthy is considered with a probability
+   * that rises over `SLOW_START_MS`.
+   */
   private choose(excluded: ReadonlySet<Node>): Node | undefined {
     const now = Date.now();
     const candidates = this.nodes.filter((node) => node.healthy && node.skipUntil <= now && !excluded.has(node));
--- a/packages/emulator/src/real/fault-proxy.ts
+++ b/packages/emulator/src/real/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** HTTP proxy between one controller and one service, which applies the network rules. */
+/** HTTP proxy between one controller and one service, which applies the network rules (injected network faults). */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { NetworkRules, WrongResponseForm } from "../network-rules.js";
@@ -35,7 +35,7 @@
   const call = { from, to, what: options.operationOf(request) };
   const delayMs = links.delayMs(call);
   if (delayMs > 0) await wait(delayMs);
-  // Held and lost requests get no answer: the caller waits for its own timeout.
+  // Requests that are held by a cut or lost get no answer: the controller waits for its own timeout.
   if (links.holdIfCut(call, () => void options.forward(request))) return;
   if (links.isLost(call)) return;
   const effect = links.takeEffect(call);
--- a/packages/emulator/src/real/peer-proxy.ts
+++ b/packages/emulator/src/real/peer-proxy.ts
@@ -2,8 +2,8 @@
 import type { NetworkRules } from "../network-rules.js";
 
 /**
- * Starts a TCP proxy for the peer connections that controller `from` opens to controller `to`. Chunks held by a cut are delivered
- * when the cut ends.
+ * Starts a TCP proxy for the peer connections that controller `from` opens to controller `to`. Data held by a network rule of the kind
+ * `cut` is delivered when the rule ends.
  */
 export async function startPeerProxy(
   links: NetworkRules,
@@ -18,7 +18,7 @@
     const colon = addr.lastIndexOf(":");
     const upstream = connect(Number(addr.slice(colon + 1)), addr.slice(0, colon));
     const forward = (into: Socket) => (chunk: Buffer) => {
-      // Losing part of a stream breaks the connection. Only the direction from the client to the target is subject to loss rules.
+      // Loss breaks the connection, because TCP cannot lose a part of a stream. Rules for loss apply only to data from `from` to `to`.
       if (into === upstream && links.isLost(call)) return void socket.destroy();
       const write = (): void => void (into.destroyed || into.write(chunk));
       if (!links.holdIfCut(call, write)) write();
--- a/packages/emulator/src/real/play.ts
+++ b/packages/emulator/src/real/play.ts
@@ -1,4 +1,4 @@
-/** Rehearsals on real processes. */
+/** Runs rehearsal plans (workload and faults) on real processes. */
 import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
 import type { HistoryEvent } from "../checker.js";
 import type { Timing } from "../environment.js";
--- a/packages/emulator/src/real/ports.ts
+++ b/packages/emulator/src/real/ports.ts
@@ -5,7 +5,7 @@
 import { createServer } from "node:net";
 
 const FIRST_PORT = 12_000;
-/** Exclusive. Below 32,768, where the ephemeral port range commonly begins. */
+/** Upper end of the port range, exclusive; below 32,768, where the ephemeral port range commonly begins. */
 const END_PORT = 32_000;
 const MAX_TRIES = 200;
 
--- a/packages/emulator/src/real/processes.ts
+++ b/packages/emulator/src/real/processes.ts
@@ -21,7 +21,7 @@
    * Rejects if a child of that name is running, if the program cannot be started, or if it exits before its first line.
    */
   start(name: string, args: readonly string[], env: Record<string, string>, awaitFirstLine: boolean): Promise<string> {
-    // The running child would be dropped from the map and never be killed.
+    // A second child of the same name would replace the running one in the map, which would then never be killed.
     if (this.running.has(name)) return Promise.reject(new Error(`${name} is already running`));
     const [file, ...programArgs] = this.program as [string, ...string[]];
     const child = spawn(file, [...programArgs, ...args], { stdio: ["ignore", "pipe", "pipe"], env: { ...process.env, ...env } });
--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -12,7 +12,7 @@
   retryAfter: status >= 429 ? "1" : undefined,
 });
 
-/** Limits of the cloud's API for one request. */
+/** Maximum numbers of machines that one request to the cloud's API can list, delete or rent. */
 const MAX_LISTED = 500;
 const MAX_DELETED = 100;
 const MAX_RENTED = 50;
@@ -25,7 +25,7 @@
   };
 }
 
-/** HTTP stub of the cloud provider's API, backed by the cloud model. Enforces the request rate. */
+/** Stub of the cloud provider's HTTP API, backed by the cloud model. Rejects requests above the rate limit. */
 export class CloudStub {
   private readonly rate: TokenBucket;
   /** While true, every request is answered 503. */
@@ -47,7 +47,7 @@
     return request.method === "POST" ? "hire" : "list";
   }
 
-  /** Executes a request against the model. */
+  /** Executes a request on the cloud model. */
   execute(request: ProxiedRequest): Promise<RawResponse> {
     return Promise.resolve(this.handle(request));
   }
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -1,4 +1,4 @@
-/** A whole cluster on this machine, for rehearsals and for manual use. */
+/** Test environment: a whole cluster on this machine, for rehearsals and for manual use. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -26,7 +26,7 @@
 import { WorkerHost } from "./worker-host.js";
 
 const STORE = "store";
-/** Kept copies of reports are delivered within this time after a controller has taken over a partition. */
+/** Maximum delay in ms between a takeover of a partition and the delivery of the copies of worker reports kept for it. */
 const MAX_KEPT_REPORT_DELAY_MS = 500;
 
 /** Options of a test environment. */
@@ -58,7 +58,7 @@
   /** Controllers that were killed and are not restarted yet. */
   private readonly down = new Set<string>();
   private readonly random: () => number;
-  /** Submitted jobs with their true run times, by ref. */
+  /** Submitted jobs with their actual run times, by job id (`ref`). */
   private readonly specs = new Map<string, PlannedSubmission>();
   private readonly processes: Processes;
   private readonly portAllocator = new PortAllocator();
@@ -288,7 +288,7 @@
     return this.users.follow(planned);
   }
 
-  /** The users' operations, as the driver of a rehearsal calls them. */
+  /** The users' operations, as `ScenarioDriver` calls them. */
   get userPort(): UserClient {
     return {
       submit: (one) => {
@@ -300,17 +300,17 @@
     };
   }
 
-  /** The pause before the next poll of a job, in ms. */
+  /** Returns a randomised pause before the next poll of a job, in ms. */
   pollMs(): number {
     return this.users.pollMs();
   }
 
-  /** Submitted jobs, by ref. */
+  /** Submitted jobs as their users see them, by job id (`ref`). */
   get jobs(): Users["jobs"] {
     return this.users.jobs;
   }
 
-  /** The answer of `GET /status`. */
+  /** Returns the body of the response to `GET /status`. */
   status(): Record<string, unknown> {
     const finished = [...this.jobs.values()].filter(({ terminalState }) => terminalState !== null).length;
     return {
@@ -328,12 +328,12 @@
     };
   }
 
-  /** Counts of worker reports. */
+  /** Numbers of worker reports that were sent, not answered, sent late, or kept and delivered after a takeover. */
   get reports(): WorkerHost["stats"] {
     return this.hosts.stats;
   }
 
-  /** Describes each rule that the events so far break. */
+  /** Returns a description of each violation of the rules in the events recorded so far. */
   broken(): string[] {
     const teams: CheckLimits["teams"] = new Map(this.options.plan.team.map((t) => [t.name, { cpus: t.most_cpus, gpus: t.most_gpus }]));
     return findViolations(this.history, { cancelMs: this.options.timing.cancelMs, teams });
@@ -359,7 +359,7 @@
     await this.findLargestOwner();
   }
 
-  /** Asks the controllers in turn for `/cluster` until one names the controller that owns the most machines. Keeps the last result if none does. */
+  /** Asks the controllers in turn for `/cluster` to find the owner of the most machines. Keeps the last result if none answers. */
   async findLargestOwner(): Promise<string> {
     for (const front of this.fronts.values()) {
       const answer = await sendRequest(false, front, "GET", "/cluster", undefined, 1000);
@@ -382,7 +382,10 @@
     return [...this.hosts.workers.values()].filter(({ reportsTo }) => reportsTo === controller).map(({ host }) => host);
   }
 
-  /** Ignored if the controller is down already, because a second process of the same name would replace the first. */
+  /**
+   * Kills the controller's process and starts it again after `downMs`. Does nothing if the controller is down already, because a second
+   * process of the same name would replace the first.
+   */
   restart(controller: string, downMs: number): void {
     if (this.down.has(controller)) return;
     this.down.add(controller);
--- a/packages/emulator/src/real/users.ts
+++ b/packages/emulator/src/real/users.ts
@@ -1,10 +1,10 @@
-/** The users of a rehearsal on real processes. */
+/** The users who submit, poll and cancel jobs in a rehearsal on real processes. */
 import { encodeJob, type JobSpec } from "@thorntrail/protocol/jobs";
 import { statusFromResponse, type HistoryEvent } from "../checker.js";
 import type { PlannedSubmission } from "../plan.js";
 import { createAgent, sendRequest, parseObject, type RawResponse } from "./http.js";
 
-/** How long a user waits for an answer, before it repeats the request. */
+/** How long users wait for the answer to a request before they repeat it. */
 const TIMEOUT_MS = { submit: 5000, poll: 2000 };
 /** How long a submission or cancellation is repeated without an answer. */
 const RETRY_LIMIT_MS = 60_000;
@@ -100,7 +100,7 @@
     await this.postUntilAnswered(`/v2/runs/${ref}/cancel`, ref, undefined, addr);
   }
 
-  /** Submits `wire` as it is to one controller; `never` is the reason why it must not be accepted. */
+  /** Submits the job description `wire` unchanged to one controller; `never` is the reason why a faulty one must not be accepted. */
   async submitRaw(wire: Record<string, unknown>, spec: JobSpec, addr: string, never?: string): Promise<void> {
     if (never !== undefined) this.recordEvent({ at: this.now(), kind: "submitted", spec, never });
     await this.postUntilAnswered("/v2/runs", spec.ref, JSON.stringify(wire), addr);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -8,7 +8,7 @@
 
 const RESPONSE_TIMEOUT_MS = 4000;
 const MAX_ANSWER_LENGTH = 64 * 1024;
-/** Copies of reports kept until a controller takes over a partition; beyond this number the oldest are dropped. */
+/** Maximum number of copies of reports kept until a controller takes over a partition; beyond it, the oldest are dropped. */
 const MAX_KEPT_REPORTS = 2000;
 
 /** Decodes a controller's answer to a report as a worker does; null if there is none or it is too long. */
@@ -31,7 +31,7 @@
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
-/** Whether the machine still lists this attempt: no `clear` command has removed it. */
+/** Whether the gang member's machine still lists this attempt: no `clear` command has removed it. */
 function isRegistered({ worker, task }: GangMember): boolean {
   return worker.tasks.get(`${task.taskId}#${task.attempt}`) === task;
 }
@@ -42,10 +42,10 @@
   readonly workers = new Map<string, Worker>();
   private readonly servers = new Map<string, Server>();
   private readonly agent = createAgent(2000);
-  /** Counts of reports: sent, without an answer, sent late, and kept copies that were delivered. */
+  /** Numbers of reports sent, of those not answered and of those sent late, and of kept copies that were delivered. */
   readonly stats = { reports: 0, unanswered: 0, late: 0, kept: 0 };
   private readonly reportedAt = new Map<string, number>();
-  /** Copies of reports that are sent to every controller once one takes over a partition. */
+  /** Copies of reports that are sent to every controller when any controller takes over a partition (fault `late-reports`). */
   private keptReports: string[] = [];
   /** Gang members that have fetched their image, by attempt. Indexed because each member looks up the others ten times a second. */
   private readonly gangs = new Map<string, GangMember[]>();
@@ -99,12 +99,12 @@
     }
   }
 
-  /** Removes gangs of which no member is registered any more. */
+  /** Removes gangs of which no machine lists a member any more. */
   private removeFinishedGangs(): void {
     for (const [key, members] of this.gangs) if (!members.some(isRegistered)) this.gangs.delete(key);
   }
 
-  /** Returns the gang members that are still registered on their machines. */
+  /** Returns the gang members that their machines still list. */
   private registeredMembers(ref: string, attempt: number): GangMember[] {
     const key = gangKey(ref, attempt);
     const members = this.gangs.get(key);
@@ -116,7 +116,7 @@
     return remaining;
   }
 
-  /** Sends a worker's report through the fault rules; null if no answer arrives. */
+  /** Sends a worker's report, subject to the network rules (injected faults); null if no answer arrives. */
   private async sendReport(node: string, host: string, report: Report): Promise<ReportAnswer | null> {
     this.stats.reports++;
     const now = this.world.clock.now();
@@ -180,7 +180,7 @@
     if (delayMs > 0) await new Promise<void>((resolve) => this.world.clock.after(delayMs, resolve));
     if (worker.removed || worker.hanging) return;
     const effect = this.links.takeEffect(call);
-    // The command is delayed and executed after the caller has stopped waiting for the answer.
+    // The command is executed late and not answered.
     if (effect?.kind === "late") return void this.world.clock.after(effect.ms, () => void (worker.removed || worker.hanging || run()));
     const answer = run();
     // The command is executed, but its answer may be lost.
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -5,7 +5,7 @@
   part: number;
   reason: string;
   lostAt: number;
-  /** A peer first logged that the controller is silent or suspected. */
+  /** A peer first logged that the lost controller is silent or suspected. */
   detected: number | null;
   /** Another controller took over the partition. */
   claimed: number | null;
@@ -13,7 +13,10 @@
   fenced: number | null;
   /** The new owner saw the first task start. */
   placed: number | null;
-  /** After fencing: no earlier task set was left waiting, a task had started, or the shortest boot time had passed. */
+  /**
+   * The recovery ended: after fencing, no task set that had arrived before waited any more, a task had started, or the
+   * shortest boot time of a machine had passed.
+   */
   back: number | null;
 }
 
@@ -34,7 +37,7 @@
   detail: Record<string, unknown>;
 }
 
-/** Collects the recoveries of a rehearsal from log lines. */
+/** Collects the recoveries of partitions during a rehearsal from the controllers' log lines. */
 export class RecoveryTracker {
   readonly all: Recovery[] = [];
   private readonly unfinished = new Map<number, Recovery>();
@@ -47,7 +50,7 @@
     this.silentSince.delete(node);
   }
 
-  /** Processes one log line. */
+  /** Updates the recoveries from one log line of a controller. */
   processLogLine({ at, what, detail }: LogLine): void {
     if (what === "controller is silent" || what === "controller is suspected") {
       const peer = String(detail["peer"]);
@@ -55,7 +58,7 @@
     } else if (what === "part taken") {
       const former = String(detail["former"]);
       const lostAt = this.lostAt.get(former);
-      // The return of a partition to its home controller is planned, and the claim of an unowned partition follows no loss.
+      // Not a recovery: the return of a partition to its home controller is planned, and an unowned partition lost no owner.
       if (lostAt === undefined || String(detail["reason"]) === "home again" || detail["reason"] === "unowned") return;
       const silentAt = this.silentSince.get(former);
       const recovery: Recovery = {
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -1,4 +1,4 @@
-/** The result of a rehearsal, and the statistics of its job classes. */
+/** The result of a rehearsal, and the statistics of its job classes (a class is one work entry of the plan). */
 import { build } from "hdr-histogram-js";
 import type { HistoryEvent } from "./checker.js";
 import type { Fault } from "./faults.js";
@@ -40,7 +40,7 @@
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
   /** Descriptions of the broken rules. */
   broken: string[];
-  /** Task starts after a user had received the answer that the job is cancelled, whether or not within the time allowed for a cancellation. */
+  /** Number of task starts after a user had been told that the job is cancelled, also of those within the time limit for a cancellation. */
   started_cancelled: number;
   faults: FaultOccurrence[];
   takeovers: number;
@@ -53,7 +53,7 @@
   reports?: { sent: number; late: number };
 }
 
-/** Figures of the jobs of one class; percentiles count from the first submission. */
+/** Statistics of the jobs of one class; start and end times are measured from the first attempt to submit a job. */
 export interface ClassStatistics {
   name: string;
   jobs: number;
@@ -90,7 +90,7 @@
   }
 }
 
-/** Computes the figures of each class from the events. Durations count from the first attempt to submit the job. */
+/** Computes the statistics of each job class from a run's events. Times are measured from the first attempt to submit a job. */
 export function classStatistics(history: readonly HistoryEvent[], planned: ReadonlyMap<string, PlannedSubmission>): ClassStatistics[] {
   const submitted = new Map<string, number>();
   const firstStart = new Map<string, number>();
@@ -133,7 +133,7 @@
 
 const formatSeconds = (value: number | null): string => (value === null ? "-" : value.toFixed(1));
 
-/** Formats the figures of all classes as a table for a terminal. */
+/** Formats the statistics of all job classes as a table for a terminal. */
 export function formatTable(report: Report): string {
   const head = ["class", "jobs", "done", "start p50", "start p99", "done p50", "done p99", "late"];
   const rows = report.classes.map((one) => [
--- a/packages/emulator/src/scenario-driver.ts
+++ b/packages/emulator/src/scenario-driver.ts
@@ -1,4 +1,4 @@
-/** Executes a plan in an environment. */
+/** Runs a rehearsal plan (workload and faults) in an environment, which is virtual or made of real processes. */
 import { countStartsAfterWithdrawal, type HistoryEvent } from "./checker.js";
 import { injectFault, durationMs, type SimulatedUserControl, type Fault, type FaultEnvironment } from "./faults.js";
 import { seededRandom } from "./random.js";
@@ -6,7 +6,7 @@
 import { RecoveryTracker, isTakeoverAfterLoss } from "./recovery.js";
 import { classStatistics, type Report } from "./report.js";
 
-/** A log line, service request or event that can mark an injection point. `at` in ms. */
+/** A log line of a controller or a request to a service, which can mark an injection point. `at` is in ms. */
 export interface Observation {
   at: number;
   node: string;
@@ -24,28 +24,28 @@
   met: string[];
 }
 
-/** The users of a run. The implementation records the responses in the history. */
+/** Client by which a run submits, polls and cancels its jobs. Implementations record the responses in the history. */
 export interface UserClient {
-  /** Retries until there is a response; false if the job was refused or the user gave up. */
+  /** Submits a job, repeatedly until there is a response; false if the job was refused or the user gave up. */
   submit(one: PlannedSubmission): Promise<boolean>;
   /** Returns the status of the job, or any other text if the response held none. */
   poll(ref: string): Promise<string>;
   cancel(ref: string): Promise<void>;
 }
 
-/** What the driver of a run needs. */
+/** Plan, environment, users and clock of one run. */
 export interface ScenarioDriverOptions {
   plan: RehearsalPlan;
   seed: number;
   environment: FaultEnvironment;
   users: UserClient;
-  /** Simulated users, for the faults that users cause. */
+  /** Additional users, whose behaviour is part of some faults, such as `cancel-now`. */
   simulatedUsers: SimulatedUserControl;
-  /** Time in ms. */
+  /** Clock of the run, in ms. */
   clock: { now(): number; after(ms: number, fn: () => void): unknown };
   injectionPointOf: InjectionPointOf;
   pollMs: () => number;
-  /** Returns the events recorded so far. */
+  /** Returns the events that workers and users have recorded so far. */
   history: () => readonly HistoryEvent[];
   log?: (text: string) => void;
 }
@@ -53,13 +53,12 @@
 const DEPENDENCY_CHECK_MS = 250;
 /** Interval between polls for a job that was never submitted. */
 const UNKNOWN_JOB_POLL_MS = 15_000;
-/** Larger than the number of jobs in any plan: job ids from here on are never submitted. */
+/** Number of the first job id that is never submitted; larger than the number of jobs in any plan. */
 const FIRST_UNKNOWN_JOB = 900_000;
 
 /**
- * Executes a plan in the given environment, which is virtual or made of real processes: submits the work on schedule,
- * delays jobs until those they depend on are accepted, injects faults at their time or injection point, and collects
- * the figures of the report.
+ * Runs a plan in the given environment: submits the work on schedule, delays jobs until those they depend on are accepted,
+ * injects faults at their time or injection point, and collects the figures of the report.
  */
 export class ScenarioDriver {
   readonly submissions: PlannedSubmission[];
@@ -123,7 +122,7 @@
     this.options.clock.after(UNKNOWN_JOB_POLL_MS, () => void this.pollUnknownJob());
   }
 
-  /** Receives log lines and service requests. */
+  /** Processes a controller's log line or request to a service: updates the recoveries and injects the faults that wait for it. */
   observe(seen: Observation): void {
     this.recoveries.processLogLine(seen);
     if (isTakeoverAfterLoss(seen.what, seen.detail)) this.takeovers++;
@@ -131,7 +130,7 @@
     if (injectionPoint !== null) this.reachInjectionPoint(injectionPoint);
   }
 
-  /** Receives the events of tasks on their machines. */
+  /** Processes an event that workers or users recorded: the first start and each successful end of a task are injection points. */
   recordEvent(event: HistoryEvent): void {
     if (event.kind === "on" && !this.anyTaskStarted) {
       this.anyTaskStarted = true;
@@ -145,7 +144,7 @@
     const i = this.pendingFaults.findIndex((one) => one.moment === injectionPoint && this.elapsedMs >= one.after * 1000);
     if (i < 0) return;
     const [{ fault }] = this.pendingFaults.splice(i, 1) as [(typeof this.pendingFaults)[number]];
-    // Deferred, so that the fault does not interrupt the processing of the observation.
+    // The fault is injected by a timer, so that it does not interrupt the processing of the observation.
     this.options.clock.after(0, () =>
       this.inject(fault, (met) => this.faultsAtPoints.push({ moment: injectionPoint, kind: fault.kind, met })),
     );
@@ -168,7 +167,7 @@
     else void prepared.then(apply);
   }
 
-  /** When all faults injected so far have ended, in ms. */
+  /** Time at which all faults injected so far have ended, in ms of the run's clock. */
   faultsEndAt(): number {
     return this.lastFaultEndMs;
   }
--- a/packages/emulator/src/simulated-users.ts
+++ b/packages/emulator/src/simulated-users.ts
@@ -6,7 +6,7 @@
 /** How simulated users send requests to a controller of their choice. The returned promises never reject. */
 export interface RequestSender {
   controllers(): string[];
-  /** Submits the job in its wire form; `never`: the reason why it must not be accepted. */
+  /** Submits the job as `wire` describes it. `never` is set if the submission is faulty: the reason why it must not be accepted. */
   submit(wire: Record<string, unknown>, spec: JobSpec, node: string, never?: string): Promise<unknown>;
   poll(ref: string, node: string): Promise<unknown>;
   cancel(ref: string, node: string): Promise<unknown>;
@@ -16,22 +16,23 @@
 
 interface TrackedJob {
   spec: JobSpec;
-  /** Whether a user has received confirmation that the job is accepted, and that it is finished. */
+  /** Whether a user has received confirmation that the job is accepted. */
   accepted: boolean;
+  /** Whether a user has received confirmation that the job is done or withdrawn. */
   finished: boolean;
   doneTasks: Set<string>;
   runningOn: Map<string, { host: string; at: number }>;
 }
 
-/** Share of the newly accepted jobs under `close-looks` that are cancelled at once. */
+/** Share of newly accepted jobs that users cancel at once while the behaviour `close-looks` is enabled. */
 const CANCEL_AT_ONCE_SHARE = 0.15;
-/** Delays of the polls to each controller after a job was accepted or ended, in ms. */
+/** Delays in ms after which users poll each controller once a job was accepted or has ended (behaviour `close-looks`). */
 const POLL_DELAYS_MS = [0, 1, 4, 15, 60];
 const ODD_REQUEST_INTERVAL_MS = 1000;
 const CANCEL_NOW_SPREAD_MS = 200;
 /** Number of the first faulty submission; larger than the number of jobs in any plan, so that their ids are unused. */
 const FIRST_FAULTY_JOB = 800_000;
-/** Assumed remaining run time of a service, whose tasks never end. */
+/** Assumed remaining run time in ms of a service, whose tasks never end by themselves. */
 const SERVICE_REMAINING_MS = 1e9;
 
 /** Simulated users that cancel jobs as they end, poll all controllers at once, or submit jobs that cannot run. */
@@ -85,7 +86,7 @@
     return { refs: chosen.map(({ spec }) => spec.ref), hosts: [...hosts].sort((a, b) => b[1] - a[1]).map(([host]) => host) };
   }
 
-  /** Receives submissions, responses and the events of tasks, in order. */
+  /** Processes the next event of the run and reacts to it as the enabled behaviours demand. */
   observe(event: HistoryEvent): void {
     if (event.kind === "submitted") {
       if (event.never === undefined && !this.jobs.has(event.spec.ref))
@@ -115,7 +116,10 @@
     }
   }
 
-  /** Polls all controllers within milliseconds, repeats the submission, and cancels a share of the jobs that were just accepted. */
+  /**
+   * If `close-looks` is enabled: polls all controllers for the job within milliseconds, repeats its submission, and
+   * cancels a share of the jobs that were just accepted.
+   */
   private pollEverywhere({ spec }: TrackedJob, justAccepted: boolean): void {
     if (!this.isActive("close-looks")) return;
     this.effects.looks++;
@@ -130,8 +134,8 @@
   }
 
   /**
-   * Sends at regular intervals a repeated submission, a cancellation of a finished job, and a job that fits no machine
-   * or lacks a field.
+   * Until the time `until`, repeats at regular intervals the submission of an unfinished job, cancels a finished job, and
+   * submits a job that fits no machine or lacks a field.
    */
   private sendOddRequests(until: number): void {
     if (this.clock.now() >= until) return;
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -6,15 +6,16 @@
 import { loadPlan } from "./plan.js";
 import { formatSoakRun, runSoakSeed, runSoakInProcesses, type SoakRun } from "./soak.js";
 
-/** Time after a signal for writing the report and waiting for the child processes. */
+/** Time in ms after a termination signal for writing the report and waiting for the child processes. */
 const SOAK_GRACE_MS = 8000;
 
 /** Options of a soak, as given on the command line. */
 export interface RehearseSoakOptions {
   plan: string;
   program: string[];
-  /** Number of seeds, and the first of them (the plan's own if undefined). */
+  /** Number of seeds to run. */
   seeds: number;
+  /** The first seed; undefined for the plan's own. */
   first: number | undefined;
   report: string | undefined;
   keep: string;
@@ -52,7 +53,7 @@
         { program, plan, timing: DEFAULT_TIMING, injectionPointOf, artifactsDir: keep, keepAll, stop: stop.signal },
         seed,
       ).catch((error: unknown) => {
-        // Interrupted before all processes of the seed were running.
+        // A signal interrupted the run before all of its processes were running.
         if (stop.signal.aborted) return null;
         throw error;
       });
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -1,6 +1,6 @@
 /**
  * Soak runs: for one seed after the other, faults of all kinds hit real processes at random times, and the events that workers and
- * users observe are checked against the rules. The logs and the history of a seed that breaks a rule or logs an error are kept.
+ * users observe are checked against the rules. The logs and the history of a run that breaks a rule or logs an error are kept.
  */
 import { spawn, type ChildProcess } from "node:child_process";
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -14,7 +14,7 @@
 import { hadSplitWhileRefused } from "./report.js";
 import { playReal } from "./real/play.js";
 
-/** The result of one seed. */
+/** The result of the run of one seed. */
 export interface SoakRun {
   seed: number;
   seconds: number;
@@ -35,7 +35,7 @@
   partial: boolean;
 }
 
-/** Rules whose result does not depend on the speed of this machine. */
+/** Matches the broken rules whose result does not depend on the speed of this machine. */
 const TIMING_INDEPENDENT = /^(ran_twice|quota|wrong_place|invented|not_done|went_back|forgotten|accepted_wrongly|too_early)\b/;
 
 /** Returns the broken rules that are meaningful on a busy machine too. */
@@ -57,10 +57,10 @@
   stop?: AbortSignal;
 }
 
-/** Log lines kept for one seed; beyond this number the oldest are dropped. */
+/** Maximum number of log lines kept for the run of one seed; beyond it, the oldest are dropped. */
 const MAX_LOG_LINES = 200_000;
 
-/** Runs one seed on real processes and returns its result. Rejects if the processes cannot be started. */
+/** Runs the plan of one seed on real processes and returns its result. Rejects if the processes cannot be started. */
 export async function runSoakSeed(options: SoakOptions, seed: number): Promise<SoakRun> {
   const { program, timing, injectionPointOf, stop } = options;
   const plan = soakPlan(options.plan, seed);
--- a/packages/emulator/src/virtual/node-clock.ts
+++ b/packages/emulator/src/virtual/node-clock.ts
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly world: VirtualClock,
-    /** Rate of this monotonic clock relative to the world's. */
+    /** Rate of this monotonic clock relative to the virtual world's clock. */
     private readonly rate = 1,
   ) {}
 
@@ -41,7 +41,7 @@
     else fn();
   }
 
-  /** Delivers an event from outside the process. */
+  /** Runs the handler of a message or response that arrives at the process, or buffers it while the process is frozen. */
   deliver(fn: () => void): void {
     if (this.frozen) this.pendingDeliveries.push(fn);
     else fn();
--- a/packages/emulator/src/virtual/play.ts
+++ b/packages/emulator/src/virtual/play.ts
@@ -1,4 +1,4 @@
-/** Rehearsals in virtual time. */
+/** Runs rehearsal plans (workload and faults) in virtual time. */
 import { encodeJob } from "@thorntrail/protocol/jobs";
 import { findViolations } from "../checker.js";
 import { ScenarioDriver, type InjectedAtPoint, type InjectionPointOf } from "../scenario-driver.js";
@@ -9,7 +9,7 @@
 import { startDuplicate } from "../worker-model.js";
 import { VirtualWorld, type ControllerPort, type ControllerDependencies } from "./world.js";
 
-/** Returns the virtual world as an environment for fault injection. */
+/** Returns an interface by which faults are injected into the virtual world. */
 export function virtualEnvironment<C extends ControllerPort>(world: VirtualWorld<C>): FaultEnvironment {
   const activeTaskCount = (host: string): number =>
     [...world.workers.get(host)!.tasks.values()].filter((task) => task.state !== "exited").length;
@@ -53,7 +53,7 @@
   };
 }
 
-/** What a run in virtual time needs. */
+/** Plan, seed and controller factory of a run in virtual time. */
 export interface VirtualRunOptions<C extends ControllerPort> {
   plan: RehearsalPlan;
   seed: number;
@@ -63,7 +63,7 @@
 
 const POLL_MS = 5000;
 
-/** Runs a plan in virtual time, with the same models, rules and controllers as in real time. The same seed gives the same run. */
+/** Runs a plan in virtual time, with the same models, rules and controllers as on real processes. The same seed gives the same run. */
 export async function runVirtual<C extends ControllerPort>(
   options: VirtualRunOptions<C>,
 ): Promise<Report & { moments: InjectedAtPoint[] }> {
@@ -116,7 +116,7 @@
   const endMs = (plan.seconds + plan.settle) * 1000;
   while (world.clock.now() < endMs && !(world.clock.now() > plan.seconds * 1000 && driver.allFinished))
     await world.clock.run(world.clock.now() + 1000);
-  // Allows for the time limit of cancellations, and for delayed messages to arrive.
+  // The run continues until the time limit of any cancellation has passed and delayed messages have arrived.
   await world.clock.run(world.clock.now() + DEFAULT_TIMING.cancelMs);
   const broken = findViolations(world.history, { ...world.limits(), faultsEndAt: driver.faultsEndAt() });
   driver.stop();
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -49,7 +49,7 @@
 ): Promise<T> {
   const call = { from: node, to: request.to, what: request.what };
   const execute = async (): Promise<T> => request.run();
-  // The result is discarded, errors included.
+  // Executes the request although nobody waits for it any more: its result and its errors are discarded.
   const executeAndDiscard = (): void => void execute().catch(() => undefined);
   return new Promise<T>((resolve, reject) => {
     const fail = (error: Error): void => runInProcess(() => reject(error));
@@ -87,7 +87,7 @@
 }
 
 const parsedEvents = new WeakMap<StoredEvent, StateEvent>();
-/** Events are shared by all watchers, so each is parsed only once. */
+/** Parses an event of the store. All watchers receive the same event object, so each is parsed only once. */
 function parseEvent(event: StoredEvent): StateEvent {
   let parsed = parsedEvents.get(event);
   if (parsed === undefined) {
@@ -181,7 +181,7 @@
           connection.onRequest?.("hire", name);
           return model.rent(name, offer, count);
         },
-        // As if it were the response to another request: this name rented no machines.
+        // The form `other` is the response to another request, under whose name no machines were rented.
         (answer, form) => (form === "other" && answer !== null ? [] : undefined),
       ),
     remove: (hosts) => call("remove", () => hosts.forEach((host) => model.remove(host))),
@@ -199,7 +199,7 @@
   private readonly engine = new MemoryEngine();
   private store: Store;
   private isDown = false;
-  /** When the store is back after a restart, in ms of the clock. */
+  /** When the store is started again, in ms of the clock; -Infinity if no restart is in progress, Infinity while the store starts. */
   private restartEndsAt = -Infinity;
   /** Descriptions of transactions that were rejected for too many changes or too large a value. */
   readonly oversized: string[] = [];
@@ -214,7 +214,7 @@
     this.store = Store.createEmpty(this.engine, clock, limits);
   }
 
-  /** Changes the limits without notice. */
+  /** Changes the limits of the state service at once, without an announcement. */
   changeLimits(limits: Partial<StoreLimits>): void {
     this.limits = this.store.setLimits(limits);
   }
@@ -228,8 +228,9 @@
   }
 
   /**
-   * Kills and restarts the process: calls in progress are not answered, open watches break. If the process is killed again
-   * during a restart, only one store is opened, at the later end: two stores on the same data would end each other's leases.
+   * Kills the state service and restarts it after `downMs`: calls in progress are not answered, open watches break. If it
+   * is killed again before it is back, only one store is opened, at the end of the later downtime, because two stores on
+   * the same data would end each other's leases.
    */
   restart(downMs: number): void {
     this.store.simulateCrash();
--- a/packages/emulator/src/virtual/users.ts
+++ b/packages/emulator/src/virtual/users.ts
@@ -12,10 +12,10 @@
   retryAfterS?: number;
 }
 
-/** Sends a request to one controller; `then` is called with the response, if one arrives. */
+/** Sends a user's request to one controller; `then` is called with the response, if one arrives. */
 export type SendRequest = (kind: RequestKind, body: unknown, then: (answer: Answer) => void) => void;
 
-/** What users depend on. */
+/** Clock, history and connections that the users are given. */
 export interface UsersDependencies {
   readonly clock: VirtualClock;
   readonly history: HistoryEvent[];
@@ -42,13 +42,16 @@
     });
   }
 
-  /** `asked`: when the request was sent. */
+  /** Records the job status that a response reports; `asked` is when the request was sent. */
   private recordResponse(ref: string, asked: number, status: number, body: Record<string, unknown>): void {
     const what = statusFromResponse(status, body);
     if (what !== null) this.dependencies.recordEvent({ at: this.dependencies.clock.now(), kind: "told", ref, asked, what });
   }
 
-  /** Returns false if the job was refused or the user gave up. `never`: the reason why the job must not be accepted. */
+  /**
+   * Submits a job, repeatedly until there is a response. Returns false if the job was refused or the user gave up. `never` is the reason
+   * why a faulty job must not be accepted.
+   */
   async submit(wire: Record<string, unknown>, spec: JobSpec, node?: string, never?: string): Promise<boolean> {
     if (!this.dependencies.specs.has(spec.ref))
       this.dependencies.recordEvent({
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -1,4 +1,4 @@
-/** The environment of the controllers in virtual time. */
+/** Virtual world: the whole environment of the controllers, simulated in virtual time. */
 import type { CloudApi, MachineType, MachineOffering } from "@thorntrail/protocol/cloud";
 import { CallError } from "@thorntrail/protocol/errors";
 import type { JobSpec } from "@thorntrail/protocol/jobs";
@@ -22,7 +22,7 @@
 
 export type { Answer, RequestKind };
 
-/** Configuration of the virtual world. */
+/** Teams, machine types, controllers, limits and clock drift of a virtual world. */
 export interface WorldOptions {
   seed: number;
   teams: TeamSettings[];
@@ -33,7 +33,7 @@
   /** The announced future limits of the state service, as in the settings. */
   next: { rps?: number; write_rps?: number; value_kb?: number; txn_ops?: number };
   sockets?: number;
-  /** Share by which the monotonic clocks of controllers and workers run slow. Drift in the same direction is the worst case for leases. */
+  /** Fraction by which the monotonic clocks of controllers and workers all run slow, which is the worst case for leases. */
   clockDrift?: number;
   objectives?: { kind: string; class?: string; within_s?: number; share?: number }[];
   /** Shares of machines that never boot, boot late or early; without it, all boot in their nominal time. */
@@ -51,7 +51,7 @@
 
 type LogLine = (entry: unknown, text?: string) => void;
 
-/** The dependencies of a controller in virtual time. */
+/** Settings, clock, services and connections that a controller is given in virtual time. */
 export interface ControllerDependencies {
   /** The platform's settings, as parsed from its file. */
   platform: Record<string, unknown>;
@@ -68,7 +68,7 @@
   incarnation: string;
 }
 
-/** A controller as the virtual world calls it. */
+/** The interface by which the virtual world calls a controller. */
 export interface ControllerPort {
   onReport(report: Report): ReportAnswer;
   answer(kind: RequestKind, body: unknown): Promise<Answer>;
@@ -97,10 +97,13 @@
 
 /** Run time of tasks for which no run time is given, in ms. */
 const DEFAULT_RUN_MS = 10_000;
-/** Seed offsets of independent random sequences for simulated users and faults, so that runs without them stay the same for each seed. */
+/**
+ * Combined with the seed of the run into seeds of separate random sequences for simulated users and for faults, so that a run without
+ * them stays the same for each seed.
+ */
 const SIMULATED_USERS_SEED = 0x5eed;
 const FAULT_SEED = 0xfa17;
-/** Stored reports are delivered within this time after a takeover begins, in ms. */
+/** Maximum delay in ms between a takeover of a partition and the delivery of the copies of worker reports stored for it. */
 const STORED_REPORT_DELAY_MS = 500;
 
 /** State service, cloud, workers, users and network in virtual time, with a seeded random source. */
@@ -117,17 +120,17 @@
   readonly specs = new Map<string, JobSpec>();
   readonly runTimesMs = new Map<string, number>();
   readonly failingHosts = new Set<string>();
-  /** Jobs with a defect of their own, which fail on every machine. */
+  /** Ids of jobs with a defect of their own, whose tasks fail on every machine. */
   readonly defectiveJobs = new Set<string>();
   readonly errors: string[] = [];
-  /** The messages that controllers logged, without their fields. */
+  /** The texts of the controllers' log lines, without their other fields. */
   readonly logMessages: string[] = [];
-  /** Observations that can mark an injection point. */
+  /** Log lines of controllers and requests to services, which can mark an injection point (an event that a fault waits for). */
   readonly observations$ = new Subject<Observation>();
   private readonly savedProgress = new Map<string, number>();
   private readonly slowdowns = new Map<string, number>();
   private cloudDown = false;
-  /** Seeded random source. */
+  /** Seeded random source of everything but faults and simulated users. */
   readonly random: () => number;
   /** Random source of the faults. It is separate, so that runs without faults stay the same for each seed. */
   private readonly faultRandom: () => number;
@@ -136,9 +139,9 @@
   private readonly virtualUsers: VirtualUsers;
   /** Simulated users, in addition to those of the scenario or plan. */
   readonly simulatedUsers: SimulatedUsers;
-  /** Copies of reports to deliver to all controllers when a controller takes over a partition. */
+  /** Copies of worker reports that are delivered to all controllers when any controller takes over a partition. */
   private storedReports: Report[] = [];
-  /** Number of copies of reports delivered to controllers. */
+  /** Number of copies of worker reports that were delivered after a takeover. */
   storedReportsDelivered = 0;
 
   constructor(
@@ -234,16 +237,16 @@
     };
     const clock = new NodeClock(this.clock, 1 - (this.options.clockDrift ?? 0));
     node.clock = clock;
-    // Events for a process that has ended are dropped.
+    // Responses and timers for a controller process that has ended are dropped.
     const runInProcess: RunInProcess = (fn) => {
       if (node.clock === clock) clock.deliver(() => (node.clock === clock ? fn() : undefined));
     };
     const send = (to: string, message: unknown): boolean => {
-      // Messages between controllers are not held, because a stalled connection is given up.
+      // During a cut, messages between controllers are dropped and not held, because controllers give up a stalled connection.
       this.deliver(name, to, "peer", () => this.runnerFor(to)(() => this.nodes.get(to)?.incoming$.next({ from: name, message })), false);
       return true;
     };
-    // A process that has ended refuses connections; one that is stalled or cut off keeps them open.
+    // A controller that has ended refuses connections; one that is stalled or cut off keeps them open.
     const connected = new Set<string>();
     const lostSince = new Map<string, number>();
     const unreachableSince = (to: string): number | null => {
@@ -291,7 +294,7 @@
     return (fn) => this.nodes.get(name)?.clock?.deliver(fn);
   }
 
-  /** Stalls the process while its clock continues to run. */
+  /** Stalls a controller's process for `ms` while its clock continues to run. */
   freeze(name: string, ms: number): void {
     const clock = this.nodes.get(name)!.clock;
     clock?.freeze();
@@ -310,7 +313,7 @@
     this.cloudDown = on;
   }
 
-  /** Sets the factor on the run time of tasks on the machine, from now on. */
+  /** Sets the factor by which tasks run longer on the machine from now on. */
   slowDown(host: string, factor: number): void {
     this.slowdowns.set(host, factor);
     this.workers.get(host)?.update();
@@ -395,7 +398,7 @@
           const call = { from, to: node, what: "report" };
           if (this.links.shouldStoreCopy(call)) this.storedReports.push(report);
           const againMs = this.links.copyDelayMs(call, this.random);
-          // A copy goes to whichever incarnation of the controller then runs, and its response is discarded.
+          // The copy is delivered to the controller's process that runs at that time, and the response to it is discarded.
           if (againMs !== null)
             this.clock.after(againMs, () => this.runnerFor(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
           this.deliver(from, node, "report", () => {
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -4,7 +4,7 @@
 import type { CommandReply, Order, Report, ReportAnswer, ReportedTask } from "@thorntrail/protocol/worker";
 import type { MonotonicClock } from "./cloud-model.js";
 
-/** What a worker model depends on. */
+/** Clock, protocol times, network and job data that a worker model is given. */
 export interface WorkerDependencies {
   clock: MonotonicClock;
   reportMs: number;
@@ -19,18 +19,18 @@
   /** Actual run time of a job's tasks in ms, on a machine of normal speed. */
   runMs: (ref: string) => number;
   fetchMs: (ref: string) => number;
-  /** Factor on the run time of tasks on the machine. */
+  /** Returns the factor by which tasks run longer on this machine. */
   slowdown: (host: string) => number;
   failsTasks: (host: string, ref: string) => boolean;
   /** Checkpointed progress in ms of run time, which survives the loss of machines; by task, or by job for gangs. */
   savedProgress: Map<string, number>;
   onTaskStarted: (worker: Worker, taskId: string) => void;
   onTaskEnded: (worker: Worker, taskId: string, cause: string) => void;
-  /** All present members of an attempt of a gang, across all machines. */
+  /** Returns the tasks of one attempt of a gang that are present on any machine, with their workers. */
   gangMembers: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
 
-/** A task on a worker, with what the worker keeps beyond what it reports. Times in ms of the clock. */
+/** A task on a worker: the fields that the worker reports and those that it keeps to itself. Times are in ms of the clock. */
 export interface WorkerTask extends ReportedTask {
   ref: string;
   /** When the current state began. */
@@ -38,9 +38,9 @@
   imageReady: boolean;
   /** Run time completed when the current state began, in ms. */
   progressAtStateStart: number;
-  /** When the first `stop` for it arrived; null if none has. */
+  /** When the first `stop` command for the task arrived; null if none has. */
   stopReceivedAt: number | null;
-  /** Since when a member of its gang is missing; null if none is. */
+  /** When another member of the task's gang was first found missing; null if none has been. */
   memberMissingSince: number | null;
 }
 
@@ -125,7 +125,7 @@
     };
   }
 
-  /** Announces that the cloud removes the machine in this many seconds. */
+  /** Records the cloud's notice that it removes the machine in this many seconds; the next report contains it. */
   announceRemoval(seconds: number): void {
     this.removalNoticeS = seconds;
     this.markChanged();
@@ -136,7 +136,7 @@
     this.rescheduleReport();
   }
 
-  /** Waits until the next report is due: at the interval, or at the minimum gap after a change. */
+  /** Waits until the next report is due: after the interval, or after the minimum gap if something has changed. */
   private waitForNextReport(startedAt: number, intervalMs: number): Promise<void> {
     const { clock } = this.dependencies;
     return new Promise((resolve) => {
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Executes direct commands, which do not renew the lease. */
+  /** Executes commands that a controller sends by itself, not in response to a report. They do not renew the lease. */
   command(token: number, session: number, orders: Order[]): CommandReply {
     const executed = token >= this.token && session === this.session;
     if (executed) {
@@ -239,7 +239,7 @@
     }
     const canSave = task.state === "running" && (spec?.checkpointS ?? 0) > 0 && graceS >= (spec?.flushS ?? 0);
     if (!canSave) return this.exitTask(task, "stopped");
-    // Progress ends with the stop command.
+    // The task makes no progress after the stop command.
     task.progressAtStateStart = this.progressOf(task);
     task.state = "saving";
     task.stateSince = task.stopReceivedAt = this.dependencies.clock.now();
@@ -286,7 +286,7 @@
     this.tasks.clear();
   }
 
-  // Updates over time
+  // State changes that follow from the passage of time
 
   private progressKey(task: WorkerTask): string {
     return this.isGang(task) ? task.ref : task.taskId;
@@ -297,13 +297,13 @@
     return spec?.kind === "gang" && spec.tasks > 1;
   }
 
-  /** Run time completed, in ms on a machine of normal speed. */
+  /** Run time that the task has completed, in ms on a machine of normal speed. */
   private progressOf(task: WorkerTask): number {
     if (task.state !== "running") return task.progressAtStateStart;
     return task.progressAtStateStart + (this.dependencies.clock.now() - task.stateSince) / this.slowdownOf(task);
   }
 
-  /** A gang runs at the speed of its slowest machine. */
+  /** Factor by which the task runs longer than on a machine of normal speed. A gang runs at the speed of its slowest machine. */
   private slowdownOf(task: WorkerTask): number {
     if (!this.isGang(task)) return this.dependencies.slowdown(this.host);
     return Math.max(
@@ -344,7 +344,7 @@
 
   private gangCheckMs(task: WorkerTask): number {
     const members = this.dependencies.spec(task.ref)!.tasks;
-    // More often than the time within which a missing member has to be detected.
+    // At least twice within `gangPeerMs`, the time within which a missing member has to be detected.
     return Math.min(GANG_CHECK_MS * Math.max(1, members / GANG_CHECKING_MEMBERS), this.dependencies.gangPeerMs / 2);
   }
 
@@ -419,14 +419,14 @@
     const members = this.dependencies.gangMembers(task.ref, task.attempt);
     const activeMembers = members.filter((m) => !m.worker.isHung && (m.task.state === "running" || m.task.state === "saving"));
     if (activeMembers.length < spec.tasks) {
-      // A gang is checkpointed as a whole: the last checkpoint is that before the first member was found missing.
+      // A gang is checkpointed as a whole, so its last checkpoint is the one before a member was first found missing.
       if (task.memberMissingSince === null) this.saveLastCheckpoint(task);
       task.memberMissingSince ??= clock.now();
       if (clock.now() - task.memberMissingSince > gangPeerMs) this.exitTask(task, "mates_gone");
       return;
     }
     const firstStopAt = Math.min(...activeMembers.map((m) => m.task.stopReceivedAt ?? Infinity));
-    // Other members were stopped, and the stop for this one has not arrived in time.
+    // Another member received a stop command, and this one has received none within `gangPeerMs` after it.
     if (clock.now() - firstStopAt > gangPeerMs) return this.exitTask(task, "mates_gone");
     if (firstStopAt === Infinity && this.remainingMs(task) <= 0.5)
       for (const member of activeMembers) member.worker.exitTask(member.task, "done");
