--- a/packages/emulator/test/models.test.ts
+++ b/packages/emulator/test/models.test.ts
@@ -242,7 +242,7 @@
   driver.start();
   await clock.run(60_000);
   assert.deepEqual(asked.slice(0, 2), ["0 submit first", "6 submit second"]);
-  // The first submission was before `from`; the fault is injected at the second.
+  // The first submission was before the fault's time `from`, so the price fault is injected at the second submission.
   assert.deepEqual(actions, ["6 prices 2", "13 prices 1", "20 capacity m,*,0,", "23 restored"]);
   assert.deepEqual(driver.faultsAtPoints, [{ moment: "submission", kind: "prices", met: ["cloud"] }]);
   assert.ok(asked.filter((one) => one.startsWith("poll run-9")).length >= 3);
