--- a/packages/graphs/src/admission.ts
+++ b/packages/graphs/src/admission.ts
@@ -1,22 +1,25 @@
 /** Admission control of submitted tasks. */
 import type { Client, TaskSpec } from "./model.js";
 
-/** Limits for submitted tasks. */
+/** Limits beyond which submitted tasks are rejected. */
 export interface AdmissionLimits {
-  /** Unfinished tasks of one client, and of all clients. */
+  /** Maximum number of unfinished tasks of one client. */
   openPerClient: number;
+  /** Maximum number of unfinished tasks of all clients. */
   open: number;
-  /** Bytes of the specs of unfinished tasks, of one client and of all clients. */
+  /** Maximum size of the specs of one client's unfinished tasks, in bytes. */
   bytesPerClient: number;
+  /** Maximum size of the specs of all unfinished tasks, in bytes. */
   bytes: number;
-  /** Length of one task's `args`, in UTF-16 units. */
+  /** Maximum length of one task's `args`, in UTF-16 code units. */
   taskBytes: number;
-  /** Objects that one task takes as input, and objects that it produces. */
+  /** Maximum number of objects that one task takes as input. */
   needs: number;
+  /** Maximum number of objects that one task produces. */
   returns: number;
 }
 
-/** Limits in effect unless others are given. */
+/** Admission limits of a graph whose options set no others. */
 export const DEFAULT_LIMITS: AdmissionLimits = {
   openPerClient: 120_000,
   open: 200_000,
@@ -53,7 +56,7 @@
     this.rateUpdatedAt = now;
   }
 
-  /** Returns what is malformed in a task, regardless of its client, or null. */
+  /** Returns a message that names what is malformed in a task spec, or null if nothing is. */
   validate({ key, fn, args, needs, returns, cpus, retries }: TaskSpec): string | null {
     const { taskBytes, needs: maxNeeds, returns: maxReturns } = this.limits;
     if (key === "" || key.length > 200) return "key: expected 1 to 200 characters";
@@ -66,7 +69,7 @@
     return null;
   }
 
-  /** Returns the ms after which to retry, or null if the task is within the limits now. */
+  /** Returns null if a task of this size is within the limits now, else the delay in ms after which its client may retry. */
   retryAfterMs(client: Client, size: number, now: number): number | null {
     const { limits } = this;
     const excessTasks = Math.max(client.openTasks + 1 - limits.openPerClient, this.openTasks + 1 - limits.open);
--- a/packages/graphs/src/journal.ts
+++ b/packages/graphs/src/journal.ts
@@ -1,31 +1,34 @@
-/** Durable outcomes of the tasks of a graph. */
+/** Journal that stores the final outcomes of a task graph's tasks in the state service. */
 import type { Condition, Op, Row } from "@thorntrail/protocol/state";
 
-/** Recorded outcome of a task. */
+/** Final outcome of a task, as the journal records it. */
 export type Outcome = "done" | "failed" | "cancelled";
 /** An outcome is stored as its index here plus 1; 0 means no outcome. */
 const CODES: Outcome[] = ["done", "failed", "cancelled"];
 
-/** Sequence numbers of one client's tasks that share a record. At two bits each, the record fits the smallest permitted value size. */
+/**
+ * Number of consecutive tasks of one client whose outcomes share a stored record (a page). At two bits per outcome, the
+ * record fits the smallest permitted value size.
+ */
 export const TASKS_PER_PAGE = 4096;
 const BITS_PER_OUTCOME = 2;
 const OUTCOMES_PER_BYTE = 8 / BITS_PER_OUTCOME;
-/** Maximum size of a record without its packed outcomes, in bytes. */
+/** Maximum size of a page's record without its packed outcomes, in bytes. */
 const MAX_RECORD_OVERHEAD_BYTES = 200;
-/** A batch is due once it has this number of outcomes per record to write, or once its oldest outcome has waited this long, in ms. */
+/** A batch of outcomes is due once it has this number per record to write, or once its oldest outcome has waited this long, in ms. */
 const BATCHING = { outcomesPerRecord: 250, maxWaitMs: 30_000 };
 
-/** Where and under which limits a journal writes. */
+/** Keys, ownership term and limits with which a journal writes to the state service. */
 export interface JournalOptions {
   /** Prefix of the graph's own keys, such as `t/g/flow-7/`. */
   prefix: string;
-  /** Key whose stamp is the term of the partition that owns the graph. */
+  /** Key of the ownership record. Its stamp (the revision of its last write) is the term of the partition that owns the graph. */
   ownerKey: string;
   /** Term of the owner that writes; a transaction under an earlier term is rejected. */
   term: number;
-  /** Maximum size of a value, in KiB. */
+  /** Maximum size of a value in the state service, in KiB. */
   valueKb: number;
-  /** Maximum number of changes in a transaction. */
+  /** Maximum number of changes in one transaction of the state service. */
   txnOps: number;
   now: () => number;
 }
@@ -36,26 +39,26 @@
   apply: Op[];
 }
 
-/** Stored record of a page. */
+/** Value stored for one page: the outcomes of `TASKS_PER_PAGE` consecutive tasks of a client. */
 interface PageRecord {
   /** Packed outcomes, two bits each, in base64. */
   a: string;
 }
 
-/** Stored record of a client. */
+/** Value stored for one client: how far it has acknowledged the outcomes of its tasks. */
 interface ClientRecord {
   /** The client has acknowledged the outcomes of all its tasks below this sequence number. */
   base: number;
 }
 
-/** Outcomes of consecutive tasks of one client, and how many of them are not yet durable. */
+/** Outcomes of `TASKS_PER_PAGE` consecutive tasks of one client, and how many of them are not yet durable. */
 class Page {
   readonly bytes = new Uint8Array(TASKS_PER_PAGE / OUTCOMES_PER_BYTE);
-  /** Stamp of the stored record; 0 if there is none. */
+  /** Stamp (revision) of the page's record in the state service; 0 if there is none. */
   stamp = 0;
   /** Number of outcomes that are in neither a stored record nor the batch in flight. */
   unwritten = 0;
-  /** The number of outcomes that the batch in flight writes of this page; null if the page is not in the batch. */
+  /** Number of the page's outcomes that the batch in flight makes durable; null if the page is not in the batch. */
   inFlight: number | null = null;
 
   get(index: number): Outcome | null {
@@ -69,19 +72,19 @@
   }
 }
 
-/** Contents of the batch in flight: pages written or removed, and bases written. */
+/** The batch being written: its pages to write or remove, and the clients whose base (first unacknowledged task) it writes. */
 interface BatchInFlight {
   pages: { page: Page; client: string; pageNo: number; drop: boolean }[];
   bases: { state: ClientState; base: number }[];
 }
 
-/** What the journal holds for one client. */
+/** State of one client in the journal: its acknowledged tasks and its pages of outcomes. */
 interface ClientState {
   /** The client has acknowledged the outcomes of all its tasks below this sequence number. */
   base: number;
-  /** Base in the stored record. */
+  /** Value of `base` in the client's stored record; 0 if there is none. */
   durableBase: number;
-  /** Stamp of the stored record; 0 if there is none. */
+  /** Stamp (revision) of the client's record in the state service; 0 if there is none. */
   stamp: number;
   pages: Map<number, Page>;
 }
@@ -101,15 +104,18 @@
   private readonly clients = new Map<string, ClientState>();
   /** Outcomes that are not known to be durable, including those in flight. */
   private pendingOutcomes = 0;
-  /** Number of pages with unwritten outcomes. */
+  /** Number of pages with outcomes that are in neither a stored record nor the batch in flight. */
   private dirtyPages = 0;
-  /** Since when outcomes are pending, counted anew from each commit; -Infinity if a batch should be written at once. */
+  /**
+   * Time of the first pending outcome or, if later, of the last commit; Infinity if no outcome is pending, -Infinity if a
+   * batch should be written at once.
+   */
   private pendingSince = Infinity;
   /** The batch in flight; there is at most one. */
   private inFlight: BatchInFlight | null = null;
   readonly stats = { outcomes: 0, changes: 0, batches: 0 };
 
-  /** Throws if `valueKb` is too small for a record, or `txnOps` for a transaction. */
+  /** Throws if `valueKb` is too small for a page's record, or `txnOps` for a batch. */
   constructor(private readonly options: JournalOptions) {
     const recordBytes = Math.ceil(TASKS_PER_PAGE / OUTCOMES_PER_BYTE / 3) * 4 + MAX_RECORD_OVERHEAD_BYTES;
     if (recordBytes > options.valueKb * 1024)
@@ -141,7 +147,7 @@
     return state;
   }
 
-  /** Records the final outcome of a client's task. Returns false and changes nothing if the task has an outcome. */
+  /** Records the final outcome of a client's task. Returns false and changes nothing if the task already has one. */
   record(client: string, seq: number, outcome: Outcome): boolean {
     if (this.outcome(client, seq) !== null) return false;
     const { pages } = this.clientState(client);
@@ -156,7 +162,7 @@
     return true;
   }
 
-  /** Returns the outcome of a task, `acknowledged` if it is below the client's base, or null if there is none. */
+  /** Returns the outcome of a task, `acknowledged` if its client has acknowledged it, or null if there is none. */
   outcome(client: string, seq: number): Outcome | "acknowledged" | null {
     const state = this.clients.get(client);
     if (state === undefined) return null;
@@ -170,7 +176,10 @@
     state.base = Math.max(state.base, below);
   }
 
-  /** Returns whether the outcome is durable and may be reported to others. If it is recorded but not durable, the next batch becomes due at once. */
+  /**
+   * Returns whether the outcome of a task is durable and may be reported to others than its client. If it is recorded but
+   * not durable, the next batch becomes due at once.
+   */
   checkDurable(client: string, seq: number): boolean {
     const state = this.clients.get(client);
     if (state === undefined) return false;
@@ -182,7 +191,10 @@
     return durable;
   }
 
-  /** Whether enough outcomes are pending for the number of records to write, or one has waited long enough. False while a batch is in flight. */
+  /**
+   * Whether a batch should be written: enough outcomes are pending for the number of records to write, or one has waited
+   * long enough. False while a batch is in flight.
+   */
   isBatchDue(): boolean {
     if (this.inFlight !== null) return false;
     return (
@@ -191,7 +203,7 @@
     );
   }
 
-  /** Returns the next batch, within the limits of a transaction, or null if there is nothing to write or a batch is in flight. */
+  /** Returns the next batch as one transaction within the limits, or null if there is nothing to write or a batch is in flight. */
   draftBatch(): Draft | null {
     if (this.inFlight !== null) return null;
     const { prefix, ownerKey, term, txnOps } = this.options;
@@ -199,7 +211,8 @@
     const apply: Op[] = [];
     const batch: BatchInFlight = { pages: [], bases: [] };
     for (const [client, state] of this.clients) {
-      // Acknowledged outcomes are removed only together with the write of the base: without it, their tasks would seem to have no outcome.
+      // A page of acknowledged outcomes is removed only if the client's base is stored, in the same batch or before: otherwise, its tasks
+      // would seem to have no outcome.
       const acknowledged = [...state.pages].filter(([pageNo]) => (pageNo + 1) * TASKS_PER_PAGE <= state.base);
       if (acknowledged.length > 0 && apply.length + 2 <= txnOps) {
         if (state.base !== state.durableBase) {
@@ -216,7 +229,7 @@
         }
       }
     }
-    // Pages with the most unwritten outcomes come first, so that a page that receives single outcomes all the time doesn't starve the others.
+    // Pages with the most unwritten outcomes come first, so that one that receives single outcomes all the time doesn't starve others.
     const unwritten = [...this.clients].flatMap(([client, { base, pages }]) =>
       [...pages]
         .filter(([pageNo, page]) => page.unwritten > 0 && (pageNo + 1) * TASKS_PER_PAGE > base)
@@ -233,7 +246,7 @@
       batch.pages.push({ page, client, pageNo, drop: false });
     }
     if (apply.length === 0) {
-      // These pages were acknowledged before they were ever written, so there is no record to remove.
+      // The pages of the batch were acknowledged before they were ever written, so there is no record to remove.
       for (const entry of batch.pages) this.dropPage(entry);
       return null;
     }
@@ -273,9 +286,8 @@
   }
 
   /**
-   * Ends a batch that failed or whose outcome is unknown. `rows` are the graph's records, read after
-   * the transaction was settled. The next batches write the same pages again, conditional on the
-   * stamps of `rows`.
+   * Ends a batch whose transaction failed or got no response. `rows` are the graph's records, read
+   * after that. The next batches write the same pages again, conditional on the stamps of `rows`.
    */
   reconcile(rows: readonly Row[]): void {
     const { inFlight: batch } = this;
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -21,7 +21,7 @@
 import { ExecutorPool } from "./pool.js";
 import { RuntimeEstimator } from "./runtimes.js";
 
-/** Collaborators and settings of a graph machine. */
+/** Dependencies and settings of a `GraphMachine`. */
 export interface MachineOptions {
   sink: DecisionSink;
   /** Monotonic clock, in ms. */
@@ -29,20 +29,29 @@
   limits?: AdmissionLimits;
   /** Queued work that each executor should have so that it doesn't idle during a round trip, in ms. */
   targetBacklogMs: number;
-  /** Run time to expect of every function until the first run time is known, in ms. */
+  /** Expected run time in ms of every function until the run time of a first task is known. */
   defaultRuntimeMs: number;
 }
 
-/** Maximum number of tasks visited to propagate a new rank; tasks further up are updated by the next full ranking. */
+/**
+ * Maximum number of tasks visited to propagate a task's new rank (its priority) to the producers of its inputs; producers
+ * further up are updated by the next ranking of all tasks.
+ */
 const MAX_RANK_STEPS = 64;
-/** Interned function names; bounded because the names come from clients. */
+/** Maximum number of interned function names; bounded because the names come from clients. */
 const MAX_INTERNED_NAMES = 5000;
-/** Submissions and successful ends after which all tasks are ranked again: at least this number, and at least this share of the unfinished tasks. */
+/**
+ * All tasks are ranked again after this number of submissions and successful ends of tasks, or after `RERANK_FRACTION` of
+ * the number of unfinished tasks if that is more.
+ */
 const MIN_RERANK_CHANGES = 16;
 const RERANK_FRACTION = 1 / 8;
-/** Part of the sort key per position in the order in which tasks became ready, in ms: less than any run time, so that it only breaks ties. */
+/**
+ * Part of a ready task's sort key for each task that became ready before it, in ms. It is far less than any run time, so
+ * that the order of arrival only breaks ties between equal ranks.
+ */
 const ARRIVAL_TIE_BREAK_MS = 1e-6;
-/** Maximum number of holders checked for each input when an executor is chosen by data locality. */
+/** Maximum number of executors with a copy that are checked for each input when an executor is chosen by data locality. */
 const MAX_HOLDERS_CHECKED = 8;
 
 /** Whether the object is available or will never be. */
@@ -69,11 +78,11 @@
   private readyCount = 0;
   private readySequence = 0;
   private readonly functionNames = new Map<string, string>();
-  /** Tasks in the order of submission; finished ones are removed at the next full ranking. */
+  /** Tasks in the order of submission; finished ones are removed when all tasks are ranked again. */
   private submitted: Task[] = [];
-  /** Submissions and successful ends since the last full ranking. */
+  /** Number of submissions and successful ends of tasks since all tasks were last ranked. */
   private changesSinceRanking = 0;
-  /** Service of the client served last: a client that joins or becomes active starts at this value, without credit for idle time. */
+  /** `serviceMs` of the client served last. A client that joins or becomes active starts at least there, without credit for idle time. */
   private currentServiceMs = 0;
   readonly stats = { finished: 0, leased: 0, reruns: 0, staleReports: 0, returned: 0, dropped: 0 };
 
@@ -85,7 +94,7 @@
 
   // ---- Clients
 
-  /** Adds a client. A client that reconnects keeps its state, and the call has no effect. */
+  /** Adds a client. Has no effect if the client is known: one that reconnects keeps its state. */
   join(name: string, weight = 1): void {
     if (this.clients.has(name)) return;
     this.clients.set(name, {
@@ -112,7 +121,7 @@
     const inputs: GraphObject[] = [];
     for (const key of new Set(spec.needs)) {
       const object = this.objects.find(key);
-      // A task can only take objects that exist already, so the graph can't contain a cycle.
+      // A task can only take objects that are known already, so the graph can't contain a cycle.
       if (object === undefined) return { why: "unknown-object", detail: key };
       inputs.push(object);
     }
@@ -120,13 +129,13 @@
     const retryAfterMs = this.admission.retryAfterMs(client, bytes, this.options.now());
     if (retryAfterMs !== null) return { why: "busy", detail: "too many unfinished tasks", retryAfterMs };
     this.admission.taskOpened(client, bytes);
-    // Each field is written out: an object built by spreading others takes several times the memory.
+    // Each field is written out, because an object built by spreading another takes several times the memory.
     const task: Task = {
       spec: {
         key: spec.key,
         fn: this.intern(spec.fn),
         args: spec.args,
-        // The inputs are kept as objects in `inputs`.
+        // Left empty to save memory: the inputs are kept as objects in `inputs`.
         needs: emptyList<string>(),
         returns: spec.returns,
         cpus: spec.cpus,
@@ -146,7 +155,7 @@
       liveOutputs: spec.returns,
       expectedEndMs: 0,
     };
-    // An array grown by push has capacity for seventeen elements, so literals and `Array.from` are used.
+    // Literals and `Array.from` save memory: an array grown by `push` has capacity for seventeen elements.
     if (spec.returns === 1) task.outputs = [this.objects.create(task, 0)];
     else if (spec.returns > 1) task.outputs = Array.from({ length: spec.returns }, (_, i) => this.objects.create(task, i));
     for (const object of task.outputs) this.addReference(client, object);
@@ -231,8 +240,8 @@
   }
 
   /**
-   * Reports `ready` when `required` of the objects are available or failed, at once if they already
-   * are. Lost objects are recomputed. Returns false if one of the keys is unknown.
+   * Reports to the client by `ready` when `required` of the objects are available or failed, at once
+   * if they already are. Lost objects are recomputed. Returns false if one of the keys is unknown.
    */
   watch(clientName: string, request: number, keys: readonly string[], required = keys.length): boolean {
     const objects = keys.map((key) => this.objects.find(key));
@@ -266,13 +275,13 @@
     const settledKeys = watch.objects.filter(isSettled).map(objectKey);
     this.options.sink.ready(watch.client.name, watch.request, settledKeys);
     for (const object of watch.objects) {
-      // Without this, an object that is polled repeatedly before it is available would accumulate closed watches.
+      // Closed watches are removed, because an object that is polled repeatedly before it is available would accumulate them.
       if (object.watches.length > 0) object.watches = object.watches.filter((other) => !other.closed);
       this.collectUnused(object);
     }
   }
 
-  /** Closes a watch without a report. Returns false if it was closed before. */
+  /** Closes a watch without a report to its client. Returns false if it was closed before. */
   private closeWatch(watch: Watch): boolean {
     if (watch.closed) return false;
     watch.closed = true;
@@ -280,7 +289,7 @@
     return true;
   }
 
-  /** Cancels a task; the first of cancellation and end decides its outcome. Returns false if the task is unknown or has an outcome. */
+  /** Cancels a task, which fixes its outcome even if it still ends. Returns false if the task is unknown or already has an outcome. */
   cancel(key: string): boolean {
     const task = this.tasks.get(key);
     if (task === undefined || task.outcome !== null) return false;
@@ -307,7 +316,7 @@
 
   // ---- Dependencies and objects
 
-  /** Counts the missing inputs of a task. Queues the task if there are none; fails it if an input has failed. */
+  /** Counts the inputs of a task that are not available. Queues the task if there are none; fails it if an input has failed. */
   private resolveInputs(task: Task): void {
     task.phase = Phase.Waiting;
     task.missingInputs = 0;
@@ -325,7 +334,10 @@
     else if (task.missingInputs === 0) this.enqueue(task);
   }
 
-  /** Recomputes an object whose copies are all lost, and recursively the lost inputs of its producer. Marks as failed what cannot be recomputed. */
+  /**
+   * Recomputes an object whose copies are all lost, and recursively the lost inputs of the task that produced it. Marks as
+   * failed what cannot be recomputed.
+   */
   private ensureAvailable(first: GraphObject): void {
     const stack = [first];
     for (let object = stack.pop(); object !== undefined; object = stack.pop()) {
@@ -362,7 +374,7 @@
     }
   }
 
-  /** Marks an object as never available. */
+  /** Marks an object as failed: it will never be available. */
   private markFailed(object: GraphObject): void {
     object.availability = Availability.Failed;
     this.notifySettled(object);
@@ -390,7 +402,7 @@
     const stack = [first];
     for (let object = stack.pop(); object !== undefined; object = stack.pop()) {
       if (object.refCount > 0 || isNeeded(object)) continue;
-      // The producer has no outcome yet: the object is deleted when the producer finishes.
+      // While the producer has no outcome yet, the object is kept; it is deleted when the producer finishes.
       if (object.availability === Availability.Pending && object.producer !== null && object.producer.outcome === null) continue;
       // A client's value cannot be recomputed: it is kept as long as an object derived from it may have to be recomputed.
       if (object.producer === null && object.lineageRefs > 0) continue;
@@ -424,10 +436,10 @@
   // ---- Order of tasks
 
   /**
-   * Computes the ranks of all unfinished tasks, from the last submitted to the first, because the
-   * producers of a task's inputs were always submitted before it. It runs once a share of the tasks
-   * has changed, so the number of visits per task is bounded regardless of the size of the graph.
-   * Between two full rankings, a higher rank is propagated a few steps only.
+   * Computes the ranks (priorities) of all unfinished tasks, from the last submitted to the first,
+   * because the producers of a task's inputs were always submitted before it. Called after a share
+   * of the tasks has changed, so the number of visits per task is bounded regardless of the size of
+   * the graph. Between two calls, a higher rank is propagated a few steps only.
    */
   private rankAll(): void {
     this.changesSinceRanking = 0;
@@ -445,7 +457,7 @@
     open.forEach((task, i) => task.phase === Phase.Ready && task.rank > before[i]! && this.enqueue(task, false));
   }
 
-  /** Raises the ranks of the task's direct and indirect producers, up to a maximum number of steps. */
+  /** Raises the ranks of the tasks that produce the task's inputs, directly or indirectly, up to a maximum number of steps. */
   private propagateRank(task: Task): void {
     let steps = MAX_RANK_STEPS;
     const stack = [task];
@@ -462,8 +474,8 @@
   }
 
   /**
-   * Queues a ready task. `fresh` is false if it is in the queue already, at a lower rank: the entry
-   * with the higher rank is taken first, and the other one is skipped as stale.
+   * Queues a ready task. `fresh` is false if the task is in the queue already, at a lower rank: its
+   * entry with the higher rank is taken first, and its other entry is skipped as stale.
    */
   private enqueue(task: Task, fresh = true): void {
     task.phase = Phase.Ready;
@@ -531,7 +543,7 @@
       lost.add(object);
     }
     if (lost.size > 0) this.markInputsMissing(lost);
-    // Recomputation starts only after all lost objects are marked, and only for objects that are needed.
+    // Recomputation starts only after all lost objects are marked as lost, and only for objects that are needed.
     for (const object of lost) {
       if (isNeeded(object)) this.ensureAvailable(object);
       else this.collectUnused(object);
@@ -541,7 +553,7 @@
     this.dispatch();
   }
 
-  /** Makes queued tasks wait again for inputs that were lost. One scan of the tasks covers all objects that were lost together. */
+  /** Makes ready and waiting tasks wait for inputs that were lost. One scan of the tasks covers all objects that were lost together. */
   private markInputsMissing(lost: ReadonlySet<GraphObject>): void {
     for (const task of this.tasks.values()) {
       if (task.phase !== Phase.Ready && task.phase !== Phase.Waiting) continue;
@@ -558,7 +570,7 @@
     }
   }
 
-  /** Runs a task again, or fails it if no retries are left. A cancelled task is completed. */
+  /** Runs a task again, or fails it if no retries are left. A cancelled task is completed instead. */
   private retry(task: Task, why: "executor-lost" | "error", message: string): void {
     task.executor = null;
     task.lease = 0;
@@ -569,7 +581,7 @@
     this.resolveInputs(task);
   }
 
-  /** Sends ready tasks to executors with capacity. Must be called after each round of events. */
+  /** Sends ready tasks to executors with capacity. The caller has to call it after each group of submissions or other events. */
   dispatch(): void {
     if (this.changesSinceRanking >= Math.max(MIN_RERANK_CHANGES, this.admission.unfinished * RERANK_FRACTION)) this.rankAll();
     for (let task = this.peekNext(); task !== undefined; task = this.peekNext()) {
@@ -581,7 +593,10 @@
     this.rebalance();
   }
 
-  /** Returns an executor with capacity that holds the largest possible input; without one, the first suitable executor in the pool's order, or null. */
+  /**
+   * Returns, of the executors with capacity, the one that holds the largest input of the task. If none of them holds an
+   * input, returns the first suitable executor in the pool's order, or null.
+   */
   private chooseExecutor(task: Task): Executor | null {
     const { cpus, fn } = task.spec;
     const meanMs = this.runtimes.meanMs(fn);
@@ -640,7 +655,7 @@
     if (task.executor !== null) this.options.sink.stop(task.executor.name, task.lease);
   }
 
-  /** Handles the successful end of a task. Ignored if the lease is no longer valid; the outputs of a cancelled task are deleted. */
+  /** Handles the successful end of a task; only counts the report if the lease is no longer valid. Deletes a cancelled task's outputs. */
   done(name: string, lease: number, made: readonly TaskOutput[], ranMs: number): void {
     const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
@@ -666,12 +681,12 @@
   }
 
   private storeOutput(object: GraphObject, { bytes, inline }: TaskOutput, executor: Executor): void {
-    // The object is unused, or its failure was already reported.
+    // The output was removed as unused, or its failure was already reported: the new copy is deleted.
     if (object.removed || object.availability === Availability.Failed) {
       if (inline === null) this.options.sink.drop(executor.name, [objectKey(object)]);
       return;
     }
-    // The object may still have another copy if it was recomputed for a different output; both copies are valid.
+    // The object may still have another copy if its task ran again for a different output; both copies are valid.
     object.bytes = bytes;
     if (inline !== null) object.inline = inline;
     else if (!object.holders.includes(executor)) {
@@ -683,7 +698,7 @@
     if (before !== Availability.Available) this.notifySettled(object);
   }
 
-  /** Handles an error that a task raised. Ignored if the lease is no longer valid. */
+  /** Handles an error that a task raised; only counts the report if the lease is no longer valid. */
   failed(name: string, lease: number, message: string, ranMs: number): void {
     const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
@@ -707,8 +722,8 @@
   // ---- Ends of tasks
 
   /**
-   * Reports the outcome of a task, once: a task that ran again to recompute its outputs keeps its
-   * outcome. If `failing`, those of its outputs that are not available are marked as failed.
+   * Records and reports the outcome of a task, once: a task that ran again to recompute its outputs
+   * keeps its outcome. If `failing`, those of its outputs that are not available are marked as failed.
    */
   private finish(task: Task, outcome: TaskOutcome, failing: boolean): void {
     const leased = task.phase === Phase.Leased && task.executor !== null;
@@ -721,14 +736,15 @@
     }
     if (failing)
       for (const object of task.outputs) if (object.availability !== Availability.Available && !object.removed) this.markFailed(object);
-    // A task that is cancelled while it is leased is completed when its executor ends or returns it.
+    // A task that is cancelled while it is leased is completed later, when its executor ends or returns it or is lost.
     if (leased) return;
     this.complete(task);
   }
 
   /**
-   * Completes a task. All its inputs change from pending consumption to lineage in one step, before
-   * any check for unused objects: in between, an input would seem to be unused.
+   * Marks a task as finished. All its inputs change from pending consumption to lineage (needed only
+   * to recompute its outputs) before any check for unused objects: in between, an input would seem
+   * to be unused.
    */
   private complete(task: Task): void {
     if (task.phase === Phase.Finished) return;
@@ -744,7 +760,7 @@
 
   // ---- Status
 
-  /** Numbers of tasks, objects, ready tasks, executors and unfinished tasks. */
+  /** Numbers of tasks, objects, ready tasks, executors and unfinished tasks (`open`). */
   get counts(): { tasks: number; objects: number; ready: number; executors: number; open: number } {
     return {
       tasks: this.tasks.size,
@@ -766,7 +782,7 @@
     return { ready: this.readyCount, running, longestMs: first?.rank ?? 0 };
   }
 
-  /** Returns whether an object is available and which executors hold it, or null if the key is unknown. Used for `get` and for checks. */
+  /** Returns whether an object is available or failed, its value if it is small, and its holders; null if the key is unknown. */
   objectStatus(key: string): { available: boolean; failed: boolean; inline: string | null; at: readonly string[] } | null {
     const object = this.objects.find(key);
     if (object === undefined) return null;
--- a/packages/graphs/src/model.ts
+++ b/packages/graphs/src/model.ts
@@ -85,16 +85,16 @@
   rank: number;
   executor: Executor | null;
   lease: number;
-  /** Retries left. */
+  /** How many times the task may still run again after a loss or an error. */
   retriesLeft: number;
   outcome: TaskOutcome | null;
   /** Expected end in ms of the monotonic clock; infinite while the task is queued at its executor. */
   expectedEndMs: number;
-  /** Number of outputs that may still be requested. */
+  /** Number of the task's outputs that are not removed, so that they may still be requested. */
   liveOutputs: number;
 }
 
-/** Whether the value of an object exists. */
+/** Whether the value of an object exists, may still be produced, or never will. */
 export const enum Availability {
   /** Not produced yet. */
   Pending,
@@ -116,18 +116,18 @@
   bytes: number;
   /** Executors that hold a copy. */
   holders: Executor[];
-  /** Number of references of all clients. */
+  /** Number of references to the object that clients hold, in total. */
   refCount: number;
-  /** The only client with references, which is the usual case, or the number of references per client. */
+  /** The only client with references, which is the usual case, or the number of references by client; null if there are none. */
   referencedBy: Client | Map<Client, number> | null;
   /** Number of unfinished tasks that take the object as input. */
   pendingConsumers: number;
   /** Number of finished tasks that would need the object again to recompute their outputs. */
   lineageRefs: number;
-  /** Tasks to resume when the object is settled. */
+  /** Tasks that wait for the object to become available or to fail. */
   waitingTasks: Task[];
   watches: Watch[];
-  /** The object is no longer in the index, so its key is unknown. */
+  /** Whether the object was removed from the index, so that its key is unknown. */
   removed: boolean;
 }
 
@@ -136,10 +136,10 @@
   client: Client;
   request: number;
   objects: readonly GraphObject[];
-  /** How many of the objects have to be settled. */
+  /** How many of the objects have to be available or failed to complete the request. */
   required: number;
   settledCount: number;
-  /** Completed, expired or abandoned. */
+  /** Whether the request has been completed, has expired, or its client has left. */
   closed: boolean;
 }
 
@@ -154,17 +154,17 @@
   leasedTasks: Map<number, Task>;
   /** Expected end of all its leased tasks, in ms of the monotonic clock. */
   idleAtMs: number;
-  /** Current sort key in the pool's order. */
+  /** Current sort key in the order in which the pool's executors receive tasks. */
   orderKey: number;
   /** Objects of which the executor holds a copy. */
   objects: Set<GraphObject>;
-  /** Accepts no more tasks. */
+  /** Whether the executor is to receive no more tasks. */
   draining: boolean;
-  /** Recalled tasks that are still expected back. */
+  /** Number of recalled tasks that are still expected back; reduced by each task that the executor returns or ends. */
   pendingRecalls: number;
 }
 
-/** A client of the graph, with its share of the executors and its limits. */
+/** A client of the graph, with its use of the executors and its unfinished tasks. */
 export interface Client {
   name: string;
   weight: number;
--- a/packages/graphs/src/objects.ts
+++ b/packages/graphs/src/objects.ts
@@ -1,7 +1,7 @@
 /** Keys of a graph's objects, and their index. */
 import { emptyList, Availability, type Task, type GraphObject } from "./model.js";
 
-/** Key under which clients and executors address an object: `TASK:INDEX` for a task's output, the client's own key otherwise. */
+/** Returns the key by which clients and executors address an object: `TASK:INDEX` for a task's output, else the client's own key. */
 export const objectKey = ({ producer, name }: GraphObject): string => (producer === null ? String(name) : `${producer.spec.key}:${name}`);
 
 /**
@@ -53,7 +53,7 @@
     return object === undefined || object.removed ? undefined : object;
   }
 
-  /** Returns false if a task with this key and number of outputs would have an output with the key of a client's object. */
+  /** Returns false if one of the outputs of a task with this key would have the same key as an object that a client put. */
   isKeyFree(key: string, returns: number): boolean {
     if (this.clientObjects.size === 0) return true;
     for (let i = 0; i < returns; i++) if (this.clientObjects.has(`${key}:${i}`)) return false;
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -4,22 +4,25 @@
 
 /** Maximum number of leases per CPU of an executor, however short the tasks are. */
 const MAX_LEASES_PER_CPU = 64;
-/** Maximum number of executors without capacity that are skipped before a task has to wait. */
+/** Maximum number of executors without capacity that are skipped to find one for a task; after that, the task has to wait. */
 const MAX_SKIPPED = 8;
-/** Fraction of the target backlog: with less work than this left, recalling a task takes longer than it saves. */
+/**
+ * Tasks are recalled only from executors whose remaining work exceeds this fraction of the target backlog; with less, a
+ * recall takes longer than it saves.
+ */
 const MIN_RECALL_FRACTION = 1 / 10;
-/** A task is long if its run time times this factor reaches the target backlog. */
+/** A task counts as long if its expected run time times this factor reaches the target backlog. */
 const LONG_TASK_FACTOR = 2;
 /** Larger than any time in ms: sorts executors without a free CPU after all that have one. */
 const NO_FREE_CPU_OFFSET = 1e12;
-/** Queue entries per executor, most of them stale, above which the order is rebuilt. */
+/** Number of queue entries per executor, most of them stale, above which the queue is rebuilt. */
 const MAX_ENTRIES_PER_EXECUTOR = 16;
 
 /**
- * Keeps executors in the order in which they should receive tasks: those with a free CPU first,
- * in each group by the time at which they are expected to be idle. An executor is queued again when its sort
- * key changes; an old entry stays in the queue until it reaches the head, where it is recognised
- * as stale because its key is not the executor's current one.
+ * Keeps executors in the order in which they should receive tasks: those with a free CPU first, then
+ * the others, each group by the time at which they are expected to be idle. An executor is queued
+ * again when its sort key changes; its old entry stays in the queue until it reaches the head, where
+ * it is recognised as stale because its key is not the executor's current one.
  */
 export class ExecutorPool {
   private readonly executors = new Map<string, Executor>();
@@ -98,8 +101,8 @@
   }
 
   /**
-   * Whether the executor may receive one more task: because the task starts at once, or because
-   * less is queued at the executor than the target backlog and than its share of the ready tasks.
+   * Whether the executor may receive one more task: because the task can start at once, or because
+   * the executor's queue is shorter than the target backlog and than its share of the ready tasks.
    */
   hasCapacity(executor: Executor, cpus: number, meanMs: number, ready: number): boolean {
     if (!this.acceptsTasks(executor) || cpus > executor.cpus) return false;
@@ -113,7 +116,7 @@
     return meanMs * LONG_TASK_FACTOR < this.targetBacklogMs || queued < this.cpusEndingSoon(executor);
   }
 
-  /** CPUs of the tasks that are expected to end within the target backlog. */
+  /** Number of CPUs of the tasks that are expected to end within `targetBacklogMs` from now. */
   private cpusEndingSoon(executor: Executor): number {
     const soon = this.now() + this.targetBacklogMs;
     let endingCpus = 0;
@@ -121,7 +124,7 @@
     return endingCpus;
   }
 
-  /** Returns the first executor in the order with capacity for such a task, or null if the first `MAX_SKIPPED` have none. */
+  /** Returns the first executor in the order with capacity for a task of `cpus` CPUs, or null if the first `MAX_SKIPPED` have none. */
   pick(cpus: number, meanMs: number, ready: number): Executor | null {
     const skipped: Executor[] = [];
     let found: Executor | null = null;
@@ -148,10 +151,10 @@
     this.updateOrder(executor);
   }
 
-  /** Records that the task ended or was returned. */
+  /** Records that the task ended at the executor, or that the executor returned it before it started. */
   unassign(executor: Executor, task: Task, meanMs: number): void {
     executor.leasedTasks.delete(task.lease);
-    // One of the tasks queued at the executor starts now.
+    // If more CPUs are assigned than the executor has, one of the tasks queued there starts now.
     if (executor.assignedCpus > executor.cpus)
       for (const next of executor.leasedTasks.values())
         if (next.expectedEndMs === Infinity) {
@@ -165,8 +168,8 @@
   }
 
   /**
-   * If an executor is idle, returns the executor with the longest backlog and the leases to recall
-   * from it, otherwise null. An executor with pending recalls is left out.
+   * If an executor is idle, returns the executor with the longest backlog and the leases of the tasks
+   * to recall from it, otherwise null. Executors with pending recalls are left out.
    */
   chooseRecall(): { executor: Executor; leases: number[] } | null {
     if (this.executors.size < 2) return null;
--- a/packages/graphs/src/runtimes.ts
+++ b/packages/graphs/src/runtimes.ts
@@ -1,16 +1,16 @@
-/** Minimum weight of a new run time against the earlier estimate. */
+/** Minimum weight of a new run time in the moving average; the earlier estimate has the remaining weight. */
 const MIN_SAMPLE_WEIGHT = 0.1;
 /** Maximum number of functions with an estimate; bounded because their names come from clients. */
 const MAX_FUNCTIONS = 5000;
 
-/** Estimate for one function, in ms. */
+/** Run time estimate for one function, in ms, and the number of run times it is based on. */
 interface RuntimeEstimate {
   mean: number;
   deviation: number;
   count: number;
 }
 
-/** Estimates run times per function, in ms: an exponential moving average and the mean deviation from it (Jacobson's round-trip estimator). */
+/** Estimates run times by function, in ms: a moving average and the mean deviation from it, as in Jacobson's round-trip estimator. */
 export class RuntimeEstimator {
   private readonly estimates = new Map<string, RuntimeEstimate>();
   private overallMeanMs = 0;
@@ -28,18 +28,18 @@
       return;
     }
     const error = ms - estimate.mean;
-    // The first runs have equal weight.
+    // With weights of 1/2, 1/3 and so on down to the minimum, the first ten run times count equally.
     const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / ++estimate.count);
     estimate.mean += weight * error;
     estimate.deviation += weight * (Math.abs(error) - estimate.deviation);
   }
 
-  /** Expected run time; for a function without an estimate, the average over all functions. */
+  /** Expected run time of a function in ms; for a function without an estimate, the average over all functions. */
   meanMs(fn: string): number {
     return this.estimates.get(fn)?.mean ?? (this.overallMeanMs > 0 ? this.overallMeanMs : this.defaultMs);
   }
 
-  /** Run time above which a run is an outlier; infinite until the function has run three times. */
+  /** Run time in ms above which a run of the function is an outlier; infinite until the function has run three times. */
   outlierMs(fn: string): number {
     const estimate = this.estimates.get(fn);
     return estimate === undefined || estimate.count < 3 ? Infinity : estimate.mean + 4 * estimate.deviation;
