--- a/packages/graphs/test/cluster.ts
+++ b/packages/graphs/test/cluster.ts
@@ -2,7 +2,7 @@
 import type { TaskOutcome, TaskInput, TaskOutput, DecisionSink, TaskSpec } from "../src/model.js";
 import { GraphMachine, type MachineOptions } from "../src/machine.js";
 
-/** A task that an executor holds. */
+/** A task that was sent to an executor and has not ended. */
 interface LeasedTask {
   executor: string;
   lease: number;
@@ -12,7 +12,7 @@
 /** Maximum size of an output that is sent inline, in bytes. A larger output is stored at its executor. */
 export const MAX_INLINE_BYTES = 100;
 
-/** Models the executors and clients of a machine, and records violations of its invariants. */
+/** Models the executors and clients of a `GraphMachine`, and records violations of its invariants. */
 export class Cluster implements DecisionSink {
   now = 0;
   readonly machine: GraphMachine;
@@ -78,14 +78,14 @@
     this.machine.done(leased.executor, lease, made, ranMs);
   }
 
-  /** Fails a leased task with an error of its own. */
+  /** Ends a leased task with an error that the task raised. */
   fail(lease: number): void {
     const leased = this.endLease(lease);
     if (leased === undefined) return;
     this.machine.failed(leased.executor, lease, "it raised", 10);
   }
 
-  /** Returns a leased task before it started. */
+  /** Returns a leased task to the machine as not started. */
   returnTask(lease: number): void {
     const leased = this.endLease(lease);
     if (leased === undefined) return;
--- a/packages/graphs/test/journal.test.ts
+++ b/packages/graphs/test/journal.test.ts
@@ -6,7 +6,7 @@
 
 const OWNER = "t/p/0";
 
-/** Model of the state service: its records, conditions and limits. */
+/** Model of the state service: its records, and the conditions and limits of transactions. */
 class Service {
   readonly rows = new Map<string, { v: unknown; stamp: number }>();
   ledger = 10;
@@ -16,13 +16,13 @@
     this.rows.set(OWNER, { v: {}, stamp: 10 });
   }
 
-  /** A new owner takes over; its term is the stamp. */
+  /** Writes the ownership record as a new owner does. Returns the new owner's term, which is the record's stamp (revision). */
   takeOver(): number {
     this.rows.set(OWNER, { v: {}, stamp: ++this.ledger });
     return this.ledger;
   }
 
-  /** Returns the stamp, or null if a condition failed. */
+  /** Applies a transaction. Returns the stamp (revision) of the records written, or null if a condition failed. */
   txn({ conditions, apply }: Draft): number | null {
     assert.ok(apply.length <= this.limits.ops, `${apply.length} changes`);
     assert.ok(conditions.length <= this.limits.ops * 4);
@@ -121,7 +121,7 @@
   flush(next);
   assert.equal(service.txn(late), null);
   assert.equal(Journal.restore(options(), service.list()).outcome("c", 2), "done");
-  // The same holds for a record that no other owner has written.
+  // A late transaction of a former owner is also rejected if the new owner has not written the same record.
   next.record("c", 5 * TASKS_PER_PAGE, "done");
   const further = next.draftBatch()!;
   service.takeOver();
@@ -155,7 +155,7 @@
       for (const { what, client, seq, answer } of steps) {
         if (what === "record") journal.record(client, seq, answer);
         else if (what === "acknowledge") {
-          // A client acknowledges only outcomes that exist, without gaps from the first.
+          // A client acknowledges only tasks that have an outcome, without gaps from its first task on.
           let below = acknowledged.get(client) ?? 0;
           while (below < seq && journal.outcome(client, below) !== null) below++;
           journal.acknowledge(client, below);
@@ -168,7 +168,7 @@
           const draft = journal.draftBatch();
           if (draft !== null) settle(what === "unanswered", draft);
         } else if (what === "late") {
-          // The transaction is given up, settled by a read and drafted again; then its first copy arrives.
+          // The transaction is given up, the records are read, and a new batch is written; then the first transaction arrives.
           held = journal.draftBatch();
           if (held === null) continue;
           const { changes } = service;
@@ -183,7 +183,7 @@
           for (const name of ["c", "d"]) {
             let below = 0;
             while (journal.outcome(name, below) === "acknowledged") below++;
-            // A base that was not durable is lost, and the client acknowledges it again below.
+            // Acknowledgements that were not durable are lost with the former owner; the clients repeat them further down.
             assert.ok(below <= (acknowledged.get(name) ?? 0));
           }
           for (const [name, below] of acknowledged) journal.acknowledge(name, below);
