--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -52,7 +52,7 @@
   beside: string;
 }
 
-/** Time in seconds at the start of a run without faults, because no machines are up yet that a fault could affect. */
+/** Length in seconds of the fault-free start of a run, in which no machines are up yet that a fault could affect. */
 const WARMUP_S = 12;
 
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -109,9 +109,9 @@
     way: z.enum(["both", "to-controllers", "to-machines"]).default("both"),
     ...withDuration,
   }),
-  /** The machine's reports arrive; responses and direct commands to it are lost. */
+  /** The machine's reports arrive, but the responses to them and all commands sent to the machine are lost. */
   z.strictObject({ kind: z.literal("deaf"), target: machineTarget, count: count.default(1), ...withDuration }),
-  /** The machine's reports reach no controller; direct commands reach it and are answered. */
+  /** The machine's reports reach no controller, but commands sent to the machine arrive and are answered. */
   z.strictObject({ kind: z.literal("mute"), target: machineTarget, count: count.default(1), ...withDuration }),
   /**
    * Delivers this share of all worker reports a second time: 2 s to `ms` later to the same controller or, with
@@ -149,7 +149,7 @@
   z.strictObject({ kind: z.literal("cancel-at-end"), share: share.default(0.5), ...withDuration }),
   /** Users repeat submissions, cancel finished jobs, and submit jobs that fit no machine or lack a field. */
   z.strictObject({ kind: z.literal("odd-requests"), ...withDuration }),
-  /** Users poll all controllers within milliseconds after a job was accepted, ended or was withdrawn. */
+  /** Users poll all controllers for a job within milliseconds after it was accepted, ended or was withdrawn (cancelled). */
   z.strictObject({ kind: z.literal("close-looks"), ...withDuration }),
   /**
    * Sets the number of machines available of a type (`*`: all types), in one zone or in all, for a time or permanently.
--- a/packages/emulator/src/network-rules.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -37,7 +37,10 @@
 export interface NetworkCall {
   from: string;
   to: string;
-  /** Kind of request: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`. */
+  /**
+   * Kind of message: `txn`, `follow`, `range`, `lease`, `hire`, `remove`, `list`, `types`, `report`, `command`, `peer`, or
+   * `answer` for the response to a report or command.
+   */
   what: string;
 }
 
--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -28,7 +28,7 @@
 /** Stub of the cloud provider's HTTP API, backed by the cloud model. Rejects requests above the rate limit. */
 export class CloudStub {
   private readonly rate: TokenBucket;
-  /** While true, every request is answered 503. */
+  /** While true, every request to the cloud is answered with 503. */
   down = false;
 
   constructor(
@@ -98,7 +98,7 @@
 /** Forwards requests to the process of the state service. */
 export class StateForwarder {
   private readonly agent = createAgent(64);
-  /** While true, every request is answered 503. */
+  /** While true, every request to the state service is answered with 503. */
   down = false;
 
   /** `addr` returns null while the store is not running. */
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -9,12 +9,12 @@
   detected: number | null;
   /** Another controller took over the partition. */
   claimed: number | null;
-  /** All machines of the partition were accounted for. */
+  /** Fencing ended: all machines of the partition were accounted for. */
   fenced: number | null;
   /** The new owner saw the first task start. */
   placed: number | null;
   /**
-   * The recovery ended: after fencing, no task set that had arrived before waited any more, a task had started, or the
+   * The recovery ended: after fencing, no tasks that had arrived before its end were waiting, a task had started, or the
    * shortest boot time of a machine had passed.
    */
   back: number | null;
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -40,7 +40,7 @@
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
   /** Descriptions of the broken rules. */
   broken: string[];
-  /** Number of task starts after a user had been told that the job is cancelled, also of those within the time limit for a cancellation. */
+  /** Number of task starts after a user had been told that the job is cancelled, even if within the time limit for a cancellation. */
   started_cancelled: number;
   faults: FaultOccurrence[];
   takeovers: number;
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -1,4 +1,4 @@
-/** `thorntrail rehearse --soak`: runs a number of seeds in this process or divided between several, and prints their results. */
+/** `thorntrail rehearse --soak`: runs a plan with random faults for several seeds, in one or more processes, and prints the results. */
 import { writeFileSync } from "node:fs";
 import { selectTurn, abortOnSignal } from "./cli.js";
 import type { InjectionPointOf } from "./scenario-driver.js";
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -237,7 +237,7 @@
     };
     const clock = new NodeClock(this.clock, 1 - (this.options.clockDrift ?? 0));
     node.clock = clock;
-    // Responses and timers for a controller process that has ended are dropped.
+    // Responses and timeouts for a controller process that has ended are dropped.
     const runInProcess: RunInProcess = (fn) => {
       if (node.clock === clock) clock.deliver(() => (node.clock === clock ? fn() : undefined));
     };
