--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -70,7 +70,7 @@
   private readonly objects = new ObjectTable(this.tasks);
   private readonly clients = new Map<string, Client>();
   private readonly pool: ExecutorPool;
-  /** Clients with ready tasks, ordered by service received so far, lowest first. */
+  /** Clients with ready tasks, ordered by `serviceMs` (their weighted share of CPU time so far), lowest first. */
   private readonly fairQueue = new FlatQueue<Client>();
   private readonly runtimes: RuntimeEstimator;
   private readonly admission: Admission;
@@ -240,8 +240,9 @@
   }
 
   /**
-   * Reports to the client by `ready` when `required` of the objects are available or failed, at once
-   * if they already are. Lost objects are recomputed. Returns false if one of the keys is unknown.
+   * Registers a `get` or `wait` request (a watch), which is completed when `required` of the objects
+   * are available or failed, at once if they already are. Recomputes lost objects. Returns false if
+   * one of the keys is unknown.
    */
   watch(clientName: string, request: number, keys: readonly string[], required = keys.length): boolean {
     const objects = keys.map((key) => this.objects.find(key));
@@ -264,7 +265,7 @@
     return true;
   }
 
-  /** Ends a watch whose time limit has passed, and reports the objects that are settled by now. */
+  /** Completes a watch whose time limit has passed with those of its objects that are available or failed by now. */
   expire(clientName: string, request: number): void {
     const watch = this.clients.get(clientName)?.watches.get(request);
     if (watch !== undefined) this.completeWatch(watch);
@@ -281,7 +282,7 @@
     }
   }
 
-  /** Closes a watch without a report to its client. Returns false if it was closed before. */
+  /** Closes a watch (a pending `get` or `wait` request) without a report to its client. Returns false if it was closed before. */
   private closeWatch(watch: Watch): boolean {
     if (watch.closed) return false;
     watch.closed = true;
@@ -404,7 +405,7 @@
       if (object.refCount > 0 || isNeeded(object)) continue;
       // While the producer has no outcome yet, the object is kept; it is deleted when the producer finishes.
       if (object.availability === Availability.Pending && object.producer !== null && object.producer.outcome === null) continue;
-      // A client's value cannot be recomputed: it is kept as long as an object derived from it may have to be recomputed.
+      // A value that a client put cannot be recomputed: it is kept as long as an object derived from it may have to be recomputed.
       if (object.producer === null && object.lineageRefs > 0) continue;
       if (object.availability === Availability.Available) this.dropCopies(object);
       if (object.lineageRefs > 0 || !this.objects.remove(object)) continue;
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -4,7 +4,7 @@
 
 /** Maximum number of leases per CPU of an executor, however short the tasks are. */
 const MAX_LEASES_PER_CPU = 64;
-/** Maximum number of executors without capacity that are skipped to find one for a task; after that, the task has to wait. */
+/** Maximum number of executors that are checked for capacity before a task has to wait. */
 const MAX_SKIPPED = 8;
 /**
  * Tasks are recalled only from executors whose remaining work exceeds this fraction of the target backlog; with less, a
@@ -66,7 +66,7 @@
     this.updateOrder(executor);
   }
 
-  /** Removes an executor; its leases are left to the caller. */
+  /** Removes an executor. The caller has to handle the tasks that are leased to it. */
   remove(executor: Executor): void {
     this.executors.delete(executor.name);
     this.cpus -= executor.cpus;
