--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -12,7 +12,7 @@
   retryAfter: status >= 429 ? "1" : undefined,
 });
 
-/** Limits of the cloud's API for one request. */
+/** Maximum numbers of machines that one request to the cloud's API can list, delete or rent. */
 const MAX_LISTED = 500;
 const MAX_DELETED = 100;
 const MAX_RENTED = 50;
@@ -25,10 +25,10 @@
   };
 }
 
-/** HTTP stub of the cloud provider's API, backed by the cloud model. Enforces the request rate. */
+/** Stub of the cloud provider's HTTP API, backed by the cloud model. Rejects requests above the rate limit. */
 export class CloudStub {
   private readonly rate: TokenBucket;
-  /** While true, every request is answered 503. */
+  /** While true, every request to the cloud is answered with 503. */
   down = false;
 
   constructor(
@@ -47,7 +47,7 @@
     return request.method === "POST" ? "hire" : "list";
   }
 
-  /** Executes a request against the model. */
+  /** Executes a request on the cloud model. */
   execute(request: ProxiedRequest): Promise<RawResponse> {
     return Promise.resolve(this.handle(request));
   }
@@ -98,7 +98,7 @@
 /** Forwards requests to the process of the state service. */
 export class StateForwarder {
   private readonly agent = createAgent(64);
-  /** While true, every request is answered 503. */
+  /** While true, every request to the state service is answered with 503. */
   down = false;
 
   /** `addr` returns null while the store is not running. */
