--- a/test/account.test.ts
+++ b/test/account.test.ts
@@ -11,7 +11,7 @@
 const TYPE = { name: "m", cpus: 8, gpus: 0, ram: 64, cacheGb: 100, fetchGbPerS: 1, price: 1, spotPrice: 0.5, bootS: 5, zones: ["a"] };
 const endsOf = (account: ClassAccount): number => ATTEMPT_ENDS.reduce((sum, end) => sum + account.ends[end], 0);
 
-// Accounting that loses attempts or counts them twice would point operators to the wrong cause.
+// If the accounting of attempts (runs of tasks) lost some or counted them twice, operators would look for the wrong cause.
 test("every attempt that began is still running or counted under exactly one end, through losses, cancellations and preemption", async () => {
   const plan = defaultWorldOptions();
   plan.teams = [{ name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -13,7 +13,7 @@
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 import { NOW, partitionOf, schedulingContext, enqueue, specOf } from "./world/partitions.js";
 
-/** A partition right after a takeover, whose owner learns of attempts only from the machines' reports. */
+/** A partition right after a takeover, whose owner learns of attempts (runs of tasks) only from the machines' reports. */
 class NewOwner {
   readonly partition: Partition;
   private readonly sequence = new Map<string, number>();
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -77,7 +77,7 @@
   await clock.run(from + 10_000);
   const after = (operation: string): number => asked.filter((one) => one.operation === operation).at(-1)!.at - from;
   assert.ok(after("state.read") <= policies["state.read"].maxMs);
-  // Lease renewals paused for up to 2.2 s; the read that found the service available again ended the pause.
+  // Lease renewals back off for up to 2.2 s; the first read that the state service answers ends this backoff early.
   assert.ok(after("state.lease") <= policies["state.read"].maxMs + policies["state.lease"].initialMs, `${after("state.lease")}`);
   assert.ok(after("state.txn") <= policies["state.read"].maxMs + initialMs);
   assert.ok(calls.of("state.lease").stats.woken > 0);
@@ -102,7 +102,7 @@
     }
   })();
   await clock.run(20_000);
-  // Two tries are never closer than half of the first pause.
+  // Successive tries are at least half of the initial backoff apart.
   assert.ok(tries <= 20_000 / (policies["state.txn"].initialMs / 2), `${tries}`);
 });
 
@@ -164,7 +164,7 @@
   );
   void replica.refresh();
   await clock.run(100);
-  // One answer is lost: without a deadline the read would last until the policy's limit.
+  // The answer to a read is lost: without a deadline the read would last until the time limit of its policy.
   service.links.add({ from: "n", to: "state", what: "follow", effect: { kind: "drop" }, count: 1 });
   const failed = assert.rejects(replica.refresh(clock.now() + 400));
   await clock.run(150);
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -4,7 +4,7 @@
 import { findViolations, countStartsAfterWithdrawal, type HistoryEvent, type CheckLimits } from "@thorntrail/emulator/checker";
 import { specOf } from "./world/partitions.js";
 
-// The checker must be able to fail: each rule has a history that breaks only that rule.
+// Each rule that the checker enforces is tested with a history of events that breaks only that rule.
 const limits: CheckLimits = { cancelMs: 43_000, teams: new Map([["ops", { cpus: 10, gpus: 0 }]]) };
 const spec = (over: Partial<JobSpec> = {}): JobSpec => specOf({ tasks: 2, cpus: 4, ...over });
 const submitted = (over: Partial<JobSpec> = {}): HistoryEvent => ({ at: 0, kind: "submitted", spec: spec(over) });
@@ -129,16 +129,16 @@
   });
   const ran = [submitted(), on(2, 0, "x"), on(2, 1, "y"), off(9, 0, "x"), off(9, 1, "y")];
   const violationsOf = (...answers: HistoryEvent[]): string => findViolations([...ran, ...answers], limits).join();
-  // The second request was sent before the first response arrived, and answered after it.
+  // Requests overlap: the second one was sent before the response to the first arrived, and answered after it.
   assert.equal(violationsOf(answer(20, 10, "queued"), answer(21, 19, "unknown")), "");
   assert.equal(violationsOf(answer(20, 10, "done"), answer(21, 19, "queued")), "");
   assert.match(violationsOf(answer(20, 10, "queued"), answer(30, 20, "unknown")), /^forgotten/);
   assert.match(violationsOf(answer(20, 10, "queued"), answer(30, 21, "refused")), /^forgotten/);
   assert.match(violationsOf(answer(20, 10, "done"), answer(30, 21, "queued")), /^went_back/);
-  // Acceptance and completion count from the first response that reported them, whichever requests follow.
+  // A job counts as accepted or done from the first response that reported it, whatever responses follow.
   assert.match(violationsOf(answer(20, 10, "queued"), answer(21, 5, "unknown"), answer(30, 20.5, "unknown")), /^forgotten/);
   assert.match(violationsOf(answer(20, 10, "done"), answer(25, 10, "done"), answer(30, 22, "queued")), /^went_back/);
-  // Both statuses are final and exclude one another, whether the requests overlap or not.
+  // `done` and `withdrawn` are both final and exclude one another, whether the requests overlap or not.
   assert.match(violationsOf(asked, answer(20, 10, "done"), answer(21, 10, "withdrawn")), /^went_back/);
 });
 test("starts after a confirmed cancellation are counted; the rule is broken only after the time limit", () => {
--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -3,7 +3,7 @@
 import { findViolations } from "@thorntrail/emulator/checker";
 import { Cluster } from "./world/cluster.js";
 
-/** Changes of the configuration while several controllers serve and machines, controllers and services fail. */
+/** Tests of configuration changes (teams and their limits) while several controllers serve, and machines, controllers and services fail. */
 
 const ops = { name: "ops", cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 };
 const lab = { name: "lab", cpus: 0, cpus_max: 40, gpus: 0, gpus_max: 0 };
@@ -15,10 +15,10 @@
   assert.ok(asked.outcome !== undefined && !(asked.outcome instanceof Error), String(asked.outcome));
   return asked.outcome.version;
 };
-/** Time after which commands that were in flight when a version came into force have arrived. */
+/** Seconds after which start commands that were in flight when a configuration version came into force have arrived. */
 const ARRIVED_S = 1;
 
-/** Asserts that no error was logged and no rule broken. Team limits are left out, since the tests check them themselves. */
+/** Asserts that no error was logged and no rule of the checker broken, except team limits, which the tests check themselves. */
 function assertSound(cluster: Cluster): void {
   const { world } = cluster;
   const broken = findViolations(world.history, { ...world.limits(), teams: new Map() });
@@ -194,7 +194,7 @@
 test("a job that could not run under a prepared change is not accepted until the change is decided, and an undecided change is abandoned", async () => {
   const cluster = new Cluster(plan(15));
   await cluster.runUntil(15);
-  // The operator's command ends after its first write, which prepares the change.
+  // The operator's client is cut off from the state service after its first write, which prepares the change.
   const cut = cluster.world.links.add({ from: "operator", to: "state", what: "range", effect: { kind: "cut" } });
   cut();
   let writes = 0;
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -77,7 +77,7 @@
   );
 });
 
-/** A configuration store on a virtual state service. `settled` runs the clock for 20 s and returns the promise's result or error. */
+/** Creates a configuration store on a virtual state service. `settled` runs the clock for 20 s and returns a promise's result or error. */
 function createStore(wrapState: (state: StateApi) => StateApi = (state) => state) {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 5, LIMITS).client("operator", (fn) => fn());
--- a/test/deposed.test.ts
+++ b/test/deposed.test.ts
@@ -6,9 +6,10 @@
 import { Cluster } from "./world/cluster.js";
 
 /**
- * Guards against an owner that keeps acting on a partition after it was superseded. A token above its term proves that
- * the partition has, or has had, a newer owner. The term must end at once through whichever channel the token arrives,
- * and the rest of that report must not be applied: the newer owner may have ended, cleared and restarted the tasks.
+ * Guards against an owner that keeps acting on a partition after it was superseded. If a worker shows a token above the
+ * owner's term, the partition has, or has had, a newer owner. The owner's term must end at once, whether the token arrives in
+ * a report or a reply, and the rest of that message must not be applied: the newer owner may have ended, cleared and restarted
+ * the tasks.
  */
 const OWNER = "nest-1";
 const REF = "run-000001";
@@ -21,7 +22,7 @@
   starts: () => number;
 }
 
-/** Starts an owner with machines that run tasks. If `refused`, the state service then refuses its requests. */
+/** Starts a cluster in which `OWNER` has machines that run tasks. If `refused`, the state service then refuses the owner's requests. */
 async function startOwner({ refused }: { refused: boolean }): Promise<Fixture> {
   const cluster = new Cluster({
     teams: [{ name: "ops", cpus: 0, cpus_max: 400, gpus: 0, gpus_max: 0 }],
@@ -40,7 +41,7 @@
   return { cluster, partition, machine, starts };
 }
 
-/** A report from a machine whose tasks a newer owner has ended and cleared. */
+/** Returns a report without tasks, as from a machine whose tasks a newer owner has ended and cleared. */
 function clearedReport(machine: Machine, token: number): Report {
   const { host, type, zone, spot, session, seq } = machine;
   return { host, addr: machine.addr!, type, zone, spot, session, seq: seq + 1, token, noticeS: null, tasks: [] };
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -10,7 +10,7 @@
 
 const capacity = { cpus: 4, gpus: 0, ram: 64 };
 
-/** Ends every task placed on the machine with the given cause. */
+/** Ends the tasks on the machine (if `only` is given, those of that task set) with the given cause. */
 function end(partition: Partition, host: string, cause: ReportedTask["cause"], only?: TaskSet): void {
   const machine = partition.machines.get(host)!;
   const tasks = [...machine.placements.values()]
@@ -58,7 +58,7 @@
     taskSets.map((taskSet) => taskSet.placements.size),
     [1, 1],
   );
-  // One task succeeds after all, so the job is not at fault.
+  // A task of the first job succeeds after all, so failures no longer count against that job.
   end(partition, [...taskSets[0]!.placements.values()][0]!.host, "done", taskSets[0]);
   assert.equal(failsRepeatedly(taskSets[0]!), false);
 });
@@ -81,7 +81,7 @@
   const whole = Bits.decode(1003, text);
   assert.equal(whole.count, 7);
   for (let i = 0; i < 1003; i++) assert.equal(Bits.storedHas(text, i), whole.has(i), String(i));
-  // Bits beyond the size of the map are ignored.
+  // Stored bits beyond the size of the bit map are ignored.
   const short = Bits.decode(5, Buffer.from([0xff, 0xff]).toString("base64"));
   assert.deepEqual([short.count, short.full], [5, true]);
   assert.equal(Bits.storedHas("", 3), false);
--- a/test/gone.test.ts
+++ b/test/gone.test.ts
@@ -22,7 +22,7 @@
 const EXPIRY_MS = 18_000;
 const TERM = 5;
 
-/** Creates a partition of two machines, one of which runs its only task. */
+/** Creates a partition of two machines and one task, which runs on `machine`. */
 function partitionWithOneTask(): { partition: Partition; machine: Machine; other: Machine } {
   const { partition } = partitionOf(2, { cpus: 4, gpus: 0, ram: 8 });
   enqueue(partition, specOf({ cpus: 4 }));
--- a/test/group-committer.test.ts
+++ b/test/group-committer.test.ts
@@ -12,7 +12,7 @@
 
 const quiet = { error: () => undefined, warn: () => undefined, info: () => undefined, debug: () => undefined, isLevelEnabled: () => false };
 
-/** A committer and its replica on a virtual state service, with a burst of 16 writes and 5 writes a second. */
+/** Creates a group committer and a replica on a virtual state service. It may send 5 writes a second, in bursts of up to 16. */
 async function createEnvironment() {
   const clock = new VirtualClock();
   const links = new NetworkRules();
@@ -55,7 +55,7 @@
   void committer.commit("submit", write("t/x/user"), { priority: "now" }).then(() => (tookMs = clock.now() - from));
   await clock.run(from + 2000);
   assert.ok(tookMs >= 0 && tookMs < 600, `took ${tookMs} ms`);
-  // No write starves: the rest is written at the available rate.
+  // No write starves: the remaining backlog is written at the available rate.
   await clock.run(from + 20_000);
   assert.equal(committer.backlog, 0);
   scope.close();
@@ -78,7 +78,7 @@
   await clock.run(from + 3000);
   assert.ok((finished.get("t/x/quick done") ?? Infinity) < 200, [...finished].join());
   assert.ok((finished.get("t/x/slow done") ?? 0) >= 800);
-  // The second write of the same key waited for the first and then had nothing left to write.
+  // The second write of the key `t/x/slow` waited for the first and then had nothing left to write.
   assert.ok(finished.has("t/x/slow settled"));
   assert.equal(replica.stamp("t/x/slow"), 2);
   assert.equal(committer.stats.conflicts, 0);
@@ -102,12 +102,12 @@
 });
 
 test("a write that may have been applied is not reported as shed when the service then refuses its size", async () => {
-  // A migration whose answer was lost must not be reported as never sent: its job would run in two partitions.
+  // If a migration whose answer was lost were reported as shed (never sent), its job would run in two partitions.
   const { clock, service, committer, write, scope, links } = await createEnvironment();
   const outcomes: string[] = [];
   const removeDrop = links.add({ from: "n", to: "state", what: "txn", effect: { kind: "drop" }, count: 1 });
   const removeRefusal = links.add({ from: "n", to: "state", what: "follow", effect: { kind: "refuse" } });
-  // The open watch still reports changes; later ones are refused.
+  // The watch request that is open now ends within this time; later ones are refused, so the replica sees no more changes.
   await clock.run(clock.now() + 1000);
   void committer.commit("move", write("t/x/job", "x".repeat(2000))).then((outcome) => outcomes.push(outcome));
   await clock.run(clock.now() + 200);
--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -12,8 +12,9 @@
 import { newFindings, applyReport } from "../src/workers/report-intake.js";
 import { NOW, order, partitionOf, schedulingContext, enqueue, specOf, unlimited } from "./world/partitions.js";
 
-// Hundreds of machines report every few seconds to controllers with a fifth of a core. These tests count how often
-// machines are looked at, so that work which grows with machines times tasks is detected alike on every computer.
+// Hundreds of machines report every few seconds to controllers with a fifth of a core. These tests detect work that grows with
+// machines times tasks. They count how often machines are examined instead of measuring time, so that the computer's speed does
+// not matter.
 
 class CountingMap<K, V> extends Map<K, V> {
   iterations = 0;
@@ -60,7 +61,7 @@
   };
   assert.ok(applyReport(partition, machine, { ...report, seq: 1, tasks }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 4);
-  // A cleared task is no longer listed in reports, and its resources are free again.
+  // A report without the task shows that the machine has cleared it, so its resources are free again.
   assert.ok(applyReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 0);
   assert.deepEqual(machine.used, { cpus: 0, gpus: 0, ram: 0 });
@@ -109,15 +110,16 @@
     excess: new Map(),
   };
   const waits = estimateWaits(partition, context);
-  // No task has been seen to run yet: the first ten end after a full run, the others after another one.
+  // No report has shown the ten placed tasks running yet, so they are expected to end after a full run time of 60 s, and those that
+  // start then after another 60 s.
   assert.equal(waits.get(gang.key), 60_000);
   assert.equal(waits.get(array.key), 120_000);
   assert.equal(waits.get(large.key), Infinity);
 });
 
 /**
- * Waits of gangs with tasks of one size on identical machines, first come, first served with backfilling, computed
- * from the number of tasks that fit.
+ * Reference for `estimateWaits`: waits, in ms, of gangs whose tasks have one size, on identical machines on which `capacity`
+ * tasks fit together. Gangs are served in order of arrival with backfilling.
  */
 function plainWaits(capacity: number, gangs: { tasks: number; runS: number }[]): number[] {
   const waits = gangs.map(() => Infinity);
@@ -135,7 +137,8 @@
   return waits;
 }
 
-// The estimate keeps free capacity per task shape for all gangs; its result must equal that of examining each gang.
+// `estimateWaits` computes free capacity once for all gangs with tasks of the same size; the waits must be the same as if it were
+// computed for each gang.
 test("waits of gangs of equal shape match a plain count of places", () => {
   const gang = fc.record({ tasks: fc.integer({ min: 1, max: 14 }), runS: fc.integer({ min: 1, max: 90 }) });
   fc.assert(
@@ -167,7 +170,7 @@
   const running = enqueue(partition, specOf({ tasks: 1, cpus: 15 }));
   runSchedulingCycle(partition, schedulingContext);
   assert.equal(running.waiting.length, 0);
-  // Two machines are free; the gang needs all three, when the task ends in 60 s.
+  // Two machines are free. The gang needs all three, and so can start when the running task ends in 60 s.
   const gang = enqueue(partition, specOf({ ref: "run-000002", kind: "gang", tasks: 3, cpus: 15 }));
   const long = enqueue(partition, specOf({ ref: "run-000003", cpus: 15, guessS: 90 }));
   const short = enqueue(partition, specOf({ ref: "run-000004", cpus: 15, guessS: 30 }));
@@ -176,7 +179,7 @@
     [gang, long, short].map((taskSet) => taskSet.waiting.length),
     [3, 1, 0],
   );
-  // Before the gang has waited long enough, others come first.
+  // Until the gang has waited for `reserveAfterMs`, no capacity is reserved for it, and other jobs may start.
   runSchedulingCycle(partition, { ...schedulingContext, reserveAfterMs: () => 5000 });
   assert.equal(long.waiting.length, 0);
 });
@@ -186,7 +189,7 @@
   const spec = specOf({ guessS: 100 });
   assert.equal(history.remainingRunS(spec, 40), 60);
   assert.ok(history.remainingRunS(spec, 100) > 20);
-  // All tasks of the class run exactly as long as estimated, which leaves hardly any spread.
+  // When all tasks of a job class run exactly as long as estimated, a task that has run that long is expected to end soon.
   for (let i = 0; i < 200; i++) history.record(spec, 100);
   assert.ok(history.remainingRunS(spec, 100) < 5);
   assert.equal(Math.round(history.expectedRunS(spec)), 100);
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -27,7 +27,7 @@
     job("e", 0, { tasks: 2, gpus: 0 }),
   ];
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set())].sort(), ["a", "b"]);
-  // When an earlier job ends, the next one is covered; a covered job stays covered.
+  // When an earlier job ends, the next one comes within the guarantee; a job that was within it remains so.
   jobs[1]!.end = "done";
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
 });
@@ -48,7 +48,7 @@
     stopped((taskSet) => taskSet === claim),
     4,
   );
-  // Before `claimAfterMs` has passed, the job waits for capacity to become free without preemption.
+  // Until `claimAfterMs` has passed, the guaranteed job waits for capacity to become free without preemption.
   assert.equal(choosePreemptions(partition, { ...context, claimAfterMs: 5000, guaranteed: (taskSet) => taskSet === claim }).length, 0);
 });
 
@@ -73,7 +73,7 @@
   ];
   const use = (gpus: number, cpus = 0): { cpus: number; gpus: number } => ({ cpus, gpus });
   // A team without reported usage uses nothing. A team without a guarantee is never below one. With guarantees of several
-  // resources, the usage of each must be below.
+  // resources, the usage of each resource must be below its guarantee.
   assert.deepEqual([...teamsBelowGuarantee(both, new Map([["lab", use(4)]]))], ["ops", "mix"]);
   assert.deepEqual(
     [
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -6,7 +6,7 @@
 import { HttpClient } from "../src/platform/http.js";
 import { ResponseParser } from "../src/platform/http-response-parser.js";
 
-// The client on `net` must parse any response regardless of how it is split into chunks, and must
+// `HttpClient` parses HTTP on plain `net` sockets. It must parse any response regardless of how it is split into chunks, and must
 // never attribute a response or a timeout to a different call.
 
 const chunked = (...chunks: string[]): string =>
@@ -64,7 +64,7 @@
     socket.on("end", () => socket.end());
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-  // An open server must not keep the process alive if the test fails.
+  // If a test fails before it closes the server, the open server must not keep the process alive.
   server.unref();
   return { addr: `127.0.0.1:${(server.address() as AddressInfo).port}`, server, connections: () => connections };
 }
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -16,11 +16,11 @@
 
 const RENTAL_WRITE = "write t/m";
 
-/** Injects faults of the state service into all transactions of all controllers, and records what happened. */
+/** Delays, repeats, or withholds the answers of transactions that controllers send to the state service; records what happened. */
 class StateFaults {
-  /** Writes without a condition on the key that they change. */
+  /** Writes, as operation and table, that had no condition on the key that they change. */
   readonly unconditional = new Set<string>();
-  /** Writes of duplicates that were applied although the original had been applied. */
+  /** Duplicate transactions that were applied although the original had been applied, as lists of their writes. */
   readonly appliedTwice: string[] = [];
   readonly writes = new Set<string>();
   /** Writes whose transaction was applied immediately but whose answer was lost. */
@@ -108,7 +108,8 @@
     const { report, last } = await runPlan(plan, seed, faults);
     assert.deepEqual([report.broken, report.trouble, report.jobs.unfinished], [[], [], []], `seed ${seed}`);
     assert.deepEqual([...faults.unconditional], [], "every write has a condition on the key that it changes");
-    // A rental's record is removed with its last machine; a duplicate of its first write then finds no record, as the original did.
+    // A rental's record is removed with its last machine. A late duplicate of the record's first write then finds no record, as the
+    // original did, and is applied.
     assert.deepEqual(
       faults.appliedTwice.filter((what) => what !== RENTAL_WRITE),
       [],
@@ -131,7 +132,7 @@
 test("transactions applied immediately whose answers are lost, while others read the result, are reported and counted once", async () => {
   const lostAnswers = new Set<string>();
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    // Users ask every node about changes that so far only the state service and the nodes that have read from it know.
+    // Simulated users ask every node about a change as soon as it is recorded, before all nodes have read it from the state service.
     const requestFaults: RehearsalPlan["fault"] = [
       { at: 5, fault: { kind: "close-looks", for: 90 } },
       { at: 10, fault: { kind: "cancel-at-end", share: 0.4, for: 80 } },
@@ -143,16 +144,16 @@
     assertConsistentRecords(last);
     for (const one of faults.lostAnswers) lostAnswers.add(one);
   }
-  // Jobs, presence, rentals and their removal, owners, quota shares.
+  // Tables of jobs (j), presence (l), rentals (m), owners (o) and quota shares (q).
   for (const table of ["j", "l", "m", "o", "q"])
     assert.ok(lostAnswers.has(`write t/${table}`), `no lost answer for ${table}: ${[...lostAnswers].join()}`);
   assert.ok(lostAnswers.has("remove t/m"), "no lost answer for the removal of a rental");
 });
 
 test("a rental whose removal was applied with a lost answer is not requested again when a duplicate restores its first record", async () => {
-  // Guards against this failure: the writer found its change already applied, did not register the name as ended, and
-  // requested machines under the same name again when a late duplicate of the first record arrived, as if nothing had
-  // been rented.
+  // Guards against this failure: the controller found the removal of the record already applied and did not register the
+  // rental's name as ended. When a late duplicate restored the first record, which names no machines, the controller requested
+  // machines under that name again.
   let removedCount = 0;
   let restoredCount = 0;
   const requestedAgain: string[] = [];
@@ -198,7 +199,7 @@
       },
     });
   };
-  // One type has no machines, so its rentals yield nothing and their records are removed.
+  // The cloud has no machines of type `fotolab`, so rentals of that type yield nothing and their records are removed.
   const plan = { ...base, machine: base.machine.map((one) => ({ ...one, count: one.name === "fotolab" ? 0 : 2, spot: 0 })), fault: [] };
   await runVirtual({ plan: { ...plan, seconds: 60, settle: 20 }, seed: 3, spawn, injectionPointOf });
   assert.ok(removedCount > 3 && restoredCount > 3, `${removedCount} removed, ${restoredCount} restored`);
--- a/test/launch.test.ts
+++ b/test/launch.test.ts
@@ -11,7 +11,7 @@
 const node = (args: string[]) => spawnSync(process.execPath, args, { encoding: "utf8" });
 const name = /service-[0-9a-f]{16}\.cjs/.exec(readFileSync("target/main.js", "utf8"))![0];
 
-/** Whether V8 accepts the code cache in a process with these flags. */
+/** Whether V8 accepts the build's code cache in a process with these flags. */
 function cacheAccepted(withFlags: string[]): boolean {
   const code = `
     const { Script } = require("node:vm"), { readFileSync } = require("node:fs");
@@ -21,7 +21,7 @@
   return node([...withFlags, "-e", code]).stdout === "false";
 }
 
-// A cache that V8 rejects makes each start slower than without a cache, and no other test would detect it.
+// A code cache that V8 rejects makes each start of the program slower than without one, and no other test would detect it.
 test("the build's code cache is accepted by a process with the flags of `run`, and rejected with other flags", () => {
   assert.ok(readdirSync("target").includes(`${name}.cache`), "the build made no cache");
   assert.ok(cacheAccepted(flags));
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -26,14 +26,14 @@
  */
 interface CompoundFault {
   seed: number;
-  /** How long the owner alone is refused; a presence key lasts 9 s. */
+  /** Seconds for which the state service refuses the owner; the owner's presence key expires after 9 s without renewal. */
   refusedS: number;
-  /** Time from the first refusal to the outage for all. */
+  /** Seconds from the start of the refusal to the outage of the state service for all controllers, which lasts `outS`. */
   outAfterS: number;
   outS: number;
-  /** When jobs are cancelled, in seconds after the refusal, and at which controller. */
+  /** When jobs are cancelled, in seconds after the start of the refusal, and at which controller. */
   cancels: { afterS: number; at: "nest-1" | "nest-2" | "nest-0" }[];
-  /** Further faults of the owner, its successor and its machines during that time. */
+  /** Scenario statements of further faults of the owner, its successor and its machines after the start of the refusal. */
   beside: string[];
 }
 
@@ -64,7 +64,7 @@
   seconds(0, 12).map((s) => [`${REFUSED_AT + s} kill nest-2`, `${REFUSED_AT + s + 0.3} start nest-2`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} freeze nest-0 for ${3 + (s % 9)}`]),
   seconds(0, 20).map((s) => [`${REFUSED_AT + s} freeze nest-1 for ${3 + (s % 9)}`]),
-  // Delayed orders, and images that are still being fetched when the job is cancelled.
+  // The owner's orders to workers are delayed, also those that start the tasks of a new job.
   seconds(0, 15).map((s) => [
     `${REFUSED_AT + s} delay nest-0 to workers by 12 for 10`,
     `${REFUSED_AT + s} submit run-000091 array of 6 cpus 4 for 300 at-node nest-0`,
@@ -81,7 +81,7 @@
   seed: fc.integer({ min: 1, max: 10_000 }),
   refusedS: fc.oneof(seconds(1, 9), seconds(20, 150)),
   outAfterS: fc.oneof(seconds(0.5, 8), seconds(8, 40)),
-  // The outage ends before or after the end of the lease of a machine that was answered last just before the owner's silence.
+  // The outage ends before or after the lease of a machine that the owner answered just before it fell silent.
   outS: fc.oneof(seconds(17, 19), seconds(44, 80)),
   cancels: fc.array(fc.record({ afterS: seconds(0.1, 40), at: fc.constantFrom("nest-0", "nest-1", "nest-2") }), {
     minLength: 3,
@@ -106,7 +106,7 @@
   );
 });
 
-/** Jobs are cancelled at the very beginning of the refusal, without other faults, so that the whole time limit is used. */
+/** Jobs are cancelled just after the refusal begins, without other faults, so that their tasks use up the time limit of cancellations. */
 const plainScenario: CompoundFault = {
   seed: 5,
   refusedS: 150,
@@ -116,7 +116,10 @@
   beside: [],
 };
 
-/** The state of the owner's open watch when it is refused depends on the seed: with some seeds it still receives all cancellations. */
+/**
+ * Several seeds, since with some the owner still receives all cancellations, by a watch request to the state service that was
+ * open when the refusal began.
+ */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
 test("the silence bound is tight: with four seconds more, tasks of cancelled jobs run too long", async () => {
@@ -148,7 +151,7 @@
 };
 const orders = { now: NOW, leaseMs: 18_000, isClearable: () => false, onStartRefused: () => assert.fail("refused"), max: 9 };
 
-/** A task placed on one machine by a direct start command that was not answered. */
+/** Creates a partition with one machine and one task, whose start was ordered by a direct command that was not answered. */
 function startedWithoutAnswer() {
   const { partition } = partitionOf(1, { cpus: 16, gpus: 0, ram: 64 });
   const taskSet = enqueue(partition, specOf({ tasks: 1 }));
@@ -182,8 +185,8 @@
     { verb: "start", taskId, attempt },
     { verb: "stop", taskId, attempt, graceS: 0 },
   ]);
-  // The start is not repeated by a direct command, which could be delayed as well, nor once a cancellation of the job may be older than
-  // the time limit allows.
+  // The start is not ordered again by a direct command, which could be delayed as well. Nor is it ordered again once so much time
+  // has passed that the job may have been cancelled for longer than the time limit allows.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   receiveReport(2);
@@ -193,8 +196,9 @@
 });
 
 test("a session known only from the reply to a command has a lease of its own, and its machine gets no new work", () => {
-  // Guards against this failure: a machine that reached no controller was considered lost a lease after its last answer, while tasks
-  // started in its next session, known only from a reply to a command, were still running and were started again elsewhere.
+  // Guards against this failure: a machine whose reports reached no controller was considered lost when the lease of its last
+  // answered report expired. Tasks started in its next session, which the owner knew only from a reply to a command, were still
+  // running and were started again elsewhere.
   const { partition, machine, taskId, receiveReport } = startedWithoutAnswer();
   const leaseMs = 18_000;
   receiveReport(2);
@@ -229,12 +233,12 @@
 const base = await loadPlan("deploy/meetings.hcl");
 
 test("no answer renews the lease of a machine without stopping its tasks of withdrawn jobs", async () => {
-  // Guards against this failure: an answer to a machine that had not yet shown the new term renewed its lease without orders. If the
-  // machine received nothing more, tasks of cancelled jobs ran until that lease expired.
+  // Guards against this failure: after a takeover, the answer to a machine that had not yet shown the new owner's term renewed its
+  // lease without orders. If the machine received nothing more, tasks of cancelled jobs ran until that lease expired.
   let renewed = 0;
   for (const seed of [11, 12, 13, 14, 15, 16]) {
     const spawn: typeof spawnController = (asked) => {
-      // Direct commands never arrive, so the machine learns the new term only from answers to its reports.
+      // Direct commands never arrive, so a machine learns the new owner's term only from answers to its reports.
       const command = async (): Promise<never> => {
         await new Promise<void>((resolve) => asked.clock.after(2000, resolve));
         throw new CallError("unanswered", "lost");
--- a/test/membership-model.test.ts
+++ b/test/membership-model.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { explore, type FaultyVariant } from "./world/membership-model.js";
 
-/** Limit above the number of states of every configuration below; a run that reaches it is incomplete. */
+/** Maximum number of states explored, more than any test below needs; an exploration that reaches it is incomplete. */
 const MAX_STATES = 30_000;
 
 const budgets = [
--- a/test/needs.test.ts
+++ b/test/needs.test.ts
@@ -55,7 +55,7 @@
   assert.equal(needs.urgency("b"), "urgent");
   end("b", "done");
   assert.deepEqual(ready, ["c"]);
-  // A job that is recorded as done before the job that depends on it.
+  // Job a was recorded as done before job e, which depends on it, was submitted.
   put("e", ["a"]);
   assert.ok(!needs.isBlocked("e"));
 });
@@ -85,7 +85,7 @@
   assert.equal(needs.outcome("run-0"), undefined);
   end("run-0", "done");
   assert.deepEqual(ready, []);
-  // A later job that depends on a cancelled one.
+  // A job that is submitted later and depends on a cancelled one is cancelled, too.
   put("run-20000", ["run-19999"]);
   assert.equal(needs.outcome("run-20000"), "withdrawn");
 });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -37,9 +37,9 @@
     fc.property(level, measured, (before, seen) => {
       const up = nextLevel(0, seen, thresholds);
       const now = nextLevel(before, seen, thresholds);
-      // Never below the level that the measurements require, never above both that and the previous level.
+      // The new level is at least the level that the measurements require, and at most the higher of that and the previous level.
       assert.ok(now >= up && now <= Math.max(before, up));
-      // The same measurements again change nothing.
+      // The same measurements again do not change the level.
       assert.equal(nextLevel(now, seen, thresholds), now);
       // Slightly lower measurements keep the level.
       const less = { lagMs: seen.lagMs * 0.97, memory: seen.memory * 0.97, backlogS: seen.backlogS * 0.97 };
--- a/test/overloaded.test.ts
+++ b/test/overloaded.test.ts
@@ -9,7 +9,7 @@
 const team = { name: "ops", cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
 const MB = 1e6;
 
-/** Three controllers in the emulator. `memory` and `heap` set the shares in use per controller. */
+/** Creates an emulated cluster. `memory` and `heap` set, by controller, the fractions of its memory quota and heap that are in use. */
 function createWorld(rate = 100): { world: VirtualWorld<RehearsedController>; memory: Map<string, number>; heap: Map<string, number> } {
   const plan = defaultWorldOptions();
   plan.teams = [team];
@@ -98,7 +98,7 @@
   await world.clock.run(12_000);
   const { leader, fleet, overload } = controllerOf(world, "nest-0");
   assert.equal(overload.level, 3);
-  // Jobs arrive at another node, which may request bids; none is placed with the overloaded one.
+  // Jobs are submitted to another node, which may ask its peers for bids; none is assigned to the overloaded node.
   for (let i = 10; i < 22; i++)
     void world.submit(wireOf(`run-0000${i}`, "low"), specOf({ ref: `run-0000${i}`, tasks: 4, guessS: 10 }), "nest-1");
   await world.clock.run(60_000);
@@ -121,8 +121,8 @@
   for (const name of world.nodes.keys()) world.killController(name);
 });
 
-// Each poll of an unfinished job needs a read that began after the poll. One read per poll would exceed the state
-// service's request rate, so polls must share reads.
+// The answer to a poll of an unfinished job needs a read of the state service that began after the poll. One read per poll would
+// exceed the service's request rate, so polls must share reads.
 test("a burst of polls shares reads, and all are answered", async () => {
   const { world } = createWorld();
   await world.clock.run(8000);
@@ -153,7 +153,7 @@
   for (const name of world.nodes.keys()) world.killController(name);
 });
 
-// After a stall, all changes of that time arrive in one answer.
+// After a stall of the process, the state service delivers all changes made meanwhile in one answer.
 test("ten thousand changes in one answer are applied, and the node continues to own its partition and to answer", async () => {
   const { world } = createWorld(400_000);
   await world.clock.run(8000);
--- a/test/own-days.test.ts
+++ b/test/own-days.test.ts
@@ -8,7 +8,7 @@
 const folder = mkdtempSync(join(tmpdir(), "own-days-"));
 after(() => rmSync(folder, { recursive: true }));
 
-/** Writes the report of a day without faults, with some members replaced, and returns its path. */
+/** Writes the report of a day that passes the evaluation, with the members in `change` replaced, and returns the file's path. */
 function report(change: Record<string, unknown>): string {
   const served = { jobs: 100, started: 90, done: 80, cancelled: 4 };
   const day = {
--- a/test/progress.test.ts
+++ b/test/progress.test.ts
@@ -9,7 +9,7 @@
 import { markFinished } from "../src/queue/task-set.js";
 import { partitionOf, enqueue, specOf } from "./world/partitions.js";
 
-/** A partition with one job of one task that is done, and a group committer that returns the given outcomes. */
+/** Creates a partition with one job, whose only task is done, and a stub group committer that returns the given outcomes in turn. */
 function finished(outcomes: CommitOutcome[]) {
   const { partition } = partitionOf(1, { cpus: 4, gpus: 0, ram: 64 });
   const taskSet = enqueue(partition, specOf({ tasks: 1 }));
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -70,7 +70,8 @@
   assert.equal(doneTasks(packed, size).encode(), record.done);
   for (const task of [0, 16_999, 17_000, 17_001, 17_002, 17_004, 18_999, 19_001])
     assert.equal(isDone(packed, task), bits.has(task), String(task));
-  // Tasks that an earlier version adds to the plain bit map count as well; tasks beyond a shortened slice do not.
+  // Tasks that an earlier version of the program records in the plain bit map count as well; tasks beyond the end of a shortened
+  // slice (range of tasks) do not.
   const more = new Bits(size);
   more.set(24_000);
   assert.equal(doneTasks({ ...packed, done: more.encode() }, size).count, bits.count + 1);
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -34,7 +34,8 @@
   assertPassed(one);
 });
 
-// The whole campaign: `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
+// A campaign plays one rehearsal for each pair of a fault and an event at which it is injected. The whole one is run by
+// `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
 test("a short campaign: every eleventh pair of fault and injection point", async () => {
   for (const one of pairwiseCases(1).filter((_, i) => i % 11 === 0)) assertPassed(await play(planForCase(base, one)));
 });
@@ -69,8 +70,8 @@
 });
 
 test("hard case: a second restart of the store while it is down starts it only once, with all leases, and partitions keep their owners", async () => {
-  // Found by a soak in virtual time: a second store on the same data ended the leases that were renewed at the first one, and
-  // partitions changed owners for ever.
+  // Guards against this failure, found in a randomised run: a second store process on the same data ended the leases that were
+  // renewed at the first one, and partitions changed owners for ever.
   const report = await play({
     ...base,
     fault: [
@@ -93,7 +94,7 @@
     ],
   });
   assertPassed(report);
-  // An empty list is not trusted: no machine is given up because of it.
+  // The cloud's empty list is not trusted: no machine is given up because of it.
   const takeover = report.recoveries.find(({ reason }) => reason === "owner suspected");
   assert.ok(takeover !== undefined && takeover.fenced !== null && takeover.fenced < 12_000, JSON.stringify(report.recoveries));
 });
@@ -129,7 +130,8 @@
 });
 
 test("the last job of an otherwise idle cluster is not assigned for ever to the one machine on which it fails", async () => {
-  // Found by the test above: the machine had failed no other job, the job had failed on no other machine, and no machine was rented.
+  // Found by the test of randomly generated faults: the machine had failed no other job and the job had failed on no other machine,
+  // so neither was considered faulty, and no other machine was rented.
   const faults = [
     fault({ kind: "fail" }, 25),
     fault({ kind: "drop", target: "all", by: "state", what: "txn", count: 3 }, 27),
--- a/test/report-fast-path.test.ts
+++ b/test/report-fast-path.test.ts
@@ -11,8 +11,8 @@
 import { parseRequest, ReportFastPath } from "../src/workers/report-fast-path.js";
 import { handleReportRequest, type ReportEndpointDependencies } from "../src/workers/report-endpoint.js";
 
-// Reports bypass Node's HTTP server. Every request that is not a plain report must reach that
-// server byte for byte, wherever the stream is split into chunks.
+// Workers' reports are parsed without Node's HTTP server. Every request that is not a plain report must reach that server byte for
+// byte, wherever the stream is split into chunks.
 
 const silentLog = {
   error: () => undefined,
@@ -169,7 +169,7 @@
     const chunked = `POST /v1/report HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n${reportBody("i-9").length.toString(16)}\r\n${reportBody("i-9")}\r\n0\r\n\r\n`;
     assert.match(await sendChunks(environment.port, [chunked.slice(0, 70), chunked.slice(70)], hasAnswers(1)), /"baton":7/);
     assert.ok(environment.reportedHosts.includes("i-9"));
-    // A connection stays with Node's server, which answers later reports on it too.
+    // A connection that was passed to Node's HTTP server stays there; that server answers later reports on it, too.
     assert.match(
       await sendChunks(environment.port, [get, plainReport("i-8")], (received) => received.includes('"baton":7')),
       /http \/up.*"baton":7/s,
@@ -185,7 +185,7 @@
     const post = (text: string): string => `POST /v1/report HTTP/1.1\r\nContent-Length: ${text.length}\r\n\r\n${text}`;
     assert.match(await sendChunks(environment.port, [post("{")], hasAnswers(1)), /^HTTP\/1\.1 400 .*not JSON/s);
     assert.match(await sendChunks(environment.port, [post('{"host":1}')], hasAnswers(1)), /^HTTP\/1\.1 400 .*not a report/s);
-    // The response is sent before the body arrives, so 900 MB are never read.
+    // The response is sent before the body arrives, so the announced 900 MB are never read.
     const huge = "POST /v1/report HTTP/1.1\r\nContent-Length: 900000000\r\n\r\n";
     assert.match(await sendChunks(environment.port, [huge], hasAnswers(1)), /^HTTP\/1\.1 400 .*connection: close.*64 KiB/s);
     assert.match(
@@ -209,7 +209,7 @@
   try {
     const closed = (chunks: string[]): Promise<string> => sendChunks(environment.port, chunks, () => false);
     assert.match(await closed([plainReport("i-1", "Connection: close\r\n")]), /connection: close/);
-    // Failed machines never close their connections, which must not hold sockets forever.
+    // Idle connections are closed, since failed machines never close theirs, which must not hold sockets for ever.
     assert.equal(await closed([]), "");
     const [a, b, c] = await Promise.all(["i-1", "i-2", "i-3"].map((host) => closed([plainReport(host)])));
     assert.ok(
@@ -223,7 +223,7 @@
   }
 });
 
-// Memory is limited: answers must not accumulate for a sender that does not read them.
+// Memory is limited, so answers must not accumulate for a worker that sends reports without reading the answers.
 test("a sender that never reads its answers is disconnected, and others are not", async () => {
   const environment = await startEnvironment();
   const slow = connect({ host: "127.0.0.1", port: environment.port });
@@ -236,7 +236,7 @@
     slow.write(burst);
     await new Promise((resolve) => setImmediate(resolve));
   }
-  // Reads what the kernel has buffered, so that the close is observed.
+  // Reads the data that the kernel has buffered, since the close of the connection is observed only after it.
   slow.resume();
   for (let i = 0; i < 300 && !cut; i++) await new Promise((resolve) => setTimeout(resolve, 10));
   assert.ok(cut);
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -27,7 +27,7 @@
 const faultFields = (fields: Record<string, fc.Arbitrary<unknown> | string>): fc.Arbitrary<FaultFields> =>
   fc.record(Object.fromEntries(Object.entries(fields).map(([k, v]) => [k, typeof v === "string" ? fc.constant(v) : v])));
 
-/** Randomised faults: controllers that end and restart at once, late copies of their messages, and machines lost meanwhile. */
+/** Random lists of times and faults: controllers that end and restart at once, delayed messages, lost machines, and outages. */
 const randomFaults = fc.array(
   fc.tuple(
     seconds(4, 70),
@@ -119,7 +119,7 @@
       let newest = { session: machine.session, seq: machine.seq };
       let finished = 0;
       for (const one of reports) {
-        // In the worker's first session the task progresses with the sequence number; its second session does not have the task.
+        // In the worker's first session, the task's state advances with the report's sequence number. The second session has no task.
         const state = states[Math.min(2, Math.floor(one.seq / 4))]!;
         const cause = state === "exited" ? "done" : null;
         const task: ReportedTask = { taskId: "run-000001/0", attempt: placement!.attempt, state, cause, saved: false };
@@ -150,7 +150,7 @@
 });
 
 test("a new incarnation that continued under its predecessor's term would be detected", async () => {
-  // Guards against an incarnation that takes its predecessor's record for its own.
+  // Faulty variant: a restarted controller keeps its incarnation, so it takes its predecessor's owner record for its own.
   const spawn: typeof spawnController = (request) => spawnController({ ...request, incarnation: String(request.platform["host_name"]) });
   const plan = planWith(
     [12, 16, 20, 24, 28, 32].flatMap((at): [number, FaultFields][] => [
@@ -235,7 +235,7 @@
 });
 
 test("a node that renews its presence far more often than needed keeps its presence key", async () => {
-  // Guards against presence records written under a lease that seemed extended by each renewal but never was.
+  // Guards against presence records whose state-service lease seemed to be extended by each renewal but never was.
   const world = new VirtualWorld(defaultWorldOptions(), spawnController);
   for (const name of world.nodes.keys()) world.startController(name);
   await world.clock.run(5000);
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -28,7 +28,7 @@
   });
 }
 
-/** Completes everything that runs, removes finished jobs from the queue and runs a scheduling cycle. */
+/** Completes all running tasks, removes finished jobs from the queue, adds them to `finished`, and runs a scheduling cycle. */
 function completeAndSchedule(
   partition: Partition,
   nowS: number,
@@ -52,8 +52,8 @@
 }
 
 /**
- * Submits twice as much low-priority work as there is capacity for; returns the number of jobs finished in the end
- * under the given order.
+ * Submits twice as much low-priority work as there is capacity for; returns the number of jobs that finish if the queue is
+ * ordered by `mode`.
  */
 function countFinished(sizes: number[], mode: OrderMode): number {
   const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
@@ -71,8 +71,8 @@
   return finished.size;
 }
 
-// With four times the usual number of photo batches, first come, first served began half of them and finished only a
-// third, because it begins many jobs and finishes few. More than half of each class has to be served.
+// First come, first served begins many jobs and finishes few: with four times the usual number of photo batches, it began half of
+// them and finished only a third. More than half of the jobs of each class have to be served.
 test("when there is more work than capacity, more jobs finish than with first come, first served", () => {
   const job = fc.oneof(
     { weight: 3, arbitrary: fc.integer({ min: 1, max: 30 }) },
@@ -97,7 +97,7 @@
   const order = orderAt(100);
   const [large, small] = [40, 8].map((tasks, i) => enqueue(partition, specOf({ ref: `run-00000${i}`, tasks }))) as [TaskSet, TaskSet];
   assert.ok(order.effectiveArrival(small) < order.effectiveArrival(large));
-  // Most of the large job is done, so it should be finished first.
+  // Most tasks of the large job are done, so it should be finished first.
   large.waiting.splice(0, 38);
   assert.ok(order.effectiveArrival(large) < order.effectiveArrival(small));
 });
@@ -139,8 +139,8 @@
     assert.ok(orderAt(100, mode).effectiveArrival(large) < orderAt(100, mode).effectiveArrival(small));
 });
 
-// Stopped tasks that cannot save their progress restart from the beginning: taken from a job that is nearly done,
-// they leave two jobs half done instead of one.
+// Preempted tasks that cannot save their progress restart from the beginning. Preempting tasks of a job that is nearly done leaves
+// two jobs half done instead of one.
 test("for work of higher priority, tasks of the low-priority job with the most remaining work are stopped", () => {
   const { partition } = partitionOf(2, { cpus: 8, gpus: 0, ram: 64 });
   const nearly = enqueue(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
@@ -194,8 +194,8 @@
 });
 
 test("the largest arrays start with one task each, at next to no cost for smaller ones", () => {
-  // 60 small arrays and three of a hundred tasks for twice the available capacity: delayed for their size, the large
-  // ones never began.
+  // 60 small arrays and three of a hundred tasks need twice the available capacity. Without `firstTaskAfterS`, the large ones are
+  // delayed for their size until the end and never begin.
   const beganAt = (beginS: number): { largest: (number | undefined)[]; finished: number } => {
     const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
     const finished = new Set<string>();
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -7,7 +7,10 @@
 import { FAST_TIMING, loadPlan, runSoakSeed, timingIndependent, type RehearsalPlan, type SoakRun } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "../src/rehearsal/injection-points.js";
 
-/** Short runs, checked only by rules that do not depend on the speed of the machine. For long runs see docs/operations/rehearsals.md. */
+/**
+ * Duration of a run. Runs this short are checked only by rules that do not depend on the computer's speed. For long runs see
+ * docs/operations/rehearsals.md.
+ */
 const SECONDS = 24;
 const SETTLE_SECONDS = 6;
 const base = await loadPlan("deploy/soak.hcl");
@@ -38,8 +41,8 @@
 
 test("soak: a task that is started on a second machine without an order of the controllers is detected, and the seed leaves its logs", async () => {
   const fault = [8, 11, 14, 17, 20].map((at) => ({ at, fault: { kind: "start-twice" } as const }));
-  // Without images to fetch, the second start runs at once. With them, the controllers' next answer may stop it while it fetches, and no
-  // task runs twice.
+  // Without an image to fetch, a task that is started a second time runs at once. Otherwise the controllers' next answer might stop
+  // it while it fetches its image, and no task would run twice.
   const work = short.work.map((workload) => ({ ...workload, image_gb: 0 }));
   const run = await soak({ ...short, work, fault }, 1);
   assert.ok(run.faults.includes("start-twice"), `a task was running when a fault was due: ${JSON.stringify(run)}`);
--- a/test/split.test.ts
+++ b/test/split.test.ts
@@ -9,9 +9,10 @@
 import { playScenario } from "./world/scenario.js";
 
 /**
- * Randomised soak plans in virtual time. Guards against tasks that run twice when a machine is split from its owner while
- * the state service refuses that owner: seeds 39 and 46 break `ran_twice` if leases expire by the clock alone. More seeds:
- * `SPLIT_SEEDS=200`, or `thorntrail rehearse deploy/soak.hcl --virtual --soak 200`.
+ * Seeds of randomised plans (workload and faults), played in virtual time. They guard against tasks that run twice when a
+ * machine is split from its owner while the state service refuses that owner: with seeds 39 and 46, the rule `ran_twice` is
+ * broken if leases expire by the clock alone. For more seeds, set `SPLIT_SEEDS=200` or run
+ * `thorntrail rehearse deploy/soak.hcl --virtual --soak 200`.
  */
 const FIRST_SEED = 36;
 const SEEDS = Number(process.env["SPLIT_SEEDS"] ?? 12);
--- a/test/stall.test.ts
+++ b/test/stall.test.ts
@@ -17,7 +17,7 @@
   const clock = new StallDetectingClock(world, 1000);
   const stalls: number[] = [];
   clock.stall$.subscribe((ms) => {
-    // A subscriber may call the clock itself.
+    // A subscriber may call the clock that notifies it.
     clock.now();
     stalls.push(ms);
   });
@@ -63,7 +63,7 @@
   const addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const client = new HttpClient(1);
   assert.equal((await client.call(addr, "GET", "/", undefined, 1000)).status, 200);
-  // With no time left, on an idle connection and on a new one.
+  // A request with no time left is not sent, neither on an idle connection nor on a new one.
   for (const one of [client, new HttpClient(1)]) {
     const late = one.call(addr, "POST", "/", {}, 0);
     await assert.rejects(late, (error: unknown) => error instanceof CallError);
--- a/test/state-replica.test.ts
+++ b/test/state-replica.test.ts
@@ -30,7 +30,7 @@
   }
 });
 
-// Periodic work scans open jobs only: a job missing from them would never run, and one that stays would be counted for ever.
+// Periodic work scans only the replica's open jobs: a job missing there would never run, and one never removed would count for ever.
 test("open jobs are those whose record has no end, for any changes in any order", () => {
   const clock = new VirtualClock();
   const client = new VirtualState(clock, () => 5, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 }).client("n", (fn) => fn());
--- a/test/two-owners.test.ts
+++ b/test/two-owners.test.ts
@@ -2,12 +2,12 @@
 import { test } from "node:test";
 import { exploreOwners, splits, type Exploration, type LinkMode, type FaultyVariant } from "./world/two-owners-model.js";
 
-/** Splits with two of the four links; `OWNERS=all` takes every split with at most three links. */
+/** By default, network splits with two of the four links are explored; `OWNERS=all` explores all with at most three links. */
 const ALL = process.env["OWNERS"] === "all";
 const ways = splits(ALL ? [0, 1, 2, 3] : [2]);
 /**
- * The old owner reaches both machines, the new owner only the machine with the task. The new owner ends and clears the task, which the old
- * owner still counts as running.
+ * Network split in which the old owner reaches both machines and the new owner only the machine with the task. The new owner
+ * records the task as done and clears it, while the old owner still counts it as running.
  */
 const SUCCESSOR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
 
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -11,7 +11,8 @@
 /**
  * Checks the answers that users receive, by the real-time order of all requests to all nodes. Within milliseconds of a
  * job being accepted, ended or cancelled, users poll it at every node, repeat its submission and cancel it. Guards
- * against a node answering from state that is older than an earlier answer.
+ * against a node answering from state that is older than an earlier answer. `FAULTS` holds, for each fault that is injected
+ * meanwhile, its scenario lines for a start at second `s`.
  */
 const FAULTS = [
   (s: number) => [`${s} refuse nest-0 for 12`],
@@ -26,7 +27,7 @@
   (s: number) => [`${s} fault restart-store for=1`],
 ];
 
-/** Returns a scenario with `faultCount` faults in sequence. Without faults, requests only coincide with the end of jobs. */
+/** Returns the text of a scenario with many requests to all nodes and `faultCount` random faults in sequence. */
 function scenarioText(seed: number, faultCount: number): string {
   const random = seededRandom(seed);
   const controllers = 3 + Math.floor(random() * 3);
@@ -36,7 +37,7 @@
   return [
     `seed ${seed}`,
     `given controllers ${controllers}`,
-    // With records this small, lists of dependencies and slices are written before their jobs.
+    // With records limited to 2 KB, lists of dependencies and slices are written before the jobs that they belong to.
     ...(seed % 3 === 0 ? ["given state value-kb 2 changes 5 writes 40"] : []),
     "given team ops most-cpus 900",
     "given type m cpus 16 boot 1 count 40",
@@ -93,7 +94,7 @@
   assert.ok(answerCount > 1500 * runs, `${answerCount} answers`);
 });
 
-/** Returns a function that starts a controller whose transactions are replaced, as if it wrote jobs incorrectly. */
+/** Returns a function that starts a controller whose transactions are replaced by `txn`, so that it writes jobs incorrectly. */
 const withTransactions =
   (txn: (state: StateApi, options: ControllerDependencies) => StateApi["txn"]) =>
   (options: ControllerDependencies): RehearsedController =>
--- a/test/user-api.test.ts
+++ b/test/user-api.test.ts
@@ -6,7 +6,7 @@
 import { answerWithoutExpress, type UserApiDependencies } from "../src/intake/server.js";
 import type { Relay } from "../src/intake/relay.js";
 
-// Polls and health checks are answered without Express; both paths must give the same responses.
+// Polls and health checks are answered without Express; the responses must be the same as with Express.
 
 function depsWith(unready: string | null, shed: string[]): UserApiDependencies {
   const answer = (kind: string, body: unknown) => {
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,7 +6,7 @@
 import { unsyncedReplica } from "./world/state-replica.js";
 import { specOf } from "./world/partitions.js";
 
-// Frames as version 0.3.0 writes them. That version closes the connection to a peer that sends another Hello or uses another schema.
+// Frames between controllers as version 0.3.0 writes them. It closes the connection to a peer with another Hello or another schema.
 const FRAMES: [string, Message][] = [
   ["0000000900060c6e6573742d31", { Hello: { version: 3, node: "nest-1" } }],
   ["00000015040e041472756e2d3030303431320c6e6573742d30", { Query: { id: 7, part: 2, job: "run-000412", from: "nest-0" } }],
@@ -36,7 +36,7 @@
   assert.equal(doneTasks(old, 9).count, 8);
   assert.deepEqual(withPartitionAssigned(old), old);
   assert.ok(needs.isBlocked("run-000002"));
-  // 0.3.0 writes the end without its time, and keeps members it does not support when it writes a record back.
+  // Version 0.3.0 writes a job's end without its time, and keeps members that it does not know when it writes a record back.
   replica.put(keys.job("run-000001"), { ...old, end: "done" }, 3);
   assert.ok(!needs.isBlocked("run-000002"));
   assert.equal(needs.eligibleSinceWall(later), 70);
--- a/test/world/calls.ts
+++ b/test/world/calls.ts
@@ -1,4 +1,4 @@
-/** Timing and the call layer for unit tests. */
+/** Fixtures for unit tests: typical timing settings, and the layer that applies time limits and backoff to outgoing calls. */
 import { Calls } from "../../src/calls/calls.js";
 import { callPolicies } from "../../src/calls/policy.js";
 import type { Clock } from "../../src/platform/clock.js";
@@ -20,7 +20,7 @@
   passGapMs: 20,
 };
 
-/** Creates the call layer with policies for `TIMING`; `seed` fixes its random source. */
+/** Creates the layer for outgoing calls with policies for `TIMING`; `seed` makes its randomised backoff repeatable. */
 export function callsFor(clock: Clock, seed = 1): Calls {
   return new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), seededRandom(seed));
 }
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -11,13 +11,13 @@
 const POLL_INTERVAL_S = 0.05;
 const SILENT_AFTER_MS = 22_000 * 1.001;
 
-/** A cluster in virtual time with an operator client that changes its configuration. */
+/** An emulated cluster in virtual time, with an operator who changes its configuration (the limits of teams). */
 export class Cluster {
   readonly world: VirtualWorld<RehearsedController>;
   private readonly store: ConfigurationStore;
   private readonly outcomes: Promise<unknown>[] = [];
 
-  /** Starts all controllers of the plan; `spawn` creates a controller process. */
+  /** Creates the cluster and starts all its controllers. `change` overrides default options; `spawn` creates one controller. */
   constructor(change: Partial<WorldOptions>, spawn: typeof spawnController = spawnController) {
     this.world = new VirtualWorld<RehearsedController>({ ...defaultWorldOptions(), ...change }, (request) => spawn(request));
     const { clock, state, options: plan } = this.world;
@@ -37,14 +37,14 @@
     await this.world.clock.run(seconds * 1000);
   }
 
-  /** Submits a job that runs for `runS` seconds to a controller; the answers are recorded in the world's history. */
+  /** Submits a job, each task of which runs for `runS` seconds, to the controller `node`. The history of `world` records the answers. */
   submit(change: Partial<JobSpec> & { ref: string }, runS: number, node: string): void {
     const spec = specOf({ ram: 0, ...change });
     this.world.runTimesMs.set(spec.ref, runS * 1000);
     this.outcomes.push(this.world.submit(encodeJob(spec), spec, node));
   }
 
-  /** Writes a configuration change; `outcome` is the new version or the error, undefined while the write is pending. */
+  /** Writes a change of teams to the configuration; `outcome` is the new version or the error, undefined while the write is pending. */
   set(change: Partial<TeamChange>): { outcome?: { version: number } | Error } {
     const request: { outcome?: { version: number } | Error } = {};
     void this.store.set({ set: [], remove: [], ...change }).then(
@@ -54,7 +54,7 @@
     return request;
   }
 
-  /** Reads the status of a version in each partition; runs virtual time until the state service has answered. */
+  /** Reads for each partition whether it applies a configuration version; runs virtual time until the state service has answered. */
   async partitionStatusesOf(version: number, elapsedMs: number): Promise<PartitionVersionStatus[]> {
     let statuses: PartitionVersionStatus[] | null = null;
     const read = async (): Promise<void> => {
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Runs virtual time until the version is in force in all partitions; resolves with the seconds since `fromS`, or with
-   * Infinity after `withinS`.
+   * Runs virtual time until the configuration version is in force in all partitions. Resolves with the seconds passed since
+   * the time `fromS`, or with Infinity if more than `withinS` seconds have passed.
    */
   async waitUntilInForce(version: number, fromS: number, withinS: number): Promise<number> {
     for (;;) {
@@ -101,7 +101,7 @@
     return this.world.history.flatMap((event) => (event.kind === "told" && event.ref === ref ? [event.what] : []));
   }
 
-  /** Ends all controllers. */
+  /** Ends all controller processes. */
   close(): void {
     for (const name of this.world.nodes.keys()) this.world.killController(name);
   }
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -1,10 +1,12 @@
 /**
- * Explicit-state model, in discrete steps of time, of one machine with one task, a former owner that has lost the state
- * service, and the new owner. It explores every way in which reports, answers and commands of both owners can arrive, be
- * lost, or arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease expiry.
- * Each state must satisfy:
- * - the new owner does not consider the task ended on a fenced machine that still has it;
- * - the task of a job that is cancelled elsewhere just after the former owner's last proof has ended within `CANCEL` steps.
+ * Explicit-state model, in discrete steps of time, of one machine with one task, a partition's former owner that can no longer
+ * reach the state service, and its new owner. It explores every way in which reports, answers and commands of both owners can
+ * arrive, be lost, or arrive again later. The new owner runs the production code for reports, lease renewals, orders and lease
+ * expiry. Each state must satisfy:
+ * - the new owner does not consider the task ended on a fenced machine (one that no longer obeys the former owner) that still
+ *   has it;
+ * - if the job is cancelled at another controller just after the former owner last proved its ownership, its task has ended
+ *   within `CANCEL` steps.
  */
 import type { Report } from "@thorntrail/protocol/worker";
 import { addMachine, addTaskSet, newPartition } from "../../src/partitions/partition.js";
@@ -17,39 +19,45 @@
 import { ordersFor } from "../../src/workers/orders.js";
 import { specOf } from "./partitions.js";
 
-/** Faulty variants of the rules; the model has to find a fault in each. */
+/** Switches that each break one rule on purpose; the exploration has to find a violation with each of them. */
 export interface FaultyVariant {
-  /** An answer of the new owner replaces the latest possible answer of the former owner, even if the machine has not shown the new token. */
+  /**
+   * Faulty variant: the new owner's answer to a report counts as the machine's latest lease renewal, although the machine has
+   * not shown the new owner's token and may still receive a later answer from the former owner.
+   */
   answerShortensWait?: boolean;
-  /** The former owner stops answering two steps too late. */
+  /** Faulty variant: the former owner stops answering reports two steps too late. */
   silentLate?: boolean;
-  /** A report is accepted although a newer one has been received. */
+  /** Faulty variant: the new owner accepts a report although it has received a newer one. */
   acceptsOldReports?: boolean;
-  /** An answer to a machine that is not fenced renews its lease and carries no stop orders. */
+  /** Faulty variant: the answer to a report of a machine that is not fenced renews its lease but carries no stop orders. */
   answerStopsNothing?: boolean;
-  /** A session received in the reply to a command does not count as a lease renewal. */
+  /** Faulty variant: a worker's new session, learnt from its reply to a command, does not count as a lease renewal. */
   sessionIsNoLease?: boolean;
-  /** The new owner counts leases from its claim, without the time in which the former owner may still answer. */
+  /** Faulty variant: the new owner counts leases from its claim, although the former owner may still renew them after that. */
   skipsSilenceWait?: boolean;
 }
 
 const LEASE = 3;
 const SILENT_AFTER = 4;
-/** Steps until a cancelled task must have ended: the silence limit, the lease, and one step for an answer in transit. */
+/**
+ * Steps after which the task of a cancelled job must have ended: the time for which an owner without the state service still
+ * answers, the lease, and one step for an answer in transit.
+ */
 const CANCEL = SILENT_AFTER + LEASE + 1;
 const HORIZON = CANCEL + LEASE + 3;
 const OLD = 1;
 const NEW = 2;
 
 interface State {
-  /** Session, token, lease start and task of the worker. */
+  /** The worker's session number, the owner's token that it obeys (`token`), the start of its lease, and whether it has the task. */
   session: number;
   token: number;
   leaseFrom: number;
   task: boolean;
-  /** The new owner started a task again, which is not the one of the cancelled job. */
+  /** Whether the new owner has started a task on the machine; the time limit for tasks of cancelled jobs does not apply to that one. */
   restarted: boolean;
-  /** Step of the new owner's claim; `record` is its record of the machine since then. */
+  /** Step in which the new owner claimed the partition, or null; `record` is what it has known about the machine since then. */
   claimedAt: number | null;
   record: {
     session: number;
@@ -60,7 +68,7 @@
     lost: boolean;
     holds: boolean;
   } | null;
-  /** A report that may arrive again; `seq` is the step in which it was sent. */
+  /** An earlier report of the worker that may arrive a second time; `seq` is the step in which it was sent. */
   copy: { session: number; seq: number; token: number; task: boolean } | null;
 }
 
@@ -72,7 +80,7 @@
   return { host: "i-1", addr: "x", type: "m", zone: "a", spot: false, session, seq, token, noticeS: null, tasks };
 }
 
-/** Builds the new owner's partition and machine from the state; `receive` applies a report to them. */
+/** Builds the new owner's partition and machine from a state of the model; the returned `receive` applies a report to them. */
 function newOwnerOf(state: State) {
   const partition = newPartition(0, NEW, 0);
   const taskSet = newTaskSet("t/j/run-000001", specOf({ tasks: 1 }), 0, 1, new Bits(1), 0, 0);
@@ -96,7 +104,7 @@
       },
       newFindings(),
     );
-  // Recreates the attempt that the machine held by applying a report that contains it.
+  // If the machine held the task, a report that lists the task recreates its attempt.
   if (holds) {
     machine.seq = -1;
     const { lost: wasLost, fenced: wasFenced, lastReceivedAt: before } = machine;
@@ -113,7 +121,7 @@
 
 type Delivery = "lost" | "arrives";
 
-/** Explores all states up to the horizon; `broken` is the first violation with the steps that led to it. */
+/** Explores all states of the first `HORIZON` steps; `broken` is the first violation with the steps that led to it, or null. */
 export function exploreLeases(wrong: FaultyVariant = {}): { states: number; broken: string | null } {
   const silentAfter = SILENT_AFTER + (wrong.silentLate === true ? 2 : 0);
   let layer = new Map<string, { state: State; path: string[] }>();
@@ -146,7 +154,7 @@
     }
 
     function visit(from: State, path: string[], prefix: string): void {
-      // Lease expiry is checked first, as in the lease watch.
+      // The new owner first checks whether the machine's lease has expired, as `LeaseWatch` does.
       const s = { ...from };
       if (s.record !== null && !s.record.lost) {
         const { partition, machine } = newOwnerOf(s);
@@ -159,17 +167,17 @@
         }
       }
       const report = { session: s.session, seq: now, token: s.token, task: s.task };
-      // The report that may be repeated later is either this report or the earlier one.
+      // The report that may arrive a second time later is either the one kept so far or this step's report.
       const copies = s.copy === null ? [report] : [s.copy, report];
       reach(s, path, `${prefix}nothing`);
-      // An old report arrives again; its answer is lost.
+      // The new owner receives an old report a second time; its answer is lost.
       if (s.copy !== null && s.record !== null) {
         const { machine, receive } = newOwnerOf(s);
         if (wrong.acceptsOldReports === true) machine.seq = -1;
         recordLeaseRenewal(machine, receive(reportOf(s.copy), now), now);
         reach({ ...s, record: snapshotOf(machine), copy: null }, path, `${prefix}an old report`);
       }
-      // Report to the former owner while it still answers: it may start the stopped task again, unaware of the cancellation.
+      // The machine reports to the former owner, which still answers. Unaware of the cancellation, that owner may start the task again.
       if (now <= silentAfter && s.token === OLD) {
         for (const task of [s.task, true])
           for (const copy of copies)
@@ -182,7 +190,7 @@
         const newer = receive(reportOf(report), now);
         recordLeaseRenewal(machine, newer, now);
         if (wrong.answerShortensWait === true && before > now) machine.answeredAt = now;
-        // The records that the new owner read for its claim include the cancellation.
+        // The records that the new owner read for its claim include the cancellation, so it stops the task.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
         const orders = ordersFor(machine, "report", {
           now,
@@ -196,13 +204,14 @@
         for (const copy of copies)
           reach({ ...s, ...there, record: snapshotOf(machine), copy }, path, `${prefix}reported to the new owner, answer ${answer}`);
       }
-      // The new owner's token arrives by a direct command and is shown in the reply or in the next report.
+      // The worker receives the new owner's token by a direct command and shows it in its reply or, if that is lost, its next report.
       const shown = { ...s, token: NEW };
       reach(shown, path, `${prefix}token by command, reply lost`);
       const { machine, receive } = newOwnerOf(s);
       receive(reportOf({ ...report, token: NEW }), now, false);
       reach({ ...shown, record: snapshotOf(machine) }, path, `${prefix}token by command`);
-      // Orders by a direct command are executed if the session matches; otherwise the reply carries the current session.
+      // The new owner orders a start by a direct command. The worker executes it if the command names its current session; otherwise
+      // it only replies with that session.
       if (s.token === NEW && s.record.fenced && !s.record.lost && !s.record.holds) {
         const { machine: repliedMachine, receive: receiveReply } = newOwnerOf(s);
         const { answeredAt } = repliedMachine;
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -1,7 +1,8 @@
 /**
  * Explicit-state model of one partition, two controllers and the state service. The production functions decide on
- * suspicions, refutations, verdicts and claims. Time is not modelled: a suspicion may be old enough for a verdict as soon as
- * it is read, and a write may arrive late, twice or never.
+ * suspicions (a peer may have failed), their refutation by the suspect, verdicts (a peer counts as gone) and claims of the
+ * partition. Time is not modelled: a suspicion may be old enough for a verdict as soon as it is read, and a write may arrive
+ * late, twice or never.
  */
 import type { OwnerRecord, PresenceRecord, SuspicionRecord } from "../../src/ledger/records.js";
 import {
@@ -24,7 +25,7 @@
 }
 interface Store {
   ledger: number;
-  /** `by` numbers the start of the process that claimed. It is not part of the record, because controllers cannot read it. */
+  /** The partition's owner record. `by` counts starts of the claiming process; it is not in the record, as controllers cannot read it. */
   owner: (Entry<OwnerRecord> & { by: number }) | null;
   alive: Partial<Record<Node, Entry<PresenceRecord>>>;
   suspicion: Partial<Record<Node, Entry<SuspicionRecord>>>;
@@ -37,33 +38,33 @@
   write: Write;
   reason: ClaimReason | null;
 }
-/** A state of the model; plain data. */
+/** State of the model. It is plain data, so that states can be copied and compared as JSON. */
 export interface State {
   store: Store;
-  /** The running incarnation of each node; null if it is down. */
+  /** The incarnation (run of the controller process) that is up on each node; null if the node is down. */
   up: Record<Node, string | null>;
   incarnations: number;
-  /** Number of starts of each node. */
+  /** How often each node's process has been restarted. */
   starts: Record<Node, number>;
-  /** The records that each node has read last. */
+  /** Contents of the state service as each node has last read them. */
   seen: Record<Node, Store>;
-  /** A node that refuses connections of peers although it may be healthy. */
+  /** The node to which its peers cannot connect, although it may be healthy; null if there is none. */
   refused: Node | null;
   /** Writes in transit to the state service. */
   sent: Sent[];
-  /** How many process ends, suspicions, repeated writes and connection refusals may still happen. */
+  /** How many process ends, suspicions, repeated writes and connection refusals may still happen in this exploration. */
   left: { ends: number; suspicions: number; late: number; refusals: number };
 }
 
-/** Faulty variants of the decisions; the model has to find a fault in each. */
+/** Switches that each break one decision on purpose; the exploration has to find a violation with each of them. */
 export interface FaultyVariant {
-  /** A claim is not conditional on the former owner's presence record. */
+  /** Faulty variant: a claim of the partition is not conditional on the former owner's presence record, which its refutations change. */
   claimsBlindly?: boolean;
-  /** A suspicion counts although the suspect has refuted it. */
+  /** Faulty variant: a suspicion counts although the suspect has refuted it. */
   ignoresRefutations?: boolean;
-  /** A restarted process uses the incarnation of the previous process. */
+  /** Faulty variant: a restarted process keeps the incarnation of the process before it. */
   reusesIncarnation?: boolean;
-  /** A node reaches a verdict from the suspicions of others, without evidence of its own. */
+  /** Faulty variant: a node takes a peer for gone because of another node's suspicion, without evidence of its own. */
   needsNoEvidence?: boolean;
 }
 
@@ -108,7 +109,7 @@
   return peerStatus(unrefuted ? 2 : null, evidence, HEALTHY, LIMITS);
 }
 
-/** All possible next states. */
+/** Returns all possible next states; adds rules that the steps break to `faults`. */
 function successors(state: State, variant: FaultyVariant, faults: string[]): State[] {
   const next: State[] = [];
   const step = (change: (to: State) => void): void => {
@@ -125,7 +126,7 @@
       to.sent.splice(i, 1);
       apply(to, sent, faults);
     });
-    // The write is applied now and once more later.
+    // The write is applied now but stays in transit, so that it is applied once more later.
     if (state.left.late > 0)
       step((to) => {
         to.left.late--;
@@ -175,7 +176,7 @@
           reason: null,
         }),
       );
-    // A node without a presence record of its incarnation neither suspects nor claims.
+    // A node that has read no presence record of its own incarnation neither suspects peers nor claims the partition.
     if (shown?.v.life !== life) continue;
     for (const other of NODES) {
       if (other === node || state.left.suspicions === 0) continue;
@@ -232,7 +233,7 @@
   return next;
 }
 
-/** Checks the invariants of a state. */
+/** Adds to `faults` if a controller owns by a term of its previous incarnation, or two controllers own by the same term. */
 function checkInvariants(state: State, faults: string[]): void {
   const owners = NODES.filter(
     (node) => state.up[node] !== null && state.seen[node].owner?.v.owner === node && state.seen[node].owner?.v.life === state.up[node],
@@ -270,11 +271,11 @@
     .replace(/"incarnations":\d+/, "");
 }
 
-/** Result of an exploration. */
+/** What an exploration found: number of states, broken rules, and states in which nobody can take the partition. */
 export interface Explored {
   states: number;
   faults: Set<string>;
-  /** States without a next step other than an injected fault, in which a controller is up but the partition has no live owner. */
+  /** Number of states in which a controller is up and the partition has no running owner, but only an injected fault is possible next. */
   ownerless: number;
 }
 
@@ -301,7 +302,7 @@
     checkInvariants(state, found);
     const next = successors(state, variant, found);
     for (const fault of found) faults.add(fault);
-    // Ends, restarts, repeated writes and refusals need not happen; without them the model comes to rest.
+    // Process ends, restarts, repeated writes and refused connections need not happen. If no other step is possible, the state is final.
     const unforced = next.filter(
       (to) =>
         to.left.ends === state.left.ends &&
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -7,10 +7,10 @@
 import { newTaskSet, type TaskSet } from "../../src/queue/task-set.js";
 import { newMachine, type Capacity, type Machine } from "../../src/workers/machine.js";
 
-/** Current time of these tests in ms. */
+/** The current time in tests that use these builders, in ms. */
 export const NOW = 1000;
 
-/** A job of one small array task; `change` overrides its members. */
+/** Returns the description of an array job with one small task; `change` overrides members. */
 export function specOf(change: Partial<JobSpec>): JobSpec {
   return {
     ref: "run-000001",
@@ -37,7 +37,7 @@
   };
 }
 
-/** Queue order by urgency, without objectives, guarantees or learned run times. */
+/** Order of jobs in the queue: by urgency, without objectives, guarantees or learned run times. */
 export const order = queueOrder({
   mode: "urgency",
   nowWall: NOW,
@@ -49,7 +49,7 @@
   withinGuarantee: () => false,
   underserved: () => false,
 });
-/** A quota share without limits. */
+/** Returns a team's quota share that has no limits. */
 export const unlimited = (): { cpus: number; gpus: number } => ({ cpus: Infinity, gpus: Infinity });
 
 /** Context of a scheduling cycle at `NOW` with unlimited quota; expected run times are the users' estimates. */
@@ -66,8 +66,8 @@
 };
 
 /**
- * Creates a partition of `n` machines that are up and fenced. `evaluations` counts the reads of a machine's images: one for each
- * evaluation of a machine as a candidate.
+ * Creates a partition of `n` machines that are up and fenced. `evaluations` returns how often a machine was examined as a
+ * candidate for a placement, which is counted by the reads of its `images`.
  */
 export function partitionOf(n: number, capacity: Capacity): { partition: Partition; evaluations: () => number } {
   const partition = newPartition(0, 5, 0);
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -1,42 +1,43 @@
 /**
- * Explicit-state model of a team's limit that changes while its tasks run, over two partitions. Shares are decided by the
- * production functions. The model explores every order in which owners read the versions, start and end tasks, adjust and
- * transfer shares, are replaced by a new owner, and in which unanswered writes are applied late. Once all owners have a
- * version in force, no start may raise the usage above the limit of that version.
+ * Explicit-state model of a team's limit that changes while its tasks run in two partitions, each with a quota share (its part
+ * of the limit). The production functions decide on the shares. The model explores every order in which the partitions' owners
+ * read versions of the limit, start and end tasks, adjust and transfer shares, are replaced by a new owner, and in which
+ * unanswered writes are applied late. Once all owners have read the newest version, no start of a task may raise the usage
+ * above the limit of that version.
  */
 import { adjustedShares, startsAllowed, totalShares, type Shares } from "../../src/configuration/quota-shares.js";
 
-/** Faulty variants of the rules; the model has to find a fault in each. */
+/** Switches that each break one rule on purpose; the exploration has to find a violation with each of them. */
 export interface FaultyVariant {
-  /** An owner starts tasks within its share although the sum of shares is above the limit. */
+  /** Faulty variant: an owner starts tasks within its share although the sum of all shares is above the limit. */
   startsAboveLimit?: boolean;
-  /** An owner lowers its share below what its tasks use. */
+  /** Faulty variant: an owner lowers its share below what its running tasks use. */
   ignoresUse?: boolean;
-  /** Late writes are applied even if the shares or the version have changed since. */
+  /** Faulty variant: a late write is applied even if the shares or the version have changed since it was sent. */
   unconditional?: boolean;
-  /** A share whose transfer was not answered still counts as available. */
+  /** Faulty variant: an owner still uses quota that it tried to transfer in a write that was not answered. */
   forgetsCeded?: boolean;
-  /** An owner transfers a part of its share that its own tasks use. */
+  /** Faulty variant: an owner transfers quota that its own running tasks use. */
   cedesUsed?: boolean;
 }
 
 const PARTITIONS = 2;
-/** Limits by version. */
+/** The team's limit in each version. */
 const LIMITS = [4, 2, 3] as const;
 
 interface State {
-  /** Newest version; `known` holds the version that each partition's owner has read. */
+  /** Newest version of the team's limit; `known` holds the version that each partition's owner has read. */
   version: number;
   known: number[];
   shares: number[];
-  /** Counts every write of the shares. */
+  /** Revision of the stored shares, raised by each write. */
   stamp: number;
   used: number[];
-  /** A write that was not answered: its content and the stamp and version that it is conditional on. */
+  /** An unanswered write of the shares: its content, the revision and version that it is conditional on, and who gives quota away. */
   late: { shares: number[]; stamp: number; version: number; cededBy: number | null } | null;
-  /** Remaining changes of owner. A new owner reads the newest version and counts the running tasks. */
+  /** How often a partition may still get a new owner, which reads the newest version and counts the running tasks. */
   takeovers: number;
-  /** Remaining starts of tasks. */
+  /** How many tasks may still be started. */
   starts: number;
 }
 
@@ -47,14 +48,14 @@
   return state.known.every((version) => version === state.version);
 }
 
-/** All possible next states; a fault is a start that exceeds a limit in force. */
+/** Returns all possible next states; `fault` names a start of a task that exceeds the limit in force, or is null. */
 function successors(state: State, wrong: FaultyVariant): { next: State; fault: string | null }[] {
   const results: { next: State; fault: string | null }[] = [];
   const add = (next: Partial<State>, fault: string | null = null): void => void results.push({ next: { ...state, ...next }, fault });
   if (state.version + 1 < LIMITS.length) add({ version: state.version + 1 });
   for (let i = 0; i < PARTITIONS; i++) {
     const limit = LIMITS[state.known[i]!]!;
-    // A share whose transfer was not answered counts as given away.
+    // Quota that the owner tried to transfer in an unanswered write counts as given away.
     const ceding = state.late?.cededBy === i && wrong.forgetsCeded !== true ? 1 : 0;
     const [used, share] = [state.used[i]!, state.shares[i]! - ceding];
     if (state.known[i]! < state.version) add({ known: replaced(state.known, i, state.version) });
@@ -86,7 +87,7 @@
   return results;
 }
 
-/** Adds the states after a write: applied and answered, or not answered and applied later or never. */
+/** Adds the states that a write of the shares can lead to: applied and answered, or not answered and applied later or never. */
 function addWrite(state: State, shares: Shares, cededBy: number | null, add: (next: Partial<State>) => void): void {
   const written = shares.map((share) => share ?? 0);
   add({ shares: written, stamp: state.stamp + 1 });
@@ -94,7 +95,7 @@
 }
 
 /**
- * Explores all states until a fault is found or `maxStates` are reached. `sums` is the largest sum of shares of any state.
+ * Explores all states until a fault is found or `maxStates` are reached. `sums` is the largest sum of shares in any state.
  */
 export function exploreQuota(
   wrong: FaultyVariant,
@@ -110,7 +111,7 @@
   const pending = [first];
   while (pending.length > 0 && seen.size < maxStates && faults.size === 0) {
     const state = pending.pop()!;
-    // Stamps matter only for whether the condition of the late write still holds, so the key contains just that.
+    // The key replaces the revisions by whether the late write's condition still holds, since they have no other effect.
     const current = state.late !== null && state.late.stamp === state.stamp;
     const key = JSON.stringify([{ ...state, stamp: 0, late: state.late === null ? null : { ...state.late, stamp: current } }]);
     if (seen.has(key)) continue;
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * Runs scenario files, which have one statement in each line. `given` lines describe the environment, `at N` lines an action
- * N seconds after the start, or with `expect` a condition that must hold then.
+ * Runs scenario files: tests of an emulated cluster, with one statement in each line. `given` lines describe the cluster,
+ * `at N` lines an action N seconds after the start, or with `expect` a condition that must hold then.
  */
 import { encodeJob, type JobKind, type JobSpec, type Urgency } from "@thorntrail/protocol/jobs";
 import { keys, type SliceRecord, type SuspicionRecord } from "../../src/ledger/records.js";
@@ -20,14 +20,14 @@
 
 const KINDS: Record<string, JobKind> = { array: "array", gang: "gang", service: "service" };
 
-/** Reads pairs of words as names and values. */
+/** Reads words that are alternately names and values. */
 function options(words: string[]): Map<string, string> {
   const found = new Map<string, string>();
   for (let i = 0; i < words.length; i += 2) found.set(words[i]!, words[i + 1] ?? "");
   return found;
 }
 
-/** Parses a scenario into its plan and its steps in the order of time. */
+/** Parses a scenario into the options of its emulated cluster and its steps, sorted by time. */
 function parse(text: string): { plan: WorldOptions; steps: Step[] } {
   const plan = defaultWorldOptions();
   const steps: Step[] = [];
@@ -83,7 +83,7 @@
 
 /** Builds the job of a `submit` step and registers its run time. */
 function submission(words: string[], world: World): { wire: Record<string, unknown>; spec: JobSpec; node: string | undefined } {
-  // submit REF SHAPE of N team T cpus C ... for SECONDS
+  // Syntax: submit REF SHAPE of N team T cpus C ... for SECONDS
   const [ref, shape] = words as [string, string];
   const flags = new Set(["one-zone", "spread", "spot", "mistaken"].filter((f) => words.includes(f)));
   const o = options(words.slice(2).filter((w) => !flags.has(w)));
@@ -119,7 +119,7 @@
 }
 
 /**
- * Runs a scenario and returns its world and the expectations that failed. `spawn` replaces the production controller.
+ * Runs a scenario; returns the emulated cluster and the expectations that failed. `spawn` replaces the production controller.
  * Throws an error for a line that is no scenario statement.
  */
 export async function playScenario(
@@ -140,13 +140,13 @@
   return { world, failures };
 }
 
-/** The job name whose number is `i` higher. */
+/** Returns the job name with its number raised by `i`. */
 function numbered(ref: string, i: number): string {
   const [name, digits] = ref.split("-") as [string, string];
   return `${name}-${String(Number(digits) + i).padStart(digits.length, "0")}`;
 }
 
-/** Hosts running a task of the job, those of a zone, or all hosts. */
+/** Hosts that `word` selects: `zone:Z` those of a zone, `all` every host, a job name those that run a task of the job. */
 function hostsOf(world: World, word: string): string[] {
   const all = [...world.workers.values()];
   const zone = /^zone:(.+)$/.exec(word)?.[1];
@@ -173,7 +173,7 @@
     }
     throw new Error(`${step.line}: no controller owns a partition with ${ref}`);
   };
-  /** Machines that match the word. A step without a match is reported as a failure, as it would test nothing. */
+  /** Hosts that the word selects. If there are none, the step is reported as a failure, as it would test nothing. */
   const matchedHosts = (word: string): string[] => {
     const hosts = hostsOf(world, word.replace("hosts-of:", ""));
     if (hosts.length === 0) failures.push(`${step.line}: matched no target`);
@@ -201,7 +201,7 @@
       else world.startController(a);
       return;
     case "cut": {
-      // cut X from Y for N: packets are held and delivered when the cut ends.
+      // Syntax: cut X from Y for SECONDS. Messages are held and delivered when the cut ends.
       const node = nodeNamed(a);
       const forMs = Number(step.words[step.words.indexOf("for") + 1]) * 1000;
       const others: Record<string, string> = { state: "state", cloud: "cloud", workers: "workers", peers: "controllers", all: "*" };
@@ -211,16 +211,16 @@
       return;
     }
     case "deafen":
-      // deafen X for N: reports of the machines arrive; answers and direct commands to them are lost.
+      // Syntax: deafen X for SECONDS. Reports of the selected machines arrive; answers and direct commands to them are lost.
       for (const to of matchedHosts(a)) world.clock.after(Number(c) * 1000, world.links.add({ from: "*", to, effect: { kind: "lose" } }));
       return;
     case "mute":
-      // mute X for N: reports of the machines are lost; direct commands reach them and are answered.
+      // Syntax: mute X for SECONDS. Reports of the selected machines are lost; direct commands reach them and are answered.
       for (const from of matchedHosts(a))
         world.clock.after(Number(c) * 1000, world.links.add({ from, to: "*", what: "report", effect: { kind: "lose" } }));
       return;
     case "fault": {
-      // fault KIND field=value ...: a fault as in rehearsal plans.
+      // Syntax: fault KIND field=value ... Injects a fault with the kinds and fields of `fault` blocks in rehearsal plans.
       const fields = step.words.slice(2).map((word) => {
         const [name, value] = word.split("=") as [string, string];
         return [name, value === "true" || value === "false" ? value === "true" : Number.isNaN(Number(value)) ? value : Number(value)];
@@ -232,13 +232,13 @@
       return;
     }
     case "repeat-reports": {
-      // repeat-reports SHARE within S for N: copies of that share of the reports arrive up to S seconds later.
+      // Syntax: repeat-reports SHARE within S for N. For N seconds, a copy of that share of all reports arrives up to S seconds later.
       const effect = { kind: "again", share: Number(a), mostMs: Number(c) * 1000 } as const;
       world.clock.after(Number(step.words[5]) * 1000, world.links.add({ from: "workers", to: "controllers", what: "report", effect }));
       return;
     }
     case "delay": {
-      // delay NODE to X by S for N: its calls to X, or its commands to workers, take S seconds longer.
+      // Syntax: delay NODE to X by S for N. For N seconds, the node's calls to X, such as commands to workers, take S seconds longer.
       const rule = { from: nodeNamed(a), to: c, effect: { kind: "delay", ms: Number(step.words[5]) * 1000 } } as const;
       world.clock.after(Number(step.words[7]) * 1000, world.links.add(rule));
       return;
@@ -247,7 +247,7 @@
       world.clock.after(Number(c) * 1000, world.links.add({ from: nodeNamed(a), to: "state", effect: { kind: "refuse" } }));
       return;
     case "unlink":
-      // unlink NODE for S: no peer can connect to it.
+      // Syntax: unlink NODE for S. Other controllers cannot connect to the node for S seconds.
       world.clock.after(Number(c) * 1000, world.links.add({ from: "*", to: nodeNamed(a), what: "peer", effect: { kind: "refuse" } }));
       return;
     case "outage":
@@ -260,7 +260,7 @@
       }
       return;
     case "limit": {
-      // limit state writes W value-kb V changes C
+      // Syntax: limit state writes W value-kb V changes C. Changes the limits of the state service.
       const o = options(step.words.slice(2));
       world.state.changeLimits({ writeRps: Number(o.get("writes")), valueKb: Number(o.get("value-kb")), txnOps: Number(o.get("changes")) });
       return;
@@ -284,7 +284,7 @@
       for (const host of hostsOf(world, a).slice(0, Number(b ?? 1))) world.cloud.remove(host);
       return;
     case "burst": {
-      // burst REF of N SHAPE ... with R a second: N jobs of one task each, numbered from REF.
+      // Syntax: burst REF of N SHAPE ... with R a second. Submits N such jobs, numbered from REF, R in each second.
       const count = Number(c);
       const rest = step.words.slice(4, step.words.indexOf("with"));
       const everyMs = 1000 / Number(step.words[step.words.indexOf("with") + 1]);
@@ -304,7 +304,7 @@
       return;
     }
     case "flap": {
-      // flap NODE every N for S: its process ends every N seconds and restarts 0.2 s later.
+      // Syntax: flap NODE every N for S. For S seconds, the node's process ends every N seconds and restarts 0.2 s later.
       const node = nodeNamed(a);
       const everyMs = Number(c) * 1000;
       for (let t = 0; t < Number(step.words[5]) * 1000; t += everyMs) {
@@ -314,7 +314,7 @@
       return;
     }
     case "storm": {
-      // storm X with N a second for S at NODE: polls for X and for a job that was never submitted.
+      // Syntax: storm X with N a second for S at NODE. Polls job X and a job that was never submitted, each N times a second.
       const o = options(step.words.slice(2).filter((w) => w !== "a" && w !== "second"));
       const everyMs = 1000 / Number(o.get("with"));
       const node = o.has("at") ? nodeNamed(o.get("at")!) : undefined;
@@ -366,22 +366,22 @@
     return check(what === "balanced" ? counts.every((n) => n === 1) : counts.reduce((x, y) => x + y, 0) === Number(what), counts.join());
   }
   if (what === "leads") {
-    // NODE leads N
+    // Syntax: NODE leads N. The node owns N partitions.
     const n = world.nodes.get(subject)?.controller?.leader.partitions.size ?? 0;
     return check(n === Number(c), n);
   }
   if (what === "serves") {
-    // NODE serves N: the number of its partitions that are fenced and place tasks.
+    // Syntax: NODE serves N. The node owns N partitions whose fencing is complete, so that it places tasks on their machines.
     const n = [...(world.nodes.get(subject)?.controller?.leader.partitions.values() ?? [])].filter((p) => p.phase === "serving").length;
     return check(n === Number(c), n);
   }
   if (what === "placing") {
-    // SUBJECT placing: as many partitions are owned as there are controllers, and all of them are fenced and place tasks.
+    // Syntax: SUBJECT placing. As many partitions are owned as there are controllers, and the fencing of all of them is complete.
     const phases = [...world.nodes.values()].flatMap((n) => [...(n.controller?.leader.partitions.values() ?? [])].map((p) => p.phase));
     return check(phases.length === world.nodes.size && phases.every((p) => p === "serving"), phases.join());
   }
   if (what === "sliced") {
-    // SUBJECT sliced: some of its tasks have been migrated to another partition, which a slice record shows.
+    // Syntax: JOB sliced. A slice (a range of the job's tasks) has been migrated to another partition, as a slice record shows.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
     const slices = [...node!.controller!.replica.rows<SliceRecord>(keys.slices).values()].filter((e) => e.v.ref === subject);
     return check(slices.length > 0, slices.length);
@@ -397,18 +397,18 @@
     return check(c === "at-most" ? n <= Number(d) : n === Number(c), n);
   }
   if (subject === "claims") {
-    // claims at-most N: the total number of claims of partitions.
+    // Syntax: claims at-most N. All controllers together have claimed partitions at most N times.
     const n = world.logMessages.filter((line) => line === "part taken").length;
     return check(n <= Number(c), n);
   }
   if (subject === "suspicions") {
-    // suspicions at-most N: the largest number of recorded suspicions of one node.
+    // Syntax: suspicions at-most N. The node that was suspected most often has been suspected 1 to N times.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
     const highest = Math.max(0, ...[...node!.controller!.replica.rows<SuspicionRecord>(keys.suspicions).values()].map(({ v }) => v.n));
     return check(highest >= 1 && highest <= Number(c), highest);
   }
   if (subject === "met") {
-    // met WHAT at-least N: how often a behaviour of the simulated users took effect, or how many kept reports were delivered.
+    // Syntax: met WHAT at-least N. The users' behaviour WHAT took effect, or for `keptReports` stored reports were delivered, N times.
     const counts: Record<string, number> = { ...world.simulatedUsers.effects, keptReports: world.storedReportsDelivered };
     const n = counts[what];
     if (n === undefined) throw new Error(`${step.line}: expected one of ${Object.keys(counts).join(", ")}`);
@@ -419,7 +419,7 @@
     return check(n <= Number(c), n);
   }
   if (subject === "burst") {
-    // burst REF of N done
+    // Syntax: burst REF of N done. N jobs, numbered from REF, are done.
     const polls = Array.from({ length: Number(d) }, (_, i) => world.poll(numbered(what, i)));
     let states: string[] = [];
     await settle(
--- a/test/world/state-replica.ts
+++ b/test/world/state-replica.ts
@@ -4,7 +4,7 @@
 import { VirtualState } from "@thorntrail/emulator/virtual/service-links";
 import { VirtualClock } from "@thorntrail/emulator/virtual/clock";
 
-/** Creates a replica that does not synchronise with the state service; tests put its records into it. */
+/** Creates a replica of the state service's records that never reads from the service; tests put records into it. */
 export function unsyncedReplica(): StateReplica {
   const clock = new VirtualClock();
   const state = new VirtualState(clock, () => 2, { rps: 100, writeRps: 25, valueKb: 32, txnOps: 16 });
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -1,9 +1,9 @@
 /**
  * Randomised model of one partition under a sequence of owners, with several machines, arrays and gangs. It uses the
  * production report handler, lease watch, command dispatch and scheduling cycle, and the emulator's workers. Messages between
- * them are delayed by up to many seconds, lost, repeated and reordered. Before each takeover, attempts move to other machines
- * and some machines become slow to reach; reports that arrive before the new owner starts are queued and read in random
- * order. Completed tasks are durable at once.
+ * them are delayed by up to many seconds, lost, repeated and reordered. Before each takeover, tasks are preempted and start
+ * again on other machines, and some machines become slow to reach; reports that arrive before the new owner starts are queued
+ * and read in random order. Completed tasks are durable at once.
  */
 import { Subject } from "rxjs";
 import { findViolations, type HistoryEvent } from "@thorntrail/emulator/checker";
@@ -46,17 +46,20 @@
 ];
 const ANSWER_LIMIT_MS = 2000;
 
-/** Result of one run. */
+/** Result of one run of the model. */
 export interface TakeoverRun {
   /** Violated rules and logged errors. */
   broken: string[];
-  /** Number of reports from which an attempt was adopted beside another attempt of the same task; a run without any tests nothing. */
+  /**
+   * Number of reports from which an owner adopted an attempt beside another attempt of the same task. If it is 0, the run has
+   * not exercised this case.
+   */
   surplus: number;
   /** Number of task starts on workers. */
   started: number;
 }
 
-/** Random message delay: mostly below 62 ms, sometimes seconds, rarely up to 11.5 s; 0.3 to 4.3 s for a slow machine. */
+/** Returns a random message delay: mostly below 62 ms, sometimes seconds, rarely up to 11.5 s; 0.3 to 4.3 s for a slow machine. */
 function delayMs(random: () => number, slow: boolean): number {
   const kind = random();
   if (slow) return 300 + random() * 4000;
@@ -65,8 +68,8 @@
 }
 
 /**
- * Times before a takeover, in ms. The owner ends at a random time within `GONE_BEFORE_MS`; attempts are stopped at random
- * times in the `STOPS_BEFORE_MS` before that; machines are slow from `SLOW_BEFORE_MS`.
+ * Faults before a takeover, in ms. The former owner ends at a random time in the last `GONE_BEFORE_MS`. Tasks are preempted at
+ * random times in the `STOPS_BEFORE_MS` before that period. `SLOW_BEFORE_MS` before the takeover, some machines become slow.
  */
 const STOPS_BEFORE_MS = 7000;
 const SLOW_BEFORE_MS = 3000;
@@ -75,7 +78,7 @@
 const SLOW_MACHINES = 3;
 const STOPS = 7;
 
-/** Shares of messages that are lost and of reports that are repeated; a repetition arrives within `REPEATED_LATEST_MS`. */
+/** Fractions of messages that are lost and of reports that arrive twice, the second time up to `REPEATED_LATEST_MS` later. */
 const LOST = 0.06;
 const REPEATED = 0.3;
 const REPEATED_LATEST_MS = 25_000;
@@ -124,7 +127,7 @@
     new CommandDispatcher(leader, workers, callsFor(clock, term), this.scope).start();
   }
 
-  /** Adds a machine as from the partition's records; the former owner may still answer it until the silence limit. */
+  /** Adds a machine that the new owner knows only from records; the former owner may answer its reports until its silence limit. */
   private takeOver(host: string, addr: string, now: number): void {
     const machine = newMachine(host, "m", "a", false, { cpus: 16, gpus: 0, ram: 64 }, 0);
     Object.assign(machine, { up: true, addr, answeredAt: now + TIMING.silentAfterMs, lastReportAt: now });
@@ -155,7 +158,7 @@
       get now() {
         return clock.now();
       },
-      // The state service is always available: each read finds the owner's term until its successor starts.
+      // The state service is always available, so the ownership is proven at any time until the successor starts.
       get provenAt() {
         return clock.now();
       },
@@ -177,7 +180,7 @@
     for (const machine of changedMachines) this.dispatch$.next({ partition: this.partition, machine });
   }
 
-  /** Preempts a random task, or the whole gang; it starts again, mostly on another machine. */
+  /** Preempts a random running task or, if it belongs to a gang, the whole gang. The tasks start again, mostly on other machines. */
   preempt(random: () => number): void {
     const placements = [...this.partition.machines.values()].flatMap((machine) => [...machine.placements.values()]);
     const victim = placements[Math.floor(random() * placements.length)];
@@ -189,7 +192,7 @@
     this.dispatch$.next({ partition: this.partition, machine });
   }
 
-  /** Number of attempts adopted beside the task's current one. */
+  /** Number of attempts on machines that are not the current attempt of their task. */
   get surplus(): number {
     let count = 0;
     for (const machine of this.partition.machines.values())
@@ -241,7 +244,7 @@
   };
   const slow = new Set<string>();
   let surplus = 0;
-  /** Reports that arrived while there was no owner. */
+  /** Reports that arrived while the partition had no owner, with the functions that answer them. */
   const queued: { report: Report; answer: (answer: ReportAnswer) => void }[] = [];
   const arrive = (report: Report, answer: (answer: ReportAnswer) => void): void => {
     if (owner === null) queued.push({ report, answer });
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -1,6 +1,6 @@
 /**
- * Explicit-state model of two controllers and two machines with one task between them. Either controller reads the state
- * service or is refused by it, claims the partition, checks leases, answers reports, sends commands and starts the task
+ * Explicit-state model of two controllers, and a partition of two machines with one task between them. Either controller reads
+ * the state service or is refused by it, claims the partition, checks leases, answers reports, sends commands and starts the task
  * again. Any message between a controller and a machine may be lost, which covers all network splits. A read takes time: it
  * returns the record as it was when the read began. The production functions decide whether a lease has expired, whether a
  * termination proof is valid and what an answer renews. In each state the task must be on one machine at most, and it must
@@ -10,17 +10,17 @@
 import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
 import type { Machine } from "../../src/workers/machine.js";
 
-/** Faulty variants of the rules; the model has to find a fault in each. */
+/** Switches that each break one rule on purpose; the exploration has to find a violation with each of them. */
 export interface FaultyVariant {
-  /** The lease of a machine's tasks expires by the clock alone, without a proof of ownership. */
+  /** Faulty variant: the owner counts a machine's lease as expired by its clock alone, without proof that it still owns the partition. */
   clockLease?: boolean;
-  /** A new owner counts a machine as fenced by the clock alone. */
+  /** Faulty variant: a new owner counts a machine as fenced (no longer obeying the former owner) by its clock alone. */
   clockFence?: boolean;
-  /** A newer token does not end the owner's term: replies under it are applied, and reports under it change nothing. */
+  /** Faulty variant: a newer owner's token does not end this owner's term; replies that show it are applied, reports are ignored. */
   newerTokenKeepsTerm?: boolean;
-  /** A read proves ownership at its end instead of its beginning. */
+  /** Faulty variant: a read of the state service proves ownership as of its end instead of its beginning. */
   provenAtEnd?: boolean;
-  /** A new owner does not wait for the time in which the former owner may still answer. */
+  /** Faulty variant: a new owner does not wait for the time in which the former owner may still answer reports. */
   noSilence?: boolean;
 }
 
@@ -28,24 +28,24 @@
 const SILENT_AFTER = 2;
 /** Number of terms that are explored, including the first owner's. */
 const MAX_TERMS = 2;
-/** Ages are capped here: both the silence limit and the lease have passed. */
+/** Cap on ages, in steps: beyond it, both the silence limit and the lease have passed, so a larger age makes no difference. */
 const OLD_AGE = SILENT_AFTER + LEASE + 1;
 
 const NOTHING = 0;
 const RUNNING = 1;
 const DONE = 2;
 
-/** An owner's record of a machine. Times are ages, counted back from now; a negative age is in the future. */
+/** What an owner knows about a machine. Times are ages in steps, counted back from now; a negative age is in the future. */
 interface View {
   holds: boolean;
   lost: boolean;
   fenced: boolean;
   answeredAge: number;
-  /** The owner has received the machine's current session. */
+  /** Whether the owner has received the machine's current session number. */
   session: boolean;
 }
 
-/** The modelled members of the partition's record in the state service. */
+/** The partition's record in the state service, reduced to the members that the model needs. */
 interface Ledger {
   term: number;
   done: boolean;
@@ -67,10 +67,10 @@
 
 interface State {
   record: Ledger;
-  /** The record at the start of this step and of the step before; a slow read returns the latter. */
+  /** `record` as it was at the start of this time step (`start`) and of the step before (`before`), which a slow read returns. */
   start: Ledger;
   before: Ledger;
-  /** A worker was ordered to clear the result after it was durable. */
+  /** Whether a worker was ordered to clear the task's result after it had been recorded as done. */
   cleared: boolean;
   controllers: [Controller, Controller];
   workers: [Worker, Worker];
@@ -103,7 +103,7 @@
 
 /** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
 function begin(fencing: boolean): State {
-  // The previous owner may answer until the silence limit.
+  // While the first owner fences, an owner before it may still answer reports, and so renew leases, until its silence limit.
   const leaseAge = fencing ? -SILENT_AFTER : 0;
   const owned = fencing ? { ...newView(), answeredAge: -SILENT_AFTER } : { ...newView(), fenced: true, session: true };
   return {
@@ -119,7 +119,7 @@
   };
 }
 
-/** A machine as the production functions read it, with the current time as 0. */
+/** Converts an owner's view of a machine to what the production functions read; the current time is 0. */
 function machineOf({ fenced, answeredAge }: View): Machine {
   return { up: true, fenced, lastReceivedAt: 0, answeredAt: -answeredAge } as unknown as Machine;
 }
@@ -156,7 +156,7 @@
   };
 }
 
-/** Key of a state, one character for each value. */
+/** Key by which equal states are recognised, with one character for each value. */
 function keyOf({ record, start, before, cleared, controllers, workers }: State): string {
   const numbers = [record, start, before].map(({ term, done }) => 2 * term + Number(done));
   numbers.push(Number(cleared));
@@ -251,7 +251,7 @@
     return true;
   }
 
-  /** Applies a read that began `age` steps ago and returns the record as it was then. */
+  /** Applies a read that began `age` steps ago and found the record `found`; returns false if the controller owns nothing. */
   private read(state: State, c: Index, found: Ledger, age: number): boolean {
     const controller = state.controllers[c];
     if (controller.term === 0) return false;
@@ -262,7 +262,7 @@
     return true;
   }
 
-  /** A controller without the partition reads the record and claims, on condition that it has not changed since. */
+  /** Lets a controller that does not own the partition claim it, on condition that the record is unchanged since it was read. */
   private claim({ record, controllers }: State, c: Index): boolean {
     if (controllers[c].term > 0 || record.term >= MAX_TERMS) return false;
     record.term++;
@@ -272,7 +272,7 @@
     return true;
   }
 
-  /** Expires leases as soon as a valid proof exists. */
+  /** Counts machines as fenced and their task as gone once it is proven that their leases have expired. */
   private checkLeases({ controllers }: State, c: Index): void {
     const controller = controllers[c];
     if (controller.term === 0) return;
@@ -291,7 +291,7 @@
     }
   }
 
-  /** Applies the machine's state from a report or a reply; returns false if it ends the controller's term. */
+  /** Applies the machine's state from a report or a reply; returns false if a newer token in it ends the controller's term. */
   private receive(state: State, c: Index, m: Index): boolean {
     const controller = state.controllers[c];
     const worker = state.workers[m];
@@ -301,12 +301,12 @@
     }
     const view = controller.views[m];
     Object.assign(view, { holds: worker.task === RUNNING, session: true, lost: false });
-    // Receiving the session renews the lease.
+    // The lease of the received session may have begun just now, so it counts from now at the earliest.
     view.answeredAge = Math.min(view.answeredAge, 0);
     if (worker.token >= controller.term) view.fenced = true;
     if (worker.task === DONE) {
       controller.knowsDone = true;
-      // The write is conditional on the term, so it fails for a former owner.
+      // The write that records the task as done is conditional on the term, so it fails for a former owner.
       if (state.record.term === controller.term) state.record.done = true;
     }
     return true;
@@ -316,7 +316,7 @@
     const controller = state.controllers[c];
     if (!mayAct(controller)) return false;
     const worker = state.workers[m];
-    // In the faulty variant, a report under a newer token is redirected and changes nothing.
+    // Faulty variant: a report that shows a newer owner's token is redirected and changes nothing.
     if (worker.token > controller.term && this.wrong.newerTokenKeepsTerm === true) return false;
     if (!this.receive(state, c, m)) return true;
     const view = controller.views[m];
@@ -357,24 +357,24 @@
   }
 }
 
-/** All splits of two controllers and two machines in which the number of working links is one of `links`. */
+/** All network splits between two controllers and two machines in which the number of working links is one of `links`. */
 export function splits(links: readonly number[]): LinkMode[][] {
   let all: LinkMode[][] = [[]];
   for (let link = 0; link < 4; link++) all = all.flatMap((one) => (["none", "both"] as const).map((way) => [...one, way]));
   return all.filter((one) => links.includes(one.filter((way) => way === "both").length));
 }
 
-/** What an exploration covers. */
+/** Options of an exploration. */
 export interface Exploration {
-  /** The task may complete. */
+  /** Whether the task may complete. */
   ends?: boolean;
-  /** The first owner has just claimed and fences its machines. */
+  /** Whether the first owner has just claimed the partition and still has to fence its machines. */
   fencing?: boolean;
-  /** The splits: for each, the links of the first controller to both machines, then of the second. */
+  /** Network splits to explore. Each lists the links of the first controller to both machines, then those of the second. */
   ways?: readonly (readonly LinkMode[])[];
 }
 
-/** Explores all states under each split; `broken` is the first violation with the steps that led to it. */
+/** Explores all states under each network split; `broken` is the first violation with the steps that led to it, or null. */
 export function exploreOwners(wrong: FaultyVariant, { ends = false, fencing = false, ways = splits([2]) }: Exploration) {
   let states = 0;
   for (const split of ways) {
