--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -15,7 +15,7 @@
   assert.ok(asked.outcome !== undefined && !(asked.outcome instanceof Error), String(asked.outcome));
   return asked.outcome.version;
 };
-/** Seconds after which start commands that were in flight when a configuration version came into force have arrived. */
+/** Seconds within which start commands arrive that were in flight when a configuration version came into force. */
 const ARRIVED_S = 1;
 
 /** Asserts that no error was logged and no rule of the checker broken, except team limits, which the tests check themselves. */
@@ -25,7 +25,7 @@
   assert.deepEqual([broken, world.errors], [[], []]);
 }
 
-/** Runs until `untilS` and asserts that a team's usage never grows above the limit: tasks above it may only end. */
+/** Runs until `untilS` and asserts that a team's usage never rises above the limit; if it is above at first, it may only fall. */
 async function assertNeverExceeded(cluster: Cluster, team: string, limit: number, untilS: number): Promise<void> {
   let previous = Infinity;
   for (let at = cluster.world.clock.now() / 1000; at < untilS; at += 0.1) {
--- a/test/group-committer.test.ts
+++ b/test/group-committer.test.ts
@@ -12,7 +12,7 @@
 
 const quiet = { error: () => undefined, warn: () => undefined, info: () => undefined, debug: () => undefined, isLevelEnabled: () => false };
 
-/** Creates a group committer and a replica on a virtual state service. It may send 5 writes a second, in bursts of up to 16. */
+/** Creates a group committer and a replica on a virtual state service. The committer may send 5 writes a second, in bursts of up to 16. */
 async function createEnvironment() {
   const clock = new VirtualClock();
   const links = new NetworkRules();
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -27,7 +27,7 @@
     job("e", 0, { tasks: 2, gpus: 0 }),
   ];
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set())].sort(), ["a", "b"]);
-  // When an earlier job ends, the next one comes within the guarantee; a job that was within it remains so.
+  // When an earlier job ends, the next one comes within the team's guarantee; a job that was within it remains so.
   jobs[1]!.end = "done";
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -20,13 +20,13 @@
 import { playScenario } from "./world/scenario.js";
 
 /**
- * Compound faults: the state service refuses one owner, the other controllers confirm cancellations, and then the
- * service is down for all, in part of the runs for longer than the time limit of a cancellation, while workers keep
+ * Compound faults: the state service refuses one partition's owner, the other controllers confirm cancellations of its jobs, and
+ * then the service is down for all, in part of the runs for longer than the time limit of a cancellation, while workers keep
  * reporting to the former owner. This combination has exposed the most defects.
  */
 interface CompoundFault {
   seed: number;
-  /** Seconds for which the state service refuses the owner; the owner's presence key expires after 9 s without renewal. */
+  /** Seconds for which the state service refuses the owner's requests. The owner's presence key expires after 9 s without renewal. */
   refusedS: number;
   /** Seconds from the start of the refusal to the outage of the state service for all controllers, which lasts `outS`. */
   outAfterS: number;
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -37,7 +37,7 @@
     fc.property(level, measured, (before, seen) => {
       const up = nextLevel(0, seen, thresholds);
       const now = nextLevel(before, seen, thresholds);
-      // The new level is at least the level that the measurements require, and at most the higher of that and the previous level.
+      // The new overload level is at least the level that the measurements require, and at most the higher of that and the previous level.
       assert.ok(now >= up && now <= Math.max(before, up));
       // The same measurements again do not change the level.
       assert.equal(nextLevel(now, seen, thresholds), now);
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -7,7 +7,7 @@
 const TEAMS = 8;
 const teams = Array.from({ length: TEAMS }, (_, i) => ({ name: `team-${i}`, cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 }));
 
-/** Runs six controllers with one job of each team, all submitted at the same time; the teams' jobs are spread over the controllers. */
+/** Runs six controllers. One job of each team is submitted at the same time, to one controller after the other in turn. */
 async function runCluster(tasks: number, cpus: number): Promise<{ transfers: number; conflicts: number; used: number[] }> {
   const cluster = new Cluster({ seed: 3, controllers: 6, teams, types: [type], capacity: new Map([["m/a/ordinary", 60]]) });
   const { world } = cluster;
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -94,7 +94,7 @@
     ],
   });
   assertPassed(report);
-  // The cloud's empty list is not trusted: no machine is given up because of it.
+  // The cloud's empty list of machines is not trusted: no machine is given up because of it.
   const takeover = report.recoveries.find(({ reason }) => reason === "owner suspected");
   assert.ok(takeover !== undefined && takeover.fenced !== null && takeover.fenced < 12_000, JSON.stringify(report.recoveries));
 });
--- a/test/report-fast-path.test.ts
+++ b/test/report-fast-path.test.ts
@@ -77,7 +77,7 @@
   };
 }
 
-/** Writes the chunks one by one. Resolves with the bytes received, once `isComplete` returns true for them or the server closes the connection. */
+/** Sends the chunks one by one. Resolves with the bytes received, once `isComplete` accepts them or the server closes the connection. */
 function sendChunks(port: number, chunks: (string | Buffer)[], isComplete: (received: string) => boolean): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect({ port, host: "127.0.0.1", noDelay: true });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -60,7 +60,8 @@
     derive(parsePlatform("s.toml", valid.replace("cancel_s = 43.0", `cancel_s = ${cancel.toFixed(2)}`)), checkOperators("o.hcl", {}));
   for (const cancel of [18.1, 18.5, 19, 20, 21, 23, 24.1, 30, 60]) {
     const { timing, cautions } = of(cancel);
-    // Longest time until a task has ended: the clocks of both the owner and the worker run slow by the maximum drift.
+    // Longest time until a task has ended after its owner lost the state service: the clocks of both the owner and the worker run
+    // slow by the maximum drift.
     const gone = (timing.silentAfterMs + timing.leaseMs) / (1 - 0.0005);
     assert.ok(timing.silentAfterMs > 0 && gone < cancel * 1000, `${cancel}: gone after ${gone}`);
     assert.equal(cautions.length, cancel < 24 ? 1 : 0, `${cancel}`);
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -37,7 +37,7 @@
   return [
     `seed ${seed}`,
     `given controllers ${controllers}`,
-    // With records limited to 2 KB, lists of dependencies and slices are written before the jobs that they belong to.
+    // With records limited to 2 KB, lists of dependencies and slices (ranges of an array's tasks) are written before their jobs.
     ...(seed % 3 === 0 ? ["given state value-kb 2 changes 5 writes 40"] : []),
     "given team ops most-cpus 900",
     "given type m cpus 16 boot 1 count 40",
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -32,7 +32,7 @@
     for (const name of this.world.nodes.keys()) this.world.startController(name);
   }
 
-  /** Runs virtual time until `seconds` after the start. */
+  /** Runs virtual time until `seconds` after the start of the cluster. */
   async runUntil(seconds: number): Promise<void> {
     await this.world.clock.run(seconds * 1000);
   }
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -104,7 +104,7 @@
       },
       newFindings(),
     );
-  // If the machine held the task, a report that lists the task recreates its attempt.
+  // If the machine held the task, a report that lists the task recreates its attempt (run of the task).
   if (holds) {
     machine.seq = -1;
     const { lost: wasLost, fenced: wasFenced, lastReceivedAt: before } = machine;
@@ -167,7 +167,7 @@
         }
       }
       const report = { session: s.session, seq: now, token: s.token, task: s.task };
-      // The report that may arrive a second time later is either the one kept so far or this step's report.
+      // The report that may arrive a second time later is either the copy kept so far or this step's report.
       const copies = s.copy === null ? [report] : [s.copy, report];
       reach(s, path, `${prefix}nothing`);
       // The new owner receives an old report a second time; its answer is lost.
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -260,7 +260,7 @@
   };
 })();
 
-/** Key of a state. Stamps and incarnations are renumbered, so that states that differ only in these numbers are equal. */
+/** Key by which equal states are recognised. Revisions (`stamp`) and incarnations are renumbered, as their exact numbers do not matter. */
 function stateKey(state: State): string {
   const text = JSON.stringify(state);
   const stamps = [...new Set([...text.matchAll(/"(?:stamp|ledger)":(\d+)/g)].map((m) => Number(m[1])))].sort((a, b) => a - b);
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -66,8 +66,8 @@
 };
 
 /**
- * Creates a partition of `n` machines that are up and fenced. `evaluations` returns how often a machine was examined as a
- * candidate for a placement, which is counted by the reads of its `images`.
+ * Creates a partition of `n` machines that are up and fenced (obey only this owner). `evaluations` returns how often a machine
+ * was examined as a candidate for a placement, which is counted by the reads of its `images`.
  */
 export function partitionOf(n: number, capacity: Capacity): { partition: Partition; evaluations: () => number } {
   const partition = newPartition(0, 5, 0);
--- a/test/world/scenario.ts
+++ b/test/world/scenario.ts
@@ -220,7 +220,7 @@
         world.clock.after(Number(c) * 1000, world.links.add({ from, to: "*", what: "report", effect: { kind: "lose" } }));
       return;
     case "fault": {
-      // Syntax: fault KIND field=value ... Injects a fault with the kinds and fields of `fault` blocks in rehearsal plans.
+      // Syntax: fault KIND field=value ... Injects a fault; kinds and fields are those of `fault` blocks in rehearsal plans.
       const fields = step.words.slice(2).map((word) => {
         const [name, value] = word.split("=") as [string, string];
         return [name, value === "true" || value === "false" ? value === "true" : Number.isNaN(Number(value)) ? value : Number(value)];
@@ -284,7 +284,7 @@
       for (const host of hostsOf(world, a).slice(0, Number(b ?? 1))) world.cloud.remove(host);
       return;
     case "burst": {
-      // Syntax: burst REF of N SHAPE ... with R a second. Submits N such jobs, numbered from REF, R in each second.
+      // Syntax: burst REF of N SHAPE ... with R a second. Submits N jobs with a `submit` statement's options, R a second.
       const count = Number(c);
       const rest = step.words.slice(4, step.words.indexOf("with"));
       const everyMs = 1000 / Number(step.words[step.words.indexOf("with") + 1]);
@@ -366,22 +366,22 @@
     return check(what === "balanced" ? counts.every((n) => n === 1) : counts.reduce((x, y) => x + y, 0) === Number(what), counts.join());
   }
   if (what === "leads") {
-    // Syntax: NODE leads N. The node owns N partitions.
+    // Syntax: expect NODE leads N. The node owns N partitions.
     const n = world.nodes.get(subject)?.controller?.leader.partitions.size ?? 0;
     return check(n === Number(c), n);
   }
   if (what === "serves") {
-    // Syntax: NODE serves N. The node owns N partitions whose fencing is complete, so that it places tasks on their machines.
+    // Syntax: expect NODE serves N. The node owns N partitions whose fencing is complete, so that it places tasks on their machines.
     const n = [...(world.nodes.get(subject)?.controller?.leader.partitions.values() ?? [])].filter((p) => p.phase === "serving").length;
     return check(n === Number(c), n);
   }
   if (what === "placing") {
-    // Syntax: SUBJECT placing. As many partitions are owned as there are controllers, and the fencing of all of them is complete.
+    // Syntax: expect SUBJECT placing. As many partitions are owned as there are controllers, and the fencing of all of them is complete.
     const phases = [...world.nodes.values()].flatMap((n) => [...(n.controller?.leader.partitions.values() ?? [])].map((p) => p.phase));
     return check(phases.length === world.nodes.size && phases.every((p) => p === "serving"), phases.join());
   }
   if (what === "sliced") {
-    // Syntax: JOB sliced. A slice (a range of the job's tasks) has been migrated to another partition, as a slice record shows.
+    // Syntax: expect JOB sliced. A slice (a range of the job's tasks) has been migrated to another partition, as a slice record shows.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
     const slices = [...node!.controller!.replica.rows<SliceRecord>(keys.slices).values()].filter((e) => e.v.ref === subject);
     return check(slices.length > 0, slices.length);
@@ -397,18 +397,19 @@
     return check(c === "at-most" ? n <= Number(d) : n === Number(c), n);
   }
   if (subject === "claims") {
-    // Syntax: claims at-most N. All controllers together have claimed partitions at most N times.
+    // Syntax: expect claims at-most N. All controllers together have claimed partitions at most N times.
     const n = world.logMessages.filter((line) => line === "part taken").length;
     return check(n <= Number(c), n);
   }
   if (subject === "suspicions") {
-    // Syntax: suspicions at-most N. The node that was suspected most often has been suspected 1 to N times.
+    // Syntax: expect suspicions at-most N. The node that was suspected most often has been suspected 1 to N times.
     const [node] = [...world.nodes.values()].filter((n) => n.controller !== null);
     const highest = Math.max(0, ...[...node!.controller!.replica.rows<SuspicionRecord>(keys.suspicions).values()].map(({ v }) => v.n));
     return check(highest >= 1 && highest <= Number(c), highest);
   }
   if (subject === "met") {
-    // Syntax: met WHAT at-least N. The users' behaviour WHAT took effect, or for `keptReports` stored reports were delivered, N times.
+    // Syntax: expect met WHAT at-least N. At least N times, the simulated users' behaviour WHAT took effect or, if WHAT is
+    // `keptReports`, a stored report was delivered late.
     const counts: Record<string, number> = { ...world.simulatedUsers.effects, keptReports: world.storedReportsDelivered };
     const n = counts[what];
     if (n === undefined) throw new Error(`${step.line}: expected one of ${Object.keys(counts).join(", ")}`);
@@ -419,7 +420,7 @@
     return check(n <= Number(c), n);
   }
   if (subject === "burst") {
-    // Syntax: burst REF of N done. N jobs, numbered from REF, are done.
+    // Syntax: expect burst REF of N done. N jobs, numbered from REF, are done.
     const polls = Array.from({ length: Number(d) }, (_, i) => world.poll(numbered(what, i)));
     let states: string[] = [];
     await settle(
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -48,11 +48,11 @@
 
 /** Result of one run of the model. */
 export interface TakeoverRun {
-  /** Violated rules and logged errors. */
+  /** Rules that the run violated, and errors that were logged. */
   broken: string[];
   /**
-   * Number of reports from which an owner adopted an attempt beside another attempt of the same task. If it is 0, the run has
-   * not exercised this case.
+   * Number of reports from which an owner adopted an attempt (run of a task) beside another attempt of the same task. If it is
+   * 0, the run has not exercised this case.
    */
   surplus: number;
   /** Number of task starts on workers. */
@@ -173,7 +173,7 @@
     return this.reports.onReport(report);
   }
 
-  /** Expires leases, advances fencing and runs a scheduling cycle. */
+  /** Does the owner's periodic work: expires leases, advances fencing and runs a scheduling cycle. */
   advance(): void {
     this.watch.check();
     const { changedMachines } = runSchedulingCycle(this.partition, { ...schedulingContext, now: this.scope.clock.now() });
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -301,7 +301,7 @@
     }
     const view = controller.views[m];
     Object.assign(view, { holds: worker.task === RUNNING, session: true, lost: false });
-    // The lease of the received session may have begun just now, so it counts from now at the earliest.
+    // The machine's session, which the message shows, may have begun its lease just now, so the lease counts from now at the earliest.
     view.answeredAge = Math.min(view.answeredAge, 0);
     if (worker.token >= controller.term) view.fenced = true;
     if (worker.task === DONE) {
