--- a/test/growth.test.ts
+++ b/test/growth.test.ts
@@ -179,7 +179,7 @@
     [gang, long, short].map((taskSet) => taskSet.waiting.length),
     [3, 1, 0],
   );
-  // Until the gang has waited for `reserveAfterMs`, no capacity is reserved for it, and other jobs may start.
+  // Until the gang has waited long enough (see `reserveAfterMs`), no capacity is reserved for it, and other jobs may start.
   runSchedulingCycle(partition, { ...schedulingContext, reserveAfterMs: () => 5000 });
   assert.equal(long.waiting.length, 0);
 });
