--- a/src/commands.ts
+++ b/src/commands.ts
@@ -14,8 +14,8 @@
 
   program
     .command("serve")
-    .description("run one controller until it is ended")
-    .requiredOption("--config <file>", "settings the platform hands over (TOML)")
+    .description("run one controller until it is terminated")
+    .requiredOption("--config <file>", "the platform's settings file (TOML)")
     .action(async (options: { config: string }) => {
       const settings = loadSettings(dir, options.config);
       (await import("./serve.js")).serve(settings);
@@ -23,8 +23,8 @@
 
   program
     .command("check")
-    .description("check the settings and print what follows from them")
-    .requiredOption("--config <file>", "settings the platform hands over (TOML)")
+    .description("check the settings and print the values derived from them")
+    .requiredOption("--config <file>", "the platform's settings file (TOML)")
     .action((options: { config: string }) => {
       const settings = loadSettings(dir, options.config);
       process.stdout.write(
@@ -47,8 +47,8 @@
   nodeCommand("cancel", "cancel a job")
     .argument("<ref>")
     .action(async (ref: string, options: { node: string }) => print(await (await import("./cli/client.js")).cancelJob(options.node, ref)));
-  nodeCommand("status", "show parts, owners, queues, machines and allotments")
-    .option("--json", "for scripts")
+  nodeCommand("status", "show partitions, owners, queues, machines and quota shares")
+    .option("--json", "print JSON, for scripts")
     .action(async (options: { node: string; json?: boolean }) => {
       const client = await import("./cli/client.js");
       const view = await client.clusterStatus(options.node);
@@ -61,12 +61,12 @@
     config
       .command(name)
       .description(what)
-      .requiredOption("--config <file>", "settings of any controller (TOML): where the state service is");
+      .requiredOption("--config <file>", "settings of any controller (TOML), which give the address of the state service");
   const configurationCli = () => import("./cli/configuration.js");
   configCommand("get", "show the newest version and its teams").action(async (options: { config: string }) =>
     print(await (await configurationCli()).getConfiguration(loadSettings(dir, options.config))),
   );
-  configCommand("set", "change teams as a file (TOML) says: [[teams]] to add or to give other limits, remove = [names]")
+  configCommand("set", "apply changes from a file (TOML): [[teams]] adds teams or changes their limits, remove = [names] removes teams")
     .argument("<file>")
     .action(async (file: string, options: { config: string }) =>
       print(await (await configurationCli()).setConfiguration(loadSettings(dir, options.config), file)),
@@ -75,8 +75,8 @@
     for (const one of await (await configurationCli()).configurationHistory(loadSettings(dir, options.config))) print(one);
   });
   configCommand("wait", "wait until a version is in force everywhere")
-    .argument("<version>", "as `set` printed it", (text: string) => wholeNumber(text))
-    .option("--within <seconds>", "give up after", (text: string) => wholeNumber(text), 30)
+    .argument("<version>", "version as printed by `set`", (text: string) => wholeNumber(text))
+    .option("--within <seconds>", "time limit in seconds", (text: string) => wholeNumber(text), 30)
     .action(async (version: number, options: { config: string; within: number }) => {
       const printProgress = (text: string): void => void process.stderr.write(`${text}\n`);
       print(
@@ -97,19 +97,19 @@
     );
   store
     .command("serve")
-    .description("serve the state kept in a folder until ended")
-    .requiredOption("--listen <address>", "where controllers reach it, such as 127.0.0.1:2379; port 0: any free one")
-    .requiredOption("--data <dir>", "folder of the data; made if it is not there")
+    .description("serve the state in a data folder until terminated")
+    .requiredOption("--listen <address>", "address for controllers, such as 127.0.0.1:2379; port 0: any free port")
+    .requiredOption("--data <dir>", "data folder; created if it does not exist")
     .option("--config <file>", "limits (HCL), see deploy/store.hcl")
-    .option("--admin <address>", "where operators reach health, metrics, limits and snapshots")
+    .option("--admin <address>", "address for health, metrics, limits and snapshots")
     .action(async (options: { listen: string; data: string; config?: string; admin?: string }) =>
       (await import("@thorntrail/store/entry")).storeServe(options),
     );
   store
     .command("check")
-    .description("read all there is in a data folder and say what does not add up")
+    .description("check a data folder and print all inconsistencies")
     .argument("<dir>")
-    .option("--json", "for scripts")
+    .option("--json", "print JSON, for scripts")
     .action(async (dir: string, options: { json?: boolean }) => {
       const findings = await (await import("@thorntrail/store/entry")).storeCheck(dir);
       printResult(findings, options.json);
@@ -117,20 +117,20 @@
     });
   store
     .command("snapshot")
-    .description("write a data folder that nobody serves into one file")
+    .description("write a data folder that no process serves to one file")
     .argument("<dir>")
     .argument("<file>")
-    .option("--json", "for scripts")
+    .option("--json", "print JSON, for scripts")
     .action(async (dir: string, file: string, options: { json?: boolean }) =>
       printResult(await (await import("@thorntrail/store/entry")).storeSnapshot(dir, file), options.json),
     );
   store
     .command("restore")
-    .description("make a new data folder from a snapshot; revisions go on well past its own")
+    .description("create a data folder from a snapshot; revisions continue well after those of the snapshot")
     .argument("<file>")
     .argument("<dir>")
     .option("--skip <revisions>", "revisions to skip; more than were handed out since the snapshot", (text) => wholeNumber(text))
-    .option("--json", "for scripts")
+    .option("--json", "print JSON, for scripts")
     .action(async (file: string, dir: string, options: { skip?: number; json?: boolean }) =>
       printResult(await (await import("@thorntrail/store/entry")).storeRestore(file, dir, options.skip), options.json),
     );
@@ -145,9 +145,9 @@
 
   program
     .command("demo")
-    .description("a small cluster on this machine: an evening's work, a controller and a machine lost on the way")
-    .option("--plan <file>", "what is played (HCL)", "deploy/demo.hcl")
-    .option("--seed <n>", "luck of boots and run times", wholeNumber, 1)
+    .description("run a small cluster on this machine, with a controller restart and the loss of a machine")
+    .option("--plan <file>", "plan file (HCL)", "deploy/demo.hcl")
+    .option("--seed <n>", "seed of boot times and run times", wholeNumber, 1)
     .action(async (options: { plan: string; seed: number }) =>
       (await import("@thorntrail/emulator/entry")).demo({
         ...options,
@@ -171,28 +171,32 @@
 
   program
     .command("rehearse")
-    .description("play a plan of work and faults, check every rule, and say what broke")
+    .description("play a plan of work and faults, check every rule and report violations")
     .argument("<plan>", "plan file (HCL), such as deploy/rehearsal.hcl")
     .option("--virtual", "in virtual time instead of on real processes")
     .option(
       "--campaign <n>",
-      "virtual: faults met with moments by pairwise covering instead of the plan's own, at most n rehearsals",
+      "virtual: faults combined with injection points by pairwise covering instead of the plan's faults, at most n rehearsals",
       wholeNumber,
     )
-    .option("--drawn <n>", "virtual: n rehearsals of two or three drawn faults each, the first by the seed", wholeNumber)
-    .option("--soak <n>", "n seeds of faults at random moments, on real processes or virtual, the first by the seed", wholeNumber)
-    .option("--keep <folder>", "where a seed of a soak that goes wrong leaves its logs and history", "target/soak")
-    .option("--keep-all", "soak: every seed leaves them")
-    .option("--processes <n>", "that share a campaign, what is drawn, or a soak", wholeNumber, 1)
+    .option("--drawn <n>", "virtual: n rehearsals of two or three random faults each; the seed selects the first", wholeNumber)
+    .option(
+      "--soak <n>",
+      "n rehearsals with faults at random times, on real processes or in virtual time, with consecutive seeds; --seed sets the first",
+      wholeNumber,
+    )
+    .option("--keep <folder>", "soak: folder for the logs and history of seeds that fail", "target/soak")
+    .option("--keep-all", "soak: keep the logs and history of every seed")
+    .option("--processes <n>", "number of processes that share a campaign, randomised plans or a soak", wholeNumber, 1)
     .addOption(new Option("--turn <i/n>").hideHelp())
-    .option("--seed <n>", "instead of the plan's", wholeNumber)
+    .option("--seed <n>", "seed to use instead of the plan's", wholeNumber)
     .option("--report <file>", "write the whole report as JSON")
     .action(async (plan: string, options: Rehearse) => {
       const { seed, report, campaign, drawn, soak, keep, keepAll = false, processes, turn } = options;
       if (options.virtual !== true && (campaign ?? drawn) !== undefined)
         throw new InvalidArgumentError("--campaign and --drawn need --virtual");
       if ([campaign, drawn, soak].filter((one) => one !== undefined).length > 1)
-        throw new InvalidArgumentError("--campaign, --drawn or --soak, not two of them");
+        throw new InvalidArgumentError("only one of --campaign, --drawn and --soak is allowed");
       const { playVirtually, rehearseVirtual } = await import("./rehearsal/virtual.js");
       const program = ownCommand();
       if (options.virtual === true) return rehearseVirtual({ plan, seed, report, campaign, drawn, soak, processes, turn, program });
@@ -215,21 +219,21 @@
 
   program
     .command("emulator")
-    .description("a place to rehearse in by hand")
+    .description("a test environment for rehearsals by hand")
     .command("serve")
-    .description("store, controllers, cloud and workers of a plan on this machine, until ended")
+    .description("run the store, controllers, cloud and workers of a plan on this machine until terminated")
     .argument("<plan>", "plan file (HCL); its work and faults are left out")
-    .requiredOption("--admin <address>", "where faults, jobs and status are taken, such as 127.0.0.1:7070")
-    .option("--seed <n>", "instead of the plan's", wholeNumber)
+    .requiredOption("--admin <address>", "address for faults, jobs and status, such as 127.0.0.1:7070")
+    .option("--seed <n>", "seed to use instead of the plan's", wholeNumber)
     .action(async (plan: string, options: { admin: string; seed?: number }) =>
       (await import("@thorntrail/emulator/entry")).emulatorServe({ plan, program: ownCommand(), admin: options.admin, seed: options.seed }),
     );
   program
     .command("fault")
-    .description("have one fault happen in a running emulator, now")
-    .requiredOption("--emulator <address>", "its admin address")
-    .argument("<kind>", "such as restart, freeze, cut, lose; see docs/operations/rehearsals.md")
-    .argument("[fields...]", "such as target=leader for=10")
+    .description("inject one fault into a running emulator now")
+    .requiredOption("--emulator <address>", "admin address of the emulator")
+    .argument("<kind>", "kind of fault, such as restart, freeze, cut, lose; see docs/operations/rehearsals.md")
+    .argument("[fields...]", "fields of the fault, such as target=leader for=10")
     .action(async (kind: string, fields: string[], options: { emulator: string }) =>
       print(await (await import("@thorntrail/emulator/entry")).faultCommand({ emulator: options.emulator, kind, fields })),
     );
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -15,14 +15,14 @@
     const registers = [this.registry];
     this.waitSeconds = new Histogram({
       name: "thorntrail_wait_seconds",
-      help: "From submission to running, by class",
+      help: "Time from submission to running, by class",
       labelNames: ["class"],
       buckets: [1, 2, 5, 10, 20, 50, 100, 200, 500],
       registers,
     });
     new Counter({
       name: "thorntrail_answers_total",
-      help: "Answers by status",
+      help: "Responses to users by HTTP status",
       labelNames: ["status"],
       registers,
       collect() {
@@ -43,60 +43,68 @@
     };
     const sum = (read: (partition: Parameters<typeof estimateWaits>[0]) => number) => () =>
       [...leader.partitions.values()].reduce((n, partition) => n + read(partition), 0);
-    gauge("parts", "Parts led by this node", () => leader.partitions.size);
+    gauge("parts", "Partitions owned by this node", () => leader.partitions.size);
     gauge(
       "machines",
-      "Machines of this node's parts",
+      "Machines of this node's partitions",
       sum((partition) => partition.machines.size),
     );
     gauge(
       "queued_tasks",
-      "Tasks waiting in this node's parts",
+      "Tasks waiting in this node's partitions",
       sum((partition) => [...partition.taskSets.values()].reduce((n, taskSet) => n + taskSet.waiting.length, 0)),
     );
-    gauge("invariant_violations_total", "Invariants that did not hold, each logged at error", () => leader.scope.invariants.violations);
-    gauge("ownership_proof_age_ms", "Since the newest read that found this node's terms began", () =>
+    gauge("invariant_violations_total", "Invariant violations, each logged at level error", () => leader.scope.invariants.violations);
+    gauge("ownership_proof_age_ms", "Time since the start of the newest read that confirmed this node's terms", () =>
       Math.min(leader.proofAgeMs, Number.MAX_SAFE_INTEGER),
     );
     gauge(
       "unproven_leases",
-      "Machines whose lease is over by the clock, and may have been renewed by an heir",
+      "Machines whose lease has expired by the clock but may have been renewed by a new owner",
       () => leader.unprovenLeases,
     );
     gauge("stale_restarts_total", "Tasks ordered again without fresh proof of ownership", () => leader.audit.staleRestarts);
-    gauge("superseded_terms_total", "Terms that ended as a worker showed a newer owner's token", () => leader.stats.superseded);
-    gauge("starts_total", "Tasks seen to begin", () => leader.stats.starts);
+    gauge("superseded_terms_total", "Terms that ended because a worker reported a newer owner's token", () => leader.stats.superseded);
+    gauge("starts_total", "Attempts reported as running", () => leader.stats.starts);
     gauge("preemptions_total", "Tasks stopped for work of higher priority", () => leader.stats.preemptions);
-    gauge("takeovers_total", "Parts taken over", () => leader.stats.takeovers);
-    gauge("moves_home_total", "Jobs asked about that stayed home", () => exchange.stats.home);
-    gauge("moves_volunteer_total", "Jobs moved to volunteers", () => exchange.stats.volunteer);
-    gauge("moves_asked_total", "Jobs moved after asking every peer", () => exchange.stats.asked);
-    gauge("slices_moved_total", "Slices of arrays moved to parts with room", () => exchange.stats.slices);
-    gauge("queries_total", "Queries sent to other parts", () => exchange.stats.queries);
+    gauge("takeovers_total", "Partitions taken over", () => leader.stats.takeovers);
+    gauge("moves_home_total", "Jobs that stayed in their home partition after bid requests", () => exchange.stats.home);
+    gauge("moves_volunteer_total", "Jobs migrated to volunteers", () => exchange.stats.volunteer);
+    gauge("moves_asked_total", "Jobs migrated to partitions that had not volunteered", () => exchange.stats.asked);
+    gauge("slices_moved_total", "Slices of arrays migrated to partitions with free capacity", () => exchange.stats.slices);
+    gauge("queries_total", "Rounds of bid requests to other partitions", () => exchange.stats.queries);
     gauge("hired_total", "Machines rented", () => fleet.stats.rented);
     gauge("returned_total", "Machines returned", () => fleet.stats.returned);
     gauge("hire_refusals_total", "Rentals refused or partly filled", () => fleet.stats.refused);
     gauge("state_transactions_total", "Transactions sent", () => committer.stats.transactions);
     gauge("state_writes_total", "Writes sent", () => committer.stats.writes);
-    gauge("state_conflicts_total", "Transactions refused for a changed stamp", () => committer.stats.conflicts);
+    gauge("state_conflicts_total", "Transactions refused because a record's stamp had changed", () => committer.stats.conflicts);
     gauge("state_unanswered_total", "Transactions without an answer", () => committer.stats.unanswered);
-    gauge("relayed_total", "Requests a peer answered for this node", () => relay.stats.answered);
-    gauge("stalls_total", "Times this process stood still while its clocks ran on", () => stalls.count);
-    gauge("stalled_ms_total", "For how long, in all", () => stalls.ms);
+    gauge("relayed_total", "Requests that a peer answered for this node", () => relay.stats.answered);
+    gauge("stalls_total", "Stalls of this process", () => stalls.count);
+    gauge("stalled_ms_total", "Total length of the stalls", () => stalls.ms);
     const { overload } = controller;
-    gauge("overload_level", "0 easy to 4 drowning, see docs/operations/overload.md", () => overload.level);
-    gauge("overload_lag_ms", "Worst lateness of timers lately", () => overload.measured.lagMs);
-    gauge("overload_memory_ratio", "Memory held, of the quota", () => overload.measured.memory);
-    gauge("overload_shed_total", "What was put off for lack of processor, memory or writes", () => overload.stats.shed);
-    gauge("silent_peers", "Controllers whose presence ran out", () => presence.silentNodes().length);
-    gauge("suspicions_total", "Times this node wrote down that it suspects another", () => detector.stats.suspicions);
-    gauge("suspicions_refuted_total", "Suspicions that the suspect answered", () => detector.stats.refuted);
-    gauge("verdicts_total", "Suspicions that nobody answered in time", () => detector.stats.verdicts);
+    gauge("overload_level", "Overload level from 0 (easy) to 4 (drowning), see docs/operations/overload.md", () => overload.level);
+    gauge("overload_lag_ms", "Largest recent delay of a timer", () => overload.measured.lagMs);
+    gauge(
+      "overload_memory_ratio",
+      "Resident memory as a share of the quota, or heap as a share of its limit if that is greater",
+      () => overload.measured.memory,
+    );
+    gauge("overload_shed_total", "Work that was shed for lack of processor time, memory or writes", () => overload.stats.shed);
+    gauge("silent_peers", "Controllers whose presence has expired", () => presence.silentNodes().length);
+    gauge("suspicions_total", "Suspicions recorded by this node", () => detector.stats.suspicions);
+    gauge("suspicions_refuted_total", "Suspicions refuted by the suspected controller", () => detector.stats.refuted);
+    gauge("verdicts_total", "Suspicions not refuted in time", () => detector.stats.verdicts);
     gauge("cut_off_from_workers", "1 while this node cannot reach its workers", () => Number(fitness.unfit));
-    gauge("takeover_ms", "From taking the newest part to its first placement pass", () => leader.stats.fencedMs);
+    gauge(
+      "takeover_ms",
+      "Duration of the newest fence: from the takeover of a partition until all its machines were fenced",
+      () => leader.stats.fencedMs,
+    );
     new Gauge({
       name: "thorntrail_calls_total",
-      help: "Calls to the outside by operation and what became of them; a long pause: the target's budget of repetitions was spent",
+      help: "Calls to other processes by operation and outcome; long pauses: the target's retry budget was spent",
       labelNames: ["operation", "what"],
       registers,
       collect() {
@@ -106,7 +114,7 @@
     });
     new Gauge({
       name: "thorntrail_call_budget",
-      help: "Repetitions left before calls to a target wait for the longest pause",
+      help: "Retries left before calls to a target pause for the maximum time",
       labelNames: ["target"],
       registers,
       collect() {
@@ -115,15 +123,15 @@
     });
     this.recoveries = { spans: leader.recovery.spans, registers };
     for (const [name, help, read] of [
-      ["recovery_silent_ms", "Of the newest takeover: silence of the former leader before the claim", "silentMs"],
-      ["recovery_fenced_ms", "Of the newest takeover: from the claim until all machines were accounted for", "fencedMs"],
-      ["recovery_placed_ms", "Of the newest takeover: from the claim to the first start", "placedMs"],
-      ["recovery_back_ms", "Of the newest takeover: from the claim until nothing waited for it", "backMs"],
+      ["recovery_silent_ms", "Newest takeover: absence of the former owner before the claim", "silentMs"],
+      ["recovery_fenced_ms", "Newest takeover: from the claim until all machines were fenced", "fencedMs"],
+      ["recovery_placed_ms", "Newest takeover: from the claim to the first task start", "placedMs"],
+      ["recovery_back_ms", "Newest takeover: from the claim to the end of the recovery", "backMs"],
     ] as const)
       gauge(name, help, () => leader.recovery.spans.at(-1)?.[read] ?? 0);
     gauge(
       "price_per_hour",
-      "Of the machines of this node's parts",
+      "Price per hour of the machines of this node's partitions",
       sum((partition) => [...partition.machines.values()].reduce((n, machine) => n + leader.priceOf(machine), 0)),
     );
   }
@@ -150,7 +158,7 @@
   const { build } = await import("hdr-histogram-js");
   return new Gauge({
     name: "thorntrail_recovery_spread_ms",
-    help: "Of remembered takeovers: from the claim until fenced, first placed, and back, by percentile",
+    help: "Remembered takeovers: from the claim until fenced, first task start and end of the recovery, by percentile",
     labelNames: ["step", "percentile"],
     registers,
     collect() {
