--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -53,11 +53,11 @@
   };
 }
 
-/** Changes the limits of teams of an idle cell, one team per change; kills controller nest-1 before change number `crashAt`. */
+/** Changes the limits of teams of an idle cluster, one team per change; kills controller nest-1 before change number `crashAt`. */
 async function measureOnProcesses(controllers: number, changes: number, crashAt: number | null): Promise<ChangeStatistics> {
   const teams = equalTeams(TEAMS, teamLimits(96));
   const state = { rps: 5000, writeRps: 2000, valueKb: 32, txnOps: 64 };
-  const cell = new TestCluster({
+  const cluster = new TestCluster({
     ...{
       controllers,
       teams,
@@ -69,9 +69,9 @@
     ...{ jobs: [], workerProcesses: 1, cloudRps: 10, sockets: 2000, memMb: 178, pollsPerS: 0, seed: 1 },
   });
   try {
-    await cell.start();
+    await cluster.start();
     await sleep(10_000);
-    const api = new HttpStateClient(cell.stateAddress, STATE_TIMEOUT_MS);
+    const api = new HttpStateClient(cluster.stateAddress, STATE_TIMEOUT_MS);
     const store = new ConfigurationStore(api, teams, state);
     const latencies = new LatencyHistogram();
     let timedOut = 0;
@@ -88,11 +88,11 @@
       }
       timedOut++;
     };
-    const before = await cell.snapshot();
+    const before = await cluster.snapshot();
     const pending: Promise<void>[] = [];
     for (let i = 0; i < changes; i++) {
       const nextChangeAt = monotonicMs() + CHANGE_INTERVAL_MS;
-      if (i === crashAt) await cell.killController("nest-1");
+      if (i === crashAt) await cluster.killController("nest-1");
       const team = teams[i % TEAMS]!;
       const writtenAt = monotonicMs();
       const { version } = await store.set({ set: [{ ...team, cpus_max: 60 + i }], remove: [] });
@@ -100,10 +100,10 @@
       await sleep(Math.max(0, nextChangeAt - monotonicMs()));
     }
     await Promise.all(pending);
-    const after = await cell.snapshot();
+    const after = await cluster.snapshot();
     return { latencies, timedOut, writesPerChange: (after.state.changes - before.state.changes) / changes };
   } finally {
-    cell.close();
+    cluster.close();
   }
 }
 
--- a/measure/slopes/clusters.ts
+++ b/measure/slopes/clusters.ts
@@ -3,7 +3,7 @@
 import {
   type Observation,
   type SizedObservations,
-  cellPlan,
+  clusterPlan,
   observe,
   runningTasks,
   serviceJob,
@@ -26,7 +26,7 @@
     const teams = equalTeams(size, { cpus: 8, cpus_max: 96, gpus: 0, gpus_max: 0 });
     const jobs = teams.map(({ name }, i) => serviceJob(i + 1, 1, { team: name }));
     const observation = await observe(
-      cellPlan({ controllers, teams, jobs, pollUntilDone: false }),
+      clusterPlan({ controllers, teams, jobs, pollUntilDone: false }),
       seconds,
       (snapshot) => runningTasks(snapshot) >= size,
     );
@@ -52,7 +52,8 @@
 /** Cost of a controller in an idle cluster. */
 export async function controllerSlopes(counts: number[], seconds: number): Promise<Slope[]> {
   const observations: SizedObservations = [];
-  for (const size of counts) observations.push({ size, observation: await observe(cellPlan({ controllers: size }), seconds, () => true) });
+  for (const size of counts)
+    observations.push({ size, observation: await observe(clusterPlan({ controllers: size }), seconds, () => true) });
   const perController = (read: (observation: Observation) => number): Point[] =>
     observations.map(({ size, observation }) => ({ x: size, y: read(observation) / size }));
   return [
@@ -89,13 +90,13 @@
     const teams = equalTeams(20, { cpus: 4, cpus_max: 64, gpus: 0, gpus_max: 0 });
     const jobs = teams.map(({ name }, i) => buildJob(i + 1, { team: name, tasks: 64 }, { submitAtMs: 0, runMs: 600_000 }));
     const observation = await observe(
-      cellPlan({ controllers: size, teams, jobs }),
+      clusterPlan({ controllers: size, teams, jobs }),
       seconds,
       (snapshot) => runningTasks(snapshot) >= 400,
       1,
     );
     observations.push({ size, observation });
-    transfers.push({ x: size, y: observation.cell.logLineCounts.get(QUOTA_TRANSFER_MESSAGE) ?? 0 });
+    transfers.push({ x: size, y: observation.cluster.logLineCounts.get(QUOTA_TRANSFER_MESSAGE) ?? 0 });
     conflicts.push({ x: size, y: observation.after.state.conflicts });
   }
   return [
--- a/measure/slopes/observe.ts
+++ b/measure/slopes/observe.ts
@@ -5,7 +5,7 @@
 import { capacityByOffering, equalTeams, buildJob, CPU_MACHINE } from "../scale/workload.js";
 import type { Point } from "./line.js";
 
-/** Runs a cell of real processes at one size and observes it over a time window; the source of all slopes of processes. */
+/** Runs a cluster of real processes at one size and observes it over a time window; the source of all slopes of processes. */
 
 const ZONES = ["zone-1"];
 export const CORES_PER_MACHINE = CPU_MACHINE.cpus;
@@ -14,7 +14,7 @@
 export const POLL_INTERVAL_MS = 500;
 const READY_TIMEOUT_MS = 60_000;
 
-/** Measurements of a cell between two snapshots. */
+/** Measurements of a cluster between two snapshots. */
 export interface Observation {
   seconds: number;
   controller: RoleUsage;
@@ -24,14 +24,14 @@
   after: Snapshot;
   /** Calls to the state service by all controllers. */
   stateCalls: number;
-  cell: TestCluster;
+  cluster: TestCluster;
 }
 
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const sum = (list: readonly number[]): number => list.reduce((a, b) => a + b, 0);
 
-/** Returns the plan of a cell with one controller, up to 200 machines and no jobs, changed by `overrides`. */
-export function cellPlan(overrides: Partial<ClusterPlan> & { machines?: number }): ClusterPlan {
+/** Returns the plan of a cluster with one controller, up to 200 machines and no jobs, changed by `overrides`. */
+export function clusterPlan(overrides: Partial<ClusterPlan> & { machines?: number }): ClusterPlan {
   const { jobs = [], machines = 200, ...rest } = overrides;
   return {
     controllers: 1,
@@ -52,8 +52,8 @@
 }
 
 /**
- * Starts a cell, waits until `ready` holds and then for the warm-up time, and observes it for
- * `seconds`. Throws if the cell is not ready in time or if a process of it exits.
+ * Starts a cluster, waits until `ready` holds and then for the warm-up time, and observes it for
+ * `seconds`. Throws if the cluster is not ready in time or if a process of it exits.
  */
 export async function observe(
   plan: ClusterPlan,
@@ -61,40 +61,40 @@
   ready: (snapshot: Snapshot) => boolean,
   warmUpS = 6,
 ): Promise<Observation> {
-  const cell = new TestCluster(plan);
+  const cluster = new TestCluster(plan);
   try {
-    await cell.start();
+    await cluster.start();
     const deadline = Date.now() + READY_TIMEOUT_MS;
-    while (!ready(await cell.snapshot())) {
+    while (!ready(await cluster.snapshot())) {
       if (Date.now() > deadline)
         throw new Error(
-          `the cell did not become ready in time; its log messages: ${JSON.stringify([...cell.logLineCounts]).slice(0, 400)}`,
+          `the cluster did not become ready in time; its log messages: ${JSON.stringify([...cluster.logLineCounts]).slice(0, 400)}`,
         );
       await sleep(POLL_INTERVAL_MS);
     }
     await sleep(warmUpS * 1000);
-    const callsBefore = await countStateCalls(cell);
-    const before = await cell.snapshot();
+    const callsBefore = await countStateCalls(cluster);
+    const before = await cluster.snapshot();
     await sleep(seconds * 1000);
-    const after = await cell.snapshot();
-    const calls = (await countStateCalls(cell)) - callsBefore;
-    if (cell.unexpectedExits.length > 0) throw new Error(`processes exited unexpectedly: ${cell.unexpectedExits.join(", ")}`);
-    const usage = cell.usage(before, after);
+    const after = await cluster.snapshot();
+    const calls = (await countStateCalls(cluster)) - callsBefore;
+    if (cluster.unexpectedExits.length > 0) throw new Error(`processes exited unexpectedly: ${cluster.unexpectedExits.join(", ")}`);
+    const usage = cluster.usage(before, after);
     const role = (name: "controller" | "workers" | "store"): RoleUsage => usage.get(name)!;
     return {
       seconds: (after.at - before.at) / 1000,
       ...{ controller: role("controller"), workers: role("workers"), store: role("store") },
-      ...{ before, after, stateCalls: calls, cell },
+      ...{ before, after, stateCalls: calls, cluster },
     };
   } finally {
-    cell.close();
+    cluster.close();
   }
 }
 
 /** Returns the calls to the state service that all controllers have made so far. */
-async function countStateCalls(cell: TestCluster): Promise<number> {
+async function countStateCalls(cluster: TestCluster): Promise<number> {
   const operations = ["state.read", "state.txn", "state.lease"];
-  return sum(await Promise.all(operations.map((one) => cell.controllerMetricSum(`calls_total{operation="${one}",what="asked"}`))));
+  return sum(await Promise.all(operations.map((one) => cluster.controllerMetricSum(`calls_total{operation="${one}",what="asked"}`))));
 }
 
 /** Number of tasks that run on all workers. */
@@ -102,7 +102,7 @@
 /** Number of tasks started during an observation. */
 export const taskStarts = (observation: Observation): number =>
   sum(observation.after.workers.map((one) => one.starts)) - sum(observation.before.workers.map((one) => one.starts));
-/** Returns a service, submitted at once, whose tasks run until the cell is closed. */
+/** Returns a service, submitted at once, whose tasks run until the cluster is closed. */
 export const serviceJob = (i: number, tasks: number, overrides: Partial<JobSpec>): PlannedJob =>
   buildJob(i, { kind: "service", tasks, ...overrides }, { submitAtMs: 0, runMs: 0 });
 
--- a/measure/slopes/processes.ts
+++ b/measure/slopes/processes.ts
@@ -4,7 +4,7 @@
 import type { Point } from "./line.js";
 import {
   type Observation,
-  cellPlan,
+  clusterPlan,
   observe,
   observeSizes,
   sleep,
@@ -25,7 +25,11 @@
 /** Cost of a machine in a steady state, with one task that fills it. */
 export async function machineSlopes(sizes: number[], seconds: number): Promise<Slope[]> {
   const observations = await observeSizes(sizes, (size) =>
-    observe(cellPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }), seconds, (snapshot) => runningTasks(snapshot) >= size),
+    observe(
+      clusterPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }),
+      seconds,
+      (snapshot) => runningTasks(snapshot) >= size,
+    ),
   );
   return [
     fitSlope("controller_machine", "ms of processor/s", "machine", toPoints(observations, controllerCoreMs)),
@@ -60,7 +64,7 @@
       const cpus = (CORES_PER_MACHINE * machines) / size;
       const ram = (CPU_MACHINE.ram * machines) / size;
       return observe(
-        cellPlan({ machines, jobs: [serviceJob(1, size, { cpus, ram })] }),
+        clusterPlan({ machines, jobs: [serviceJob(1, size, { cpus, ram })] }),
         seconds,
         (snapshot) => runningTasks(snapshot) >= size,
       );
@@ -100,7 +104,7 @@
   const observations = await observeSizes(runMs, (run) => {
     const tasks = Math.min(100_000 * STAGGERED_ARRAYS, taskCapacity * Math.ceil(((seconds + 90) * 1000) / run));
     return observe(
-      cellPlan({ machines, jobs: staggeredArrays(STAGGERED_ARRAYS, tasks, run) }),
+      clusterPlan({ machines, jobs: staggeredArrays(STAGGERED_ARRAYS, tasks, run) }),
       seconds,
       (snapshot) => runningTasks(snapshot) >= taskCapacity * 0.6,
     );
@@ -133,7 +137,7 @@
   const observations = await observeSizes(counts, (count) => {
     const tasks = taskCapacity * Math.ceil(((seconds + 90) * 1000) / runMs);
     return observe(
-      cellPlan({ machines, jobs: staggeredArrays(count, tasks, runMs) }),
+      clusterPlan({ machines, jobs: staggeredArrays(count, tasks, runMs) }),
       seconds,
       (snapshot) => runningTasks(snapshot) >= taskCapacity * 0.6,
     );
@@ -148,7 +152,7 @@
       buildJob(i + 1, { urgency: "urgent" }, { submitAtMs: (i * 1000) / rate, runMs: 1000 }),
     );
     const longRunning = serviceJob(900_000, 160, {});
-    return observe(cellPlan({ machines: 40, jobs: [longRunning, ...jobs] }), seconds, (snapshot) => runningTasks(snapshot) >= 160);
+    return observe(clusterPlan({ machines: 40, jobs: [longRunning, ...jobs] }), seconds, (snapshot) => runningTasks(snapshot) >= 160);
   });
   const acceptedPerS = (observation: Observation): number => {
     const count = (snapshot: Snapshot): number => snapshot.clients.submissions.filter(({ acceptedAt }) => acceptedAt !== null).length;
@@ -176,17 +180,17 @@
 export async function rentalSlopes(sizes: number[]): Promise<Slope[]> {
   const points = await Promise.all(
     sizes.map(async (size): Promise<Point> => {
-      const cell = new TestCluster(cellPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }));
+      const cluster = new TestCluster(clusterPlan({ jobs: [serviceJob(1, size, { cpus: CORES_PER_MACHINE })] }));
       try {
-        await cell.start();
-        const before = await cell.snapshot();
+        await cluster.start();
+        const before = await cluster.snapshot();
         for (;;) {
-          const after = await cell.snapshot();
+          const after = await cluster.snapshot();
           if (runningTasks(after) >= size) return { x: size, y: after.state.changes - before.state.changes };
           await sleep(POLL_INTERVAL_MS);
         }
       } finally {
-        cell.close();
+        cluster.close();
       }
     }),
   );
@@ -197,7 +201,7 @@
 export async function pollSlopes(rates: number[], seconds: number): Promise<Slope[]> {
   const observations = await observeSizes(rates, (rate) =>
     observe(
-      cellPlan({ jobs: [serviceJob(1, 40, { cpus: CORES_PER_MACHINE })], pollsPerS: rate }),
+      clusterPlan({ jobs: [serviceJob(1, 40, { cpus: CORES_PER_MACHINE })], pollsPerS: rate }),
       seconds,
       (snapshot) => runningTasks(snapshot) >= 40,
     ),
