--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -218,7 +218,7 @@
     const rehearsal = planForCase(plan, one);
     showProgress(`${i + 1} of ${chosen.length}: ${rehearsal.name}`);
     const report = await play(rehearsal);
-    const met = report.moments.some(({ moment, met: targets }) => moment === one.moment && targets.length > 0);
+    const met = report.moments.some(({ moment: point, met: targets }) => point === one.moment && targets.length > 0);
     covered.push({
       fault: one.fault,
       moment: one.moment,
@@ -255,28 +255,28 @@
     showProgress(`${i + 1} of ${seeds.length}: drawn ${seed}`);
     const plan = planOfSeed(base, seed);
     const report = await play(plan, seed);
-    const { broken, trouble, jobs } = report;
+    const { broken, trouble: errors, jobs } = report;
     result.played.push({
       seed,
       met: report.faults.filter(({ met }) => met.length > 0).length,
       splitWhileRefused: hadSplitWhileRefused(report.faults, DEFAULT_TIMING.leaseMs / 1000),
     });
-    if (broken.length + trouble.length + jobs.unfinished.length === 0) continue;
+    if (broken.length + errors.length + jobs.unfinished.length === 0) continue;
     const fails = async (one: RehearsalPlan): Promise<boolean> => {
       const again = await play(one, seed);
       return broken.length > 0 ? again.broken.length > 0 : again.jobs.unfinished.length + again.trouble.length > 0;
     };
     const { plan: shortest } = await minimisePlan(plan, fails, MAX_MINIMISE_RUNS / 3);
     const minimised = { work: shortest.work.map(({ name }) => name), fault: shortest.fault };
-    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble, shortest: minimised });
+    result.bad.push({ seed, broken, unfinished: jobs.unfinished, trouble: errors, shortest: minimised });
   }
   return result;
 }
 
 function printRandomisedSummary(plan: RehearsalPlan, seed: number, { played, bad }: RandomisedResult, report: string | undefined): void {
   if (report !== undefined) writeFileSync(report, `${JSON.stringify({ plan: plan.name, seed, played, bad }, null, 2)}\n`);
-  for (const { seed: one, broken, unfinished, trouble, shortest } of bad) {
-    const what = [...broken, ...trouble].join("; ") || `unfinished: ${unfinished.join(", ")}`;
+  for (const { seed: one, broken, unfinished, trouble: errors, shortest } of bad) {
+    const what = [...broken, ...errors].join("; ") || `unfinished: ${unfinished.join(", ")}`;
     process.stdout.write(`drawn ${one}: ${what}\n  ${JSON.stringify(shortest)}\n`);
   }
   const splits = played.filter(({ splitWhileRefused }) => splitWhileRefused).length;
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -72,11 +72,11 @@
   .object({ at: nonNegative.optional(), moment: z.enum(INJECTION_POINTS).optional(), from: z.union([nonNegative, z.string()]).optional() })
   .loose();
 const faultSchemaWithTime = timing.transform((raw, context) => {
-  const { at, moment, from, ...rest } = raw;
+  const { at, moment: point, from, ...rest } = raw;
   // The fault kind `cut` has a member `from` of its own, which is a string.
   const after = typeof from === "number" ? from : 0;
   if (typeof from === "string") Object.assign(rest, { from });
-  if ((at === undefined) === (moment === undefined)) {
+  if ((at === undefined) === (point === undefined)) {
     context.addIssue({ code: "custom", message: "expected either at (seconds) or moment" });
     return z.NEVER;
   }
@@ -86,7 +86,7 @@
       context.addIssue({ code: "custom", message: issue.message, path: issue.path as (string | number)[] });
     return z.NEVER;
   }
-  return { ...(at === undefined ? { moment: moment!, after } : { at }), fault: parsed.data };
+  return { ...(at === undefined ? { moment: point!, after } : { at }), fault: parsed.data };
 });
 
 /** Schema of a plan file. Times are in seconds. */
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -75,7 +75,7 @@
   process.stdout.write(
     `soak: ${complete.length} of ${seedCount} seeds to their end, ${runs.length - complete.length} partial, ${seedCount - runs.length} not begun; ` +
       `${sum(({ faults }) => faults.length)} faults met, ${sum(({ takeovers }) => takeovers)} takeovers, ` +
-      `${sum(({ started }) => started)} tasks started, ${runs.filter(({ splitWhileRefused }) => splitWhileRefused).length} seeds met a split while refused, ${sum(({ trouble }) => trouble.length)} errors, ` +
+      `${sum(({ started }) => started)} tasks started, ${runs.filter(({ splitWhileRefused }) => splitWhileRefused).length} seeds met a split while refused, ${sum(({ trouble: errors }) => errors.length)} errors, ` +
       `rules broken in ${failedSeeds.length} seeds${failedSeeds.length === 0 ? "" : ` (${failedSeeds.join(", ")})`}\n`,
   );
 }
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -124,7 +124,7 @@
   started,
   jobs,
   broken,
-  trouble,
+  trouble: errors,
   lateReports,
   reports,
   partial,
@@ -137,7 +137,7 @@
     `${started} tasks started`,
     `${jobs.over} of ${jobs.submitted} jobs over`,
     `${latePercent.toFixed(1)}% of reports late`,
-    `${trouble.length} errors`,
+    `${errors.length} errors`,
     `${broken.length} rules broken`,
   ];
   return `seed ${seed}: ${seconds.toFixed(0)} s${partial ? ", PARTIAL" : ""}, ${facts.join(", ")}`;
