--- a/src/controller.ts
+++ b/src/controller.ts
@@ -30,7 +30,7 @@
 import type { Settings } from "./settings/derived.js";
 import { CommandDispatcher } from "./workers/command-dispatcher.js";
 
-/** Share of a presence's lifetime; a controller whose timers are later than this suspects itself rather than its peers. */
+/** A controller whose timers are late by more than this share of the presence timeout suspects itself rather than its peers. */
 const LATE_TIMER_SHARE = 1 / 8;
 
 /** Dependencies of a controller. */
@@ -39,7 +39,7 @@
   cloud: CloudApi;
   workers: WorkerApi;
   peers: PeerApi;
-  /** Policies for all calls to other processes. */
+  /** Applies the time limits and retry rules of all calls to other processes. */
   calls: Calls;
   /** Memory usage of this process; left out in virtual time, where it is not modelled. */
   memory?: () => MemoryUsage;
@@ -85,8 +85,8 @@
     const { calls } = deps;
     this.calls = calls;
     const service = stateWithPolicies(deps.state, calls, clock);
-    // A blocking read proves contact only at the time it began, so two in a row must take much
-    // less than the age at which this node counts as cut off.
+    // A blocking read of the state service proves contact only as of the time it began, so two in a
+    // row must take much less than the replica age at which this node counts as cut off.
     const pace = { readGapMs: 3000 / (state.rps * share), blockMs: Math.min(timing.contactMs, timing.silentAfterMs / 2) / 4 };
     this.replica = new StateReplica(service, clock, requests, pace, calls.of("state.read"), scope.costs);
     this.configuration = new Configuration(settings, this.replica, scope);
@@ -255,8 +255,9 @@
   }
 
   /**
-   * Configuration version and highest term under which this controller acts, for its presence record. A partition that is
-   * still being fenced does not count, because its former owner may still act in it.
+   * Returns what this controller's presence record publishes: the configuration version that it applies, and the newest
+   * ownership term up to which all its partitions are fenced, since the former owner of a partition may act until it is
+   * fenced. Null if the configuration was never changed.
    */
   private presenceActs(): PresenceRecord["acts"] | null {
     const { version } = this.configuration;
@@ -266,7 +267,7 @@
     return { version, term: fencing.length > 0 ? Math.min(...fencing) : Math.max(0, ...partitions.map(({ term }) => term)) };
   }
 
-  /** Notifies all components of a stall of this process. */
+  /** Counts a stall (time in which this process was not scheduled) and notifies the components that have to react. */
   private onStall(ms: number): void {
     this.stalls.count++;
     this.stalls.ms += Math.round(ms);
@@ -280,7 +281,7 @@
     );
   }
 
-  /** Whether the replica cache proves recent contact with the state service. */
+  /** Whether the replica's age proves recent contact with the state service. */
   private stateReachable(): boolean {
     return this.replica.loaded && this.replica.ageMs() < this.settings.timing.contactMs;
   }
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -22,9 +22,9 @@
 import { ReportFastPath } from "./workers/report-fast-path.js";
 import { HttpWorkerClient } from "./workers/worker-client.js";
 
-/** Time in lease expiries after which a silent connection is closed; the lease of a worker that reports on it has expired by then. */
+/** A silent connection is closed after this many times `expiryMs`; the lease of a worker that reports on it has expired by then. */
 const IDLE_EXPIRIES = 2;
-/** Interval in leases between two log lines on processor time by activity. */
+/** Processor time by activity is logged once per this many lease durations. */
 const COSTS_LEASES = 3;
 
 /** Returns a function that calls `make` on first use and returns the same result from then on. */
@@ -78,7 +78,7 @@
     onReport: (report) => controller.leader.onReport(report),
     countResponse: (status) => metrics.countAnswer(status),
     onInvalidReport: (why, begins) => {
-      // Each worker of an unsupported version reports every few seconds, so this is logged once per report interval.
+      // Each worker of an unsupported version sends an invalid report every few seconds, so they are logged at most once per report interval.
       const now = scope.clock.now();
       refusals++;
       if (now - refusalLoggedAt < timing.reportMs) return;
@@ -99,9 +99,9 @@
           );
       });
   });
-  // Peers, workers and clients close connections; the server keeps them open, within the quota.
+  // Workers and clients close their connections; the server itself keeps idle ones open, within the quota of sockets.
   httpServer.keepAliveTimeout = 0;
-  // This server does not listen itself; the event starts its timeout checks for incomplete requests.
+  // The HTTP server gets its connections from the TCP server below and never listens; the event starts its timeout checks for incomplete requests.
   httpServer.emit("listening");
   const server = createServer({ noDelay: true, allowHalfOpen: true });
   const inbound = new InboundConnections(server, deployment.quota.sockets);
@@ -149,6 +149,6 @@
   peers.start();
   controller.start();
   log.info({ parts: settings.nodes.length, timing }, "started");
-  // Loads the application while the first reads are in progress, before any user's request arrives.
+  // Loads Express while the first reads of the state service are in progress, before any user's request arrives.
   setImmediate(() => void app());
 }
