--- a/src/platform/bits.ts
+++ b/src/platform/bits.ts
@@ -18,9 +18,9 @@
   }
 
   /**
-   * Whether a stored bitmap contains the number, without decoding the rest of it: the
-   * owner of a partition checks this for each task that a worker has finished, and an
-   * array may have tens of thousands.
+   * Whether a stored bitmap contains the number, without decoding the rest of the bitmap:
+   * the owner of a partition checks this for each task that a worker has finished, and an
+   * array may have tens of thousands of tasks.
    */
   static storedHas(text: string, i: number): boolean {
     const byte = i >> 3;
@@ -55,7 +55,7 @@
     const n = Math.min(bytes.length, from.length);
     for (let b = 0; b < n; b++) {
       let added = from[b]! & ~bytes[b]!;
-      // Bits beyond the last number are ignored.
+      // Bits of the last byte beyond the highest number of the set are ignored.
       if (b === bytes.length - 1 && size % 8 !== 0) added &= (1 << (size % 8)) - 1;
       bytes[b]! |= added;
       this.setCount += BIT_COUNTS[added]!;
--- a/src/platform/clock.ts
+++ b/src/platform/clock.ts
@@ -9,7 +9,7 @@
   wall(): number;
   /** Runs `fn` after `ms`; the returned function cancels it. */
   after(ms: number, fn: () => void): () => void;
-  /** Emits the length in ms of each stall of the process, as soon as it is detected. */
+  /** Emits the length in ms of each stall (time in which the process was not scheduled), as soon as it is detected. */
   readonly stall$: Observable<number>;
 }
 
--- a/src/platform/cpu-accounting.ts
+++ b/src/platform/cpu-accounting.ts
@@ -1,6 +1,6 @@
 import { performance } from "node:perf_hooks";
 
-/** Activities whose processor time is accounted. The rest of the process's time is HTTP, timers, garbage collection and other code. */
+/** Activities whose processor time is accounted. Time outside of them goes to HTTP, timers, garbage collection and other code. */
 export const ACTIVITIES = [
   "report",
   "order",
@@ -21,9 +21,9 @@
 /** Processor time spent on one activity since the start. */
 export interface ActivityCost {
   activity: Activity;
-  /** Number of runs. */
+  /** Number of times that the activity was run. */
   runs: number;
-  /** Time in these runs in ms, without the time of other activities that they call. */
+  /** Total time of the activity in ms, without the time of other activities that it calls. */
   ms: number;
 }
 
@@ -44,8 +44,8 @@
     const index = ACTIVITIES.indexOf(activity);
     const { stack } = this;
     const outer = stack.at(-1);
-    // The same activity within itself, such as the cycle of each partition within a cycle over all of them, counts as
-    // one run.
+    // An activity called from within itself, such as the scheduling cycle of one partition within a cycle over all
+    // partitions, is charged with the outer run.
     if (outer === index) return act();
     const startedAt = this.now();
     if (outer !== undefined) this.ms[outer]! += startedAt - this.chargedUntil;
--- a/src/platform/http-response-parser.ts
+++ b/src/platform/http-response-parser.ts
@@ -108,7 +108,7 @@
         length = Number(value);
       }
     }
-    // An interim response; the final one follows.
+    // An interim response (status 1xx); the final one follows.
     if (this.status >= 100 && this.status < 200) return end + 4;
     if (chunked) this.step = "size";
     else if (this.status === 204 || this.status === 304 || length === 0) this.done = true;
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -17,13 +17,13 @@
 interface PendingRequest {
   text: string;
   deadline: number;
-  /** Whether bytes of it may have reached the server. */
+  /** Whether bytes of the request may have reached the server. */
   written: boolean;
   connection: Connection | null;
   settle: (outcome: Reply | CallError) => void;
 }
 
-/** A connection, which carries one request at a time. */
+/** A client connection to one host; carries one request at a time. */
 interface Connection {
   socket: Socket;
   host: Host;
@@ -56,8 +56,8 @@
   ) {}
 
   /**
-   * Sends a request. Rejects with CallError: "refused" if no byte of it left this process, so that it cannot have taken
-   * effect; "unanswered" if it may have.
+   * Sends a request. Rejects with CallError: "refused" if no byte of the request left this process, so that it cannot have
+   * taken effect; "unanswered" if it may have taken effect.
    */
   call(addr: string, method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
     return new Promise((resolve, reject) => {
@@ -111,7 +111,7 @@
   private takeIdle(host: Host): Connection | null {
     for (let connection = host.idle.pop(); connection !== undefined; connection = host.idle.pop()) {
       this.idleCount--;
-      // The connection was destroyed, but its close event has not been handled yet.
+      // Skips a connection that was destroyed but whose close event has not been handled yet.
       if (connection.socket.destroyed) continue;
       connection.socket.ref();
       return connection;
--- a/src/platform/inbound-connections.ts
+++ b/src/platform/inbound-connections.ts
@@ -1,10 +1,10 @@
 import type { Server } from "node:net";
 
-/** Maximum share of the sockets that inbound connections may use. */
+/** Maximum share of the process's socket quota that inbound connections may use. */
 const MAX_INBOUND_SHARE = 0.85;
-/** Share of the sockets above which inbound connections are closed after each answer. */
+/** Share of the socket quota used by inbound connections above which each of them is closed after its next answer. */
 const CLOSE_AFTER_ANSWER_SHARE = 0.55;
-/** Share of the sockets that concurrent commands to workers may use. */
+/** Share of the socket quota that concurrent commands to workers may use. */
 const COMMANDS_SHARE = 1 / 12;
 
 /** Returns the maximum number of concurrent commands to workers. */
@@ -14,8 +14,8 @@
 
 /**
  * Counts and limits a server's inbound connections. Workers and users keep theirs open
- * between requests; with more machines than sockets, the rest could not connect and
- * would look as if they had never come up. Above a threshold, connections are therefore
+ * between requests; with more machines than sockets, some machines could not connect and
+ * would look as if they had never booted. Above a threshold, connections are therefore
  * closed after the answer, so that each is held only while it is needed.
  */
 export class InboundConnections {
@@ -37,7 +37,7 @@
     return this.open;
   }
 
-  /** Whether connections should be closed after the answer. */
+  /** Whether so many connections are open that each should be closed after its answer. */
   closesAfterAnswer(): boolean {
     return this.open > this.sockets * CLOSE_AFTER_ANSWER_SHARE;
   }
--- a/src/platform/rate-limited-log.ts
+++ b/src/platform/rate-limited-log.ts
@@ -14,7 +14,7 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** `message` must be one of a few constants, because the state of each is kept forever. */
+  /** Logs at level info. `message` must be one of a few constants, because an entry for each message is kept forever. */
   info(detail: Record<string, unknown>, message: string): void {
     const now = this.clock.now();
     const previous = this.lastLogged.get(message);
--- a/src/platform/scope.ts
+++ b/src/platform/scope.ts
@@ -6,7 +6,7 @@
 
 /**
  * Lifetime of routines, subscriptions and resources. Closing a scope ends everything started in it:
- * routines stop at `closed`, subscriptions are cancelled, and cleanups run once.
+ * routines start no further step, subscriptions are cancelled, and cleanups run once.
  */
 export class Scope {
   private readonly end$ = new Subject<void>();
@@ -36,7 +36,7 @@
     return source.pipe(takeUntil(this.end$)).subscribe(handler);
   }
 
-  /** Calls `step` repeatedly until the scope closes, with a pause in ms after each call. Errors are logged and do not end the routine. */
+  /** Calls `step` repeatedly until the scope closes, pausing for `pauseMs()` after each call. Errors are logged and do not end the routine. */
   routine(name: string, pauseMs: () => number, step: () => Promise<void> | void): void {
     const run = async (): Promise<void> => {
       while (!this.closed) {
