--- a/src/overload/levels.ts
+++ b/src/overload/levels.ts
@@ -1,13 +1,16 @@
 /**
- * Overload levels of a controller. Each level sheds its own kinds of work and those of all lower levels.
+ * Names of a controller's overload levels, lowest first. Each level sheds (rejects) its own kinds of work and those of all lower levels.
  * docs/operations/overload.md describes them for operators.
  */
 export const LEVELS = ["easy", "busy", "behind", "late", "drowning"] as const;
 export type Level = 0 | 1 | 2 | 3 | 4;
 
-/** Work that can be shed, in the order of shedding. Reports, presence, cancellations and safety checks are never shed. */
+/**
+ * Kinds of work that an overloaded controller can shed, in the order of shedding. Workers' reports, presence, cancellations and
+ * safety checks are never shed.
+ */
 export type SheddableWork =
-  /** `/cluster`, `/metrics`. */
+  /** Requests for `/cluster` and `/metrics`. */
   | "view"
   /** Announcements of free capacity to peers, and bids for their jobs. */
   | "volunteering"
@@ -28,13 +31,13 @@
 export interface OverloadMetrics {
   /** Largest recent delay of a timer, in ms. */
   lagMs: number;
-  /** Memory in use as a share of the quota. */
+  /** Memory in use as a share of its limit: the quota, or V8's heap limit if that share is larger. */
   memory: number;
   /** Time in seconds to write the changes that wait for the state service. */
   backlogS: number;
 }
 
-/** Value from which on each level applies; index 0 is level 1. */
+/** Lowest measured value at which each overload level applies; index 0 is for level 1. */
 export interface Thresholds {
   lagMs: readonly [number, number, number, number];
   memory: readonly [number, number, number, number];
@@ -42,22 +45,22 @@
 }
 
 /**
- * Thresholds as ratios to the settings. Lag: workers time out after 4 s and users after 2 and 5 s, so the last level
- * begins at one report interval. Memory: the remainder above the last level is what a burst of reports and answers
- * takes before memory can be freed. Backlog: in seconds at a node's own share of the write rate.
+ * Thresholds of the overload levels. Timer lag: workers time out after 4 s and users after 2 and 5 s, so the last level
+ * begins at one report interval. Memory, as a share of its limit: a burst of reports and answers takes what is above the
+ * last level before memory can be freed. Backlog of writes: in seconds at a node's own share of the write rate.
  */
 export function overloadThresholds({ reportMs }: { reportMs: number }, nodes: number): Thresholds {
   return {
     lagMs: [reportMs / 5, reportMs / 3, reportMs * 0.6, reportMs],
     memory: [0.8, 0.86, 0.91, 0.95],
-    // Users' changes are written first, so the backlog is mostly bookkeeping for all partitions.
+    // Users' changes are written first, so a backlog of writes is mostly bookkeeping for all partitions.
     backlogS: [2 * nodes, 3 * nodes, 4 * nodes, 6 * nodes],
   };
 }
 
-/** A level is left only when its cause has fallen below this share of its threshold. */
+/** An overload level is left only when the measurement that caused it has fallen below this share of the level's threshold. */
 const EASE_RATIO = 0.75;
-/** The same ratio for memory, which is freed in small steps and varies within a narrow band. */
+/** `EASE_RATIO` for memory, which is freed in small steps and varies within a narrow band. */
 const MEMORY_EASE_RATIO = 0.95;
 
 /** Highest level whose threshold, multiplied by `share`, the value reaches. */
@@ -67,7 +70,7 @@
   return level as Level;
 }
 
-/** Level required by the measurements; the previous level is kept until its cause has clearly eased. */
+/** Overload level that the measurements require; the previous level `before` is kept until its cause has clearly eased. */
 export function nextLevel(before: Level, { lagMs, memory, backlogS }: OverloadMetrics, thresholds: Thresholds): Level {
   const up = Math.max(
     levelReached(lagMs, thresholds.lagMs, 1),
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -14,7 +14,7 @@
 /** Bounds of `Retry-After` for users, in seconds. Users give up after 60. */
 const MIN_RETRY_AFTER_S = 1;
 const MAX_RETRY_AFTER_S = 30;
-/** Limit on the factor by which timer lag extends the gap between scheduling cycles. */
+/** Maximum factor by which timer lag extends the gap between scheduling cycles. */
 const MAX_CYCLE_GAP_FACTOR = 4;
 const MB = 1e6;
 
@@ -65,7 +65,7 @@
       () => this.sampleIntervalMs(),
       () => this.sample(),
     );
-    // A stall of the process or a clock jump is not overload.
+    // The timer delay caused by a stall of the process or a clock jump is not overload.
     scope.listen(scope.clock.stall$, () => {
       this.lagSamples.length = 0;
       this.dueAt = Infinity;
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Memory use as the larger of two shares: of the quota, and of V8's heap limit, which is fixed before the settings
-   * are read. The heap counts with the smallest of several samples, since each sample includes garbage. Reading the
-   * values takes several system calls, so they are read once per report interval.
+   * Memory use as the larger of two shares: resident memory of the quota, and heap of V8's heap limit, which is fixed
+   * before the settings are read. The heap counts with the smallest of several samples, since each sample includes
+   * garbage. Reading the values takes several system calls, so they are read once per report interval.
    */
   private memory(): number {
     const { settings, memory } = this.dependencies;
@@ -127,7 +127,7 @@
     return Math.max(resident / (settings.platform.deployment.quota.mem_mb * MB), Math.min(...this.heapSamples));
   }
 
-  /** Whether this kind of work is shed now; counts the shed work. The caller rejects it at once. */
+  /** Whether this kind of work is to be shed now. If so, it is counted as shed, and the caller rejects it at once. */
   sheds(what: SheddableWork): boolean {
     if (!sheds(this.level, what)) return false;
     this.stats.shed++;
@@ -140,15 +140,15 @@
     return Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, Math.ceil(s)));
   }
 
-  /** Factor for the gap between scheduling cycles, normally `gapMs`: a lagging process gains nothing from more cycles. */
+  /** Factor by which to extend the normal gap between scheduling cycles (`gapMs`): a lagging process gains nothing from more cycles. */
   cycleGapFactor(gapMs: number): number {
     return Math.min(MAX_CYCLE_GAP_FACTOR, 1 + this.measured.lagMs / Math.max(gapMs, this.sampleIntervalMs()));
   }
 }
 
-/** Samples per report interval. */
+/** Number of overload measurements per report interval. */
 const SAMPLES_PER_REPORT = 10;
-/** Number of latest samples of which the lag is the maximum; small, so that the lag ends soon after its cause. */
+/** The measured timer lag is the maximum of this many latest samples; few, so that it falls soon after its cause ends. */
 const LAG_SAMPLES = 4;
-/** Number of heap samples, one per report interval, of which the smallest counts. */
+/** The measured heap size is the minimum of this many latest samples, which are taken once per report interval. */
 const HEAP_SAMPLES = 4;
