--- a/src/calls/backoff.ts
+++ b/src/calls/backoff.ts
@@ -1,10 +1,10 @@
 import type { CallPolicy } from "./policy.js";
 
-/** Number of doublings after which every pause has reached its maximum. */
+/** Limit on the exponent of the backoff; after so many doublings, every pause has reached its maximum. */
 const MAX_DOUBLINGS = 30;
 
 /**
- * Pause before a retry, in ms, after `failures` consecutive failures: exponential backoff with jitter. Half of the
+ * Returns the pause before a retry, in ms, after `failures` consecutive failures: exponential backoff with jitter. Half of the
  * pause is randomised, so that controllers refused at the same time do not retry at the same time; the other half is
  * fixed, so that none retries immediately.
  * @param random a number from 0 up to 1
@@ -15,10 +15,10 @@
 }
 
 /**
- * Retry budget of a target. Each answer adds a fraction of a retry, and each retry takes one. While the target
- * answers, a lost answer is retried soon. When most calls fail, retries are limited to a small share of the calls,
- * and the rest pause for the maximum time. Without the budget, a recovering service would receive the whole backlog
- * of retries at once.
+ * Retry budget for calls to one target, such as the state service. Each answer adds a fraction of a retry, and each
+ * retry takes one. While the target answers, a call without an answer is retried soon. When most calls fail, retries
+ * are limited to a small share of the calls, and all others wait for the maximum pause. Without the budget, a
+ * recovering service would receive the whole backlog of retries at once.
  */
 export class RetryBudget {
   private tokens: number;
@@ -30,7 +30,7 @@
     this.tokens = max;
   }
 
-  /** Adds the share of one answer. */
+  /** Adds the fraction of a retry that one answer of the target earns. */
   answered(): void {
     this.tokens = Math.min(this.max, this.tokens + this.perAnswer);
   }
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /** Retries left. */
+  /** Number of retries left; may be a fraction. */
   get remaining(): number {
     return this.tokens;
   }
--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -16,7 +16,7 @@
   peer: { max: Infinity, perAnswer: 0 },
 };
 
-/** Retry budget and last known state of a target, shared by all calls to it. */
+/** Retry budget of a target (such as the state service) and whether it is failing, shared by all calls to it. */
 class TargetCondition {
   readonly budget: RetryBudget;
   /** Emits when the target answers again after a failure. */
@@ -49,7 +49,7 @@
   unanswered: number;
   /** Calls that were not sent because their deadline had passed. */
   expired: number;
-  /** Pauses before a retry, and how many of them had the maximum length because the budget was spent. */
+  /** Pauses before a retry, and how many of them had the maximum length because the retry budget was spent. */
   pauses: number;
   longPauses: number;
   /** Pauses that ended early because the target answered another call. */
@@ -59,7 +59,7 @@
 /** Applies one operation's policy to its calls: time limit, retry pauses and statistics. */
 export class Caller {
   readonly stats: CallStats = { asked: 0, answered: 0, refused: 0, unanswered: 0, expired: 0, pauses: 0, longPauses: 0, woken: 0 };
-  /** Consecutive failures. */
+  /** Number of consecutive failed calls of this operation. */
   private failures = 0;
 
   constructor(
@@ -71,8 +71,9 @@
   ) {}
 
   /**
-   * Makes one call. `act` receives its time limit in ms: the policy's limit, or the time left until `deadline`
-   * (steady ms) if that is less. Past the deadline nothing is sent, and the call throws CallError as refused.
+   * Makes one call. `act` sends it and receives its time limit in ms: the policy's limit, or the time left until
+   * `deadline` (in ms of the monotonic clock) if that is less. Past the deadline nothing is sent, and the call throws
+   * CallError as refused.
    */
   async call<T>(act: (limitMs: number) => Promise<T>, deadline = Infinity): Promise<T> {
     const limitMs = Math.min(this.policy.limitMs, deadline - this.clock.now());
@@ -86,14 +87,14 @@
       this.answered();
       return answer;
     } catch (error) {
-      // RequestTooLargeError is a definite answer: a retry would get the same one.
+      // RequestTooLargeError counts as an answer: a retry would get the same one.
       if (!(error instanceof CallError) || error instanceof RequestTooLargeError) this.answered();
       else this.failed(error);
       throw error;
     }
   }
 
-  /** Records an answer. Also called directly for persistent links, whose messages are no calls. */
+  /** Records that the target answered. Peer links call this when they connect, because their messages are not calls. */
   answered(): void {
     this.stats.answered++;
     this.failures = 0;
@@ -103,7 +104,7 @@
   private failed(error: CallError): void {
     this.stats[error.kind]++;
     this.failures++;
-    // RateLimitError shows that the target answers, but it must not shorten any pauses.
+    // RateLimitError shows that the target answers. If it counted as failing, its next answer would cut all pauses short.
     if (!(error instanceof RateLimitError)) this.condition.failed();
   }
 
@@ -112,7 +113,7 @@
     return kind === "unanswered" && this.policy.unanswered !== "nothing";
   }
 
-  /** Pause before the next retry, in ms. `failures`: consecutive failures, if the caller counts its own. */
+  /** Pause before the next retry, in ms. `failures`: number of consecutive failures, if whoever retries counts them itself. */
   nextPauseMs(failures = this.failures): number {
     this.stats.pauses++;
     if (this.condition.budget.spend()) return backoffMs(this.policy, failures, this.random());
@@ -121,8 +122,9 @@
   }
 
   /**
-   * Resolves when the call may be retried. The pause ends early, though not before the length of a first pause, when
-   * the target answers any call: in an outage all callers pause for long, and the first answer ends their pauses.
+   * Resolves when a failed call may be retried. If the target answers another call during the pause, the pause ends early,
+   * but not before the length of a first pause: in an outage all callers pause for long, and the first answer ends their
+   * pauses.
    */
   backOff(failures = this.failures): Promise<void> {
     const fullMs = this.nextPauseMs(failures);
@@ -163,7 +165,7 @@
     }
   }
 
-  /** The caller of an operation. */
+  /** The `Caller` that applies the policy of the operation. */
   of(operation: Operation): Caller {
     return this.callers.get(operation)!;
   }
--- a/src/calls/policy-clients.ts
+++ b/src/calls/policy-clients.ts
@@ -21,7 +21,7 @@
   };
 }
 
-/** Wraps a cloud client in the same way. */
+/** Wraps a client of the cloud so that every call follows its policy for time limits and statistics. */
 export function cloudWithPolicies(cloud: CloudApi, calls: Calls): CloudApi {
   const read = calls.of("cloud.read");
   return {
@@ -32,7 +32,7 @@
   };
 }
 
-/** Wraps a worker client for commands of one purpose: orders, fencing under a new term, or probes. */
+/** Wraps a worker client so that its commands follow the policy of one purpose: orders, fencing under a new ownership term, or probes. */
 export function workersWithPolicy(workers: WorkerApi, caller: Caller): WorkerApi {
   return { command: (addr, token, session, orders) => caller.call((ms) => workers.command(addr, token, session, orders, ms)) };
 }
--- a/src/calls/policy.ts
+++ b/src/calls/policy.ts
@@ -23,8 +23,8 @@
  * - `nothing`: the call only reads, so it is simply retried.
  * - `once`: the call is idempotent (a rental under its name, a deletion, a renewal). It is retried unchanged, never
  *   with other arguments.
- * - `conditional`: the call may be applied late. The state is read back and the call drafted again, so that the
- *   conditions of one copy exclude the other.
+ * - `conditional`: the call may be applied late. The state is read again and the call rebuilt from it, so that after one
+ *   copy is applied, the conditions of the other one fail.
  * - `reported`: only the worker's next report shows whether an order was executed. Until then it counts as executed, and
  *   it is retried under the same attempt.
  */
@@ -50,10 +50,10 @@
 }
 
 /**
- * Time limits and pauses of all calls to other processes. Each is a ratio to a setting. The cost of waiting
+ * Time limits and pauses of all calls to other processes, each as a ratio to a setting. The cost of waiting
  * determines `maxMs`: users wait for the state service, so its pauses stay below the replica age at which this node
- * considers itself cut off. A fence delays a whole partition, so it is retried more often than an order, which the
- * answer to the worker's next report delivers anyway.
+ * considers itself cut off. A machine that is not fenced yet delays a whole partition, so fencing is retried more often
+ * than an order, which the answer to the worker's next report delivers anyway.
  */
 export function callPolicies({ timing, writeRps }: CallPolicyInputs): Record<Operation, CallPolicy> {
   const { contactMs, leaseMs, presenceMs, reportMs, stateTimeoutMs, workerTimeoutMs } = timing;
@@ -67,7 +67,7 @@
     "cloud.read": { ...cloud, unanswered: "nothing", initialMs: reportMs / 5, maxMs: reportMs },
     "cloud.hire": { ...cloud, unanswered: "once", initialMs: reportMs / 10, maxMs: reportMs / 2 },
     "cloud.delete": { ...cloud, unanswered: "once", initialMs: reportMs / 4, maxMs: reportMs },
-    // The pause does not grow with failures: while commands queue to be sent, most of them fail only because their time runs out in the queue.
+    // The pause does not grow with failures: while many commands wait to be sent, most of them fail only because their time limit ends in the queue.
     "worker.order": { ...worker, unanswered: "reported", initialMs: leaseMs / 3, maxMs: leaseMs / 3 },
     "worker.fence": { ...worker, unanswered: "reported", initialMs: reportMs / 10, maxMs: reportMs / 4 },
     "worker.probe": { ...worker, unanswered: "nothing", initialMs: reportMs / 4, maxMs: reportMs },
