--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -11,14 +11,14 @@
   /** Sends a message; false if there is no usable connection to the node. */
   send(node: string, message: Message): boolean;
   /**
-   * Time in steady ms since which a peer that was connected before cannot be connected again. Null if it is connected
-   * or never was in this incarnation. A lost connection proves nothing by itself: packet filters and a shortage of
+   * When connecting to a peer began to fail, in ms of the monotonic clock. Null if the peer is connected or was never
+   * connected in this run of the process. A lost connection proves nothing by itself: packet filters and a shortage of
    * sockets refuse connections as well.
    */
   unreachableSince?(node: string): number | null;
 }
 
-/** Unsent bytes of a connection from which on it is closed. */
+/** Maximum number of unsent bytes on a connection; with more, the connection is closed. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
 /** TCP links between controllers: one outgoing connection to each peer for sending; incoming connections are only read. */
@@ -29,14 +29,14 @@
   /** Peers that were connected in this incarnation. */
   private readonly connectedBefore = new Set<string>();
   private readonly unreachable = new Map<string, number>();
-  /** The last message sent and its frame. */
+  /** The message sent last and its encoded frame. */
   private encoded: { message: Message; frame: Buffer } | null = null;
   private server: Server | null = null;
 
   constructor(
     private readonly settings: Settings,
     private readonly scope: Scope,
-    /** Connection timeout and backoff between attempts. */
+    /** Sets the connection timeout and the pauses between attempts to connect. */
     private readonly calls: Caller,
   ) {}
 
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -2,7 +2,7 @@
 
 /** Messages between controllers and their encoding. The first frame of each connection is a hello. */
 
-/** Peers with another version are refused. */
+/** Version of the protocol between controllers; peers with another version are refused. */
 export const PROTOCOL_VERSION = 3;
 
 /** Identifies the sender and its protocol version. */
@@ -31,13 +31,13 @@
   utilization: number;
   atOnce: number;
 }
-/** A partition asks for a larger quota share of a team. */
+/** A partition asks the others for more quota of a team: a larger share of the team's limit. */
 export interface QuotaRequest {
   part: number;
   team: string;
   cpus: number;
   gpus: number;
-  /** The amounts for which there is free capacity now. */
+  /** The part of the requested amounts that the partition's free capacity could use at once. */
   nowCpus: number;
   nowGpus: number;
 }
@@ -47,7 +47,7 @@
   zone: string;
   spot: boolean;
 }
-/** Whether a node reaches the state service, from how many machines it receives reports, and what teams use in its partitions. */
+/** Whether a node reaches the state service, how many of its machines report to it (`hears`), and what teams use in its partitions. */
 export interface Health {
   stateOk: boolean;
   hears: string;
@@ -66,7 +66,7 @@
   body: string;
   retryAfterS: number;
 }
-/** One frame: an object with the message under its name. */
+/** Content of one frame: an object with one message under the name of its kind. */
 export type Message =
   | { Hello: Hello }
   | { Volunteer: Volunteer }
@@ -160,10 +160,10 @@
   { wrapUnions: true },
 );
 
-/** Largest accepted frame body. */
+/** Maximum size of a frame's body; larger frames are refused. */
 export const MAX_FRAME_BYTES = 64 * 1024;
 
-/** Encodes a message with its length in front. */
+/** Encodes a message as a frame: the length of the body, then the body. */
 export function encodeFrame(message: Message): Buffer {
   const body = envelope.toBuffer({ body: message });
   const head = Buffer.alloc(4);
