--- a/src/pipelines/job-dependencies.ts
+++ b/src/pipelines/job-dependencies.ts
@@ -10,12 +10,12 @@
 /** A job that depends on others or that others depend on. */
 interface JobNode {
   ref: string;
-  /** Urgency from its own record; null until that has been received. */
+  /** Urgency from the job's own record; null until that record has been received. */
   ownUrgency: Urgency | null;
   /** The job's own urgency, or that of a job that depends on it if that is higher. */
   urgency: Urgency;
   dependencies: string[];
-  /** The dependencies that are not done. */
+  /** The jobs in `dependencies` that are not done. */
   pending: Set<string>;
   dependants: Set<string>;
   outcome: JobOutcome | undefined;
@@ -51,7 +51,7 @@
     return node === undefined ? this.record(ref)?.end : node.outcome;
   }
 
-  /** True if some job that this job depends on is not done, so that none of its tasks may start. */
+  /** True if some dependency of the job is not done, so that none of the job's tasks may start. */
   isBlocked(ref: string): boolean {
     const node = this.nodes.get(ref);
     return node !== undefined && node.outcome !== "done" && node.pending.size > 0;
@@ -111,8 +111,8 @@
     if (existing === undefined || node.ownUrgency === null) {
       node.ownUrgency = urgency;
       const all = this.allDependencies(record);
-      // Some of its dependency lists have not been received: an entry for the job itself keeps it waiting until they
-      // have.
+      // Some of the job's dependency lists have not been received yet. Until they are, an entry for the job itself in
+      // `pending` keeps it waiting.
       if (all === null) node.pending.add(ref);
       else this.addDependencies(node, all);
       this.updateUrgencies([ref, ...node.dependencies]);
@@ -174,7 +174,7 @@
     for (const ref of ready) this.ready$.next(ref);
   }
 
-  /** Recomputes effective urgencies and, where one changes, those of the dependencies. */
+  /** Recomputes the effective urgencies of the jobs and, where one changes, those of the jobs that it depends on. */
   private updateUrgencies(refs: string[]): void {
     const due = new Set(refs);
     for (const ref of due) {
