--- a/src/rehearsal/injection-points.ts
+++ b/src/rehearsal/injection-points.ts
@@ -3,7 +3,7 @@
 
 const FENCING_STARTED = "leading; fencing machines";
 
-/** Maps a call, write or log line of the controller to the injection point of a plan that it marks, or null. */
+/** Maps a call, write or log line of a controller to the injection point (an event that planned faults wait for) that it marks, or null. */
 export const injectionPointOf: InjectionPointOf = ({ what, detail }) => {
   if (what === "hire") return "rental-in-flight";
   if (what === "part taken") return detail["reason"] === "home again" ? "handing-over" : null;
@@ -11,7 +11,7 @@
   if (what !== "txn") return null;
   const operations = detail["apply"] as { write?: string; v?: { end?: unknown; spec?: { needs?: unknown } } }[];
   const isQuotaKey = (key: string | undefined): boolean => key?.startsWith(keys.quotaShares) === true;
-  // The initial split of a limit is not a transfer, so transactions with several quota records are left out.
+  // A transaction with several quota records is the initial split of the teams' limits, not a transfer of quota.
   if (operations.some(({ write }) => isQuotaKey(write)) && operations.every(({ write }) => isQuotaKey(write)) && operations.length === 1)
     return "cession";
   if (operations.some(({ write }) => write?.startsWith(keys.owners) === true)) return "claim";
--- a/src/rehearsal/spawn-controller.ts
+++ b/src/rehearsal/spawn-controller.ts
@@ -14,7 +14,7 @@
 import { checkOperators } from "../settings/operators.js";
 import { checkPlatform } from "../settings/platform-file.js";
 
-/** Starts a controller with the clock, the services and the peers of a rehearsal. */
+/** Starts a controller on the clock, state service, cloud, workers and peers that a rehearsal provides. */
 export function spawnController(
   environment: ControllerDependencies,
   memory?: () => MemoryUsage,
@@ -23,10 +23,10 @@
   const settings = adjust(derive(checkPlatform("rehearsal", environment.platform), checkOperators("rehearsal", {})));
   const verbose = process.env["SCENARIO_LOG"] !== undefined;
   const log = { ...environment.log, isLevelEnabled: (level: string) => verbose || level !== "debug" } as unknown as Log;
-  // A violated invariant ends the rehearsal: in virtual time there are no users for whom to continue.
+  // Invariants are strict: a violation ends the rehearsal, because in virtual time there are no users for whom to continue.
   const scope = new Scope(new StallDetectingClock(environment.clock, settings.timing.stallMs), log, undefined, new Invariants(log, true));
   const { state, cloud, workers } = environment;
-  // The generator is seeded by the incarnation, so that a rehearsal is reproducible by its seed.
+  // The random source is seeded with the node and its incarnation, so that a rehearsal is reproducible by its own seed.
   const random = seededRandom(createHash("sha256").update(`${settings.self} ${environment.incarnation}`).digest().readInt32BE());
   const calls = new Calls(scope.clock, callPolicies({ timing: settings.timing, writeRps: settings.state.writeRps }), random);
   const deps = {
--- a/src/rehearsal/virtual.ts
+++ b/src/rehearsal/virtual.ts
@@ -2,12 +2,12 @@
 import { injectionPointOf } from "./injection-points.js";
 import { spawnController, type RehearsedController } from "./spawn-controller.js";
 
-/** Plays one plan in virtual time with this build's controller. */
+/** Plays one rehearsal plan (workload and faults) in virtual time with this build's controller. */
 export async function playVirtually(plan: RehearsalPlan, seed: number): ReturnType<typeof runVirtual> {
   return (await import("@thorntrail/emulator/entry")).runVirtual({ plan, seed, spawn: spawnController, injectionPointOf });
 }
 
-/** Rehearses this build's controller in virtual time. */
+/** Runs the command `rehearse --virtual` with this build's controller. */
 export async function rehearseVirtual(
   options: Omit<RehearseVirtualOptions<RehearsedController>, "spawn" | "injectionPointOf">,
 ): Promise<void> {
