--- a/src/ledger/group-committer.ts
+++ b/src/ledger/group-committer.ts
@@ -15,9 +15,9 @@
 }
 
 /**
- * Outcome of a pending write. `done`: applied. `settled`: its draft had nothing left to write, or exceeds a
- * transaction's limits by itself; the caller reads the replica for the current state. `shed`: never sent, or refused
- * for its size.
+ * Outcome of a pending write. `done`: applied. `settled`: nothing was left to write, or the write alone exceeds a
+ * transaction's limits; the caller reads the replica for the current state. `shed`: never sent, or refused for its
+ * size.
  */
 export type CommitOutcome = "done" | "settled" | "shed";
 
@@ -40,7 +40,7 @@
   label: string;
   draft: () => Draft | null;
   resolve: (outcome: CommitOutcome) => void;
-  /** Sent at least once without a definite answer, so an earlier copy may still be applied late. */
+  /** Whether the write was sent without a definite answer, so that an earlier copy may still be applied late. */
   outcomeUnknown: boolean;
   shedAt: number;
   rank: number;
@@ -54,11 +54,11 @@
 export type WritePriority = "now" | "soon" | "later";
 const RANK: Record<WritePriority, number> = { now: 0, soon: 1, later: 2 };
 
-/** Pending writes in the queue; further ones are shed. */
+/** Maximum number of pending writes in the queue; further ones are rejected as `shed`. */
 const MAX_QUEUE = 2000;
-/** Share of the write burst that is reserved for priority `now`: users' writes arrive one by one and must not wait for the next token. */
+/** Share of the rate limiter's burst of writes that is reserved for priority `now`: users' writes arrive one by one and must not wait for the next token. */
 const USER_WRITE_RESERVE = 1 / 4;
-/** Limit on transactions in flight at the same time. */
+/** Maximum number of transactions in flight at the same time. */
 const MAX_CONCURRENT_TRANSACTIONS = 4;
 const MAX_BODY_BYTES = 60 * 1024;
 
@@ -81,9 +81,9 @@
     private readonly clock: Clock,
     private readonly requests: TokenBucket,
     private readonly writes: TokenBucket,
-    /** Backoff between repeated transactions. */
+    /** Sets the pauses before a transaction is repeated. */
     private readonly calls: Caller,
-    /** Maximum number of changes in one transaction, and the time in flight (ms) after which a transaction no longer holds back the next one. */
+    /** Maximum number of changes in one transaction, and the time in ms after which a transaction in flight no longer holds back the next one. */
     private readonly limits: { txnOps: number; slowAfterMs: number },
     private readonly log: Log,
     private readonly costs = new CpuAccounting(),
@@ -96,7 +96,8 @@
 
   /**
    * Queues a write; `draft` returns null when nothing is left to write. An exclusive write shares its transaction, hence
-   * its stamp, with no other write. A write is shed if it is not sent within `shedAfterMs`. The default priority is `later`.
+   * its stored revision, with no other write. A write not sent within `shedAfterMs` is given up as `shed`. The default
+   * priority is `later`.
    */
   commit(
     label: string,
@@ -140,8 +141,8 @@
     if (!this.replica.loaded) return sleep(this.clock, this.calls.policy.initialMs);
     const delayMs = this.concurrencyDelayMs();
     if (delayMs > 0) return this.pause(delayMs);
-    // Takes only as many changes as the write rate allows now: waiting until the whole backlog
-    // fits would delay the most urgent change as well.
+    // A transaction gets only as many changes as the write rate allows now: waiting until the
+    // whole backlog fits would delay the most urgent change as well.
     const maxOps = Math.min(this.limits.txnOps, Math.floor(this.writes.available()));
     const batch = this.costs.charge("transaction", () => this.assembleBatch(maxOps));
     if (batch === null) return this.queue.length > 0 ? this.pause(this.limits.slowAfterMs) : undefined;
@@ -165,22 +166,22 @@
       .catch(onFault)
       .then((retries) => {
         this.inFlight.delete(transaction);
-        // Back to the front of the queue in their original order.
+        // Writes to be sent again return to the front of the queue in their original order.
         this.queue.unshift(...retries);
         this.wake?.();
         if (this.queue.length > 0 && !this.running) void this.run();
       });
   }
 
-  /** Write tokens that must remain after this write is sent. */
+  /** Number of tokens that must remain in the write rate limiter after this write is sent. */
   private reservedWrites({ rank }: PendingWrite): number {
     return rank === RANK.now ? 0 : this.writes.burst * USER_WRITE_RESERVE;
   }
 
   /**
-   * Time in ms until another transaction may be sent; Infinity while the limit is reached. One transaction at a
-   * time groups the most writes, but a state service that sometimes takes seconds for one would delay all users.
-   * So once every transaction in flight takes longer than usual, another is sent beside them.
+   * Time in ms until another transaction may be sent; Infinity while the maximum number is in flight. One transaction at
+   * a time groups the most writes, but a state service that sometimes takes seconds for one would delay all users. So
+   * once every transaction in flight takes longer than usual, another one is sent.
    */
   private concurrencyDelayMs(): number {
     if (this.inFlight.size === 0) return 0;
@@ -202,7 +203,7 @@
     });
   }
 
-  /** Sends a transaction; resolves with the writes that have to be drafted again. */
+  /** Sends a transaction; resolves with the writes that have to be drafted and sent again. */
   private async send(transaction: InFlightTransaction): Promise<PendingWrite[]> {
     const { pendingWrites, apply } = transaction;
     try {
@@ -241,8 +242,8 @@
   }
 
   /**
-   * Handles a transaction that is permanently refused for its size. Sent again unchanged, it would block
-   * everything behind it for ever, so each write is sent alone, and one that is refused alone is given up.
+   * Handles a transaction that is permanently refused for its size. Sent again unchanged, it would block all writes
+   * behind it for ever, so each of its writes is sent alone, and a write that is refused alone is given up.
    */
   private async splitOversized(pendingWrites: PendingWrite[], error: RequestTooLargeError): Promise<PendingWrite[]> {
     for (const pendingWrite of pendingWrites) pendingWrite.exclusive = true;
@@ -276,7 +277,7 @@
   private assembleBatch(maxOps: number): Batch | null {
     const conditions = new Map<string, number>();
     const written = new Set<string>();
-    // Changes in flight are not in the replica yet, so a draft that depends on them would only conflict.
+    // Changes in flight are not in the replica yet, so a write that depends on one of them would only conflict.
     const inFlightWrites = new Set([...this.inFlight].flatMap(({ apply }) => apply.map(keyOf)));
     const inFlightConditions = new Set([...this.inFlight].flatMap((transaction) => transaction.conditions.map(({ k }) => k)));
     const apply: Op[] = [];
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -5,8 +5,8 @@
 /** Records in the state service: their types, keys and size limits. Every key starts with `t/`. */
 
 /**
- * `part` of a job that was submitted before the jobs it needs were done. Earlier versions treat such a job as
- * belonging to no partition.
+ * Value of `part` (the partition) in the record of a job that was submitted before the jobs it needs were done. Earlier
+ * versions treat such a job as belonging to no partition.
  */
 const NO_PARTITION = -1;
 
@@ -25,37 +25,37 @@
   return record.part === NO_PARTITION && record.home !== undefined ? record.home : record.part;
 }
 
-/** Assignment of a waiting job to the partition `home`, hidden from versions that would not wait. */
+/** Assigns a job that waits for other jobs to the partition `home`, hidden from versions that would start it at once. */
 export function waitingAssignment(home: number): PartitionAssignment {
   return { part: NO_PARTITION, home };
 }
 
-/** The record as it is written once the job no longer waits: with its partition in `part`. */
+/** Returns the record of a job that no longer waits for other jobs: its partition is in `part` instead of `home`. */
 export function withPartitionAssigned<T extends PartitionAssignment>(record: T): T {
   const { home: _home, ...rest } = record;
   return { ...rest, part: partitionOf(record) } as T;
 }
 
-/** Finished tasks of a slice: `done` is a bit map; `packed` adds all tasks before `from` and a bit map of the rest. */
+/** Finished tasks of a slice (a range of a job's tasks): `done` is a bit map; `packed` adds all tasks before `from` and a bit map of those after it. */
 interface TaskProgress {
   done: string;
   packed?: { from: number; map: string };
 }
 
-/** A job and its first slice, tasks 0 to `hi` (exclusive). Further slices have their own keys. `done` covers the first slice. */
+/** A job and its first slice: tasks 0 to `hi` (exclusive). Further slices (ranges of tasks) have their own keys. `done` covers the first slice. */
 export interface JobRecord extends PartitionAssignment, TaskProgress {
   spec: JobSpec;
   hi: number;
   at: number;
-  /** Needed jobs that do not fit into this record are stored in lists under this name. */
+  /** Jobs that this job needs and that do not fit into its record are stored in `count` lists under this name. */
   needLists?: { name: string; count: number };
   end?: "done" | "withdrawn";
-  /** Wall-clock time at which the job was done; waiting times of jobs that need it count from here. */
+  /** Wall-clock time at which the job was done; waiting times of jobs that need this job count from this time. */
   endedAt?: number;
   moved?: boolean;
 }
 
-/** A further slice of a job: tasks `lo` to `hi` (exclusive). */
+/** A slice of a job's tasks other than the first: tasks `lo` to `hi` (exclusive). */
 export interface SliceRecord extends PartitionAssignment, TaskProgress {
   ref: string;
   lo: number;
@@ -64,9 +64,9 @@
 }
 
 /**
- * A rental that was requested or is about to be. `hosts` holds the rented machines once the cloud has answered: the
- * value is the machine's address once it is recorded as up, and empty before. Tasks are started only on machines
- * that are recorded as up.
+ * A rental of machines that was requested from the cloud or is about to be. Once the cloud has answered, `hosts` maps
+ * each rented machine to its address, which is empty until the machine is recorded as up. Tasks are started only on
+ * machines that are recorded as up.
  */
 export interface RentalRecord {
   part: number;
@@ -78,30 +78,30 @@
   hosts?: Record<string, string>;
 }
 
-/** Owner of a partition. The stamp of this key is the term and serves as the fencing token. */
+/** The controller that owns a partition. The stored revision of this record's key is the ownership term and serves as the fencing token. */
 export interface OwnerRecord {
   owner: string;
   life: string;
 }
 
-/** Presence of a node, kept alive by a lease. */
+/** Shows that a controller is alive; removed by the state service when the controller's lease expires. */
 export interface PresenceRecord {
   life: string;
   /** The node cannot reach its workers or keeps exiting, so others should own its partitions. */
   unfit?: boolean;
-  /** Number of consecutive early exits before this incarnation; present only while it is younger than a lease. */
+  /** Number of consecutive early exits before this incarnation; present only while the incarnation is younger than a lease duration. */
   ends?: number;
-  /** Number of the last suspicion that this incarnation refuted; absent if its version does not support suspicions. */
+  /** Number of the last suspicion that this incarnation refuted; absent if the node's version does not support suspicions. */
   refutes?: number;
   /**
-   * Configuration version that the node applies, and the newest term up to which all its partitions are fenced, so
-   * that their former owners can start nothing. Absent if the configuration was never changed or the node's version
-   * does not support it.
+   * Configuration version that the node applies, and the newest ownership term up to which all its partitions are
+   * fenced, so that their former owners can no longer start anything. Absent if the configuration was never changed or
+   * the node's version does not support configuration versions.
    */
   acts?: { version: number; term: number };
 }
 
-/** Suspicion number `n` by the node `by` that this incarnation is gone. In effect until the node refutes `n`. */
+/** Suspicion number `n`, raised by the node `by`, that the incarnation `life` of another node has failed. In effect until that node refutes `n`. */
 export interface SuspicionRecord {
   life: string;
   n: number;
@@ -114,13 +114,13 @@
   gpus: (number | null)[];
 }
 
-/** A team's guarantees and limits as written by a change, with that change's version. */
+/** A team's guarantees and limits as written by a configuration change, with the version that this change made. */
 export interface TeamRecord extends TeamSettings {
   version: number;
   removed?: true;
 }
 
-/** Lower limits, recorded before the check that no accepted job needs more. */
+/** A configuration change to lower limits, recorded before the check that no accepted job needs more. */
 export interface PreparedChange {
   id: string;
   teams: TeamSettings[];
@@ -128,23 +128,23 @@
   at: number;
 }
 
-/** The newest version of the configuration. */
+/** Head record of the configuration: its newest version, and a prepared change if there is one. */
 export interface ConfigurationRecord {
   version: number;
   at: number;
-  /** Identifies the change that made this version, so that a repetition of it is recognised. */
+  /** Identifies the change that made this version, so that a repetition of the change is recognised. */
   id: string;
   prepared?: PreparedChange;
 }
 
-/** Teams that a version changed; null means that the team did not exist. */
+/** Teams that a configuration version changed; `before` or `after` is null if the team did not exist then. */
 export interface ConfigurationHistoryRecord {
   version: number;
   at: number;
   teams: { name: string; before: TeamSettings | null; after: TeamSettings | null }[];
 }
 
-/** Further jobs that a job needs; ignored until the job's own record exists. */
+/** Jobs that the job `ref` needs and that did not fit into its record; ignored until that record exists. */
 export interface NeedListRecord {
   ref: string;
   needs: string[];
@@ -162,30 +162,30 @@
   suspicions: "t/x/",
   quotaShares: "t/q/",
   configurationRoot: "t/c/",
-  /** Sorts before the teams, so a paged read of all records never returns a head newer than the teams. */
+  /** Head record. Its key sorts before those of the teams, so a paged read of all records never returns a head newer than the teams. */
   configuration: "t/c/head",
   changedTeams: "t/c/team/",
   configurationHistory: "t/c/was/",
   job: (ref: string) => `t/j/${ref}`,
   slice: (ref: string, lo: number) => `t/s/${ref}/${String(lo).padStart(6, "0")}`,
   needList: (ref: string, name: string, i: number) => `t/n/${ref}/${name}/${i}`,
-  /** `index` above 0 is for further records of a rental that does not fit into one. */
+  /** A rental that does not fit into one record has further ones, with an `index` above 0. */
   rental: (name: string, index = 0) => `t/m/${name}${index > 0 ? `/${index}` : ""}`,
   owner: (partition: number) => `t/o/${partition}`,
   presenceOf: (node: string) => `t/l/${node}`,
   suspicion: (node: string) => `t/x/${node}`,
-  /** Team names may contain any character; keys must not contain spaces. */
+  /** The team's name is encoded, because it may contain any character and keys must not contain spaces. */
   quotaShare: (team: string) => `t/q/${encodeURIComponent(team)}`,
   changedTeam: (team: string) => `t/c/team/${encodeURIComponent(team)}`,
   configurationVersion: (version: number) => `t/c/was/${String(version).padStart(10, "0")}`,
 };
 
-/** Share of a record's size limit that the bit map of a slice may take. */
+/** Share of a record's size limit that the bit map of a slice's finished tasks may take. */
 const BIT_MAP_SHARE = 1 / 3;
-/** Bytes reserved for members that are added while a job runs. */
+/** Bytes of a job's record reserved for members that are added while the job runs. */
 const RESERVED_BYTES = 192;
 
-/** Number of tasks that one slice's bit map may cover so that the record fits the limit. */
+/** Maximum number of tasks in a slice, so that the record with their bit map fits the size limit. */
 export function sliceCapacity(valueKb: number): number {
   return Math.floor(Math.min(valueKb, 32) * 1024 * BIT_MAP_SHARE) * 6;
 }
@@ -195,7 +195,7 @@
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** Tasks that are recorded as done in a slice of `size` tasks. */
+/** Returns the tasks that are recorded as done in a slice (a range of a job's tasks) of `size` tasks. */
 export function doneTasks({ done, packed }: TaskProgress, size: number): Bits {
   const bits = Bits.decode(size, done);
   if (packed !== undefined) {
@@ -224,10 +224,11 @@
 }
 
 /**
- * Returns the record in a form that fits the size limit. The bit map of an array recorded under larger limits may
- * no longer fit; it is then packed into a separate member, so that an earlier version sees too few tasks as done,
- * never too many. If that does not fit either, the progress of an ended job is dropped, since its end is sufficient.
- * Before the end, the progress cannot be recorded: the result is null, and workers keep the task results.
+ * Returns the record in a form that fits the size limit. The bit map of an array recorded under larger limits may no
+ * longer fit; it is then packed into a separate member, so that an earlier version of the program sees too few tasks as
+ * done, never too many. If the packed map does not fit either, the progress of an ended job is dropped, since its end
+ * is sufficient. The progress of a job that has not ended then cannot be recorded: the result is null, and workers keep
+ * the task results.
  */
 export function fitToLimit<T extends TaskProgress & { end?: unknown }>(record: T, size: number, valueKb: number): T | null {
   const fits = (candidate: T): boolean => recordBytes(candidate) <= valueKb * 1024;
@@ -238,7 +239,7 @@
   return record.end === undefined ? null : ({ ...rest, done: "" } as T);
 }
 
-/** Largest size of a job's description in its record, in bytes. */
+/** Maximum size of a job's description in its record, in bytes. */
 export function maxSpecBytes(valueKb: number): number {
   return Math.floor(Math.min(valueKb, 32) * 1024 * (1 - BIT_MAP_SHARE)) - RESERVED_BYTES;
 }
@@ -247,8 +248,8 @@
 const LONGEST_ADDR = "255.255.255.255:65535";
 
 /**
- * Splits a rental's machines into as many records as necessary. Each record reserves space for the addresses of its
- * machines, which are written later, when machines can no longer be moved to another record.
+ * Splits the rented machines into as many rental records as necessary. Each record reserves space for its machines'
+ * addresses, which are written later, when machines can no longer be moved to another record.
  */
 export function rentalRecords(rental: RentalRecord, hosts: string[], valueKb: number): RentalRecord[] {
   const records: RentalRecord[] = [];
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -17,17 +17,16 @@
 }
 
 /**
- * Index of machines by the rental record that lists them. The machines of a rental share a record: with one record
- * per machine, a fleet of hundreds would use the whole write rate for most of a minute before its first task could
- * start.
+ * Index of the machines in the rental records. The machines of one rental share a record: with one record per machine,
+ * a fleet of hundreds would use the whole write rate for most of a minute before its first task could start.
  */
 export class RentalIndex {
-  /** Hosts whose record was added, changed or removed. */
+  /** Emits each host whose entry in the rental records was added, changed or removed. */
   readonly changes$ = new Subject<string>();
   private readonly machines = new Map<string, RecordedMachine>();
   private readonly byKey = new Map<string, Set<string>>();
   private readonly counts = new Map<number, number>();
-  /** Keys of rentals whose machines are not recorded yet. */
+  /** Keys of rental records in which no machines are recorded yet. */
   private readonly pending = new Set<string>();
 
   constructor(private readonly replica: StateReplica) {
@@ -36,12 +35,12 @@
     });
   }
 
-  /** The machine's record. */
+  /** The machine as recorded; undefined if no rental record lists it. */
   get(host: string): RecordedMachine | undefined {
     return this.machines.get(host);
   }
 
-  /** Number of machines in the partition. */
+  /** Number of recorded machines in the partition. */
   count(partition: number): number {
     return this.counts.get(partition) ?? 0;
   }
--- a/src/ledger/state-client.ts
+++ b/src/ledger/state-client.ts
@@ -32,7 +32,7 @@
     return reply;
   }
 
-  /** Throws RequestTooLargeError if the transaction is permanently refused, LeaseLostError if the lease it refers to does not exist. */
+  /** Throws RequestTooLargeError if the transaction is permanently refused, LeaseLostError if it refers to a lease that does not exist. */
   async txn(conditions: Condition[], apply: Op[], limitMs?: number): Promise<TxnResult> {
     const reply = await this.call("POST", "/txn", { if: conditions, apply }, limitMs);
     if (reply.status === 200) return { ok: true, ledger: Number(reply.body["ledger"]) };
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -9,34 +9,34 @@
 import type { Scope } from "../platform/scope.js";
 import { keys, type JobRecord, type SliceRecord } from "./records.js";
 
-/** A record's value and the stamp of its last write. */
+/** A record's value and the revision of its last write (`stamp`). */
 export interface Entry<T> {
   v: T;
   stamp: number;
 }
 
-/** Rows read in one request. */
+/** Number of records read in one request to the state service. */
 const PAGE_SIZE = 500;
-/** Removed keys whose stamps are kept. */
+/** Maximum number of removed keys whose last revisions are remembered. */
 const MAX_TOMBSTONES = 20_000;
 
-/** Reference of the job that a slice's key belongs to. */
+/** Returns the reference of the job from the key of one of its slices (ranges of its tasks). */
 function refOfSlice(key: string): string {
   return key.slice(keys.slices.length, key.lastIndexOf("/"));
 }
 
 /** Replica cache of the state service: a copy of all records, kept up to date by `/follow`, with a bound on its age. */
 export class StateReplica {
-  /** Keys of records that changed; an empty string after a full load. */
+  /** Emits the key of each record that changed, and an empty string after a full load. */
   readonly changes$ = new Subject<string>();
   private readonly tables = new Map<string, Map<string, Entry<unknown>>>();
-  /** Keys of slices by job. The index is needed because every finished task looks up its job's slices among thousands. */
+  /** Keys of slices (ranges of a job's tasks) by job. The index is needed because every finished task looks up its job's slices among thousands. */
   private readonly slicesByJob = new Map<string, Set<string>>();
   /** Records of jobs that have not ended, so that periodic work does not scan the records of all jobs that ever ended. */
   private readonly openJobRecords = new Map<string, Entry<JobRecord>>();
   private readonly tombstones = new Map<string, number>();
   private revision = -1;
-  /** Steady time in ms; the replica holds everything that was in the state service at this time. */
+  /** Time, in ms of the monotonic clock, as of which the replica is complete: it holds everything that the state service held then. */
   currentAsOf = -Infinity;
   loaded = false;
   private refreshing: Promise<void> | null = null;
@@ -49,7 +49,7 @@
     private readonly clock: Clock,
     private readonly rate: TokenBucket,
     private readonly pace: { readGapMs: number; blockMs: number },
-    /** Backoff after a failed read. */
+    /** Sets the pauses after failed reads. */
     private readonly calls: Caller,
     private readonly costs = new CpuAccounting(),
   ) {}
@@ -73,7 +73,7 @@
     );
   }
 
-  /** Reads all records page by page and drops those that no longer exist. */
+  /** Reads all records page by page and drops those that no longer exist in the state service. */
   private async load(): Promise<void> {
     const startedAt = this.clock.now();
     const seen = new Map<string, number>();
@@ -104,7 +104,7 @@
     while (!this.rate.take()) await sleep(this.clock, this.rate.waitMs());
   }
 
-  /** Applies the changes since the last read. `deadline` is in steady ms; throws CallError once it has passed. */
+  /** Reads and applies the changes since the last read. `deadline` is in ms of the monotonic clock; throws CallError once it has passed. */
   private async read(blockMs: number, deadline = Infinity): Promise<void> {
     await this.acquireRequest();
     const startedAt = this.clock.now();
@@ -125,16 +125,16 @@
 
   /**
    * Resolves once a read that began after this call has been applied. Calls that arrive while a read runs share
-   * the next one, because an answer to a user must not be older than what another node has already reported.
-   * No read starts or continues past the latest deadline (steady ms) of the calls that share it: users whose
-   * requests have expired must not delay those behind them.
+   * the next read, because an answer to a user must not be older than what another node has already reported.
+   * No read starts or continues past the latest deadline (in ms of the monotonic clock) of the calls that share
+   * it: users whose requests have expired must not delay those behind them.
    */
   refresh(deadline = Infinity): Promise<void> {
     this.nextRefreshDeadline = this.nextRefresh === null ? deadline : Math.max(this.nextRefreshDeadline, deadline);
     if (this.nextRefresh !== null) return this.nextRefresh;
     const run = async (): Promise<void> => {
-      // Continues only after `nextRefresh` has been assigned: if it were cleared first, the assignment
-      // would remain, and later callers would get the result of an old read.
+      // Waits until `nextRefresh` has been assigned below: if it were cleared before its assignment, the
+      // assignment would remain, and later callers would get the result of an old read.
       await Promise.resolve();
       if (this.refreshing !== null) await this.refreshing.catch(() => undefined);
       const gapMs = this.lastReadAt + this.pace.readGapMs - this.clock.now();
@@ -159,7 +159,7 @@
     else this.drop(event.remove, event.stamp);
   }
 
-  /** Table of the records whose keys share the first two segments, such as `t/j/`. */
+  /** Table of the records whose keys share the first two segments with `key`, such as `t/j/`. */
   private table(key: string): Map<string, Entry<unknown>> {
     const prefix = key.slice(0, key.indexOf("/", 2) + 1);
     let table = this.tables.get(prefix);
@@ -167,7 +167,7 @@
     return table;
   }
 
-  /** Stores a record unless a newer one is known. Also called for this node's own writes before `/follow` returns them. */
+  /** Stores a record unless a newer version of it is known. Also called for this node's own writes before `/follow` returns them. */
   put(key: string, v: unknown, stamp: number): void {
     const table = this.table(key);
     const latest = table.get(key)?.stamp ?? this.tombstones.get(key) ?? -1;
@@ -183,7 +183,7 @@
     this.changes$.next(key);
   }
 
-  /** Removes a record unless a newer one is known. */
+  /** Removes a record unless a newer version of it is known. */
   drop(key: string, stamp: number): void {
     const table = this.table(key);
     const entry = table.get(key);
@@ -196,23 +196,23 @@
     if (entry !== undefined) this.changes$.next(key);
   }
 
-  /** The record under the key. */
+  /** The record under the key, with its stored revision. */
   get<T>(key: string): Entry<T> | undefined {
     return this.table(key).get(key) as Entry<T> | undefined;
   }
 
-  /** The record's stamp; 0 if there is none. */
+  /** Stored revision of the record under the key; 0 if there is no record. */
   stamp(key: string): number {
     return this.get(key)?.stamp ?? 0;
   }
 
-  /** All records of the table that the prefix belongs to. */
+  /** All records whose keys share the first two segments with the prefix, such as `t/j/`. */
   rows<T>(prefix: string): Map<string, Entry<T>> {
     return this.table(prefix) as Map<string, Entry<T>>;
   }
 
   /**
-   * Jobs whose own record has no end. Includes jobs that count as cancelled only because a job that they depend on
+   * Jobs whose own record shows no end. Includes jobs that count as cancelled only because a job that they depend on
    * was cancelled.
    */
   openJobs(): ReadonlyMap<string, Entry<JobRecord>> {
@@ -233,7 +233,7 @@
     if (sliceKeys?.size === 0) this.slicesByJob.delete(ref);
   }
 
-  /** All slices of a job except the first, which is the job's own record. */
+  /** All slices (ranges of tasks) of a job except the first, which is in the job's own record. */
   slicesOf(ref: string): [string, Entry<SliceRecord>][] {
     const table = this.rows<SliceRecord>(keys.slices);
     return [...(this.slicesByJob.get(ref) ?? [])].map((key) => [key, table.get(key)!]);
