--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -3,26 +3,26 @@
 
 /** Time limits and other values that follow from the platform's and the operators' settings. */
 
-/** Maximum relative drift between the clocks of two machines (PROTOCOL). */
+/** Maximum relative drift between the clocks of two machines, as stated in PROTOCOL. */
 export const DRIFT = 0.0005;
 
-/** Margin, in report intervals, between the expiry of a lease and the deadline of a cancellation. */
+/** Usual margin, in report intervals, between the expiry of a worker's lease and the time by which a cancellation must take effect. */
 const MARGIN_REPORTS = 1.2;
 
-/** Machines per socket of the quota. The owner needs the other sockets for users, commands and a partition that it takes over. */
+/** Maximum number of machines in a partition per socket of its owner's quota; the other sockets serve users, commands and a partition that it takes over. */
 const MACHINES_PER_SOCKET = 0.45;
 
-/** Time limits in ms, each derived from one of the settings. */
+/** Time limits in ms, derived from the platform's settings. */
 export interface Timing {
   leaseMs: number;
   reportMs: number;
   /** Time without proof of contact with the state service after which a node must not act as owner of its partitions. */
   silentAfterMs: number;
-  /** Time after the last valid answer by which a worker has ended all its tasks. */
+  /** Time after its last valid answer from a controller by which a worker has ended all its tasks. */
   expiryMs: number;
   /** Time without renewal after which a node's presence expires. */
   presenceMs: number;
-  /** Age of the replica cache above which the state service counts as unreachable. */
+  /** Age of the replica of the records above which the state service counts as unreachable. */
   contactMs: number;
   /** Timeout of a call to the state service. */
   stateTimeoutMs: number;
@@ -32,7 +32,7 @@
   silentMs: number;
   /** Time without any activity after which the process counts as stalled. */
   stallMs: number;
-  /** Minimum time between scheduling cycles over few machines; events within it share one cycle. */
+  /** Minimum time between scheduling cycles over few machines; events within that time share one cycle. */
   passGapMs: number;
 }
 
@@ -44,7 +44,7 @@
   txnOps: number;
 }
 
-/** Settings of one controller: what the platform and the operators set, and what is derived from it. */
+/** Settings of one controller: what the platform and the operators set, and the values derived from that. */
 export interface Settings {
   platform: PlatformSettings;
   state: StateLimits;
@@ -52,7 +52,7 @@
   timing: Timing;
   /** Maximum number of machines per partition; each holds a socket of the partition's owner. */
   maxMachines: number;
-  /** All controllers in the order that all of them use; a partition's number is the index of its home controller. */
+  /** Names of all controllers, sorted; a partition's number is the index of its home controller. */
   nodes: string[];
   self: string;
   /** Warnings about settings that leave less margin than usual; logged at the start and printed by `check`. */
@@ -60,8 +60,8 @@
 }
 
 /**
- * Returns the stricter of the current and the announced limits. The limits change without notice, and records written
- * before the change must be writable after it, so both limits are respected from the start.
+ * Returns the stricter of the current and the announced limits of the state service. The limits change without notice,
+ * and records written before the change must be writable after it, so both limits are respected from the start.
  */
 function stateLimits({ next, ...now }: PlatformSettings["deployment"]["state"]): StateLimits {
   const strictest = (key: keyof typeof now): number => Math.min(now[key], next[key] ?? Infinity);
@@ -72,8 +72,8 @@
  * Derives silentAfterMs from cancel_s. A cancellation recorded through another controller at the moment of this node's
  * last proof of contact must have taken effect within cancel_s: this node becomes silent, then the lease that its last
  * answer renewed expires (docs/design/meetings.md). A margin of 1.2 report intervals is kept for late timers and stalls.
- * If cancel_s leaves no more than twice that, the margin is half of what it leaves: silence then begins earlier, never
- * later than cancel_s permits. Throws SettingsError if cancel_s leaves nothing.
+ * If cancel_s leaves no more than twice that margin besides the lease, the margin is half of what it leaves: silence then
+ * begins earlier, never later than cancel_s permits. Throws SettingsError if cancel_s leaves no time.
  */
 function deriveSilence(cancelS: number, leaseMs: number, reportMs: number): { silentAfterMs: number; cautions: string[] } {
   const availableMs = cancelS * 1000 * (1 - DRIFT) - leaseMs * (1 + 2 * DRIFT);
@@ -120,7 +120,7 @@
   };
 }
 
-/** Returns the tightest objective of a kind for a class, in seconds; Infinity if there is none. */
+/** Returns the tightest time limit among the objectives of one kind for a job class, in seconds; Infinity if there is none. */
 export function objectiveS(platform: PlatformSettings, kind: string, klass: string | undefined): number {
   let minS = Infinity;
   for (const objective of platform.deployment.objectives) {
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -23,7 +23,7 @@
   return derive(parsePlatform(config, read(config)), operators);
 }
 
-/** Exit codes by class name of the error; the classes are in packages that are loaded only on demand. */
+/** Exit codes of commands by class name of the error; names are used because the classes are in packages loaded only on demand. */
 const EXIT_CODES: Record<string, number> = { SettingsError: 3, SettingsFault: 3, CommandFailed: 4, FolderError: 4 };
 
 /** Prints an expected error in one line and sets the exit code described in the README. Rethrows any other error. */
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -9,7 +9,7 @@
 
 const txnOps = z.number().int().min(4);
 
-/** A team's guarantees and limits; 0 means that there is none. */
+/** A team's guarantees (`cpus`, `gpus`) and limits (`cpus_max`, `gpus_max`); 0 means that there is none. */
 export const teamSchema = z.object({
   name: z.string().min(1),
   cpus: amount.default(0),
@@ -53,7 +53,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: txnOps,
-      /** Limits that will apply from an unspecified later time on. */
+      /** Announced limits, which will replace those above at an unspecified later time. */
       next: z.object({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: txnOps }).partial().default({}),
     }),
     cloud: z.object({ rps: positive, list_lag_s: amount }),
