--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -4,7 +4,7 @@
 
 /** The commands that send users' requests to a controller. */
 
-/** A command failed; the message is one line for the user. */
+/** Thrown if a command failed; the message is one line for the user. */
 export class CommandFailed extends Error {}
 
 const TIMEOUT_MS = 5000;
@@ -49,7 +49,7 @@
   return unwrap(await call(node, "POST", `/v2/runs/${encodeURIComponent(ref)}/cancel`, {}));
 }
 
-/** Returns the /cluster view of a node. Throws CommandFailed. */
+/** Returns a controller's view of the cluster, as served at /cluster. Throws CommandFailed. */
 export async function clusterStatus(node: string): Promise<Record<string, unknown>> {
   return unwrap(await call(node, "GET", "/cluster"));
 }
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -10,7 +10,7 @@
 import { SettingsError } from "../settings/platform-file.js";
 import { CommandFailed } from "./client.js";
 
-/** The `config` commands. They access the state service in the settings directly, so they work without any controller. */
+/** The `config` commands. They access the state service directly, at its address in the settings, so they work without any controller. */
 
 const POLL_INTERVAL_MS = 250;
 
@@ -30,13 +30,13 @@
   }
 }
 
-/** Returns the newest version and its teams. Throws CommandFailed. */
+/** Returns the newest configuration version and its teams. Throws CommandFailed. */
 export async function getConfiguration(settings: Settings): Promise<Record<string, unknown>> {
   const { head, teams } = await withCommandErrors(null, () => openStore(settings).read());
   return { version: head?.version ?? 0, prepared: head?.prepared !== undefined, teams };
 }
 
-/** Applies the change described in a file. Throws SettingsError or CommandFailed. */
+/** Applies the configuration change described in a file. Throws SettingsError or CommandFailed. */
 export async function setConfiguration(settings: Settings, file: string): Promise<Record<string, unknown>> {
   let text: string;
   try {
@@ -48,12 +48,12 @@
   return withCommandErrors(file, async () => ({ ...(await openStore(settings).set(change)) }));
 }
 
-/** Returns what each version changed. Throws CommandFailed. */
+/** Returns what each configuration version in the history changed. Throws CommandFailed. */
 export async function configurationHistory(settings: Settings): Promise<ConfigurationHistoryRecord[]> {
   return (await withCommandErrors(null, () => openStore(settings).read())).history;
 }
 
-/** Returns, for each partition, whether a version that was written at `at` (time of day) is in force. */
+/** Returns the status, in each partition, of a configuration version that was written at `at` (time of day). */
 async function readStandings(
   store: ConfigurationStore,
   settings: Settings,
@@ -75,8 +75,8 @@
 }
 
 /**
- * Resolves once the version is in force everywhere. Throws CommandFailed if the version does not exist or is not in
- * force within the time.
+ * Resolves once the configuration version is in force in all partitions. Throws CommandFailed if the version does not
+ * exist or is not in force within `withinMs`.
  */
 export async function waitForConfiguration(
   settings: Settings,
