--- a/src/status/metrics.ts
+++ b/src/status/metrics.ts
@@ -2,12 +2,12 @@
 import type { Exposition } from "./exposition.js";
 
 const MAX_CLASSES = 50;
-/** Maximum number of waits that are buffered before they are passed to the histogram. */
+/** Maximum number of waiting times that are buffered before they are passed to the histogram. */
 const MAX_PENDING_WAITS = 1000;
 
 /**
- * Collects metrics. The library that formats them is loaded on the first request, or when the buffer of
- * waits is full, because processor time is scarce at start-up.
+ * Collects metrics. The library that formats them is loaded on the first request for metrics, or when the buffer of
+ * waiting times is full, because processor time is scarce at start-up.
  */
 export class Metrics {
   private readonly answers = new Map<number, number>();
@@ -22,9 +22,9 @@
     this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
   }
 
-  /** Records the time in seconds from submission to running. */
+  /** Records the time in seconds from a task's submission until it runs. */
   countWait(klass: string, seconds: number): void {
-    // Class names come from users: the number of labels is bounded, and further classes share one.
+    // Job class names come from users, so the number of classes with a label of their own is bounded; further ones share a label.
     const hasOwnLabel = this.classes.has(klass) || this.classes.size < MAX_CLASSES;
     if (hasOwnLabel) this.classes.add(klass);
     this.pending.push([hasOwnLabel ? klass : "(other)", seconds]);
--- a/src/status/view.ts
+++ b/src/status/view.ts
@@ -5,7 +5,7 @@
 
 const MAX_RECOVERIES_SHOWN = 10;
 
-/** Returns the state of the cluster as this node sees it, which operators read at /cluster. */
+/** Returns the state of the cluster as this controller sees it, which operators read at /cluster. */
 export function clusterView(controller: Controller): Record<string, unknown> {
   const { settings, configuration, replica, rentals, needs, presence, detector, ownership, leader, exchange, fitness, stalls, overload } =
     controller;
