--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -34,7 +34,7 @@
     return neverRuns(spec, this.configuration.acceptingTeams, this.leader.types);
   }
 
-  /** Whether a prepared but undecided configuration change would make the job exceed its team's limits. */
+  /** Whether the job would exceed its team's limits under a configuration change that is prepared but not decided yet. */
   affectedByPreparedChange(spec: JobSpec): boolean {
     const team = this.configuration.prepared?.teams.find(({ name }) => name === spec.team);
     return team !== undefined && limitExceeded(spec, team) !== null;
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -44,7 +44,7 @@
     return this.replica.loaded && this.replica.ageMs() < this.settings.timing.contactMs;
   }
 
-  /** Resolves false if the work fails or takes longer than `ms`; the user is then asked to retry. */
+  /** Resolves with whether the work succeeds within `ms`; if not, the user is asked to retry. */
   private completesWithin(work: Promise<unknown>, ms: number): Promise<boolean> {
     return new Promise((resolve) => {
       const cancel = this.scope.clock.after(ms, () => resolve(false));
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Brings the replica cache up to date; false if that takes too long. The elapsed time is checked again after the read,
-   * because data read before a stall of this process is not fresh.
+   * Brings the replica up to date; false if that fails or takes too long. The elapsed time is checked again after the
+   * read, because data read before a stall of this process is not fresh.
    */
   private async refreshReplica(patienceMs: number): Promise<boolean> {
     const limitMs = Math.min(patienceMs, this.settings.timing.stateTimeoutMs * 0.75);
@@ -93,7 +93,7 @@
     if (rejection !== null) {
       if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
       if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
-      // A job that this one depends on may have been accepted by another controller since the last read.
+      // After the refresh: another controller may have accepted a job that this one depends on.
       rejection = rejectionReason();
       if (rejection !== null) return { status: 422, body: { error: rejection } };
     }
@@ -121,14 +121,14 @@
     }
     if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
     if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
-    // The configuration changed before the job was recorded.
+    // The job was not recorded because the configuration changed after the first check.
     rejection = rejectionReason();
     return rejection === null ? this.unavailable("the configuration is changing") : { status: 422, body: { error: rejection } };
   }
 
   /**
-   * Returns why the job's dependencies are invalid, or null. The result is reliable only if the replica cache is
-   * fresh or contains all of them.
+   * Returns why the job's dependencies are invalid, or null. The result is reliable only if the replica is fresh or
+   * contains all of them.
    */
   private invalidNeed(spec: JobSpec): string | null {
     for (const ref of spec.needs ?? []) {
@@ -142,7 +142,7 @@
   /** Returns the status of a job. `patienceMs`: time after which the requester no longer waits. */
   async poll(ref: string, patienceMs = Infinity): Promise<Response> {
     if (!isJobRef(ref)) return { status: 404, body: { error: "no such job" } };
-    // A terminal state never changes; any other may have been changed by another controller.
+    // A terminal state never changes, but another controller may have changed any other state since the last read.
     if (!this.isTerminal(ref) && !(this.stateReachable() && (await this.refreshReplica(patienceMs))))
       return this.unavailable("the state service does not answer");
     return this.statusResponse(ref);
--- a/src/intake/relay.ts
+++ b/src/intake/relay.ts
@@ -5,7 +5,7 @@
 import type { Jobs, Response } from "./jobs.js";
 
 const REQUEST_KINDS = ["submit", "poll", "cancel"] as const;
-/** Kind of a user's request that peers relay to each other. */
+/** Kind of a user's request that controllers relay to each other. */
 export type RequestKind = (typeof REQUEST_KINDS)[number];
 
 interface PendingRequest {
@@ -14,9 +14,9 @@
   cancel: () => void;
 }
 
-/** Share of the state service's timeout after which a peer is asked as well. */
+/** Share of the state service's timeout after which a user's request that is not answered yet is relayed to a peer as well. */
 const HEDGE_SHARE = 1 / 8;
-/** Share of the state service's timeout for which a peer's answer is awaited. */
+/** Share of the state service's timeout for which a peer's answer to a relayed request is awaited. */
 const PATIENCE_SHARE = 1 / 2;
 const MAX_PENDING = 500;
 
@@ -77,12 +77,12 @@
     return kind === "poll" ? this.jobs.poll(String(body), patienceMs) : this.jobs.cancel(String(body), patienceMs);
   }
 
-  /** Time for which a peer's answer is awaited, and for which a peer's request is therefore processed. */
+  /** Time in ms for which the sender of a relayed request awaits the answer, and hence for which the receiver processes the request. */
   private patienceMs(): number {
     return this.settings.timing.stateTimeoutMs * PATIENCE_SHARE;
   }
 
-  /** Logs and ignores a message; its sender's request times out and is handled without this node. */
+  /** Logs a message from a peer that is ignored; the relayed request times out at its sender, which handles it alone. */
   private logIgnored(from: string, what: string): void {
     this.scope.log.warn({ peer: from, what }, "relayed request or answer ignored");
   }
@@ -90,7 +90,7 @@
   private async serve(from: string, request: { id: number; kind: string; body: string }): Promise<void> {
     const kind = REQUEST_KINDS.find((one) => one === request.kind);
     const body = decodeJson(request.body);
-    // A later version may send request kinds unknown to this one; they must not be handled as a cancellation.
+    // Peers of a later version may send kinds of requests that are unknown here; these must not be handled as cancellations.
     if (kind === undefined || body === undefined)
       return this.logIgnored(from, kind === undefined ? `kind ${request.kind.slice(0, 40)}` : "not JSON");
     this.stats.served++;
@@ -113,7 +113,7 @@
     });
   }
 
-  /** Returns the local answer, or a peer's answer if the local one is late or is 503. */
+  /** Answers a user's request: with this node's answer, or with a peer's if this node's is late or is 503. */
   async answer(kind: RequestKind, body: unknown): Promise<Response> {
     const own = this.local(kind, body);
     const isDefinite = (answer: Response | null): answer is Response => answer !== null && answer.status !== 503;
--- a/src/intake/server.ts
+++ b/src/intake/server.ts
@@ -10,9 +10,9 @@
   /** Why this node cannot take requests, or null if it can. */
   unreadyReason: () => string | null;
   countResponse: (status: number) => void;
-  /** Records a request that was turned away with a retry time, and why. */
+  /** Records a request that was answered with a retry time, and why. */
   onShed: (path: string, status: number, why: unknown) => void;
-  /** Seconds after which to request views again while they are shed, or null if they are served. */
+  /** While `/cluster` and `/metrics` are refused because of overload, the seconds after which to retry; otherwise null. */
   viewsRetryAfterS: () => number | null;
   view: () => Record<string, unknown>;
   metrics: () => Promise<string>;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -22,11 +22,12 @@
 import type { Admission } from "./admission.js";
 
 /**
- * Time after which a prepared change of limits is abandoned, because the process that prepared it has probably ended.
+ * Time after which a prepared configuration change to lower limits is abandoned, because the process that prepared it
+ * has probably ended.
  */
 const MAX_UNDECIDED_MS = 30_000;
 
-/** Removes and returns the leading refs of `refs` that fit into `bytes` as JSON. */
+/** Removes and returns the first job references in `refs` that fit into `bytes` as JSON. */
 function takeRefs(refs: string[], bytes: number): string[] {
   const taken: string[] = [];
   for (let bytesLeft = bytes; refs.length > 0;) {
@@ -58,9 +59,9 @@
   constructor(private readonly deps: SubmissionsDependencies) {}
 
   /**
-   * Chooses the partition for a new job: one owned by this controller, unless that has the maximum number of
-   * machines; then the one with the fewest machines. If this controller owns none, the partitions that have an owner
-   * are chosen in turn. Returns null if no partition has an owner.
+   * Chooses the partition for a new job: among those that this controller owns, a serving one with the fewest task sets;
+   * if that one has the maximum number of machines, the partition with the fewest machines of all that have an owner. If
+   * this controller owns none, the partitions that have an owner are chosen in turn. Returns null if none has an owner.
    */
   choosePartition(): number | null {
     const ownPartitions = [...this.deps.leader.partitions.values()];
@@ -82,9 +83,10 @@
   }
 
   /**
-   * Records the job. Rows of a large job that do not fit into a single transaction are
-   * written before it: slices and lists of needed jobs have no effect until the job's own
-   * record exists. Rows left by an earlier attempt are kept.
+   * Records the job. Records of a large job that do not fit into one transaction with the
+   * job's own record are written in earlier ones: slices (ranges of its tasks) and lists of
+   * needed jobs have no effect until the job's own record exists. Those left by an earlier
+   * attempt to submit the job are kept.
    */
   async record(spec: JobSpec, partition: number, shedAfterMs: number): Promise<CommitOutcome> {
     const { txnOps } = this.deps.settings.state;
@@ -94,7 +96,7 @@
       if (this.deps.replica.get(key) !== undefined || this.notAdmitted(spec)) return null;
       const rows = [...rowsOf()].filter(([k]) => this.deps.replica.get(k) === undefined);
       if (rows.length === 0) return null;
-      // A job is accepted only if the newest configuration admits it.
+      // The condition on the configuration's revision ensures that a job is accepted only if the newest version admits it.
       const conditions = [...rows.map(([k]) => ({ k, stamp: 0 })), { k: keys.configuration, stamp: this.deps.configuration.stamp }];
       return { conditions, apply: rows.map(([write, v]) => ({ write, v })) };
     };
@@ -110,7 +112,7 @@
       )
         return "shed";
     }
-    // The job's record is built when the transaction is sent, because a job it needs may have ended meanwhile.
+    // The job's own record is built when its transaction is sent, because a job that it needs may end before that.
     return this.deps.committer.commit(
       "submit",
       draftOf(() => new Map<string, unknown>([[key, this.jobRecord(spec, partition)], ...remainingRows])),
@@ -118,12 +120,12 @@
     );
   }
 
-  /** Whether the current configuration rejects the job, or an undecided change may reject it. */
+  /** Whether the current configuration rejects the job, or a configuration change that is not decided yet may reject it. */
   private notAdmitted(spec: JobSpec): boolean {
     return this.deps.admission.rejectionReason(spec) !== null || this.deps.admission.affectedByPreparedChange(spec);
   }
 
-  /** Abandons a prepared change that was not decided in time; a late write of the decision then fails its condition. */
+  /** Abandons a prepared configuration change that was not decided in time; a late write of the decision then fails its condition. */
   abandonStaleChange(): void {
     const { configuration, replica, committer, scope, settings } = this.deps;
     const { prepared, stamp } = configuration;
@@ -141,7 +143,7 @@
     );
   }
 
-  /** Number of tasks in the first slice, which is stored in the job's own record. A gang is one slice. */
+  /** Number of tasks in the job's first slice (range of tasks), which is stored in the job's own record. A gang is one slice. */
   private firstSliceTasks(spec: JobSpec): number {
     return spec.kind === "gang" ? spec.tasks : Math.min(sliceCapacity(this.deps.settings.state.valueKb), spec.tasks);
   }
@@ -158,13 +160,13 @@
     return { inline, name, lists };
   }
 
-  /** Rows that may be written before the job's own record: lists of needed jobs and all slices but the first. */
+  /** Records that may be written before the job's own: lists of needed jobs, and all slices (ranges of tasks) but the first. */
   private secondaryRows(spec: JobSpec, partition: number): Map<string, unknown> {
     const rows = new Map<string, unknown>();
     const { name, lists } = this.splitNeeds(spec);
     lists.forEach((refs, i) => rows.set(keys.needList(spec.ref, name, i), { ref: spec.ref, needs: refs }));
     const size = this.firstSliceTasks(spec);
-    // Tasks whose zones depend on each other stay in one partition.
+    // Tasks that must share a zone or be spread over zones stay in one partition.
     const singlePartition = spec.oneZone || spec.spread;
     const n = this.deps.settings.nodes.length;
     for (let lo = size, i = 1; lo < spec.tasks; lo += size, i++) {
@@ -181,7 +183,7 @@
     return rows;
   }
 
-  /** Builds the job's record: cancelled if a job it needs was cancelled, waiting while any is unfinished, otherwise ready to run. */
+  /** Builds the job's own record: cancelled if a job that it needs was cancelled, waiting while one is unfinished, otherwise ready to run. */
   private jobRecord(spec: JobSpec, partition: number): JobRecord {
     const at = this.deps.scope.clock.wall();
     const hi = this.firstSliceTasks(spec);
