--- a/src/job-classes/class-accounting.ts
+++ b/src/job-classes/class-accounting.ts
@@ -2,10 +2,10 @@
 import type { TerminationProof } from "../workers/termination-proof.js";
 
 /**
- * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work, a guarantee, a notice
- * or with its gang; `mates`: its gang came apart; `refused`: the worker did not accept it; `machine`: lost with its
- * machine or the machine's lease; `withdrawn`: its job is finished or cancelled; `unseen`: it never existed on the
- * machine.
+ * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work or a team's guarantee,
+ * after a notice that the cloud reclaims the machine, or with its gang; `mates`: other members of its gang did not start
+ * or ended; `refused`: the worker did not accept it; `machine`: lost with its machine or the machine's lease;
+ * `withdrawn`: its job is finished or cancelled; `unseen`: it never existed on the machine.
  */
 export const ATTEMPT_ENDS = ["done", "stopped", "mates", "error", "refused", "machine", "withdrawn", "unseen"] as const;
 export type AttemptEnd = (typeof ATTEMPT_ENDS)[number];
@@ -14,22 +14,22 @@
 export interface EndedAttempt {
   placement: Placement;
   end: AttemptEnd;
-  /** The proof that the attempt is gone. */
+  /** Why the attempt can no longer be on its machine. */
   proof: TerminationProof;
-  /** Observed run time in seconds; 0 if it was never seen to run. */
+  /** Observed run time of the attempt in seconds; 0 if it was never seen to run. */
   ranS: number;
-  /** True if its progress was saved when it was stopped. */
+  /** True if the task's progress was saved when the attempt was stopped. */
   kept: boolean;
 }
 
 /**
- * Counters of one class: attempts seen to begin, how they ended, and what they used in core and accelerator seconds.
+ * Counters of one job class: attempts seen to begin, how they ended, and what they used in core and accelerator seconds.
  */
 export interface ClassAccount {
   begun: number;
-  /** How attempts that were seen to run have ended. */
+  /** Number of attempts that were seen to run, by how they ended. */
   ends: Record<AttemptEnd, number>;
-  /** Attempts that ended before they ran: while fetching, or waiting for their gang. */
+  /** Number of attempts that ended before they ran: while fetching their image, or waiting for their gang. */
   neverRan: number;
   usefulCoreS: number;
   lostCoreS: number;
@@ -37,7 +37,7 @@
   lostGpuS: number;
 }
 
-/** Class names come from users, so their number is bounded: further classes are counted together. */
+/** Maximum number of job classes counted separately, because class names come from users; further classes are counted together. */
 const MAX_CLASSES = 50;
 const OTHER_CLASSES = "(other)";
 
@@ -47,9 +47,9 @@
 }
 
 /**
- * Counts by class what became of the work in the partitions that this controller owned, since it started: whether
- * begun work is finished, and the cause of lost work. Every attempt seen to begin is counted under exactly one end of
- * its class, or still runs.
+ * Counts by job class, since this controller started, what became of the work in the partitions that it owned: whether
+ * begun work was finished, and why work was lost. Every attempt seen to begin is counted under exactly one way of
+ * ending, or still runs.
  */
 export class ClassAccounting {
   private readonly classes = new Map<string, ClassAccount>();
@@ -84,7 +84,7 @@
     }
   }
 
-  /** The counters by class, with seconds rounded to integers. */
+  /** Returns the counters by job class, with seconds rounded to integers. */
   view(): Record<string, ClassAccount> {
     return Object.fromEntries(
       [...this.classes].map(([klass, account]) => {
--- a/src/job-classes/class-shares.ts
+++ b/src/job-classes/class-shares.ts
@@ -5,21 +5,21 @@
 import type { Settings } from "../settings/derived.js";
 
 /**
- * Share of a class's jobs that should be done. A class below it that is also the least served of its priority comes
- * first.
+ * Share of a job class's open and recently done jobs that should be done. A class below this share that is also the
+ * least served of its priority comes first.
  */
 const FLOOR = 0.6;
-/** Length of the window as a number of lease times; about ten minutes at usual settings. */
+/** Length, in lease durations, of the window in which jobs count as recently done; about ten minutes at usual settings. */
 const WINDOW_LEASES = 33;
-/** Number of buckets in the window, which are dropped one at a time, the oldest first. */
+/** Number of buckets that the window of recently done jobs is divided into; the oldest is dropped as a new one begins. */
 const BUCKETS = 11;
 /**
- * Urgent work is ordered by its own objectives, so only classes of this rank or a higher one, which is less urgent,
- * are considered.
+ * Only job classes of this urgency or less (an equal or higher rank) can come first for being underserved; more urgent
+ * work is ordered by its own objectives.
  */
 const MIN_RANK = rank("normal");
 
-/** Open and recently done jobs of a class, with the rank of its urgency. */
+/** Numbers of open and recently done jobs of a job class, with the rank of its urgency. */
 export interface ClassCounts {
   rank: number;
   done: number;
@@ -27,8 +27,8 @@
 }
 
 /**
- * Returns the classes that are the least served of their priority and below the floor. A class that is alone in its
- * priority is never returned: there is no other class to take capacity from.
+ * Returns the job classes that are the least served of their priority and have a share of done jobs below `FLOOR`. A
+ * class that is alone in its priority is never returned: there is no other class to take capacity from.
  */
 export function underservedClasses(counts: ReadonlyMap<string, ClassCounts>): Set<string> {
   const result = new Set<string>();
@@ -42,13 +42,13 @@
 }
 
 /**
- * Tracks how much of each class has been served recently, from the job records that every controller receives, so
- * that the result is the same on all controllers and survives a takeover. The floor is needed because, with more work
- * than capacity, the queue order alone can leave one of several classes with next to nothing.
+ * Tracks how much of each job class has been served recently, from the job records that every controller receives, so
+ * that the result is the same on all controllers and survives a takeover. Underserved classes come first because, with
+ * more work than capacity, the queue order alone can leave one of several classes with next to nothing.
  */
 export class ClassShares {
   private readonly open = new Set<string>();
-  /** Jobs done by class, one map per bucket of the window, newest first. */
+  /** Numbers of done jobs by job class: one map per bucket of the window, the newest bucket first. */
   private done: Map<string, number>[] = [new Map()];
   private bucketStartedAt = 0;
   private cached: { at: number; classes: Set<string> } = { at: -Infinity, classes: new Set() };
@@ -78,7 +78,7 @@
   }
 
   /**
-   * True for a job that ended within the window and is read for the first time by a controller that has just started.
+   * True for a job that ended within the window and is read by a controller that has just started and loads all records.
    */
   private endedWithinWindow({ endedAt }: JobRecord): boolean {
     return !this.replica.loaded && endedAt !== undefined && this.scope.clock.wall() - endedAt < this.windowMs();
@@ -88,7 +88,7 @@
     return this.settings.timing.leaseMs * WINDOW_LEASES;
   }
 
-  /** Classes whose work currently comes before other work of the same priority. */
+  /** Job classes whose work currently comes before other work of the same priority. */
   underserved(): Set<string> {
     const now = this.scope.clock.now();
     if (now - this.cached.at < this.settings.timing.reportMs) return this.cached.classes;
