--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -1,15 +1,15 @@
 import { loadPlan, playReal, FAST_TIMING } from "@thorntrail/emulator/entry";
 import { injectionPointOf } from "../rehearsal/injection-points.js";
 
-/** Time in seconds at which the leader is restarted and a machine is lost. */
+/** Time in seconds, from the start of the rehearsal, at which a controller is restarted and a machine is lost. */
 const FAULTS_AT_S = 4;
-/** Duration of the rehearsal in seconds. */
+/** Duration of the build's rehearsal in seconds. */
 const DURATION_S = 9;
 
 /**
- * Entry point of the build's rehearsal: plays the first seconds of the demo with controllers that save V8's code
- * cache. They cover start-up, rentals, reports, placement, users' requests and a takeover. Arguments: the program
- * that replaces `main.js`, preceded by its flags.
+ * Entry point of the build's rehearsal: plays the first seconds of the demo, with its faults, with controllers that save
+ * V8's code cache. These seconds cover start-up, rentals, reports, placement, users' requests and a takeover. Arguments:
+ * the program that replaces `main.js`, preceded by its flags.
  */
 const plan = await loadPlan("deploy/demo.hcl");
 const [restart, lose] = plan.fault;
--- a/src/launch/script.ts
+++ b/src/launch/script.ts
@@ -5,7 +5,7 @@
 
 /** Exports of the service's bundle. */
 export interface Service {
-  /** Runs one controller; `dir`: where the build put its files, `config`: path of the platform's settings. */
+  /** Runs one controller; `dir`: directory of the build's files, `config`: path of the platform's settings file. */
   main(dir: string, config: string): void;
 }
 
@@ -24,7 +24,7 @@
   return { script, service: module.exports };
 }
 
-/** Runs the command line, which loads the modules that the command needs. */
+/** Runs the command-line interface, which loads only the modules that the given command needs. */
 export function runCommandLine(dir: string): void {
   void import(`${dir}/cli.mjs`).then((cli: { main: (dir: string) => Promise<void> }) => cli.main(dir));
 }
--- a/src/launch/start.ts
+++ b/src/launch/start.ts
@@ -4,7 +4,7 @@
 
 declare const SERVICE_FILE: string;
 
-/** Returns the build's code cache, or undefined if there is none; the service then starts more slowly. */
+/** Returns V8's code cache saved by the build, or undefined if there is none; the service then starts more slowly. */
 function readCodeCache(): Buffer | undefined {
   try {
     return readFileSync(join(__dirname, `${SERVICE_FILE}.cache`));
@@ -16,7 +16,8 @@
 /**
  * Entry point of `node target/main.js`. A controller has a tenth of a core and is restarted after
  * every failure, so exactly `serve --config FILE` starts the service's bundle directly. All other
- * arguments, including invalid ones, load the command line and the modules that the command needs.
+ * arguments, including invalid ones, load the command-line interface and the modules that the
+ * command needs.
  */
 const [, , command, option, config, ...more] = process.argv;
 if (command === "serve" && option === "--config" && config !== undefined && more.length === 0)
--- a/src/launch/warm.ts
+++ b/src/launch/warm.ts
@@ -4,10 +4,10 @@
 
 declare const SERVICE_FILE: string;
 
-/** Time for which a controller serves in the build's rehearsal before V8's code cache is saved. */
+/** Time for which a controller serves, in a short rehearsal during the build, before V8's code cache is saved. */
 const WARM_MS = 9_000;
 
-/** Replaces `main.js` in the build's rehearsal: serves like it and saves the code cache. */
+/** Entry point that replaces `main.js` in a short rehearsal during the build: runs a controller and saves V8's code cache. */
 if (process.argv[2] === "serve") {
   const file = join(__dirname, SERVICE_FILE);
   const { script, service } = loadBundle(file);
