--- a/packages/store/src/admin.ts
+++ b/packages/store/src/admin.ts
@@ -1,4 +1,4 @@
-/** The operators' interface of the store: health, metrics, limits and snapshots. */
+/** The HTTP interface of the store for operators: health, metrics, limits and snapshots. */
 import type { Server } from "node:http";
 import express from "express";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
@@ -54,7 +54,7 @@
   return registry;
 }
 
-/** Serves the operators' interface on a separate address; rejects if the address cannot be bound. */
+/** Serves the operators' HTTP interface on an address of its own; rejects if the address cannot be bound. */
 export function serveAdmin(store: Store, engine: LevelEngine, host: string, port: number): Promise<Server> {
   const registry = storeMetrics(store);
   const app = express();
--- a/packages/store/src/core.ts
+++ b/packages/store/src/core.ts
@@ -1,10 +1,10 @@
-/** The decisions of the store on transactions and leases. */
+/** Decides on transactions and leases for the store; storage and timers are left to the caller. */
 import { STATE_BOUNDS } from "@thorntrail/protocol/state-wire";
 import type { Condition } from "@thorntrail/protocol/state";
 import type { Batch, EngineMeta, StoredEvent } from "./engine.js";
 import type { KeyMetadata } from "./key-metadata-cache.js";
 
-/** A requested change. The value is JSON text; `permit` is the ID of the lease to attach the key to, or null. */
+/** A change in a transaction. The written value is JSON text; `permit` is the ID of the lease to attach the key to, or null. */
 export type Change = { write: string; text: string; permit: number | null } | { remove: string };
 
 /**
@@ -37,7 +37,7 @@
 
   constructor(
     meta: EngineMeta,
-    /** Reads the metadata of a key from durable data; the pending batch takes precedence over it. */
+    /** Reads the revision and lease of a key from durable data; changes in the pending batch take precedence. */
     private readonly readDurable: (key: string) => KeyMetadata | undefined,
     now: number,
   ) {
@@ -46,7 +46,7 @@
     this.permitCount = meta.permitCount;
     this.revisions = [...meta.revisions];
     this.retainedChanges = this.revisions.reduce((n, { count }) => n + count, 0);
-    // Holders could not renew their leases while the service was down, so every lease gets its full time to live again.
+    // Clients could not renew their leases while the service was down, so every lease gets its full time to live again.
     for (const { id, ttlMs, keys } of meta.leases) this.leases.set(id, { ttlMs, expiresAt: now + ttlMs, keys: new Set(keys) });
     this.pending = this.emptyBatch();
   }
@@ -70,7 +70,7 @@
     };
   }
 
-  /** Returns the effects of all decisions since the last durable batch, or null if there are none. Called once per commit group. */
+  /** Returns the effects of all decisions since the last durable batch, or null if there are none. The store calls it once per commit group. */
   takeBatch(): Batch | null {
     const batch = this.pending;
     if (batch.ledger === this.ledger && batch.leases.size === 0) return null;
@@ -78,7 +78,7 @@
     return Object.assign(batch, { ledger: this.ledger, floor: this.floor, permitCount: this.permitCount });
   }
 
-  /** Starts a new batch after the one taken last has become durable and `readDurable` returns its effects. */
+  /** Starts a new batch. The store calls this once the batch taken last is durable and `readDurable` returns its effects. */
   onBatchDurable(): void {
     this.pending = this.emptyBatch();
   }
@@ -88,7 +88,7 @@
     return undurable === undefined ? this.readDurable(key) : (undurable ?? undefined);
   }
 
-  /** Applies all changes if every condition holds: each key named must have the given stamp, 0 meaning that it does not exist. */
+  /** Applies all changes if every condition holds: its key was last changed at revision `stamp`, or does not exist if that is 0. */
   txn(conditions: readonly Condition[], changes: readonly Change[]): TxnAnswer {
     const failed = [...new Set(conditions.filter((c) => (this.get(c.k)?.stamp ?? 0) !== c.stamp).map((c) => c.k))];
     if (failed.length > 0) return { kind: "conflict", failed, ledger: this.ledger };
@@ -126,10 +126,10 @@
     this.pending.leaseKeys.push({ id, key, attached });
   }
 
-  /** Trims the history to the length that the protocol guarantees, so that it does not grow with uptime. */
+  /** Trims the history of changes to the length that the protocol guarantees, so that it does not grow with uptime. */
   private trimHistory(batch: Batch): void {
     let dropped = 0;
-    // Revisions without changes (removals of keys that did not exist) are bounded too.
+    // The number of revisions is bounded too, because some have no changes (removals of keys that did not exist).
     const exceedsHistory = (): boolean => this.retainedChanges > STATE_BOUNDS.historyChanges || this.revisions.length - dropped > STATE_BOUNDS.historyChanges;
     while (dropped < this.revisions.length && exceedsHistory()) {
       const oldest = this.revisions[dropped]!;
@@ -179,7 +179,7 @@
     return expired;
   }
 
-  /** Gives every lease its full time to live again, because holders could not renew while the service was unreachable. */
+  /** Gives every lease its full time to live again, because clients could not renew leases while the service was unreachable. */
   refreshLeases(now: number): void {
     for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
--- a/packages/store/src/engine.ts
+++ b/packages/store/src/engine.ts
@@ -21,10 +21,10 @@
   index: number;
 }
 
-/** Data loaded at start, apart from the keys. Its size grows with leases and history, not with the number of keys. */
+/** What a storage engine loads at start: counters, leases and the revisions in the history. Its size does not grow with the number of keys. */
 export interface EngineMeta {
   ledger: number;
-  /** Changes up to and including this revision are no longer in the history. */
+  /** The history no longer has the changes up to and including this revision. */
   floor: number;
   /** Number of leases granted so far, which is also the ID of the newest one. */
   permitCount: number;
@@ -33,7 +33,7 @@
   revisions: { stamp: number; count: number }[];
 }
 
-/** All changes of one commit group, written atomically. */
+/** Effects of one commit group (requests decided together), which an engine writes atomically. */
 export interface Batch {
   ledger: number;
   floor: number;
@@ -50,7 +50,7 @@
   trimmed: { stamp: number; count: number }[];
 }
 
-/** One page of a range read. `more` is true if further keys match. */
+/** One page of a range read. `more` is true if further keys match after the last one in `rows`. */
 export interface Page {
   rows: { key: string; stored: StoredValue }[];
   more: boolean;
@@ -62,14 +62,14 @@
   get(key: string): StoredValue | undefined;
   /** Writes a batch atomically. Resolves once it is durable, that is, survives a crash of the process or the machine. */
   write(batch: Batch): Promise<void>;
-  /** Keys with the prefix that sort after `from`, in order, from one consistent view of the data. */
+  /** Returns keys with the prefix that sort after `from`, in order, from one consistent view of the data. */
   range(prefix: string, from: string | undefined, limit: { items: number; bytes: number }): Promise<Page>;
-  /** Changes to keys with the prefix in revisions after `from`, oldest first. */
+  /** Returns changes to keys with the prefix in revisions after `from`, oldest first. */
   events(prefix: string, from: number): Promise<StoredEvent[]>;
   /** Reopens the data after a failed write, so that later reads return what is on disk. */
   reopen(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** The data on disk fail an integrity check and must not be served. */
+/** Thrown if the data on disk fail an integrity check; they must not be served. */
 export class CorruptDataError extends Error {}
--- a/packages/store/src/entry.ts
+++ b/packages/store/src/entry.ts
@@ -1,4 +1,4 @@
-/** The store's commands: serve, check, snapshot and restore. */
+/** The `store` commands: serve, check, snapshot and restore. */
 import { existsSync } from "node:fs";
 import { statfs } from "node:fs/promises";
 import { join } from "node:path";
@@ -23,10 +23,10 @@
   },
 };
 
-/** Interval between checks of the free disk space. */
+/** Interval between two checks of the free disk space. */
 const DISK_CHECK_INTERVAL_MS = 1000;
 
-/** Monitors free disk space. Changes are refused while less than the reserve is left, because every answered change must fit in the log. */
+/** Monitors free disk space. While less than the reserve is left, the store refuses changes, because every answered change must fit in the log. */
 class DiskSpaceMonitor {
   private shortageText: string | null = null;
 
@@ -45,7 +45,7 @@
       this.shortageText =
         leftMb < this.reserveMb ? `the disk has ${Math.floor(leftMb)} MB left, ${this.reserveMb} are kept in reserve` : null;
     } catch {
-      // If the free space cannot be determined, a shortage shows as a failed write.
+      // The free space cannot be determined, so a shortage will show as a failed write.
       this.shortageText = null;
     }
   }
@@ -62,7 +62,7 @@
   return [found[1]!, Number(found[2])];
 }
 
-/** Options of `store serve`. */
+/** Options of the command `store serve`: addresses, data folder and settings file. */
 export interface ServeOptions {
   listen: string;
   data: string;
@@ -72,7 +72,8 @@
 
 /**
  * Runs the state service until SIGTERM or SIGINT. Prints one line of JSON with its address
- * and ledger once it serves. Throws `FolderError` or `SettingsFault` if it cannot start.
+ * and newest revision (`ledger`) once it serves. Throws `FolderError` or `SettingsFault` if
+ * it cannot start.
  */
 export async function storeServe(options: ServeOptions): Promise<void> {
   const settings: StoreSettings = options.config === undefined ? storeSettings.parse({}) : await loadHcl(options.config, storeSettings);
--- a/packages/store/src/folder.ts
+++ b/packages/store/src/folder.ts
@@ -4,7 +4,7 @@
 import { z } from "zod";
 import { LevelEngine } from "./level-engine.js";
 
-/** The data folder or an argument cannot be used; the message gives the cause and the remedy. */
+/** Thrown if the data folder or an argument cannot be used; the message gives the cause and the remedy. */
 export class FolderError extends Error {}
 
 /** File that identifies a folder as a store's data folder and holds its format version. */
--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -31,12 +31,12 @@
 /** Uses Node's own CRC-32 where it exists (from 20.15): the same checksum in a quarter of the time, without a copy of the text. */
 const crc32: (text: string) => number = typeof zlib.crc32 === "function" ? (text) => zlib.crc32(text) : (text) => buf(Buffer.from(text));
 
-/** Prepends a checksum of name and text, which detects both torn values and values stored under a wrong name. */
+/** Prepends to a record's text a checksum of its name and text, which detects both torn values and values stored under a wrong name. */
 function addChecksum(name: string, text: string): string {
   return `${(crc32(`${name}\n${text}`) >>> 0).toString(16).padStart(8, "0")}${text}`;
 }
 
-/** Returns the text behind the checksum; throws `CorruptDataError` if the checksum does not match. */
+/** Returns a record's text without its checksum; throws `CorruptDataError` if the checksum does not match. */
 function verifyChecksum(name: string, sealed: string): string {
   const text = sealed.slice(8);
   if (addChecksum(name, text) !== sealed) throw new CorruptDataError(`the value of ${JSON.stringify(name)} does not match its checksum`);
@@ -58,7 +58,7 @@
   return { key: space < 0 ? text : text.slice(0, space), text: space < 0 ? null : text.slice(space + 1), stamp, index };
 }
 
-/** Records fetched per call of an iterator. */
+/** Number of records fetched per call of a LevelDB iterator. */
 const ITERATOR_BATCH_SIZE = 1000;
 
 /** Storage engine on a LevelDB database in the directory `dir`. */
@@ -77,7 +77,7 @@
   }
 
   private async *entries(options: IteratorOptions<string, string>): AsyncGenerator<[string, string]> {
-    // An iterator reads a consistent snapshot as of its creation, regardless of concurrent writes.
+    // A LevelDB iterator reads a consistent snapshot as of its creation, regardless of concurrent writes.
     const iterator = this.db.iterator(options);
     try {
       for (;;) {
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Detects lost writes: LevelDB opens a log that is damaged in the middle without the
-   * damaged records, as if they had never been written. Revision numbers are contiguous,
+   * Detects lost writes: if LevelDB's log is damaged in the middle, LevelDB opens it without
+   * the damaged records, as if they had never been written. Revision numbers are contiguous,
    * so such a loss shows as a gap.
    */
   private checkRevisionsContiguous(counters: { ledger: number; floor: number }, revisions: EngineMeta["revisions"]): void {
@@ -185,12 +185,12 @@
     return found;
   }
 
-  /** All records in the order of their names, with checksums verified and removed. */
+  /** Returns all records in the order of their names, with checksums verified and removed. */
   async *allEntries(): AsyncGenerator<[string, string]> {
     yield* this.entries({});
   }
 
-  /** Writes records as returned by `allEntries`. */
+  /** Writes records in the form in which `allEntries` returns them; `sync` waits until they are durable. */
   async putEntries(entries: [string, string][], sync: boolean): Promise<void> {
     await this.db.batch(
       entries.map(([key, text]) => ({ type: "put" as const, key, value: addChecksum(key, text) })),
@@ -198,7 +198,7 @@
     );
   }
 
-  /** Continues the ledger from the given revision after a restore and drops the history before it. */
+  /** After a restore, makes `ledger` the newest revision, from which revisions continue, and drops the whole history of changes. */
   async skipToRevision(ledger: number): Promise<void> {
     const { permitCount, revisions } = await this.meta();
     const events: string[] = [];
@@ -224,20 +224,20 @@
   }
 }
 
-/** Result of an integrity check, printed under these names. */
+/** Result of an integrity check, printed as JSON under these names. */
 export interface CheckReport {
   keys: number;
   /** Total size of keys and values in UTF-16 code units. */
   bytes: number;
   leases: number;
   ledger: number;
-  /** The oldest revision in the history. */
+  /** The oldest revision in the history of changes. */
   oldestTold: number;
   /** Descriptions of the inconsistencies found. */
   faults: string[];
 }
 
-/** Reads all records and checks them for consistency. Faults are reported, not thrown; a record that cannot be read ends the check. */
+/** Reads all records and checks them for consistency. Faults are listed in the report, not thrown; a record that cannot be read ends the check. */
 export async function checkData(engine: LevelEngine): Promise<CheckReport> {
   const report: CheckReport = { keys: 0, bytes: 0, leases: 0, ledger: 0, oldestTold: 0, faults: [] };
   try {
--- a/packages/store/src/memory-engine.ts
+++ b/packages/store/src/memory-engine.ts
@@ -4,7 +4,7 @@
 // The package is CommonJS, so its default export is a property of the imported module object.
 const BTree = sortedBtree.default;
 
-/** Storage engine in memory, used for rehearsals in virtual time and as the surviving disk in crash tests. */
+/** Storage engine in memory, used for rehearsals in virtual time and, in crash tests, as the disk that survives a crash. */
 export class MemoryEngine implements Engine {
   private readonly tree = new BTree<string, StoredValue>(undefined, (a, b) => (a < b ? -1 : a > b ? 1 : 0));
   private history: StoredEvent[] = [];
@@ -55,7 +55,7 @@
   }
 
   events(prefix: string, from: number): Promise<StoredEvent[]> {
-    // Usually only the newest few changes are requested, so the search starts at the end.
+    // Usually only the newest few changes are requested, so the search starts at the end of the history.
     let first = this.history.length;
     while (first > 0 && this.history[first - 1]!.stamp > from) first--;
     return Promise.resolve(this.history.slice(first).filter(({ key }) => key.startsWith(prefix)));
--- a/packages/store/src/server.ts
+++ b/packages/store/src/server.ts
@@ -7,7 +7,7 @@
 import { CorruptDataError, type StoredEvent } from "./engine.js";
 import { LimitExceededError, type Store } from "./store.js";
 
-/** The request does not conform to the protocol. Answered with 400. */
+/** Thrown if a request does not conform to the protocol; the request is answered with 400. */
 class BadRequestError extends Error {}
 
 /** Maximum time for receiving a complete request. */
@@ -51,14 +51,14 @@
   return n;
 }
 
-/** Returns the key, or throws `BadRequestError` if it is not valid. */
+/** Returns `text` if it is a valid key; otherwise throws `BadRequestError`. */
 function validKey(text: string, what: string): string {
   const fault = keyFault(text);
   if (fault !== null) throw new BadRequestError(`${what}: expected ${fault}`);
   return text;
 }
 
-/** The prefix from the query; an absent or empty one matches every key. */
+/** Returns the key prefix from the query; an absent or empty prefix matches every key. */
 const parsePrefix = (query: URLSearchParams): string => {
   const text = query.get("prefix") ?? "";
   return text === "" ? "" : validKey(text, "prefix");
@@ -71,10 +71,9 @@
 }
 
 /**
- * HTTP server of the state service. Stored values are sent as the JSON text they are
- * stored as, without decoding and encoding them. Requests are routed by hand rather than
- * by express, whose routing costs more than a whole transaction here
- * (`npm run measure -- store`).
+ * HTTP server of the state service. Values are stored as JSON text and sent as such, without
+ * decoding and encoding them. Requests are routed by hand rather than by express, whose
+ * routing costs more than a whole transaction here (`npm run measure -- store`).
  */
 export class StoreServer {
   readonly server: Server;
@@ -86,7 +85,7 @@
     this.server = createServer((req, res) => void this.serve(req, res));
     this.server.maxConnections = options.connections;
     this.server.requestTimeout = REQUEST_TIMEOUT_MS;
-    // Controllers hold connections open permanently, so idle ones are not closed; their number is bounded above.
+    // Controllers hold connections open permanently, so idle ones are not closed; `maxConnections` bounds their number.
     this.server.keepAliveTimeout = 0;
   }
 
@@ -120,12 +119,12 @@
 
   private sendError(error: Error, req: IncomingMessage, res: ServerResponse): void {
     if (error instanceof BadRequestError || error instanceof LimitExceededError) {
-      // The connection is closed, so the rest of an oversized body is not read.
+      // The connection is closed after the answer, so that the unread part of an oversized body is not read.
       send(res, 400, errorBody(error.message), { connection: "close" });
       res.once("finish", () => req.destroy());
     } else if (error instanceof RateLimitError) send(res, 429, errorBody("over the rate"), { "retry-after": "1" });
     else if (error instanceof CallError && error.kind === "refused") send(res, 503, errorBody(error.message), { "retry-after": "1" });
-    // The outcome is unknown, and every status code would imply one, so the connection is closed without an answer.
+    // The outcome of the request is unknown, and every status code would imply one, so the connection is closed without an answer.
     else if (error instanceof CallError) req.destroy();
     else {
       if (!req.destroyed) this.options.onUnexpectedError(error);
@@ -158,7 +157,7 @@
     send(res, 404, errorBody("no such path"));
   }
 
-  /** Refuses a request that needs disk space while there is a shortage. */
+  /** Throws CallError as refused while there is too little disk space. Called for requests that need disk space. */
   private requireDiskSpace(): void {
     const shortage = this.options.diskShortage();
     if (shortage !== null) throw new CallError("refused", shortage);
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -3,10 +3,10 @@
 import { z } from "zod";
 import type { StoreLimits } from "./store.js";
 
-/** A settings file is invalid; the message names the file, the field and what was expected. */
+/** Thrown if a settings file is invalid; the message names the file, the field and what was expected. */
 export class SettingsFault extends Error {}
 
-/** The parser returns every block as a list. Replaces these lists by their single block, at every depth; blocks named in `lists` stay lists. */
+/** The HCL parser returns every block as a list. Replaces each list by its single block, at every depth; blocks named in `lists` stay lists. */
 function unwrapBlocks(file: string, tree: unknown, lists: ReadonlySet<string>, path = ""): unknown {
   if (tree === null || typeof tree !== "object" || Array.isArray(tree)) return tree;
   const flat: Record<string, unknown> = {};
@@ -42,7 +42,7 @@
   try {
     tree = await parse(file, text);
   } catch (error) {
-    // The parser's message has the line and column after the file name.
+    // The HCL parser's message has the line and column of the error after the file name.
     const match = /:(\d+),(\d+)[^:]*: (.*)/.exec(String((error as Error)?.message ?? error));
     throw new SettingsFault(match === null ? `${file}: not HCL` : `${file}: line ${match[1]}, column ${match[2]}: ${match[3]}`);
   }
@@ -53,7 +53,7 @@
 
 const positive = z.number().finite().positive();
 
-/** Schema of `deploy/store.hcl`: the limits of one store. The defaults are those that controllers assume of a small installation. */
+/** Schema of `deploy/store.hcl`: the limits of one store. The defaults are the limits that controllers assume of a small installation. */
 export const storeSettings = z.strictObject({
   limits: z
     .strictObject({
@@ -69,7 +69,7 @@
 /** Settings of a store, with defaults applied. */
 export type StoreSettings = z.infer<typeof storeSettings>;
 
-/** Converts the settings to the store's limits. */
+/** Returns the limits in a store's settings in the form that the store uses. */
 export function storeLimits({ limits }: StoreSettings): StoreLimits {
   return {
     rps: limits.requests_per_second,
--- a/packages/store/src/snapshot-file.ts
+++ b/packages/store/src/snapshot-file.ts
@@ -16,23 +16,23 @@
  * digest. A truncated file has no trailer.
  */
 const HEADER = { thorntrail: "store snapshot", format: 1 };
-/** Records written to the engine at a time during a restore. */
+/** Number of records written to the engine at a time during a restore. */
 const RESTORE_BATCH_ENTRIES = 1000;
 
 /**
- * Default number of revisions that a restored store skips. Tokens and attempt numbers are
- * derived from revisions, and machines remember the highest token seen, so revisions
- * handed out after the snapshot was taken must not be used again.
+ * Default number of revisions that a restored store skips. Ownership tokens and attempt
+ * numbers are derived from revisions, and machines remember the highest token seen, so
+ * revisions handed out after the snapshot was taken must not be used again.
  */
 export const DEFAULT_SKIPPED_REVISIONS = 1_000_000;
 
-/** Summary of a snapshot written or restored, printed under these names. */
+/** Number of records and newest revision of a snapshot written or restored, printed under these names. */
 export interface SnapshotSummary {
   entries: number;
   ledger: number;
 }
 
-/** Writes a snapshot of the engine to `file`; the store may be running. The file appears under its name only when it is complete. */
+/** Writes a snapshot of the engine's data to `file`, also while the store serves requests. The file appears under its name only when it is complete. */
 export async function writeSnapshot(engine: LevelEngine, file: string): Promise<SnapshotSummary> {
   const digest = createHash("sha256");
   const { ledger } = await engine.meta();
@@ -49,7 +49,7 @@
   }
   const partialFile = `${file}.part`;
   await pipeline(Readable.from(lines()), createGzip(), createWriteStream(partialFile));
-  // Renamed only once it is complete and on disk.
+  // The file gets its final name only once it is complete and on disk.
   const handle = await open(partialFile, "r+");
   await handle.sync();
   await handle.close();
@@ -59,9 +59,9 @@
 }
 
 /**
- * Creates the data folder `dir` from a snapshot file and advances its ledger by `skip`
- * revisions. The folder appears under its name only if the whole file is valid; throws
- * `FolderError` if it is not, or if `dir` is not empty.
+ * Creates the data folder `dir` from a snapshot file and advances its newest revision by
+ * `skip`. The folder appears under its name only if the whole file is valid; throws
+ * `FolderError` if the file is invalid or `dir` is not empty.
  */
 export async function restoreSnapshot(file: string, dir: string, skip = DEFAULT_SKIPPED_REVISIONS): Promise<SnapshotSummary> {
   if (existsSync(dir) && readdirSync(dir).length > 0) throw new FolderError(`${dir}: is not empty; restore into a new folder`);
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,4 +1,4 @@
-/** The state service without its network layer. */
+/** The state service without its HTTP interface. */
 import { CallError } from "@thorntrail/protocol/errors";
 import { TokenBucket } from "@thorntrail/protocol/token-bucket";
 import { RateLimitError, type Condition } from "@thorntrail/protocol/state";
@@ -26,7 +26,7 @@
   txnOps: number;
 }
 
-/** Changes returned to a watch, and the revision to continue from. */
+/** Changes returned to a watch, and the revision from which to follow next. */
 export interface FollowedEvents {
   ledger: number;
   events: StoredEvent[];
@@ -37,23 +37,23 @@
   settle: (events: StoredEvent[]) => void;
 }
 
-/** The request exceeds a limit and fails again for as long as the limits stay the same. Answered with 400. */
+/** Thrown if a request exceeds a limit, so that it fails until the limits change; the request is answered with 400. */
 export class LimitExceededError extends Error {}
 
-/** Interval between checks for expired leases, short enough to end each within the delay that the protocol allows. */
+/** Interval between two checks for expired leases, short enough to end each lease within the delay that the protocol allows. */
 const LEASE_CHECK_INTERVAL_MS = STATE_BOUNDS.maxExpiryDelayMs / 2;
-/** If the last check is more than this many intervals ago, the process counts as stalled and all leases are refreshed. */
+/** If no check for expired leases ran for more than this many intervals, the process counts as stalled and all leases are refreshed. */
 const MAX_MISSED_LEASE_CHECKS = 10;
 /** Exponential backoff between attempts to reopen the engine after a failed write. */
 const REOPEN_BACKOFF_MS = { initial: 100, max: 2000 };
-/** Bounds on requests queued behind the current write and on open watches; requests beyond them get 503. */
+/** Maximum numbers of requests queued behind the current write and of open watches; further requests get 503. */
 const MAX_WAITING_REQUESTS = 10_000;
 const MAX_WATCHES = 10_000;
 
 /**
- * Decides changes sequentially and makes them durable by group commit: while one group is
- * being written, the next one accumulates. No answer is sent before everything that it
- * depends on is durable.
+ * Decides on requests sequentially and makes their changes durable by group commit: while
+ * one group of requests is being written, the next one accumulates. No answer is sent before
+ * everything that it depends on is durable.
  *
  * Requests fail with `RateLimitError`, `LimitExceededError` (too large a value, too many
  * changes or conditions), `CorruptDataError` (a read failed an integrity check) or
@@ -75,9 +75,9 @@
   private closed = false;
   private suspended = false;
   readonly stats = { groups: 0, changes: 0, conflicts: 0, refused: 0, failures: 0 };
-  /** Called when a write fails, and again when the data have been reopened and it is known whether the write was stored. */
+  /** Called when a write fails, when the data then fail an integrity check, and once they are reopened and it is known whether the write was stored. */
   onStorageFault: (what: string, error: Error) => void = () => undefined;
-  /** Called with the time that a group took to become durable, in ms, and the number of answers that waited for it. */
+  /** Called with the time that a commit group took to become durable, in ms, and the number of answers that waited for the group. */
   onGroupDurable: (ms: number, answers: number) => void = () => undefined;
 
   private constructor(
@@ -113,15 +113,15 @@
   }
 
   /**
-   * Suspends or resumes the service. While suspended, requests are refused with 503 and
-   * open watches stay open; leases get their full time to live again afterwards.
+   * Suspends or resumes the service. While the service is suspended, requests are refused
+   * with 503 and open watches stay open; leases get their full time to live again afterwards.
    */
   setSuspended(on: boolean): void {
     this.suspended = on;
     this.core.refreshLeases(this.clock.now());
   }
 
-  /** Simulates a crash of the process: nothing is answered any more, and decisions that are not durable are lost. */
+  /** Simulates a crash of the process: open requests are never answered, and decisions that are not durable are lost. */
   simulateCrash(): void {
     this.closed = true;
     this.waiting = [];
@@ -134,7 +134,7 @@
     return this.durableRevision;
   }
 
-  /** Numbers of open leases, watches and queued requests, and the storage error while writes are not accepted; served by `/health`. */
+  /** Numbers of open leases, watches and queued requests, and the storage error (`trouble`) while no writes are accepted; served by `/health`. */
   get status(): { leases: number; watches: number; waiting: number; trouble: string | null } {
     return {
       leases: this.core.leaseCount,
@@ -201,7 +201,7 @@
     return this.enqueue(() => this.core.end(permit));
   }
 
-  /** Queues a decision and resolves to its answer once its commit group is durable. */
+  /** Queues the decision on a request and resolves to the answer once the commit group of the request is durable. */
   private enqueue<T>(decide: () => T, changes = 0, check: () => void = () => undefined): Promise<T> {
     return new Promise((resolve, reject) => {
       try {
@@ -231,7 +231,7 @@
   /** Decides and commits queued requests, one group after the other, until none is left or a write fails. */
   private async commitGroups(): Promise<void> {
     this.writing = true;
-    // Requests that were queued before this microtask runs share one group.
+    // Waits for a microtask, so that requests queued until then share one commit group.
     await Promise.resolve();
     while (this.waiting.length > 0 && this.storageError === null) {
       this.group = [];
@@ -271,9 +271,9 @@
 
   /**
    * Recovers after a failed write. The write may have reached the disk nevertheless, so the
-   * requests of the group are answered only after the data have been reopened and it is
-   * known whether the group was stored. If the first attempt to reopen fails, the requests
-   * of the group get no answer; all other requests get 503 until the data can be read.
+   * requests of its commit group are answered only after the data have been reopened and it
+   * is known whether the group was stored. If the first attempt to reopen the data fails, the
+   * requests of the group get no answer; all other requests get 503 until the data can be read.
    */
   private async recoverFromFailedWrite(error: Error, batch: Batch | null): Promise<void> {
     this.stats.failures++;
@@ -320,7 +320,7 @@
     return { stored: this.engine.get(key), ledger: this.durableRevision };
   }
 
-  /** Reads a page of keys. The returned revision is no newer than the rows, so following from it misses no change. */
+  /** Reads a page of keys and values. The returned revision is no newer than the rows, so following from that revision misses no change. */
   async range(prefix: string, from: string | undefined, maxRows: number): Promise<Page & { ledger: number }> {
     this.admit();
     const { durableRevision } = this;
@@ -330,7 +330,7 @@
 
   /**
    * Returns the changes after revision `from` to keys with the prefix, waiting up to
-   * `blockMs` for the first; `too-old` if the history no longer reaches back that far.
+   * `blockMs` for the first; `too-old` if the history no longer reaches back to `from`.
    * `onDisconnect` receives a function to call when the client disconnects.
    */
   async follow(
@@ -344,7 +344,7 @@
     for (;;) {
       const ledger = this.durableRevision;
       const events = from >= ledger ? [] : await this.engine.events(prefix, from);
-      // The history may have been trimmed during the read.
+      // The history may have been trimmed past `from` while it was read.
       if (from < this.floor) return "too-old";
       if (events.length > 0) return { ledger: Math.max(ledger, events[events.length - 1]!.stamp), events };
       if (ledger === this.durableRevision) break;
@@ -364,7 +364,7 @@
     });
   }
 
-  /** Ends expired leases; refreshes all leases instead if the process was stalled, the service is suspended or storage has failed. */
+  /** Ends expired leases, or gives all leases their full time to live if the process was stalled, the service is suspended or storage has failed. */
   private checkLeases(): void {
     if (this.closed) return;
     const now = this.clock.now();
@@ -374,7 +374,7 @@
     else if (this.core.expiredLeases(now).length > 0) {
       const expired = this.core.expiredLeases(now);
       this.waiting.push({
-        // A lease renewed earlier in the same group does not end.
+        // Checks again, because a lease may have been renewed earlier in the same commit group.
         decide: () => {
           const stillExpired = new Set(this.core.expiredLeases(this.clock.now()));
           for (const id of expired) if (stillExpired.has(id)) this.core.end(id);
--- a/packages/store/test/model.test.ts
+++ b/packages/store/test/model.test.ts
@@ -36,12 +36,12 @@
 
 const drainEventLoop = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-/** Simulates a crash of the process during a write, before or after the batch has reached the simulated disk. */
+/** Storage engine that simulates a crash of the process during a write, before or after the batch has reached the simulated disk. */
 class CrashingEngine implements Engine {
   constructor(readonly disk: MemoryEngine) {}
   /** `before`: the next write crashes with nothing of the batch stored; `after`: with all of it stored but not acknowledged. */
   crash: "before" | "after" | null = null;
-  /** Set after a crash; pending calls never settle. */
+  /** True after a simulated crash; the write that crashed never settles. */
   crashed = false;
   meta = () => this.disk.meta();
   get = (key: string) => this.disk.get(key);
@@ -164,11 +164,11 @@
           engine.crash = null;
         };
         if (step.kind === "wait") {
-          // Leases end up to 100 ms late and never early, so the store and the model are compared only when no expiry is that recent.
+          // The store ends leases up to 100 ms late and never early, so it is compared with the model only when no lease expired that recently.
           await clock.advance(step.ms);
           const recentExpiry = (): boolean =>
             [...model.leases.values()].some(({ until }) => until > clock.now() - 120 && until <= clock.now());
-          // Another lease may expire while waiting for the first.
+          // Repeated, because another lease may expire during the wait.
           while (recentExpiry()) await clock.advance(120);
           model.expire(clock.now());
           assert.deepEqual(await storeContents(store), expectedContents(model));
@@ -203,7 +203,7 @@
           await request(() => store.txn(conditions, changes).then((answer) => assert.equal(answer.kind, expected)), step.crash);
         }
         if (engine.crashed) {
-          // A new process finds on disk either all of the step's effects or none of them.
+          // After a crash, a new process finds on disk either all effects of the step or none of them.
           if (crashPoint === "before") model = modelBefore;
           engine = new CrashingEngine(disk);
           store = await Store.open(engine, clock, LIMITS);
@@ -277,7 +277,7 @@
   const store = await Store.open(new MemoryEngine(), clock, LIMITS);
   const permit = await store.grant(1000);
   await store.txn([], [{ write: "p", text: "1", permit }]);
-  // The process is stalled: no timer fires for five seconds.
+  // The process is stalled: the clock advances by five seconds without any timer firing.
   const { after } = clock;
   const resumedAt = clock.now() + 5000;
   Object.assign(clock, { time: resumedAt });
--- a/packages/store/test/service.test.ts
+++ b/packages/store/test/service.test.ts
@@ -21,7 +21,7 @@
 
 const MAIN = "target/main.js";
 
-/** Starts a store on the folder and resolves once it serves. `shellPrefix` is run in the same shell first, for example to set a limit. */
+/** Starts a store process on the data folder `dir` and resolves once it serves. `shellPrefix` is run in the same shell first, for example to set a limit. */
 function startStore(dir: string, extra: string[] = [], shellPrefix?: string): Promise<RunningStore> {
   const args = [MAIN, "store", "serve", "--listen", "127.0.0.1:0", "--data", dir, ...extra];
   const env = { ...process.env, LOG_LEVEL: "error" };
@@ -138,9 +138,9 @@
   await stopStore(running, "SIGTERM");
 });
 
-/** Clients that write at the same time while the store is killed. */
+/** Number of clients that write at the same time while the store is killed. */
 const CLIENTS = 16;
-/** Bound on the wait for each client's first answer. */
+/** Maximum time to wait until every client has its first answer. */
 const FIRST_ANSWERS_TIMEOUT_MS = 30_000;
 
 test("acknowledged writes, history and leases survive kill -9 at any point, and the ledger never goes back", async () => {
@@ -154,7 +154,7 @@
       permit = (await sendRequest(running.addr, "POST", "/leases", { ttlMs: 60_000 }))!.body["permit"];
       await sendRequest(running.addr, "POST", "/txn", { apply: [{ write: "leased", v: 1, permit }] });
     }
-    // Each client's last write may have been stored without an answer, so the value may be newer.
+    // Each client's last write may have been stored without an answer, so a stored value may be newer than the acknowledged one.
     for (const [key, n] of answered) assert.ok(Number((await sendRequest(running.addr, "GET", `/store/${key}`))!.body["v"]) >= n);
     let killed = false;
     const clients = Array.from({ length: CLIENTS }, async (_, c) => {
@@ -205,7 +205,7 @@
 
 test("writes to a full disk are answered with 503, and writes acknowledged before and after are kept", async () => {
   const dir = join(root, "full");
-  // Limits files to 4,096 blocks of 512 bytes, so that writes fail as on a full disk.
+  // Limits each file of the store to 4,096 blocks of 512 bytes, so that writes fail as on a full disk.
   const running = await startStore(dir, [], "ulimit -f 4096");
   const value = "x".repeat(30_000);
   let stored = 0;
