--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,6 +1,6 @@
-/** The interface to the cloud, and the wire format of its machine types and machines. */
+/** The interface to the cloud that rents out machines, and the wire format of its machine types and machines. */
 
-/** A machine type that the cloud rents out. */
+/** A machine type that the cloud rents out, with its resources per machine. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -31,7 +31,7 @@
   ageS: number;
 }
 
-/** A machine offering: a type in a zone, spot or on demand. */
+/** What the cloud can be asked to rent out: a machine type in a zone, spot or on demand. */
 export interface MachineOffering {
   type: string;
   zone: string;
@@ -40,17 +40,17 @@
 
 /**
  * Interface to the cloud; scenario tests replace it by a model. `limitMs` is the timeout
- * of a call.
+ * of a call in ms.
  */
 export interface CloudApi {
   types(limitMs?: number): Promise<MachineType[]>;
   /**
-   * Rents up to `count` machines and returns their hosts; null if there is no capacity for
-   * the offering. `name` identifies the request: repeating it returns the same machines.
+   * Rents up to `count` machines and returns their host IDs; null if the cloud has no capacity
+   * for the offering. `name` identifies the rental: repeating it returns the same machines.
    */
   rent(name: string, offer: MachineOffering, count: number, limitMs?: number): Promise<string[] | null>;
   remove(hosts: string[], limitMs?: number): Promise<void>;
-  /** Lists rented machines after the host `from`; `more` is true if further ones follow. */
+  /** Lists up to `limit` rented machines after the host `from`; `more` is true if further machines follow. */
   list(from: string | undefined, limit: number, limitMs?: number): Promise<{ machines: ListedMachine[]; more: boolean }>;
 }
 
--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -3,14 +3,14 @@
 
 /** Priority of a job, from highest to lowest. */
 export type Urgency = "critical" | "urgent" | "normal" | "low";
-/** `array`: independent tasks; `gang`: tasks that run at the same time; `service`: tasks that run until cancelled. */
+/** Kind of a job. `array`: independent tasks; `gang`: tasks that run at the same time; `service`: tasks that run until cancelled. */
 export type JobKind = "array" | "gang" | "service";
 
-/** Description of a job. It is stored under these member names. Times are in seconds, sizes in GB. */
+/** Description of a job, stored under these member names. Times are in seconds, sizes in GB; resources are per task. */
 export interface JobSpec {
   /** ID of the job, such as run-000412. */
   ref: string;
-  /** Class of the job, to which objectives and run time estimates apply. */
+  /** Class of the job, chosen by the user; objectives and run time estimates apply to a class. */
   klass: string;
   team: string;
   kind: JobKind;
@@ -31,13 +31,13 @@
   imageGb: number;
   /** The user's estimate of a task's run time. */
   guessS: number;
-  /** Interval between checkpoints of a task; 0 if it saves none. */
+  /** Interval between checkpoints of a task; 0 if the task saves none. */
   checkpointS: number;
   /** Time that a stopped task needs to save a final checkpoint. */
   flushS: number;
-  /** Deadline, counted from the submission. */
+  /** Deadline in seconds from the submission; null if there is none. */
   deadlineS: number | null;
-  /** Jobs that must be done before any task of this one starts. */
+  /** IDs of the jobs that must be done before any task of this job starts. */
   needs?: string[];
 }
 
@@ -47,7 +47,7 @@
 const name = z.string().min(1).max(MAX_NAME_LENGTH);
 const KIND_BY_SHAPE: Record<string, JobKind> = { sweep: "array", gang: "gang", daemon: "service" };
 
-/** Maximum number of jobs that a job can depend on; the size limit of a request does not admit more. */
+/** Maximum number of jobs that one job can depend on; the size limit of a request does not admit more. */
 const MAX_NEEDS = 5000;
 
 const REF_PATTERN = /^run-\d{6,20}$/;
@@ -81,7 +81,7 @@
   return REF_PATTERN.test(text);
 }
 
-/** Decodes a submission, or returns a description of its first fault. */
+/** Decodes a user's submission of a job, or returns a description of its first fault. */
 export function decodeJob(raw: unknown): { spec: JobSpec } | { fault: string } {
   const parsed = jobSchema.safeParse(raw);
   if (!parsed.success) {
--- a/packages/protocol/src/state-wire.ts
+++ b/packages/protocol/src/state-wire.ts
@@ -1,19 +1,19 @@
-/** The wire format of requests to the state service, and the bounds that the protocol sets. */
+/** The wire format of requests to the state service, and the bounds that its protocol sets. */
 import * as z from "zod";
 
-/** Bounds that the protocol defines for every state service, independent of its settings. Sizes are in bytes, times in ms. */
+/** Bounds that the protocol of the state service defines, independent of settings. Sizes are in bytes, times in ms. */
 export const STATE_BOUNDS = {
   bodyBytes: 64 * 1024,
   keyBytes: 200,
   pageItems: 1000,
   pageBytes: 512 * 1024,
-  /** Number of changes kept in the history for watches. */
+  /** Number of latest changes kept in the history, from which watches can start. */
   historyChanges: 10_000,
   ttlMs: { min: 100, max: 600_000 },
   blockMs: 60_000,
-  /** Maximum time from the expiry of a lease until the service ends it and removes its keys. */
+  /** Maximum time from the expiry of a lease until the service ends the lease and removes its keys. */
   maxExpiryDelayMs: 100,
-  /** Maximum number of conditions in a transaction, as a multiple of the maximum number of changes. */
+  /** Maximum number of conditions in a transaction, as a multiple of the maximum number of its changes. */
   conditionsPerChange: 4,
 } as const;
 
@@ -39,7 +39,7 @@
 });
 const grantSchema = z.object({ ttlMs: z.number().int().min(STATE_BOUNDS.ttlMs.min).max(STATE_BOUNDS.ttlMs.max) });
 
-/** A transaction request in the format of the wire. */
+/** A transaction request as it is sent: conditions in `if`, changes in `apply`. */
 export type TxnRequest = z.infer<typeof txnSchema>;
 
 function valueOrFault<T>(parsed: z.ZodSafeParseResult<T>): T | { fault: string } {
--- a/packages/protocol/src/token-bucket.ts
+++ b/packages/protocol/src/token-bucket.ts
@@ -23,15 +23,15 @@
     this.refilledAt = now;
   }
 
-  /** Tokens available now; negative after a request larger than the burst. */
+  /** Number of tokens available now; negative after a request for more tokens than the burst. */
   available(): number {
     this.refill();
     return this.tokens;
   }
 
   /**
-   * Takes `count` tokens and returns true, or false if there are too few. A request larger
-   * than the burst is granted when the bucket is full and leaves it negative.
+   * Takes `count` tokens and returns true, or returns false if there are too few. A request
+   * for more tokens than the burst is granted when the bucket is full and leaves it negative.
    */
   take(count = 1): boolean {
     this.refill();
@@ -40,7 +40,7 @@
     return true;
   }
 
-  /** Milliseconds until `take(count)` succeeds. */
+  /** Time in ms until `take(count)` succeeds, if no other tokens are taken meanwhile. */
   waitMs(count = 1): number {
     this.refill();
     const missing = Math.min(count, this.burst) - this.tokens;
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -1,4 +1,4 @@
-/** The worker protocol: reports, commands, and their wire format. */
+/** The protocol between controllers and workers: reports, commands, and their wire format. */
 import * as z from "zod";
 
 /**
@@ -13,7 +13,7 @@
  */
 export type ExitCause = "done" | "stopped" | "mates_gone" | "alone" | "error" | "no_room" | "busy" | "no_such";
 
-/** One task attempt in a worker's report. */
+/** State of one task attempt in a worker's report. */
 export interface ReportedTask {
   /** ID of the task, such as run-000412/3. */
   taskId: string;
@@ -27,9 +27,9 @@
 
 /**
  * A worker's report. A new `session` begins when the worker starts or its lease runs out;
- * `seq` numbers the reports within it. `token` is the newest ownership token that the
+ * `seq` numbers the reports within a session. `token` is the newest ownership token that the
  * worker has accepted. `noticeS` is the time in seconds until the cloud reclaims the
- * machine, or null.
+ * machine, or null if the cloud has not announced that.
  */
 export interface Report {
   host: string;
@@ -44,7 +44,7 @@
   tasks: ReportedTask[];
 }
 
-/** A command to a worker. `graceS` is the time in seconds that a task has to stop. */
+/** A command to a worker about one task attempt. `graceS` is the time in seconds that the task has to stop. */
 export type Order =
   | { verb: "start"; taskId: string; attempt: number }
   | { verb: "stop"; taskId: string; attempt: number; graceS: number }
@@ -57,7 +57,7 @@
 
 const isRecord = (raw: unknown): raw is JsonObject => typeof raw === "object" && raw !== null;
 const isCount = (raw: unknown): raw is number => Number.isSafeInteger(raw) && (raw as number) >= 0;
-/** Fields that may be null may also be omitted. */
+/** Whether a field has no value: a field of the wire format that may be null may also be omitted. */
 const isNullish = (raw: unknown): raw is null | undefined => raw === null || raw === undefined;
 const optionalText = (raw: unknown): string | null => (raw === undefined ? "" : typeof raw === "string" ? raw : null);
 
@@ -72,8 +72,8 @@
 
 /**
  * Decodes a worker's report; returns null if it is invalid. The decoder is written by hand
- * because hundreds of reports arrive per second and a general validator took most of the
- * processing time of a report (docs/measured.md).
+ * because hundreds of reports arrive per second, and a general validator took most of the
+ * time to process a report (docs/measured.md).
  */
 export function decodeReport(raw: unknown): Report | null {
   if (!isRecord(raw)) return null;
@@ -107,7 +107,7 @@
   };
 }
 
-/** Whether an attempt is listed more than once. Such a report is invalid, because neither entry can be trusted. */
+/** Whether a report lists a task attempt more than once. Such a report is invalid, because none of the entries can be trusted. */
 function hasDuplicateAttempts(tasks: readonly ReportedTask[]): boolean {
   if (tasks.length < 2) return false;
   return new Set(tasks.map(({ taskId, attempt }) => `${taskId}#${attempt}`)).size < tasks.length;
@@ -122,11 +122,14 @@
   );
 }
 
-/** Answer to a report: commands, a redirect to the owner of the machine's partition (`boss`, if known), or none (`silent`). */
+/**
+ * A controller's answer to a worker's report: commands, a redirect to the owner of the
+ * machine's partition (`boss`, if known), or a refusal that renews no lease (`silent`).
+ */
 export type ReportAnswer =
   { kind: "orders"; token: number; orders: Order[] } | { kind: "elsewhere"; boss: string | null } | { kind: "silent" };
 
-/** A worker's answer to commands. If `executed` is false, it refused all of them; the report has its current state. */
+/** A worker's answer to commands, with a report of its current state. If `executed` is false, the worker refused all commands. */
 export interface CommandReply {
   executed: boolean;
   report: Report;
@@ -134,7 +137,7 @@
 
 /** Interface for commands sent directly to workers; scenario tests replace it by a model. */
 export interface WorkerApi {
-  /** `limitMs` is the timeout of the call. */
+  /** Sends commands to the worker at `addr`; `limitMs` is the timeout of the call in ms. */
   command(addr: string, token: number, session: number, orders: Order[], limitMs?: number): Promise<CommandReply>;
 }
 
--- a/packages/protocol/test/worker.test.ts
+++ b/packages/protocol/test/worker.test.ts
@@ -4,7 +4,7 @@
 import { z } from "zod";
 import { decodeReport, encodeReport, type Report } from "../src/worker.js";
 
-// Guards against differences between the hand-written decoder of the hot path and a schema of the protocol.
+// Guards against differences between the hand-written decoder of workers' reports and a schema of the protocol.
 
 const count = z.number().int().min(0);
 const schema = z.object({
