--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -6,8 +6,8 @@
 import type { Operation, CallPolicy, Target } from "./policy.js";
 
 /**
- * Retry budget per target: the maximum number of retries it holds, and how much each answer adds. Peers have no limit,
- * since they are few and each connection is retried independently.
+ * Retry budget per target (kind of process that is called): the maximum number of retries that it holds, and how much
+ * each answer adds. Peers have no limit, since they are few and each connection is retried independently.
  */
 const RETRY_BUDGETS: Record<Target, { max: number; perAnswer: number }> = {
   state: { max: 10, perAnswer: 0.1 },
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -75,7 +75,7 @@
     return this.mergedTeams().teams;
   }
 
-  /** The team of this name. */
+  /** The team of this name, even if it was removed; undefined if there never was one. */
   team(name: string): Team | undefined {
     return this.mergedTeams().byName.get(name);
   }
--- a/src/configuration/in-force.ts
+++ b/src/configuration/in-force.ts
@@ -36,7 +36,7 @@
 }
 
 function partitionStatus(evidence: InForceEvidence, owner: { v: OwnerRecord; stamp: number } | undefined): VersionStatus {
-  // A controller claims a partition on condition of the newest version, so no new owner can start without that version.
+  // Claiming an unowned partition is conditional on the newest version, so a new owner cannot start without that version.
   if (owner === undefined) return "in force";
   const presence = evidence.presence(owner.v.owner);
   if (presence === undefined) return evidence.elapsedMs >= evidence.silentAfterMs ? "in force" : "away";
--- a/src/configuration/quota-shares.ts
+++ b/src/configuration/quota-shares.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Quota shares that the owner of the partition `own` writes next; null if it has nothing to change. `raises`: this owner
- * is the one that distributes the additional amount of a raised limit.
+ * Quota shares that the owner of the partition in `own` writes next; null if it has nothing to change. `raises`: this
+ * owner is the one that distributes the additional amount of a raised limit.
  */
 export function adjustedShares(shares: Shares, limit: Limit, own: { partition: number; used: number; raises: boolean }): Shares | null {
   const { partition, used, raises } = own;
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -33,13 +33,13 @@
 /** A controller whose timers are late by more than this share of the presence timeout suspects itself rather than its peers. */
 const LATE_TIMER_SHARE = 1 / 8;
 
-/** Dependencies of a controller. */
+/** What a controller needs from outside: clients of the other processes, and the policies for calls to them. */
 export interface ControllerDependencies {
   state: StateApi;
   cloud: CloudApi;
   workers: WorkerApi;
   peers: PeerApi;
-  /** Applies the time limits and retry rules of all calls to other processes. */
+  /** Applies time limits and retry rules to all calls to other processes. */
   calls: Calls;
   /** Memory usage of this process; left out in virtual time, where it is not modelled. */
   memory?: () => MemoryUsage;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -38,7 +38,7 @@
   return taken;
 }
 
-/** Dependencies of Submissions. */
+/** What `Submissions` uses to choose a partition and to check and record a job. */
 export interface SubmissionsDependencies {
   settings: Settings;
   configuration: Configuration;
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -124,7 +124,7 @@
 export interface PreparedChange {
   id: string;
   teams: TeamSettings[];
-  /** Wall-clock time of the process that makes the change. */
+  /** Time of the preparation, by the wall clock of the process that makes the change. */
   at: number;
 }
 
--- a/src/ledger/rentals.ts
+++ b/src/ledger/rentals.ts
@@ -12,7 +12,7 @@
   zone: string;
   spot: boolean;
   at: number;
-  /** Null while the machine is not recorded as up; until then no task is started on it. */
+  /** The machine's address; null until the machine is recorded as up. No task is started on the machine while this is null. */
   addr: string | null;
 }
 
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -99,7 +99,7 @@
     this.changes$.next("");
   }
 
-  /** Waits for a token of the request rate. */
+  /** Waits until the rate limit allows another request to the state service. */
   private async acquireRequest(): Promise<void> {
     while (!this.rate.take()) await sleep(this.clock, this.rate.waitMs());
   }
--- a/src/overload/levels.ts
+++ b/src/overload/levels.ts
@@ -22,12 +22,12 @@
 
 const SHED_FROM: Record<SheddableWork, Level> = { view: 1, volunteering: 2, growth: 3, submission: 3, "urgent submission": 4 };
 
-/** Whether the level sheds this kind of work. */
+/** Whether a controller at this overload level sheds (rejects) this kind of work. */
 export function sheds(level: Level, what: SheddableWork): boolean {
   return level >= SHED_FROM[what];
 }
 
-/** Measurements that determine the level. */
+/** Measurements that determine the overload level. */
 export interface OverloadMetrics {
   /** Largest recent delay of a timer, in ms. */
   lagMs: number;
@@ -63,7 +63,7 @@
 /** `EASE_RATIO` for memory, which is freed in small steps and varies within a narrow band. */
 const MEMORY_EASE_RATIO = 0.95;
 
-/** Highest level whose threshold, multiplied by `share`, the value reaches. */
+/** Returns the highest overload level whose threshold in `from`, multiplied by `share`, the value reaches. */
 function levelReached(value: number, from: readonly number[], share: number): Level {
   let level = 0;
   while (level < from.length && value >= from[level]! * share) level++;
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -25,7 +25,7 @@
   heapMax: number;
 }
 
-/** Dependencies of the overload monitor. */
+/** What the overload monitor uses: settings, clock and log, and the values that it measures. */
 export interface OverloadDependencies {
   settings: Settings;
   scope: Scope;
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -26,7 +26,7 @@
   readonly incoming$ = new Subject<{ from: string; message: Message }>();
   private readonly outgoing = new Map<string, Socket>();
   private readonly inbound = new Set<Socket>();
-  /** Peers that were connected in this incarnation. */
+  /** Peers to which a connection was established in this run of the process. */
   private readonly connectedBefore = new Set<string>();
   private readonly unreachable = new Map<string, number>();
   /** The message sent last and its encoded frame. */
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Connects to a peer, sends the hello, and reconnects after a randomised pause when the connection closes. */
+  /** Connects to a peer, sends a hello message, and reconnects after a randomised pause when the connection closes. */
   private connectTo(node: string, addr: string, failures: number): void {
     if (this.scope.closed) return;
     const [host, port] = addr.split(":") as [string, string];
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Reads messages from an incoming connection, which must begin with a hello of the same protocol version. */
+  /** Reads messages from an incoming connection, which must begin with a hello message of the same protocol version. */
   private accept(socket: Socket): void {
     this.inbound.add(socket);
     const reader = new FrameReader();
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,11 +1,11 @@
 import avsc from "avsc";
 
-/** Messages between controllers and their encoding. The first frame of each connection is a hello. */
+/** Messages between controllers and their encoding. The first frame of each connection is a hello message. */
 
 /** Version of the protocol between controllers; peers with another version are refused. */
 export const PROTOCOL_VERSION = 3;
 
-/** Identifies the sender and its protocol version. */
+/** First message on a connection; identifies the sender and its protocol version. */
 export interface Hello {
   version: number;
   node: string;
@@ -59,7 +59,7 @@
   kind: string;
   body: string;
 }
-/** Answer to a forwarded request. */
+/** Answer of a peer to a user's request that was forwarded to it; `body` is JSON text. */
 export interface RelayResponse {
   id: number;
   status: number;
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -22,7 +22,7 @@
 import { ReportFastPath } from "./workers/report-fast-path.js";
 import { HttpWorkerClient } from "./workers/worker-client.js";
 
-/** A silent connection is closed after this many times `expiryMs`; the lease of a worker that reports on it has expired by then. */
+/** A connection without received data is closed after this many times `expiryMs`; the lease of a worker that reports on it has expired by then. */
 const IDLE_EXPIRIES = 2;
 /** Processor time by activity is logged once per this many lease durations. */
 const COSTS_LEASES = 3;
@@ -99,7 +99,7 @@
           );
       });
   });
-  // Workers and clients close their connections; the server itself keeps idle ones open, within the quota of sockets.
+  // The HTTP server closes no idle connections: clients close theirs, and `InboundConnections` limits the number.
   httpServer.keepAliveTimeout = 0;
   // The HTTP server gets its connections from the TCP server below and never listens; the event starts its timeout checks for incomplete requests.
   httpServer.emit("listening");
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -36,7 +36,7 @@
   passGapMs: number;
 }
 
-/** Limits of the state service that hold both now and after an announced change. */
+/** Limits that requests to the state service have to respect: the stricter of its current and its announced limits. */
 export interface StateLimits {
   rps: number;
   writeRps: number;
