--- a/src/controller.ts
+++ b/src/controller.ts
@@ -30,7 +30,7 @@
 import type { Settings } from "./settings/derived.js";
 import { CommandDispatcher } from "./workers/command-dispatcher.js";
 
-/** A controller whose timers are late by more than this share of the presence timeout suspects itself rather than its peers. */
+/** A controller whose timers are late by more than this share of the presence timeout raises no suspicions: it may itself be at fault. */
 const LATE_TIMER_SHARE = 1 / 8;
 
 /** What a controller needs from outside: clients of the other processes, and the policies for calls to them. */
