--- a/packages/store/src/level-engine.ts
+++ b/packages/store/src/level-engine.ts
@@ -1,11 +1,11 @@
 /**
  * Storage engine on LevelDB. Records are grouped by prefix:
- *   k!KEY             stamp, permit and value of an existing key
+ *   k!KEY             revision of the last change, lease and value of an existing key
  *   e!STAMP!INDEX     key and value of a change in the history
  *   r!STAMP           number of changes in a revision of the history
  *   p!LEASE           time to live in ms of a lease that has not ended
  *   a!LEASE!KEY       a key attached to a lease
- *   m!                ledger, floor and number of leases granted so far
+ *   m!                newest revision, last revision trimmed from the history, and number of leases granted so far
  * Every value starts with a checksum, because LevelDB does not verify its own checksums in
  * ordinary reads. A batch is written with one sync and is visible only after the sync.
  */
