--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -11,14 +11,14 @@
   /** Sends a message; false if there is no usable connection to the node. */
   send(node: string, message: Message): boolean;
   /**
-   * Time in steady ms since which a peer that was connected before cannot be connected again. Null if it is connected
-   * or never was in this incarnation. A lost connection proves nothing by itself: packet filters and a shortage of
+   * When connecting to a peer began to fail, in ms of the monotonic clock. Null if the peer is connected or was never
+   * connected in this run of the process. A lost connection proves nothing by itself: packet filters and a shortage of
    * sockets refuse connections as well.
    */
   unreachableSince?(node: string): number | null;
 }
 
-/** Unsent bytes of a connection from which on it is closed. */
+/** Maximum number of unsent bytes on a connection; with more, the connection is closed. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
 /** TCP links between controllers: one outgoing connection to each peer for sending; incoming connections are only read. */
@@ -26,17 +26,17 @@
   readonly incoming$ = new Subject<{ from: string; message: Message }>();
   private readonly outgoing = new Map<string, Socket>();
   private readonly inbound = new Set<Socket>();
-  /** Peers that were connected in this incarnation. */
+  /** Peers to which a connection was established in this run of the process. */
   private readonly connectedBefore = new Set<string>();
   private readonly unreachable = new Map<string, number>();
-  /** The last message sent and its frame. */
+  /** The message sent last and its encoded frame. */
   private encoded: { message: Message; frame: Buffer } | null = null;
   private server: Server | null = null;
 
   constructor(
     private readonly settings: Settings,
     private readonly scope: Scope,
-    /** Connection timeout and backoff between attempts. */
+    /** Sets the connection timeout and the pauses between attempts to connect. */
     private readonly calls: Caller,
   ) {}
 
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Connects to a peer, sends the hello, and reconnects after a randomised pause when the connection closes. */
+  /** Connects to a peer, sends a hello message, and reconnects after a randomised pause when the connection closes. */
   private connectTo(node: string, addr: string, failures: number): void {
     if (this.scope.closed) return;
     const [host, port] = addr.split(":") as [string, string];
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Reads messages from an incoming connection, which must begin with a hello of the same protocol version. */
+  /** Reads messages from an incoming connection, which must begin with a hello message of the same protocol version. */
   private accept(socket: Socket): void {
     this.inbound.add(socket);
     const reader = new FrameReader();
