--- a/packages/protocol/src/jobs.ts
+++ b/packages/protocol/src/jobs.ts
@@ -19,7 +19,9 @@
   cpus: number;
   gpus: number;
   ram: number;
+  /** Machine types on which the tasks may run; null for any. */
   types: string[] | null;
+  /** Zone in which the tasks must run; null for any. */
   zone: string | null;
   /** All tasks run in one zone. */
   oneZone: boolean;
--- a/packages/protocol/src/worker.ts
+++ b/packages/protocol/src/worker.ts
@@ -44,7 +44,10 @@
   tasks: ReportedTask[];
 }
 
-/** A command to a worker about one task attempt. `graceS` is the time in seconds that the task has to stop. */
+/**
+ * A command to a worker about one task attempt. `graceS` is the time in seconds that the task has to stop. `clear` makes the
+ * worker discard an exited attempt, which it otherwise keeps in its reports.
+ */
 export type Order =
   | { verb: "start"; taskId: string; attempt: number }
   | { verb: "stop"; taskId: string; attempt: number; graceS: number }
@@ -124,7 +127,7 @@
 
 /**
  * A controller's answer to a worker's report: commands, a redirect to the owner of the
- * machine's partition (`boss`, if known), or a refusal that renews no lease (`silent`).
+ * machine's partition (`boss`, null if not known), or a refusal that renews no lease (`silent`).
  */
 export type ReportAnswer =
   { kind: "orders"; token: number; orders: Order[] } | { kind: "elsewhere"; boss: string | null } | { kind: "silent" };
@@ -180,7 +183,7 @@
     .nullish(),
 });
 
-/** Decodes commands received by a worker, with token and session; returns null if they are invalid. */
+/** Decodes commands received by a worker, with token and session (null if not given); returns null if they are invalid. */
 export function decodeOrders(raw: unknown): { token: number | null; session: number | null; orders: Order[] } | null {
   const parsed = ordersSchema.safeParse(raw);
   if (!parsed.success) return null;
--- a/packages/store/test/model.test.ts
+++ b/packages/store/test/model.test.ts
@@ -39,7 +39,7 @@
 /** Storage engine that simulates a crash of the process during a write, before or after the batch has reached the simulated disk. */
 class CrashingEngine implements Engine {
   constructor(readonly disk: MemoryEngine) {}
-  /** `before`: the next write crashes with nothing of the batch stored; `after`: with all of it stored but not acknowledged. */
+  /** `before`: the next write crashes with nothing of the batch stored; `after`: with all of it stored but not acknowledged; null: no crash. */
   crash: "before" | "after" | null = null;
   /** True after a simulated crash; the write that crashed never settles. */
   crashed = false;
--- a/src/calls/calls.ts
+++ b/src/calls/calls.ts
@@ -71,7 +71,7 @@
   ) {}
 
   /**
-   * Makes one call. `act` sends it and receives its time limit in ms: the policy's limit, or the time left until
+   * Makes one call. `act` sends it and receives its time limit in ms: the operation's limit, or the time left until
    * `deadline` (in ms of the monotonic clock) if that is less. Past the deadline nothing is sent, and the call throws
    * CallError as refused.
    */
@@ -104,7 +104,7 @@
   private failed(error: CallError): void {
     this.stats[error.kind]++;
     this.failures++;
-    // RateLimitError shows that the target answers. If it counted as failing, its next answer would cut all pauses short.
+    // RateLimitError shows that the target answers. If the target counted as failing, its next answer would end all pauses early.
     if (!(error instanceof RateLimitError)) this.condition.failed();
   }
 
@@ -113,7 +113,7 @@
     return kind === "unanswered" && this.policy.unanswered !== "nothing";
   }
 
-  /** Pause before the next retry, in ms. `failures`: number of consecutive failures, if whoever retries counts them itself. */
+  /** Pause before the next retry, in ms. `failures`: consecutive failures as counted by whoever retries; by default, those of the operation. */
   nextPauseMs(failures = this.failures): number {
     this.stats.pauses++;
     if (this.condition.budget.spend()) return backoffMs(this.policy, failures, this.random());
@@ -123,8 +123,8 @@
 
   /**
    * Resolves when a failed call may be retried. If the target answers another call during the pause, the pause ends early,
-   * but not before the length of a first pause: in an outage all callers pause for long, and the first answer ends their
-   * pauses.
+   * but not before the randomised length of a first pause. Otherwise the first answer after an outage would make all
+   * callers retry at the same time.
    */
   backOff(failures = this.failures): Promise<void> {
     const fullMs = this.nextPauseMs(failures);
@@ -165,7 +165,7 @@
     }
   }
 
-  /** The `Caller` that applies the policy of the operation. */
+  /** The `Caller` that applies the operation's time limit and retry rules. */
   of(operation: Operation): Caller {
     return this.callers.get(operation)!;
   }
--- a/src/calls/policy-clients.ts
+++ b/src/calls/policy-clients.ts
@@ -6,7 +6,7 @@
 
 /** Wrappers that apply the call policies to the clients of the state service, the cloud and the workers. */
 
-/** Wraps a client of the state service so that every call follows its policy for time limits and statistics. */
+/** Wraps a client of the state service so that every call gets the time limit of its operation and is counted in the statistics. */
 export function stateWithPolicies(state: StateApi, calls: Calls, clock: Clock): StateApi {
   const read = calls.of("state.read");
   const lease = calls.of("state.lease");
@@ -21,7 +21,7 @@
   };
 }
 
-/** Wraps a client of the cloud so that every call follows its policy for time limits and statistics. */
+/** Wraps a client of the cloud so that every call gets the time limit of its operation and is counted in the statistics. */
 export function cloudWithPolicies(cloud: CloudApi, calls: Calls): CloudApi {
   const read = calls.of("cloud.read");
   return {
@@ -32,7 +32,7 @@
   };
 }
 
-/** Wraps a worker client so that its commands follow the policy of one purpose: orders, fencing under a new ownership term, or probes. */
+/** Wraps a worker client so that its commands get the time limit and statistics of one purpose: orders, fencing under a new ownership term, or probes. */
 export function workersWithPolicy(workers: WorkerApi, caller: Caller): WorkerApi {
   return { command: (addr, token, session, orders) => caller.call((ms) => workers.command(addr, token, session, orders, ms)) };
 }
--- a/src/calls/policy.ts
+++ b/src/calls/policy.ts
@@ -15,7 +15,7 @@
   | "worker.probe"
   | "peer.link";
 
-/** Kinds of processes that are called. Calls to one target share a retry budget and its last known state. */
+/** Kinds of processes that are called. All calls to one target share its retry budget and the information whether it is failing. */
 export type Target = "state" | "cloud" | "worker" | "peer";
 
 /**
@@ -67,7 +67,7 @@
     "cloud.read": { ...cloud, unanswered: "nothing", initialMs: reportMs / 5, maxMs: reportMs },
     "cloud.hire": { ...cloud, unanswered: "once", initialMs: reportMs / 10, maxMs: reportMs / 2 },
     "cloud.delete": { ...cloud, unanswered: "once", initialMs: reportMs / 4, maxMs: reportMs },
-    // The pause does not grow with failures: while many commands wait to be sent, most of them fail only because their time limit ends in the queue.
+    // The pause does not grow with failures: while many commands wait to be sent, most fail only because their time limit ends before that.
     "worker.order": { ...worker, unanswered: "reported", initialMs: leaseMs / 3, maxMs: leaseMs / 3 },
     "worker.fence": { ...worker, unanswered: "reported", initialMs: reportMs / 10, maxMs: reportMs / 4 },
     "worker.probe": { ...worker, unanswered: "nothing", initialMs: reportMs / 4, maxMs: reportMs },
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -14,7 +14,7 @@
 
 /** Teams and limits that this controller applies: those of the platform's file with the changes recorded in the state service. */
 export class Configuration {
-  /** Teams merged from the platform's file and the records; null after a record has changed. */
+  /** Teams merged from the platform's file and the team records; null if they must be merged again, because a record has changed. */
   private cached: { teams: Team[]; byName: Map<string, Team> } | null = null;
   /** Newest configuration version, and when this controller first saw it, in ms of the monotonic clock. */
   private newestSeen = { version: 0, at: -Infinity };
@@ -29,7 +29,7 @@
     scope.listen(replica.changes$, (key) => this.onRecordChanged(key));
   }
 
-  /** Discards the cached teams and logs a new version when a record of the configuration changes. */
+  /** When a record of the configuration has changed, discards the cached teams and logs the configuration version if it is new. */
   private onRecordChanged(key: string): void {
     if (key !== "" && !key.startsWith(keys.configurationRoot)) return;
     this.cached = null;
@@ -89,7 +89,7 @@
     return teams.some(({ removed }) => removed) && this.inForce() ? teams.filter(({ removed }) => !removed) : teams;
   }
 
-  /** Whether the newest configuration version is in force in all partitions, according to this controller's replica of the records. */
+  /** Whether the newest configuration version is in force in all partitions, according to this controller's replica of the state service. */
   inForce(): boolean {
     const { version, replica, settings } = this;
     if (version === this.inForceVersion) return true;
--- a/src/configuration/in-force.ts
+++ b/src/configuration/in-force.ts
@@ -36,7 +36,7 @@
 }
 
 function partitionStatus(evidence: InForceEvidence, owner: { v: OwnerRecord; stamp: number } | undefined): VersionStatus {
-  // Claiming an unowned partition is conditional on the newest version, so a new owner cannot start without that version.
+  // The transaction that claims an unowned partition requires the newest configuration version, so a new owner knows it.
   if (owner === undefined) return "in force";
   const presence = evidence.presence(owner.v.owner);
   if (presence === undefined) return evidence.elapsedMs >= evidence.silentAfterMs ? "in force" : "away";
--- a/src/configuration/store.ts
+++ b/src/configuration/store.ts
@@ -18,8 +18,8 @@
 
 /**
  * Reads and changes the configuration in the state service, for operators' commands. A change is one conditional
- * transaction under the next version. A change that lowers limits is prepared first: from then on no job that needs
- * more is accepted, so the check that follows sees every relevant job.
+ * transaction under the next version. A change that lowers limits is first recorded as prepared: from then on no job
+ * that needs more is accepted, so the check of the accepted jobs that follows misses none.
  */
 
 /** Number of configuration versions whose changes are kept in the history. */
@@ -185,7 +185,7 @@
   }
 }
 
-/** A team's guarantees and limits; null if there is no such team or it was removed. */
+/** A team's guaranteed resources and limits; null if there is no such team or it was removed. */
 function limitsOf(team: Team | undefined): TeamSettings | null {
   if (team === undefined || team.removed) return null;
   const { removed: _removed, ...limits } = team;
--- a/src/configuration/teams.ts
+++ b/src/configuration/teams.ts
@@ -4,7 +4,7 @@
 
 /** Teams of a configuration version: those of the platform's file with the recorded changes applied. Pure functions. */
 
-/** A team's guarantees and limits. A removed team keeps its limits, without guarantees, for its jobs that were already accepted. */
+/** A team's guaranteed resources and limits. A removed team keeps only its limits, for its jobs that were already accepted. */
 export interface Team extends TeamSettings {
   removed: boolean;
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -33,7 +33,7 @@
 /** A controller whose timers are late by more than this share of the presence timeout raises no suspicions: it may itself be at fault. */
 const LATE_TIMER_SHARE = 1 / 8;
 
-/** What a controller needs from outside: clients of the other processes, and the policies for calls to them. */
+/** What a controller needs from outside: clients of the other processes, and the time limits and retry rules for calls to them. */
 export interface ControllerDependencies {
   state: StateApi;
   cloud: CloudApi;
@@ -293,9 +293,9 @@
   }
 
   /**
-   * Returns why this node should get no users' requests, or null. The node reports unready only if another node is
-   * better: in an outage of the state service all nodes are equal, and being marked unhealthy would delay users after
-   * the outage ends.
+   * Returns why this node should get no users' requests; null if it may get them. The node reports unready only if
+   * another node is better: in an outage of the state service all nodes are equal, and being marked unhealthy would
+   * delay users after the outage ends.
    */
   unreadyReason(): string | null {
     if (!this.replica.loaded) return "starting";
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -5,7 +5,7 @@
 import type { Configuration } from "../configuration/configuration.js";
 import type { TeamSettings } from "../settings/platform-file.js";
 
-/** Returns why a job can never run with these teams and machine types, or null. A limit of 0 means that there is no limit. */
+/** Returns why a job can never run with these teams and machine types; null if it can. A limit of 0 means that there is no limit. */
 export function neverRuns(spec: JobSpec, teams: readonly TeamSettings[], types: MachineType[]): string | null {
   const team = teams.find((t) => t.name === spec.team);
   if (team === undefined) return `unknown team ${spec.team}`;
@@ -29,7 +29,7 @@
     private readonly leader: Leader,
   ) {}
 
-  /** Returns why the job can never run, or null. */
+  /** Returns why the job can never run with the current teams and machine types; null if it can. */
   rejectionReason(spec: JobSpec): string | null {
     return neverRuns(spec, this.configuration.acceptingTeams, this.leader.types);
   }
--- a/src/intake/jobs.ts
+++ b/src/intake/jobs.ts
@@ -93,7 +93,7 @@
     if (rejection !== null) {
       if (!(await this.refreshReplica(patienceMs))) return this.unavailable("the state service does not answer");
       if (this.replica.get(keys.job(spec.ref)) !== undefined) return this.statusResponse(spec.ref);
-      // After the refresh: another controller may have accepted a job that this one depends on.
+      // Checked again after the refresh, because another controller may have accepted a job that this job depends on.
       rejection = rejectionReason();
       if (rejection !== null) return { status: 422, body: { error: rejection } };
     }
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Returns why the job's dependencies are invalid, or null. The result is reliable only if the replica is fresh or
+   * Returns why the job's dependencies are invalid; null if they are valid. The result is reliable only if the replica is fresh or
    * contains all of them.
    */
   private invalidNeed(spec: JobSpec): string | null {
--- a/src/intake/server.ts
+++ b/src/intake/server.ts
@@ -35,8 +35,8 @@
 
 /**
  * Answers polls and health checks without Express, whose routing and helpers cost more than the answer:
- * each open job and each load balancer sends one every few seconds. Returns false for any other request
- * or spelling of the path, which Express then handles.
+ * a poll for each open job and a health check from each load balancer arrive every few seconds. Returns false
+ * for any other request or spelling of the path, which Express then handles.
  */
 export function answerWithoutExpress(deps: UserApiDependencies, req: IncomingMessage, res: ServerResponse): boolean {
   if (req.method !== "GET" || req.url === undefined) return false;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -84,7 +84,7 @@
 
   /**
    * Records the job. Records of a large job that do not fit into one transaction with the
-   * job's own record are written in earlier ones: slices (ranges of its tasks) and lists of
+   * job's own record are written in earlier ones: slices (ranges of an array's tasks) and lists of
    * needed jobs have no effect until the job's own record exists. Those left by an earlier
    * attempt to submit the job are kept.
    */
@@ -96,7 +96,7 @@
       if (this.deps.replica.get(key) !== undefined || this.notAdmitted(spec)) return null;
       const rows = [...rowsOf()].filter(([k]) => this.deps.replica.get(k) === undefined);
       if (rows.length === 0) return null;
-      // The condition on the configuration's revision ensures that a job is accepted only if the newest version admits it.
+      // The condition on the configuration's revision ensures that a job is accepted only if the newest configuration version admits it.
       const conditions = [...rows.map(([k]) => ({ k, stamp: 0 })), { k: keys.configuration, stamp: this.deps.configuration.stamp }];
       return { conditions, apply: rows.map(([write, v]) => ({ write, v })) };
     };
@@ -143,7 +143,7 @@
     );
   }
 
-  /** Number of tasks in the job's first slice (range of tasks), which is stored in the job's own record. A gang is one slice. */
+  /** Number of tasks in the job's first slice (a range of an array's tasks), which is stored in the job's own record. A gang is one slice. */
   private firstSliceTasks(spec: JobSpec): number {
     return spec.kind === "gang" ? spec.tasks : Math.min(sliceCapacity(this.deps.settings.state.valueKb), spec.tasks);
   }
@@ -160,7 +160,7 @@
     return { inline, name, lists };
   }
 
-  /** Records that may be written before the job's own: lists of needed jobs, and all slices (ranges of tasks) but the first. */
+  /** Records that may be written before the job's own: lists of needed jobs, and all slices (ranges of an array's tasks) but the first. */
   private secondaryRows(spec: JobSpec, partition: number): Map<string, unknown> {
     const rows = new Map<string, unknown>();
     const { name, lists } = this.splitNeeds(spec);
--- a/src/job-classes/class-accounting.ts
+++ b/src/job-classes/class-accounting.ts
@@ -2,8 +2,8 @@
 import type { TerminationProof } from "../workers/termination-proof.js";
 
 /**
- * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work or a team's guarantee,
- * after a notice that the cloud reclaims the machine, or with its gang; `mates`: other members of its gang did not start
+ * How an attempt at a task ended. `stopped`: by an order of this controller, for urgent work or a team's guaranteed
+ * resources, after a notice that the cloud reclaims the machine, or with its gang; `mates`: other members of its gang did not start
  * or ended; `refused`: the worker did not accept it; `machine`: lost with its machine or the machine's lease;
  * `withdrawn`: its job is finished or cancelled; `unseen`: it never existed on the machine.
  */
--- a/src/ledger/group-committer.ts
+++ b/src/ledger/group-committer.ts
@@ -49,7 +49,7 @@
 
 /**
  * Order of writes while more of them wait than the write rate allows, as after an outage. `now`: users' requests and
- * claims of partitions, never delayed by others. `soon`: writes that block work. `later`: bookkeeping.
+ * claims of partitions, never delayed by others. `soon`: writes that other work waits for. `later`: bookkeeping.
  */
 export type WritePriority = "now" | "soon" | "later";
 const RANK: Record<WritePriority, number> = { now: 0, soon: 1, later: 2 };
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -6,13 +6,13 @@
 
 /**
  * Value of `part` (the partition) in the record of a job that was submitted before the jobs it needs were done. Earlier
- * versions treat such a job as belonging to no partition.
+ * versions of the program treat such a job as belonging to no partition.
  */
 const NO_PARTITION = -1;
 
 /**
  * Partition of a record's tasks. A job that waits for other jobs is recorded with no partition in `part` and its
- * partition in `home`, because versions without support for job dependencies would start it at once. Whether it still
+ * partition in `home`, because program versions without support for job dependencies would start it at once. Whether it still
  * waits follows from the records of the jobs it needs.
  */
 interface PartitionAssignment {
@@ -25,7 +25,7 @@
   return record.part === NO_PARTITION && record.home !== undefined ? record.home : record.part;
 }
 
-/** Assigns a job that waits for other jobs to the partition `home`, hidden from versions that would start it at once. */
+/** Assigns a job that waits for other jobs to the partition `home`, hidden from program versions that would start it at once. */
 export function waitingAssignment(home: number): PartitionAssignment {
   return { part: NO_PARTITION, home };
 }
@@ -36,13 +36,16 @@
   return { ...rest, part: partitionOf(record) } as T;
 }
 
-/** Finished tasks of a slice (a range of a job's tasks): `done` is a bit map; `packed` adds all tasks before `from` and a bit map of those after it. */
+/**
+ * Finished tasks of a slice (a range of an array's tasks): `done` is a bit map; `packed` adds all tasks before `from`, and a bit
+ * map that begins at `from`.
+ */
 interface TaskProgress {
   done: string;
   packed?: { from: number; map: string };
 }
 
-/** A job and its first slice: tasks 0 to `hi` (exclusive). Further slices (ranges of tasks) have their own keys. `done` covers the first slice. */
+/** A job and its first slice: tasks 0 to `hi` (exclusive). Further slices have their own keys. `done` covers the first slice. */
 export interface JobRecord extends PartitionAssignment, TaskProgress {
   spec: JobSpec;
   hi: number;
@@ -55,7 +58,7 @@
   moved?: boolean;
 }
 
-/** A slice of a job's tasks other than the first: tasks `lo` to `hi` (exclusive). */
+/** A slice (a range of an array's tasks) other than the first: tasks `lo` to `hi` (exclusive). */
 export interface SliceRecord extends PartitionAssignment, TaskProgress {
   ref: string;
   lo: number;
@@ -114,7 +117,7 @@
   gpus: (number | null)[];
 }
 
-/** A team's guarantees and limits as written by a configuration change, with the version that this change made. */
+/** A team's guaranteed resources and limits as written by a configuration change, with the configuration version that it made. */
 export interface TeamRecord extends TeamSettings {
   version: number;
   removed?: true;
@@ -162,7 +165,7 @@
   suspicions: "t/x/",
   quotaShares: "t/q/",
   configurationRoot: "t/c/",
-  /** Head record. Its key sorts before those of the teams, so a paged read of all records never returns a head newer than the teams. */
+  /** Head record. Its key sorts before those of the teams, so a paged read of all records never returns a head record newer than the team records. */
   configuration: "t/c/head",
   changedTeams: "t/c/team/",
   configurationHistory: "t/c/was/",
@@ -195,7 +198,7 @@
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** Returns the tasks that are recorded as done in a slice (a range of a job's tasks) of `size` tasks. */
+/** Returns the tasks that are recorded as done in a slice (a range of an array's tasks) of `size` tasks. */
 export function doneTasks({ done, packed }: TaskProgress, size: number): Bits {
   const bits = Bits.decode(size, done);
   if (packed !== undefined) {
@@ -214,7 +217,7 @@
   return packed !== undefined && (task < packed.from || Bits.storedHas(packed.map, task - packed.from));
 }
 
-/** Packs a bit map. Tasks start in order, so the finished ones form a prefix and a short remainder. */
+/** Packs a bit map into the number of finished tasks before the first unfinished one and a bit map of the rest, short since tasks start in order. */
 function pack(bits: Bits): NonNullable<TaskProgress["packed"]> {
   let from = 0;
   while (from < bits.size && bits.has(from)) from++;
@@ -224,7 +227,7 @@
 }
 
 /**
- * Returns the record in a form that fits the size limit. The bit map of an array recorded under larger limits may no
+ * Returns the record in a form that fits the size limit. The bit map of a job array recorded under larger limits may no
  * longer fit; it is then packed into a separate member, so that an earlier version of the program sees too few tasks as
  * done, never too many. If the packed map does not fit either, the progress of an ended job is dropped, since its end
  * is sufficient. The progress of a job that has not ended then cannot be recorded: the result is null, and workers keep
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -20,17 +20,20 @@
 /** Maximum number of removed keys whose last revisions are remembered. */
 const MAX_TOMBSTONES = 20_000;
 
-/** Returns the reference of the job from the key of one of its slices (ranges of its tasks). */
+/** Returns the reference of the job from the key of one of its slices. */
 function refOfSlice(key: string): string {
   return key.slice(keys.slices.length, key.lastIndexOf("/"));
 }
 
-/** Replica cache of the state service: a copy of all records, kept up to date by `/follow`, with a bound on its age. */
+/** Replica cache of the state service: a copy of all records, kept up to date by its change stream (`/follow`), with a bound on the copy's age. */
 export class StateReplica {
   /** Emits the key of each record that changed, and an empty string after a full load. */
   readonly changes$ = new Subject<string>();
   private readonly tables = new Map<string, Map<string, Entry<unknown>>>();
-  /** Keys of slices (ranges of a job's tasks) by job. The index is needed because every finished task looks up its job's slices among thousands. */
+  /**
+   * Keys of slices (ranges of an array's tasks) by job. A job's slices are looked up for every finished task, and a scan would
+   * visit the thousands of slices of all jobs.
+   */
   private readonly slicesByJob = new Map<string, Set<string>>();
   /** Records of jobs that have not ended, so that periodic work does not scan the records of all jobs that ever ended. */
   private readonly openJobRecords = new Map<string, Entry<JobRecord>>();
@@ -153,7 +156,7 @@
     return this.nextRefresh;
   }
 
-  /** Applies one change from `/follow`. */
+  /** Applies one change from the state service's change stream. */
   private apply(event: StateEvent): void {
     if ("write" in event) this.put(event.write, event.v, event.stamp);
     else this.drop(event.remove, event.stamp);
@@ -167,7 +170,7 @@
     return table;
   }
 
-  /** Stores a record unless a newer version of it is known. Also called for this node's own writes before `/follow` returns them. */
+  /** Stores a record unless this or a newer revision of it is known. Also called for this node's own writes, before the change stream has them. */
   put(key: string, v: unknown, stamp: number): void {
     const table = this.table(key);
     const latest = table.get(key)?.stamp ?? this.tombstones.get(key) ?? -1;
@@ -183,7 +186,7 @@
     this.changes$.next(key);
   }
 
-  /** Removes a record unless a newer version of it is known. */
+  /** Removes a record unless a revision of it is known that is not older than the removal. */
   drop(key: string, stamp: number): void {
     const table = this.table(key);
     const entry = table.get(key);
@@ -233,7 +236,7 @@
     if (sliceKeys?.size === 0) this.slicesByJob.delete(ref);
   }
 
-  /** All slices (ranges of tasks) of a job except the first, which is in the job's own record. */
+  /** All slices (ranges of an array's tasks) of a job except the first, which is in the job's own record. */
   slicesOf(ref: string): [string, Entry<SliceRecord>][] {
     const table = this.rows<SliceRecord>(keys.slices);
     return [...(this.slicesByJob.get(ref) ?? [])].map((key) => [key, table.get(key)!]);
--- a/src/overload/levels.ts
+++ b/src/overload/levels.ts
@@ -1,5 +1,5 @@
 /**
- * Names of a controller's overload levels, lowest first. Each level sheds (rejects) its own kinds of work and those of all lower levels.
+ * Names of a controller's overload levels, lowest first. Each level sheds its own kinds of work and those of all lower levels.
  * docs/operations/overload.md describes them for operators.
  */
 export const LEVELS = ["easy", "busy", "behind", "late", "drowning"] as const;
@@ -22,7 +22,7 @@
 
 const SHED_FROM: Record<SheddableWork, Level> = { view: 1, volunteering: 2, growth: 3, submission: 3, "urgent submission": 4 };
 
-/** Whether a controller at this overload level sheds (rejects) this kind of work. */
+/** Whether a controller at this overload level sheds this kind of work. */
 export function sheds(level: Level, what: SheddableWork): boolean {
   return level >= SHED_FROM[what];
 }
@@ -33,7 +33,7 @@
   lagMs: number;
   /** Memory in use as a share of its limit: the quota, or V8's heap limit if that share is larger. */
   memory: number;
-  /** Time in seconds to write the changes that wait for the state service. */
+  /** Time in seconds that it takes to write the changes that wait to be written to the state service. */
   backlogS: number;
 }
 
@@ -46,14 +46,15 @@
 
 /**
  * Thresholds of the overload levels. Timer lag: workers time out after 4 s and users after 2 and 5 s, so the last level
- * begins at one report interval. Memory, as a share of its limit: a burst of reports and answers takes what is above the
- * last level before memory can be freed. Backlog of writes: in seconds at a node's own share of the write rate.
+ * begins at a lag of one report interval. Memory, as a share of its limit: what is above the last threshold is left free
+ * for a burst of reports and answers, which can use it before memory is freed. Backlog: in seconds at a node's own share
+ * of the write rate.
  */
 export function overloadThresholds({ reportMs }: { reportMs: number }, nodes: number): Thresholds {
   return {
     lagMs: [reportMs / 5, reportMs / 3, reportMs * 0.6, reportMs],
     memory: [0.8, 0.86, 0.91, 0.95],
-    // Users' changes are written first, so a backlog of writes is mostly bookkeeping for all partitions.
+    // Users' changes are written before others, so a backlog of some seconds is mostly bookkeeping for all partitions and hardly delays users.
     backlogS: [2 * nodes, 3 * nodes, 4 * nodes, 6 * nodes],
   };
 }
--- a/src/overload/overload.ts
+++ b/src/overload/overload.ts
@@ -31,7 +31,7 @@
   scope: Scope;
   /** Memory use of this process, in bytes. */
   memory: () => MemoryUsage;
-  /** Number of changes that wait for the state service. */
+  /** Number of changes that wait to be written to the state service. */
   backlog: () => number;
 }
 
@@ -127,14 +127,14 @@
     return Math.max(resident / (settings.platform.deployment.quota.mem_mb * MB), Math.min(...this.heapSamples));
   }
 
-  /** Whether this kind of work is to be shed now. If so, it is counted as shed, and the caller rejects it at once. */
+  /** Whether this kind of work is to be shed now. If so, it is counted as shed, and the caller rejects or skips it. */
   sheds(what: SheddableWork): boolean {
     if (!sheds(this.level, what)) return false;
     this.stats.shed++;
     return true;
   }
 
-  /** Value for `Retry-After`, in seconds: the measured time until the backlog and the lag should be gone. */
+  /** Value for `Retry-After`, in seconds: the estimated time until the backlog is written and the timer lag has ended. */
   retryAfterS(): number {
     const s = Math.max(this.backlogS(), (this.measured.lagMs / 1000) * 2);
     return Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, Math.ceil(s)));
--- a/src/peers/ids.ts
+++ b/src/peers/ids.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** Number of request ids reserved for one incarnation (one run of a controller's process). */
+/** Number of request ids reserved for one incarnation. */
 const IDS_PER_INCARNATION = 2 ** 20;
 
 /**
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -37,7 +37,7 @@
   team: string;
   cpus: number;
   gpus: number;
-  /** The part of the requested amounts that the partition's free capacity could use at once. */
+  /** The part of the requested amounts for which the partition has free capacity now. */
   nowCpus: number;
   nowGpus: number;
 }
@@ -47,7 +47,10 @@
   zone: string;
   spot: boolean;
 }
-/** Whether a node reaches the state service, how many of its machines report to it (`hears`), and what teams use in its partitions. */
+/**
+ * Whether a node reaches the state service, what share of its machines report to it (`hears`: `most`, `few` or `unsure`), and
+ * what teams use in its partitions.
+ */
 export interface Health {
   stateOk: boolean;
   hears: string;
--- a/src/platform/bits.ts
+++ b/src/platform/bits.ts
@@ -19,8 +19,8 @@
 
   /**
    * Whether a stored bitmap contains the number, without decoding the rest of the bitmap:
-   * the owner of a partition checks this for each task that a worker has finished, and an
-   * array may have tens of thousands of tasks.
+   * the owner of a partition checks this for each task that a worker has finished, and a
+   * job array may have tens of thousands of tasks.
    */
   static storedHas(text: string, i: number): boolean {
     const byte = i >> 3;
--- a/src/platform/http.ts
+++ b/src/platform/http.ts
@@ -42,7 +42,7 @@
 /**
  * HTTP/1.1 client on `net` with a few kept-alive connections per host. Node's own client creates
  * dozens of streams and events per call, which was a large part of the processor time that a
- * controller spends on an order or a transaction (docs/measured.md).
+ * controller spends on a command to a worker or a transaction in the state service (docs/measured.md).
  */
 export class HttpClient {
   private readonly hosts = new Map<string, Host>();
--- a/src/rehearsal/injection-points.ts
+++ b/src/rehearsal/injection-points.ts
@@ -3,7 +3,7 @@
 
 const FENCING_STARTED = "leading; fencing machines";
 
-/** Maps a call, write or log line of a controller to the injection point (an event that planned faults wait for) that it marks, or null. */
+/** Maps a call, write or log line of a controller to the injection point (an event that planned faults wait for) that it marks; null if it marks none. */
 export const injectionPointOf: InjectionPointOf = ({ what, detail }) => {
   if (what === "hire") return "rental-in-flight";
   if (what === "part taken") return detail["reason"] === "home again" ? "handing-over" : null;
--- a/src/rehearsal/spawn-controller.ts
+++ b/src/rehearsal/spawn-controller.ts
@@ -26,7 +26,7 @@
   // Invariants are strict: a violation ends the rehearsal, because in virtual time there are no users for whom to continue.
   const scope = new Scope(new StallDetectingClock(environment.clock, settings.timing.stallMs), log, undefined, new Invariants(log, true));
   const { state, cloud, workers } = environment;
-  // The random source is seeded with the node and its incarnation, so that a rehearsal is reproducible by its own seed.
+  // The random source is seeded with the node and its incarnation, so that rehearsals with the same seed run identically.
   const random = seededRandom(createHash("sha256").update(`${settings.self} ${environment.incarnation}`).digest().readInt32BE());
   const calls = new Calls(scope.clock, callPolicies({ timing: settings.timing, writeRps: settings.state.writeRps }), random);
   const deps = {
--- a/src/settings/derived.ts
+++ b/src/settings/derived.ts
@@ -22,7 +22,7 @@
   expiryMs: number;
   /** Time without renewal after which a node's presence expires. */
   presenceMs: number;
-  /** Age of the replica of the records above which the state service counts as unreachable. */
+  /** Age of this node's replica of the state service above which the state service counts as unreachable. */
   contactMs: number;
   /** Timeout of a call to the state service. */
   stateTimeoutMs: number;
@@ -52,7 +52,7 @@
   timing: Timing;
   /** Maximum number of machines per partition; each holds a socket of the partition's owner. */
   maxMachines: number;
-  /** Names of all controllers, sorted; a partition's number is the index of its home controller. */
+  /** Names of all controllers, sorted, so in the same order at all of them; a partition's number is the index of its home controller. */
   nodes: string[];
   self: string;
   /** Warnings about settings that leave less margin than usual; logged at the start and printed by `check`. */
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -9,7 +9,7 @@
 
 const txnOps = z.number().int().min(4);
 
-/** A team's guarantees (`cpus`, `gpus`) and limits (`cpus_max`, `gpus_max`); 0 means that there is none. */
+/** A team's guaranteed resources (`cpus`, `gpus`) and limits (`cpus_max`, `gpus_max`); 0 means that there is none. */
 export const teamSchema = z.object({
   name: z.string().min(1),
   cpus: amount.default(0),
@@ -63,7 +63,7 @@
 
 /** The platform's settings after validation. */
 export type PlatformSettings = z.infer<typeof schema>;
-/** Guarantees and limits of one team. */
+/** Guaranteed resources and limits of one team. */
 export type TeamSettings = PlatformSettings["deployment"]["teams"][number];
 
 /** Invalid settings; the message names the file and the field. */
--- a/src/status/exposition.ts
+++ b/src/status/exposition.ts
@@ -81,7 +81,7 @@
     gauge("state_conflicts_total", "Transactions refused because a record's stamp had changed", () => committer.stats.conflicts);
     gauge("state_unanswered_total", "Transactions without an answer", () => committer.stats.unanswered);
     gauge("relayed_total", "Requests that a peer answered for this node", () => relay.stats.answered);
-    gauge("stalls_total", "Stalls of this process", () => stalls.count);
+    gauge("stalls_total", "Stalls: times that this process was not scheduled while its clocks ran on", () => stalls.count);
     gauge("stalled_ms_total", "Total length of the stalls", () => stalls.ms);
     const { overload } = controller;
     gauge("overload_level", "Overload level from 0 (easy) to 4 (drowning), see docs/operations/overload.md", () => overload.level);
@@ -126,7 +126,11 @@
       ["recovery_silent_ms", "Newest takeover: absence of the former owner before the claim", "silentMs"],
       ["recovery_fenced_ms", "Newest takeover: from the claim until all machines were fenced", "fencedMs"],
       ["recovery_placed_ms", "Newest takeover: from the claim to the first task start", "placedMs"],
-      ["recovery_back_ms", "Newest takeover: from the claim to the end of the recovery", "backMs"],
+      [
+        "recovery_back_ms",
+        "Newest takeover: from the claim until, once fenced, a task had started, no earlier work waited or the shortest boot time had passed",
+        "backMs",
+      ],
     ] as const)
       gauge(name, help, () => leader.recovery.spans.at(-1)?.[read] ?? 0);
     gauge(
@@ -151,8 +155,8 @@
 const PERCENTILES = [50, 90, 99, 100];
 
 /**
- * Registers percentiles of the durations of the remembered recoveries, by step. The histogram
- * library is loaded on the first request, because processor time is scarce at start-up.
+ * Registers, for each step of a takeover, percentiles of the time from the claim to the step over the remembered takeovers.
+ * The histogram library is loaded on the first request, because processor time is scarce at start-up.
  */
 async function registerSpread(spans: readonly RecoverySpan[], registers: Registry[]): Promise<Gauge> {
   const { build } = await import("hdr-histogram-js");
