--- a/packages/store/src/core.ts
+++ b/packages/store/src/core.ts
@@ -4,7 +4,7 @@
 import type { Batch, EngineMeta, StoredEvent } from "./engine.js";
 import type { KeyMetadata } from "./key-metadata-cache.js";
 
-/** A change in a transaction. The written value is JSON text; `permit` is the ID of the lease to attach the key to, or null. */
+/** A change in a transaction. The written value is JSON text; `permit` is the ID of the lease to attach the key to; null if there is none. */
 export type Change = { write: string; text: string; permit: number | null } | { remove: string };
 
 /**
--- a/packages/store/src/snapshot-file.ts
+++ b/packages/store/src/snapshot-file.ts
@@ -21,7 +21,7 @@
 
 /**
  * Default number of revisions that a restored store skips. Ownership tokens and attempt
- * numbers are derived from revisions, and machines remember the highest token seen, so
+ * numbers are derived from revisions, and workers remember the highest token seen, so
  * revisions handed out after the snapshot was taken must not be used again.
  */
 export const DEFAULT_SKIPPED_REVISIONS = 1_000_000;
--- a/src/calls/policy-clients.ts
+++ b/src/calls/policy-clients.ts
@@ -32,7 +32,7 @@
   };
 }
 
-/** Wraps a worker client so that its commands get the time limit and statistics of one purpose: orders, fencing under a new ownership term, or probes. */
+/** Wraps a worker client so that its commands get the time limit of one operation (orders, fencing under a new ownership term, or probes) and are counted under it. */
 export function workersWithPolicy(workers: WorkerApi, caller: Caller): WorkerApi {
   return { command: (addr, token, session, orders) => caller.call((ms) => workers.command(addr, token, session, orders, ms)) };
 }
--- a/src/calls/policy.ts
+++ b/src/calls/policy.ts
@@ -23,8 +23,8 @@
  * - `nothing`: the call only reads, so it is simply retried.
  * - `once`: the call is idempotent (a rental under its name, a deletion, a renewal). It is retried unchanged, never
  *   with other arguments.
- * - `conditional`: the call may be applied late. The state is read again and the call rebuilt from it, so that after one
- *   copy is applied, the conditions of the other one fail.
+ * - `conditional`: the call may be applied late. The state is read again and the call rebuilt from it, so that once
+ *   the first or the rebuilt call is applied, the conditions of the other one fail.
  * - `reported`: only the worker's next report shows whether an order was executed. Until then it counts as executed, and
  *   it is retried under the same attempt.
  */
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -68,7 +68,7 @@
     partitions: settings.nodes.length,
     owner: (partition) => owners.get(keys.owner(partition)),
     presence: (node) => presence.get(keys.presenceOf(node))?.v,
-    // The clocks of this process and of the one that wrote the version may each be off by clock_off_ms; `waitedMs` is exact.
+    // The clocks of this process and of the one that wrote the version may each be off by clock_off_ms; `waitedMs` does not depend on them.
     elapsedMs: Math.max(waitedMs, Date.now() - at - 2 * clock_off_ms),
     silentAfterMs: settings.timing.silentAfterMs * (1 + 2 * DRIFT),
   });
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -14,7 +14,7 @@
 
 /** Teams and limits that this controller applies: those of the platform's file with the changes recorded in the state service. */
 export class Configuration {
-  /** Teams merged from the platform's file and the team records; null if they must be merged again, because a record has changed. */
+  /** Teams merged from the platform's file and the team records; null if they must be merged: at first and after a record has changed. */
   private cached: { teams: Team[]; byName: Map<string, Team> } | null = null;
   /** Newest configuration version, and when this controller first saw it, in ms of the monotonic clock. */
   private newestSeen = { version: 0, at: -Infinity };
--- a/src/intake/relay.ts
+++ b/src/intake/relay.ts
@@ -31,8 +31,8 @@
 
 /**
  * Relays users' requests to a peer while this node alone cannot reach the state service: users stay connected to this
- * node for some seconds until the load balancer notices. A submission or cancellation may therefore be executed
- * twice; both are conditional writes, so the result is the same.
+ * node for some seconds until the load balancer notices. Both nodes may therefore execute a submission or
+ * cancellation; these are conditional writes, so the result is the same.
  */
 export class Relay {
   private readonly pending = new Map<number, PendingRequest>();
--- a/src/launch/rehearsal.ts
+++ b/src/launch/rehearsal.ts
@@ -9,7 +9,7 @@
 /**
  * Entry point of the build's rehearsal: plays the first seconds of the demo, with its faults, with controllers that save
  * V8's code cache. These seconds cover start-up, rentals, reports, placement, users' requests and a takeover. Arguments:
- * the program that replaces `main.js`, preceded by its flags.
+ * the program that replaces `main.js`, preceded by Node's flags.
  */
 const plan = await loadPlan("deploy/demo.hcl");
 const [restart, lose] = plan.fault;
