--- a/packages/graphs/src/journal.ts
+++ b/packages/graphs/src/journal.ts
@@ -15,14 +15,20 @@
 const OUTCOMES_PER_BYTE = 8 / BITS_PER_OUTCOME;
 /** Maximum size of a page's record without its packed outcomes, in bytes. */
 const MAX_RECORD_OVERHEAD_BYTES = 200;
-/** A batch of outcomes is due once it has this number per record to write, or once its oldest outcome has waited this long, in ms. */
+/**
+ * A batch is due once its outcomes number `outcomesPerRecord` times the records that it has to write, or once the oldest of
+ * them has waited for `maxWaitMs`.
+ */
 const BATCHING = { outcomesPerRecord: 250, maxWaitMs: 30_000 };
 
 /** Keys, ownership term and limits with which a journal writes to the state service. */
 export interface JournalOptions {
   /** Prefix of the graph's own keys, such as `t/g/flow-7/`. */
   prefix: string;
-  /** Key of the ownership record. Its stamp (the revision of its last write) is the term of the partition that owns the graph. */
+  /**
+   * Key of the ownership record of the graph's partition. The record's revision (`stamp`, assigned by its last write) is the
+   * owner's term.
+   */
   ownerKey: string;
   /** Term of the owner that writes; a transaction under an earlier term is rejected. */
   term: number;
@@ -54,7 +60,7 @@
 /** Outcomes of `TASKS_PER_PAGE` consecutive tasks of one client, and how many of them are not yet durable. */
 class Page {
   readonly bytes = new Uint8Array(TASKS_PER_PAGE / OUTCOMES_PER_BYTE);
-  /** Stamp (revision) of the page's record in the state service; 0 if there is none. */
+  /** Revision at which the page's record in the state service was last written; 0 if there is no record. */
   stamp = 0;
   /** Number of outcomes that are in neither a stored record nor the batch in flight. */
   unwritten = 0;
@@ -84,7 +90,7 @@
   base: number;
   /** Value of `base` in the client's stored record; 0 if there is none. */
   durableBase: number;
-  /** Stamp (revision) of the client's record in the state service; 0 if there is none. */
+  /** Revision at which the client's record in the state service was last written; 0 if there is no record. */
   stamp: number;
   pages: Map<number, Page>;
 }
@@ -192,8 +198,8 @@
   }
 
   /**
-   * Whether a batch should be written: enough outcomes are pending for the number of records to write, or one has waited
-   * long enough. False while a batch is in flight.
+   * Whether a batch should be written, because there are enough outcomes for the number of records that it has to write or
+   * one has waited long enough. False while a batch is in flight.
    */
   isBatchDue(): boolean {
     if (this.inFlight !== null) return false;
@@ -263,7 +269,7 @@
     this.clients.get(client)?.pages.delete(pageNo);
   }
 
-  /** Records that the batch in flight was committed under this stamp. */
+  /** Records that the batch in flight was committed at this revision (`stamp`). */
   batchCommitted(stamp: number): void {
     const { inFlight: batch } = this;
     if (batch === null) return;
@@ -287,7 +293,7 @@
 
   /**
    * Ends a batch whose transaction failed or got no response. `rows` are the graph's records, read
-   * after that. The next batches write the same pages again, conditional on the stamps of `rows`.
+   * after that. The next batches write the same pages again, conditional on the revisions in `rows`.
    */
   reconcile(rows: readonly Row[]): void {
     const { inFlight: batch } = this;
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -27,7 +27,7 @@
   /** Monotonic clock, in ms. */
   now: () => number;
   limits?: AdmissionLimits;
-  /** Queued work that each executor should have so that it doesn't idle during a round trip, in ms. */
+  /** Queued work that each executor should have so that it doesn't idle while the scheduler sends the next task, in ms. */
   targetBacklogMs: number;
   /** Expected run time in ms of every function until the run time of a first task is known. */
   defaultRuntimeMs: number;
@@ -51,7 +51,7 @@
  * that the order of arrival only breaks ties between equal ranks.
  */
 const ARRIVAL_TIE_BREAK_MS = 1e-6;
-/** Maximum number of executors with a copy that are checked for each input when an executor is chosen by data locality. */
+/** When an executor is chosen by data locality: maximum number of holders of a copy that are considered for each input. */
 const MAX_HOLDERS_CHECKED = 8;
 
 /** Whether the object is available or will never be. */
@@ -70,7 +70,10 @@
   private readonly objects = new ObjectTable(this.tasks);
   private readonly clients = new Map<string, Client>();
   private readonly pool: ExecutorPool;
-  /** Clients with ready tasks, ordered by `serviceMs` (their weighted share of CPU time so far), lowest first. */
+  /**
+   * Clients with ready tasks, ordered by `serviceMs` (expected CPU time dispatched so far, divided by the client's weight),
+   * lowest first.
+   */
   private readonly fairQueue = new FlatQueue<Client>();
   private readonly runtimes: RuntimeEstimator;
   private readonly admission: Admission;
@@ -82,7 +85,10 @@
   private submitted: Task[] = [];
   /** Number of submissions and successful ends of tasks since all tasks were last ranked. */
   private changesSinceRanking = 0;
-  /** `serviceMs` of the client served last. A client that joins or becomes active starts at least there, without credit for idle time. */
+  /**
+   * `serviceMs` of the client served last. A client that joins, or has ready tasks again, starts with at least this value,
+   * so that it gets no credit for the time it was idle.
+   */
   private currentServiceMs = 0;
   readonly stats = { finished: 0, leased: 0, reruns: 0, staleReports: 0, returned: 0, dropped: 0 };
 
@@ -168,7 +174,7 @@
     return null;
   }
 
-  /** Returns one shared string per function name. */
+  /** Returns the same string object for all uses of a function's name, so that tasks don't each keep a copy. */
   private intern(fn: string): string {
     const interned = this.functionNames.get(fn);
     if (interned !== undefined) return interned;
@@ -290,7 +296,10 @@
     return true;
   }
 
-  /** Cancels a task, which fixes its outcome even if it still ends. Returns false if the task is unknown or already has an outcome. */
+  /**
+   * Cancels a task. The outcome remains `cancelled` even if the task ends successfully before it is stopped. Returns
+   * false if the task is unknown or already has an outcome.
+   */
   cancel(key: string): boolean {
     const task = this.tasks.get(key);
     if (task === undefined || task.outcome !== null) return false;
@@ -571,7 +580,7 @@
     }
   }
 
-  /** Runs a task again, or fails it if no retries are left. A cancelled task is completed instead. */
+  /** Runs a task again, or fails it if no retries are left. A cancelled task is only marked as finished. */
   private retry(task: Task, why: "executor-lost" | "error", message: string): void {
     task.executor = null;
     task.lease = 0;
@@ -595,8 +604,8 @@
   }
 
   /**
-   * Returns, of the executors with capacity, the one that holds the largest input of the task. If none of them holds an
-   * input, returns the first suitable executor in the pool's order, or null.
+   * Returns the executor with the largest input of the task among the executors that have capacity. If none of them holds
+   * an input, returns the first one with capacity in the pool's order, or null if there is none.
    */
   private chooseExecutor(task: Task): Executor | null {
     const { cpus, fn } = task.spec;
@@ -656,7 +665,10 @@
     if (task.executor !== null) this.options.sink.stop(task.executor.name, task.lease);
   }
 
-  /** Handles the successful end of a task; only counts the report if the lease is no longer valid. Deletes a cancelled task's outputs. */
+  /**
+   * Handles the successful end of a task. The outputs of a cancelled task are deleted. If the lease is no longer valid, the
+   * report is ignored but counted.
+   */
   done(name: string, lease: number, made: readonly TaskOutput[], ranMs: number): void {
     const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
@@ -672,7 +684,7 @@
     this.dispatch();
   }
 
-  /** Ends a lease and returns its executor and task; counts a stale report if the lease is no longer valid. */
+  /** Ends a lease and returns its executor and task. If the lease is no longer valid, the task is null and a stale report is counted. */
   private takeLease(name: string, lease: number): { executor: Executor | null; task: Task | null } {
     const executor = this.pool.get(name) ?? null;
     const task = executor?.leasedTasks.get(lease) ?? null;
@@ -699,7 +711,7 @@
     if (before !== Availability.Available) this.notifySettled(object);
   }
 
-  /** Handles an error that a task raised; only counts the report if the lease is no longer valid. */
+  /** Handles an error that a task raised. If the lease is no longer valid, the report is ignored but counted. */
   failed(name: string, lease: number, message: string, ranMs: number): void {
     const { executor, task } = this.takeLease(name, lease);
     if (executor === null || task === null) return;
@@ -723,7 +735,7 @@
   // ---- Ends of tasks
 
   /**
-   * Records and reports the outcome of a task, once: a task that ran again to recompute its outputs
+   * Records and reports the outcome of a task, unless it has one already: a task that ran again to recompute its outputs
    * keeps its outcome. If `failing`, those of its outputs that are not available are marked as failed.
    */
   private finish(task: Task, outcome: TaskOutcome, failing: boolean): void {
--- a/packages/graphs/src/model.ts
+++ b/packages/graphs/src/model.ts
@@ -37,13 +37,16 @@
 
 /** Receives the decisions of a graph: the service sends them to clients and executors, tests record them. */
 export interface DecisionSink {
-  /** Starts a task at an executor. Among the tasks queued there, the one with the highest `rank` runs first. */
+  /**
+   * Sends a task to an executor under a new lease (a number that identifies this assignment). Among the tasks queued at
+   * the executor, the one with the highest `rank` runs first.
+   */
   run(executor: string, lease: number, task: TaskSpec, inputs: readonly TaskInput[], rank: number): void;
-  /** Asks for a task back if it has not started; answered by `returned`, or by the end of the task. */
+  /** Asks the executor to give the task back. It does so (`returned`) if the task has not started; else the task runs to its end. */
   recall(executor: string, lease: number): void;
   /** Stops a cancelled task. */
   stop(executor: string, lease: number): void;
-  /** Deletes objects that are no longer needed. */
+  /** Deletes the executor's copies of objects. */
   drop(executor: string, objects: readonly string[]): void;
   /** Reports the final outcome of a task; called once per task. */
   final(client: string, key: string, final: TaskOutcome): void;
@@ -90,7 +93,7 @@
   outcome: TaskOutcome | null;
   /** Expected end in ms of the monotonic clock; infinite while the task is queued at its executor. */
   expectedEndMs: number;
-  /** Number of the task's outputs that are not removed, so that they may still be requested. */
+  /** Number of the task's outputs that may still be requested because they are not removed. */
   liveOutputs: number;
 }
 
@@ -112,6 +115,7 @@
   /** Null for an object that a client put, which cannot be recomputed. */
   producer: Task | null;
   availability: Availability;
+  /** The value, or null if it is not available or only executors hold copies of it. */
   inline: string | null;
   bytes: number;
   /** Executors that hold a copy. */
@@ -152,15 +156,15 @@
   assignedCpus: number;
   /** Running and queued tasks by lease. */
   leasedTasks: Map<number, Task>;
-  /** Expected end of all its leased tasks, in ms of the monotonic clock. */
+  /** Time at which all its leased tasks are expected to have ended, in ms of the monotonic clock. */
   idleAtMs: number;
-  /** Current sort key in the order in which the pool's executors receive tasks. */
+  /** Key by which the pool sorts its executors; the one with the lowest key receives the next task. */
   orderKey: number;
   /** Objects of which the executor holds a copy. */
   objects: Set<GraphObject>;
   /** Whether the executor is to receive no more tasks. */
   draining: boolean;
-  /** Number of recalled tasks that are still expected back; reduced by each task that the executor returns or ends. */
+  /** Number of recalled tasks whose return is still awaited. Each task that the executor returns or ends reduces it by one. */
   pendingRecalls: number;
 }
 
--- a/packages/graphs/src/objects.ts
+++ b/packages/graphs/src/objects.ts
@@ -1,4 +1,4 @@
-/** Keys of a graph's objects, and their index. */
+/** Keys of a task graph's objects, and the index of the objects by key. */
 import { emptyList, Availability, type Task, type GraphObject } from "./model.js";
 
 /** Returns the key by which clients and executors address an object: `TASK:INDEX` for a task's output, else the client's own key. */
--- a/packages/graphs/src/pool.ts
+++ b/packages/graphs/src/pool.ts
@@ -31,7 +31,7 @@
 
   constructor(
     private readonly now: () => number,
-    /** Queued work that each executor should have so that it doesn't idle during a round trip, in ms. */
+    /** Queued work that each executor should have so that it doesn't idle while the scheduler sends the next task, in ms. */
     private readonly targetBacklogMs: number,
   ) {}
 
--- a/packages/graphs/src/runtimes.ts
+++ b/packages/graphs/src/runtimes.ts
@@ -28,7 +28,7 @@
       return;
     }
     const error = ms - estimate.mean;
-    // With weights of 1/2, 1/3 and so on down to the minimum, the first ten run times count equally.
+    // The first ten run times have equal weight; after them, the newest has the minimum weight.
     const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / ++estimate.count);
     estimate.mean += weight * error;
     estimate.deviation += weight * (Math.abs(error) - estimate.deviation);
--- a/packages/graphs/test/journal.test.ts
+++ b/packages/graphs/test/journal.test.ts
@@ -16,13 +16,13 @@
     this.rows.set(OWNER, { v: {}, stamp: 10 });
   }
 
-  /** Writes the ownership record as a new owner does. Returns the new owner's term, which is the record's stamp (revision). */
+  /** Writes the ownership record as a new owner does. Returns the new owner's term: the record's revision (`stamp`). */
   takeOver(): number {
     this.rows.set(OWNER, { v: {}, stamp: ++this.ledger });
     return this.ledger;
   }
 
-  /** Applies a transaction. Returns the stamp (revision) of the records written, or null if a condition failed. */
+  /** Applies a transaction. Returns the revision (`stamp`) of the written records, or null if a condition failed. */
   txn({ conditions, apply }: Draft): number | null {
     assert.ok(apply.length <= this.limits.ops, `${apply.length} changes`);
     assert.ok(conditions.length <= this.limits.ops * 4);
@@ -68,7 +68,7 @@
     if (seq % 5000 === 4999) journal.acknowledge("c", 0);
     while (journal.isBatchDue()) journal.batchCommitted(service.txn(journal.draftBatch()!)!);
   }
-  // The sequence numbers are spread over the whole range, which is worse than in any real graph.
+  // Each batch has outcomes from the whole range of sequence numbers, so it writes more records than that of any real graph.
   assert.ok(service.changes < 500, `${service.changes} changes`);
   const near = environment();
   const other = new Journal(near.options());
@@ -168,7 +168,7 @@
           const draft = journal.draftBatch();
           if (draft !== null) settle(what === "unanswered", draft);
         } else if (what === "late") {
-          // The transaction is given up, the records are read, and a new batch is written; then the first transaction arrives.
+          // The first transaction gets no response: the records are read and a new batch is written. Then the first one arrives.
           held = journal.draftBatch();
           if (held === null) continue;
           const { changes } = service;
@@ -183,7 +183,7 @@
           for (const name of ["c", "d"]) {
             let below = 0;
             while (journal.outcome(name, below) === "acknowledged") below++;
-            // Acknowledgements that were not durable are lost with the former owner; the clients repeat them further down.
+            // Acknowledgements that were not durable are lost with the former owner; the clients repeat them after this check.
             assert.ok(below <= (acknowledged.get(name) ?? 0));
           }
           for (const [name, below] of acknowledged) journal.acknowledge(name, below);
