--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -52,7 +52,7 @@
   beside: string;
 }
 
-/** Length in seconds of the fault-free start of a run, in which no machines are up yet that a fault could affect. */
+/** Seconds after the start of a run before which no machines are up that a fault could affect. */
 const WARMUP_S = 12;
 
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
@@ -103,7 +103,10 @@
   unfinished: number;
 }
 
-/** Formats a table of faults by injection points: `+` covered, `.` not reached, `!` a rule was broken, blank: not run. */
+/**
+ * Formats a table of faults by injection points: `+` the fault affected something there, `.` it did not or the point was not
+ * reached, `!` a rule of the protocol was broken, blank: not run.
+ */
 export function formatCoverageTable(results: readonly CaseResult[]): string {
   const width = Math.max(...Object.keys(FAULTS_BY_NAME).map((name) => name.length));
   const lines = INJECTION_POINTS.map((point, i) => `${" ".repeat(width)} ${"| ".repeat(i)}${point}`);
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -1,4 +1,4 @@
-/** Checks the recorded history of a run against the rules of the protocol. */
+/** Checks the recorded history of a run against the rules of the protocol, such as that no task runs twice at once. */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 
 /** Job status as a user learns it from a response; `unknown` stands for 404, `refused` for 400 and 422. */
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Sets the available capacity of a type in a zone (`*`: all); undefined leaves it unchanged. Rented machines stay,
-   * even above the new capacity.
+   * Sets the available capacity of a type in a zone (`*`: all); undefined leaves it unchanged. Machines that
+   * are already rented stay, even if there are more of them than the new capacity.
    */
   setCapacity(type: string, zone: string, ordinary: number | undefined, spot: number | undefined): CapacityOverride {
     const previous = new Map<string, number>();
@@ -224,8 +224,8 @@
   }
 
   /**
-   * Returns a deliberately wrong list: much older than usual, with deleted machines, or empty like the response to another request.
-   * Returns undefined for other forms.
+   * Returns a deliberately wrong list. `form` says how: one much older than usual, one with deleted machines, or an empty one
+   * like the response to another request. Returns undefined for the values of `form` that concern no lists.
    */
   invalidList(
     form: WrongResponseForm,
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -22,8 +22,8 @@
 const passed = (report: Report): boolean => report.broken.length === 0 && report.jobs.unfinished.length === 0;
 
 /**
- * `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if a rule broke, a job is
- * not done, a fault affected nothing, no takeover occurred or a process ended by itself.
+ * `npm run demo`: runs the demonstration plan on real processes of this machine, within a minute. Exits with 4 if a rule of the protocol
+ * was broken, a job is not done, a fault affected nothing, no takeover occurred or a process ended by itself.
  */
 export async function demo(options: { plan: string; program: string[]; seed: number; injectionPointOf: InjectionPointOf }): Promise<void> {
   const plan = await loadPlan(options.plan);
@@ -61,7 +61,7 @@
   seed: number | undefined;
   report: string | undefined;
   injectionPointOf: InjectionPointOf;
-  /** Runs a plan in virtual time; used to minimise a plan that broke a rule. */
+  /** Runs a plan in virtual time; used to minimise a plan that broke a rule of the protocol. */
   runVirtual: (plan: RehearsalPlan, seed: number) => ReturnType<typeof runVirtual>;
 }): Promise<void> {
   const plan = await loadPlan(options.plan);
@@ -84,7 +84,7 @@
   finishRehearsal(report, options.report);
 }
 
-/** Minimises a plan that broke a rule, in virtual time; prints the result and adds it to the report. */
+/** Minimises a plan that broke a rule of the protocol, in virtual time; prints the result and adds it to the report. */
 async function reportMinimisedPlan(
   plan: RehearsalPlan,
   report: Report,
@@ -107,7 +107,7 @@
   );
 }
 
-/** Writes the report to `file`, prints the result, and sets exit code 4 if a rule broke or jobs are unfinished. */
+/** Writes the report to `file`, prints the result, and sets exit code 4 if a rule of the protocol was broken or jobs are unfinished. */
 export function finishRehearsal(report: Report, file: string | undefined): void {
   if (file !== undefined) writeFileSync(file, `${JSON.stringify(report, null, 2)}\n`);
   process.stdout.write(`${formatTable(report)}\n`);
@@ -142,9 +142,9 @@
 const MAX_MINIMISE_RUNS = 60;
 
 /**
- * `thorntrail rehearse --virtual`: runs the plan in virtual time, either once, for each case of a campaign (combinations of a fault and
- * an injection point), or with randomly generated faults. Prints the broken rules and a minimised plan that still breaks a rule; a
- * campaign's cases are not minimised.
+ * `thorntrail rehearse --virtual`: runs the plan in virtual time, either once, for each case of a campaign (a combination of a fault,
+ * an injection point, a duration and a second fault), or with randomly generated faults. Prints the broken rules of the protocol and a
+ * minimised plan that still breaks one; a campaign's cases are not minimised.
  */
 export async function rehearseVirtual<C extends ControllerPort>(options: RehearseVirtualOptions<C>): Promise<void> {
   const plan = await loadPlan(options.plan);
@@ -324,7 +324,7 @@
       child.once("error", reject);
       child.once("exit", (code, signal) => {
         running.delete(child);
-        // Exit code 4 means that a rule broke or jobs are unfinished; the report has the details.
+        // Exit code 4 means that a rule of the protocol was broken or jobs are unfinished; the report has the details.
         if (code === 0 || code === 4) resolve(JSON.parse(readFileSync(reportFile, "utf8")) as T);
         else reject(new CommandFailed(`process ${i} of the campaign ended with ${code ?? signal}: ${errors.trim().split("\n").at(-1)}`));
       });
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -67,8 +67,9 @@
     count: count.default(1),
   }),
   /**
-   * The service executes the given number of the controller's requests and returns wrong responses: truncated, a list
-   * older than the previous one, a list with deleted machines, a response to another request, or an error 500.
+   * The service executes the given number of the controller's requests and returns a wrong response to each. `form` says
+   * which: a truncated one, a list older than the previous one, a list with deleted machines, the response to another
+   * request, or an error 500.
    */
   z.strictObject({
     kind: z.literal("wrong"),
@@ -153,7 +154,7 @@
   z.strictObject({ kind: z.literal("close-looks"), ...withDuration }),
   /**
    * Sets the number of machines available of a type (`*`: all types), in one zone or in all, for a time or permanently.
-   * Rented machines stay.
+   * Machines that are already rented stay.
    */
   z.strictObject({
     kind: z.literal("capacity"),
@@ -198,7 +199,7 @@
   prepare?(): Promise<void>;
   after(ms: number, fn: () => void): void;
   controllers(): string[];
-  /** The controller that owns the most machines, as far as this is visible from outside. */
+  /** The controller that owns the most machines, as far as this can be observed without access to the controllers' memory. */
   leader(): string;
   /** Machines that are up, the busiest first. */
   machines(): string[];
@@ -244,7 +245,7 @@
 const LATE_WRITE_DELAY = { leastMs: 2000, ms: 12_000 };
 const LATE_COMMAND_DELAY = { leastMs: 2000, ms: 16_000 };
 
-/** How long the fault lasts, in ms, including the last delayed effect that it causes. */
+/** Time in ms from the injection of the fault to its end, or to its last delayed effect if that is later. */
 export function durationMs(fault: Fault): number {
   const heldMs = "for" in fault ? (fault.for ?? 0) * 1000 : 0;
   if (fault.kind === "late-writes" && !fault.at_once) return heldMs + LATE_WRITE_DELAY.ms;
--- a/packages/emulator/src/minimise-plan.ts
+++ b/packages/emulator/src/minimise-plan.ts
@@ -1,8 +1,8 @@
 import type { RehearsalPlan } from "./plan.js";
 
 /**
- * Minimises a plan that breaks a rule: removes faults in halves, quarters and one by one, then entries of its workload in
- * the same way, and keeps each removal after which `breaks` still returns true. `tries` limits the number of runs.
+ * Minimises a plan whose run breaks a rule of the protocol: removes faults in halves, quarters and one by one, then entries
+ * of its workload in the same way, and keeps each removal after which `breaks` still returns true. `tries` limits the number of runs.
  */
 export async function minimisePlan(
   plan: RehearsalPlan,
--- a/packages/emulator/src/network-rules.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -5,7 +5,7 @@
  */
 import { matchesEndpoint, type EndpointSelector } from "./endpoint-selector.js";
 
-/** The ways in which a response can be wrong. */
+/** The ways in which a response can be wrong; the fault `wrong` describes them. */
 export type WrongResponseForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
 
 /** The effect of a network rule on the calls that it matches. */
@@ -102,7 +102,10 @@
     return rule !== undefined;
   }
 
-  /** Whether a cut applies to the call. Used for messages that are dropped instead of held during a cut, such as responses. */
+  /**
+   * Whether a cut applies to the call. Used for messages that cannot be held and are lost, such as the response to a caller
+   * that has given up.
+   */
   isCut(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
   }
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -9,8 +9,10 @@
 const name = z.string().min(1).max(100);
 
 /**
- * Events of a run at which a plan can inject a fault. `handing-over`: a partition returns to its home controller; `cession`: a transfer of
- * quota between partitions; `pipeline-release`: a controller records that a job is done, which may release jobs that depend on it.
+ * Events of a run at which a plan can inject a fault. `handing-over`: a partition returns to its home controller; `claim`: a controller
+ * writes the ownership record of a partition; `cession`: a transfer of quota between partitions; `done-before-clear`: a task has just
+ * ended successfully, and its controller has yet to tell the worker to discard the attempt (`clear`); `pipeline-release`: a controller
+ * records that a job is done, which may release jobs that depend on it.
  */
 export const INJECTION_POINTS = [
   "submission",
--- a/packages/emulator/src/random-plans.ts
+++ b/packages/emulator/src/random-plans.ts
@@ -218,7 +218,7 @@
   return faults.map(([later, raw]) => ({ at: at + later, fault: parseFault(raw) }));
 }
 
-/** Length in seconds of the fault-free start of a run, after which machines are up and the first work runs. */
+/** Seconds after the start of a run by which machines are up and the first work runs. */
 const WARMUP_S = 12;
 
 function parseFault(raw: Record<string, unknown>): TimedFault["fault"] {
--- a/packages/emulator/src/real/fault-proxy.ts
+++ b/packages/emulator/src/real/fault-proxy.ts
@@ -23,7 +23,7 @@
   operationOf: (passing: ProxiedRequest) => string;
   /** Executes the request at the service; null if no answer was received. */
   forward: (passing: ProxiedRequest) => Promise<RawResponse | null>;
-  /** Builds an incorrect answer specific to this service; undefined if there is none of this form. */
+  /** Builds an answer of this service that is wrong as `form` says; undefined if there is none. */
   wrongAnswer?: (passing: ProxiedRequest, form: WrongResponseForm) => RawResponse | undefined;
 }
 
--- a/packages/emulator/src/real/stub-servers.ts
+++ b/packages/emulator/src/real/stub-servers.ts
@@ -39,7 +39,7 @@
     this.rate = new TokenBucket(clock, rps, rps * 2);
   }
 
-  /** Name of the operation, as used in fault rules. */
+  /** Name of the operation, as used in network rules (`NetworkCall.what`). */
   operationOf(request: ProxiedRequest): string {
     const { path } = parsePath(request);
     if (path === "/machine_types") return "types";
@@ -86,7 +86,7 @@
     return listed === undefined ? undefined : jsonResponse(200, { hosts: listed.machines.map(encodeListed), truncated: listed.more });
   }
 
-  /** Builds an incorrect answer of the given form; undefined if there is none for this request. */
+  /** Builds an answer that is wrong as `form` says; undefined if there is none for this request. */
   wrongAnswer(request: ProxiedRequest, form: WrongResponseForm): RawResponse | undefined {
     const operation = this.operationOf(request);
     if (operation === "list") return this.list(parsePath(request).query, form);
@@ -104,7 +104,7 @@
   /** `addr` returns null while the store is not running. */
   constructor(private readonly addr: () => string | null) {}
 
-  /** Name of the operation, as used in fault rules. */
+  /** Name of the operation, as used in network rules (`NetworkCall.what`). */
   operationOf({ method, path }: ProxiedRequest): string {
     if (path === "/txn") return "txn";
     if (path.startsWith("/follow")) return "follow";
--- a/packages/emulator/src/real/test-environment.ts
+++ b/packages/emulator/src/real/test-environment.ts
@@ -328,7 +328,7 @@
     };
   }
 
-  /** Numbers of worker reports that were sent, not answered, sent late, or kept and delivered after a takeover. */
+  /** Numbers of worker reports: sent, not answered, sent late, and copies that were kept and delivered after a takeover. */
   get reports(): WorkerHost["stats"] {
     return this.hosts.stats;
   }
@@ -349,7 +349,7 @@
     return [...this.fronts.keys()];
   }
 
-  /** The controller that owned the most machines when `findLargestOwner` last got an answer. */
+  /** The controller that owned the most machines when `findLargestOwner` last found one. */
   private lastOwner = "nest-0";
   leader(): string {
     return this.lastOwner;
@@ -359,7 +359,7 @@
     await this.findLargestOwner();
   }
 
-  /** Asks the controllers in turn for `/cluster` to find the owner of the most machines. Keeps the last result if none answers. */
+  /** Asks the controllers in turn for `/cluster` until one names the owner of the most machines. Keeps the last result if none does. */
   async findLargestOwner(): Promise<string> {
     for (const front of this.fronts.values()) {
       const answer = await sendRequest(false, front, "GET", "/cluster", undefined, 1000);
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -31,7 +31,7 @@
 
 const gangKey = (ref: string, attempt: number): string => `${ref}#${attempt}`;
 
-/** Whether the gang member's machine still lists this attempt: no `clear` command has removed it. */
+/** Whether the gang member's worker still lists this attempt; the command `clear` makes it discard an attempt that has exited. */
 function isRegistered({ worker, task }: GangMember): boolean {
   return worker.tasks.get(`${task.taskId}#${task.attempt}`) === task;
 }
@@ -47,7 +47,7 @@
   private readonly reportedAt = new Map<string, number>();
   /** Copies of reports that are sent to every controller when any controller takes over a partition (fault `late-reports`). */
   private keptReports: string[] = [];
-  /** Gang members that have fetched their image, by attempt. Indexed because each member looks up the others ten times a second. */
+  /** Gang members that have fetched their image, by job and attempt; an index, because each looks up the others ten times a second. */
   private readonly gangs = new Map<string, GangMember[]>();
 
   constructor(
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -14,8 +14,8 @@
   /** The new owner saw the first task start. */
   placed: number | null;
   /**
-   * The recovery ended: after fencing, no tasks that had arrived before its end were waiting, a task had started, or the
-   * shortest boot time of a machine had passed.
+   * The recovery ended. Once fencing is complete, any one of three things ends it: no task that arrived before the end of
+   * fencing is waiting, a task has started, or the shortest boot time of a machine has passed since.
    */
   back: number | null;
 }
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -15,7 +15,8 @@
 
 /**
  * Whether a split affected machines of a controller while the state service refused just that controller for longer than a lease
- * (`leaseS`, in seconds). Only in this case can a new owner answer machines that the former owner considers lost.
+ * (`leaseS`, in seconds). Only in this case can a new owner answer the reports of machines that the former owner
+ * considers lost.
  */
 export function hadSplitWhileRefused(faults: readonly FaultOccurrence[], leaseS: number): boolean {
   const refusals = faults.filter(({ fault }) => fault.kind === "refuse" && fault.by === "state" && fault.for > leaseS);
@@ -40,7 +41,7 @@
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
   /** Descriptions of the broken rules. */
   broken: string[];
-  /** Number of task starts after a user had been told that the job is cancelled, even if within the time limit for a cancellation. */
+  /** Number of task starts after a user's confirmation that the job is cancelled, including those within the time limit for it. */
   started_cancelled: number;
   faults: FaultOccurrence[];
   takeovers: number;
--- a/packages/emulator/src/soak-command.ts
+++ b/packages/emulator/src/soak-command.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * `thorntrail rehearse --soak N`: runs N seeds with faults at random times on real processes. Sets exit code 4 if a rule broke and 130 if
- * interrupted.
+ * `thorntrail rehearse --soak N`: runs N seeds with faults at random times on real processes. Sets exit code 4 if a rule of the
+ * protocol was broken and 130 if interrupted.
  */
 export async function rehearseSoak(options: RehearseSoakOptions): Promise<void> {
   const { program, keep, keepAll, injectionPointOf } = options;
--- a/packages/emulator/src/virtual/service-links.ts
+++ b/packages/emulator/src/virtual/service-links.ts
@@ -38,7 +38,7 @@
   what: string;
   timeoutMs: number;
   run: () => T | Promise<T>;
-  /** Returns the wrong response of the given form; undefined if there is none, in which case no readable response arrives. */
+  /** Returns a response that is wrong as `form` says; undefined if there is none, in which case no readable response arrives. */
   wrongResponse?: (answer: T, form: WrongResponseForm) => T | undefined;
 }
 
@@ -87,7 +87,7 @@
 }
 
 const parsedEvents = new WeakMap<StoredEvent, StateEvent>();
-/** Parses an event of the store. All watchers receive the same event object, so each is parsed only once. */
+/** Parses a change event of the store. All watchers of the change stream receive the same event object, so each is parsed once. */
 function parseEvent(event: StoredEvent): StateEvent {
   let parsed = parsedEvents.get(event);
   if (parsed === undefined) {
@@ -181,7 +181,7 @@
           connection.onRequest?.("hire", name);
           return model.rent(name, offer, count);
         },
-        // The form `other` is the response to another request, under whose name no machines were rented.
+        // The wrong response `other` belongs to another request, which rented no machines.
         (answer, form) => (form === "other" && answer !== null ? [] : undefined),
       ),
     remove: (hosts) => call("remove", () => hosts.forEach((host) => model.remove(host))),
@@ -228,9 +228,9 @@
   }
 
   /**
-   * Kills the state service and restarts it after `downMs`: calls in progress are not answered, open watches break. If it
-   * is killed again before it is back, only one store is opened, at the end of the later downtime, because two stores on
-   * the same data would end each other's leases.
+   * Kills the state service and restarts it after `downMs`: calls in progress are not answered, and open watches of
+   * the change stream report no more events. If it is killed again before it is back, only one store is opened, at the end
+   * of the later downtime, because two stores on the same data would end each other's leases.
    */
   restart(downMs: number): void {
     this.store.simulateCrash();
--- a/packages/emulator/src/virtual/world.ts
+++ b/packages/emulator/src/virtual/world.ts
@@ -33,10 +33,13 @@
   /** The announced future limits of the state service, as in the settings. */
   next: { rps?: number; write_rps?: number; value_kb?: number; txn_ops?: number };
   sockets?: number;
-  /** Fraction by which the monotonic clocks of controllers and workers all run slow, which is the worst case for leases. */
+  /**
+   * Fraction by which the monotonic clocks of controllers and workers all run slow. This is the worst case for leases, because
+   * their holders notice the end of a lease late.
+   */
   clockDrift?: number;
   objectives?: { kind: string; class?: string; within_s?: number; share?: number }[];
-  /** Shares of machines that never boot, boot late or early; without it, all boot in their nominal time. */
+  /** Shares of machines that never boot, boot late or early. If it is absent, all boot in their nominal time. */
   boots?: NonNullable<CloudModelOptions["boots"]>;
 }
 
@@ -130,9 +133,12 @@
   private readonly savedProgress = new Map<string, number>();
   private readonly slowdowns = new Map<string, number>();
   private cloudDown = false;
-  /** Seeded random source of everything but faults and simulated users. */
+  /**
+   * Seeded random source of everything but simulated users and faults. Among the faults, only repeated worker reports (effect
+   * `again`) use it.
+   */
   readonly random: () => number;
-  /** Random source of the faults. It is separate, so that runs without faults stay the same for each seed. */
+  /** Random source of all other faults. It is separate, so that runs without faults stay the same for each seed. */
   private readonly faultRandom: () => number;
   private incarnations = 0;
   fetchMs = 1000;
@@ -398,7 +404,7 @@
           const call = { from, to: node, what: "report" };
           if (this.links.shouldStoreCopy(call)) this.storedReports.push(report);
           const againMs = this.links.copyDelayMs(call, this.random);
-          // The copy is delivered to the controller's process that runs at that time, and the response to it is discarded.
+          // The copy goes to the process of the controller that is running at the later time, and the response to it is discarded.
           if (againMs !== null)
             this.clock.after(againMs, () => this.runnerFor(node)(() => void this.nodes.get(node)?.controller?.onReport(report)));
           this.deliver(from, node, "report", () => {
--- a/packages/emulator/src/worker-model.ts
+++ b/packages/emulator/src/worker-model.ts
@@ -26,7 +26,7 @@
   savedProgress: Map<string, number>;
   onTaskStarted: (worker: Worker, taskId: string) => void;
   onTaskEnded: (worker: Worker, taskId: string, cause: string) => void;
-  /** Returns the tasks of one attempt of a gang that are present on any machine, with their workers. */
+  /** Returns the tasks of one attempt of a gang that any worker still lists, each with its worker. */
   gangMembers: (ref: string, attempt: number) => { worker: Worker; task: WorkerTask }[];
 }
 
@@ -54,7 +54,7 @@
 const GANG_CHECK_MS = 100;
 const GANG_CHECKING_MEMBERS = 16;
 
-/** A worker that implements the protocol exactly: tokens, sessions, leases, gangs, checkpoints. */
+/** A worker that implements the worker protocol exactly: tokens, sessions, leases, gangs, checkpoints. */
 export class Worker {
   session = 1;
   seq = 0;
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Executes commands that a controller sends by itself, not in response to a report. They do not renew the lease. */
+  /** Executes commands that a controller sends in a request of its own, not in response to a report. They do not renew the lease. */
   command(token: number, session: number, orders: Order[]): CommandReply {
     const executed = token >= this.token && session === this.session;
     if (executed) {
--- a/packages/graphs/test/cluster.ts
+++ b/packages/graphs/test/cluster.ts
@@ -85,7 +85,7 @@
     this.machine.failed(leased.executor, lease, "it raised", 10);
   }
 
-  /** Returns a leased task to the machine as not started. */
+  /** Returns a leased task to the scheduler as not started. */
   returnTask(lease: number): void {
     const leased = this.endLease(lease);
     if (leased === undefined) return;
--- a/packages/graphs/test/machine.test.ts
+++ b/packages/graphs/test/machine.test.ts
@@ -233,7 +233,7 @@
   assert.equal(machine.watch("c", 99, ["nothing"]), false);
 });
 
-/** One random step of a test: an action on the machine, and two numbers that select its operands. */
+/** One random step of a test: an action on the scheduler (`GraphMachine`), and two numbers that select its operands. */
 interface Step {
   what: "submit" | "end" | "fail" | "lose" | "attach" | "cancel" | "release" | "put" | "watch" | "leave" | "giveBack" | "drain";
   a: number;
