--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -12,8 +12,8 @@
 
 /**
  * Measures the time from the write of a configuration change until it is in force on all controllers. Real controllers and
- * a real store take a change per second, without faults and while one controller crashes. In virtual time the state service
- * is also slow, refuses one controller, or one controller is cut off from it and from its peers.
+ * a real store take a change per second, without faults and while one controller crashes. Runs in virtual time
+ * add further faults: the state service is slow or refuses one controller, or one controller is cut off from it and from its peers.
  */
 
 const TEAMS = 340;
--- a/measure/emulator.ts
+++ b/measure/emulator.ts
@@ -13,8 +13,8 @@
 /**
  * Measures how many emulated workers one process can run while their reports stay on time. The
  * workers report at the default interval to a stub controller in this process, which keeps four
- * tasks of 10 s running on each worker by commands sent to it, as controllers do, and clears ended
- * tasks in its answers to reports.
+ * tasks of 10 s running on each worker by commands sent to it, as controllers do, and orders them
+ * to discard ended tasks in its answers to reports.
  */
 const TASKS_PER_WORKER = 4;
 const TASK_RUN_MS = 10_000;
--- a/measure/full.ts
+++ b/measure/full.ts
@@ -52,11 +52,11 @@
   readS: number;
   /** Processor time. */
   processorMs: number;
-  /** Largest resident memory until five seconds after that. */
+  /** Largest resident memory until five seconds after all records were read. */
   peakMb: number;
 }
 
-/** Starts a controller whose state service holds so many jobs. Throws if it exits, or has not read all records after 120 s. */
+/** Starts a controller whose state service holds `open` unfinished and `finished` finished jobs. Throws if it exits, or has not read all records after 120 s. */
 export async function measureLoadedStart(open: number, finished: number, memMb: number): Promise<LoadedStart> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-full-"));
   const store = await startStore(dir);
--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -17,7 +17,10 @@
 const LATENCY_MS = 2;
 const EXECUTORS = 8;
 const CPUS = 4;
-/** Backlog per executor in ms; the environment variable is a multiple of the one-way latency. */
+/**
+ * Expected run time, in ms for each CPU of an executor, of the tasks that may queue at it. The environment variable sets it as a
+ * multiple of the one-way latency.
+ */
 const TARGET_BACKLOG_MS = Number(process.env["AT_HAND"] ?? 5) * LATENCY_MS;
 
 /** A task with its true run time in ms. */
@@ -277,7 +280,7 @@
   );
 }
 
-/** Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for a graph of n tasks in pairs. */
+/** Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for n tasks, every second of which needs the one before it. */
 function cost(n: number): { usEach: number; heapMb: number; decision: LatencyHistogram } {
   const ignore = (): void => undefined;
   const leases: [string, number][] = [];
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -19,7 +19,7 @@
 import { ReportFastPath } from "../src/workers/report-fast-path.js";
 import { callsFor } from "../test/world/calls.js";
 
-/** Measures the memory that records, queued jobs, machines and connections take in a controller. */
+/** Measures the memory that job records, queued jobs, machines and workers' connections take in a controller. */
 
 /** Returns the bytes that each of `count` items adds to heap and buffers, after garbage collection. */
 async function bytesPerItem(count: number, create: (i: number) => unknown): Promise<number> {
--- a/measure/scale/fleet.ts
+++ b/measure/scale/fleet.ts
@@ -21,7 +21,7 @@
   phases: Phases;
   /** Number of tasks that run from the first phase to the end of the run. */
   longRunningTasks: number;
-  /** References of the urgentJobs jobs. */
+  /** References of the urgent jobs. */
   urgentJobs: ReadonlySet<string>;
 }
 
@@ -43,7 +43,7 @@
 const LONG_RUN_MS = 3_600_000;
 const MIN_GANG_SIZE = 8;
 
-/** The target's amounts at the share of the run. */
+/** The target's amounts, scaled down to the share that the run measures. */
 interface ScaledCounts {
   controllers: number;
   teams: number;
@@ -95,8 +95,8 @@
 }
 
 /**
- * Adds the long-running jobs and returns the number of their tasks: an array of each team, submitted in turn over `spreadMs`, gangs
- * of the largest size, and an array that uses half of the GPUs that the gangs leave.
+ * Adds the long-running jobs: a job array of each team, submitted in turn over `spreadMs`, gangs of the largest size, and a job
+ * array that uses half of the GPUs that the gangs leave. Returns the number of tasks of all these jobs.
  */
 function addLongRunningJobs(list: JobList, counts: ScaledCounts, byTeam: number[], spreadMs: number): number {
   const cpus = cpusPerTask(counts);
@@ -133,7 +133,7 @@
   const list = new JobList();
   const cpus = cpusPerTask(counts);
   const longRunningTasks = addLongRunningJobs(list, counts, byTeam, fillMs / 3);
-  // Short tasks make up the rest of the peak. They run for so long that they are replaced at the peak start rate.
+  // Short tasks make up the rest of the peak. Their run time is such that tasks end, and others start instead, at the peak start rate.
   const shortTasks = Math.max(1, counts.runningTasks - longRunningTasks);
   const runMs = (shortTasks / counts.startsPerS) * 1000;
   const burstTasks = shortTasks + counts.startsPerS * BURST_S;
--- a/measure/scale/messages.ts
+++ b/measure/scale/messages.ts
@@ -30,7 +30,7 @@
   | { kind: "remove"; host: string }
   /** Applies a network fault between these workers and the controllers for `forMs`. */
   | { kind: "networkRule"; rule: NetworkRule; forMs: number }
-  /** A controller has taken over a partition: copies of reports that were kept for this are delivered now. */
+  /** A controller has taken over a partition: the workers now send all controllers the copies of old reports that they kept for this. */
   | { kind: "takeover" }
   | { kind: "requestStats" };
 
--- a/measure/scale/model.ts
+++ b/measure/scale/model.ts
@@ -12,7 +12,7 @@
   startsPerS: number;
   smallJobsPerS: number;
   pollsPerS: number;
-  /** Arrays with tasks that end at this time. */
+  /** Job arrays with tasks that end at this time. */
   arraysEnding: number;
   /** Machines that are rented or returned. */
   rentalsPerS: number;
--- a/measure/slopes/clusters.ts
+++ b/measure/slopes/clusters.ts
@@ -81,7 +81,7 @@
   ];
 }
 
-/** Quota transfers and their conflicts by number of controllers, when each of 20 teams has an array that needs its whole limit. */
+/** Quota transfers and their conflicts by number of controllers, when each of 20 teams has a job array that needs its whole limit. */
 export async function quotaSlopes(counts: number[], seconds: number): Promise<Slope[]> {
   const observations: SizedObservations = [];
   const transfers: Point[] = [];
--- a/measure/slopes/processes.ts
+++ b/measure/slopes/processes.ts
@@ -88,17 +88,17 @@
   ];
 }
 
-/** Number of arrays with different run times among which the tasks are divided, so that starts are spread evenly. */
+/** Number of job arrays with different run times among which the tasks are divided, so that starts are spread evenly. */
 const STAGGERED_ARRAYS = 8;
 
-/** Divides `tasks` among `count` arrays whose run times differ by up to 30 % from `runMs`. */
+/** Divides `tasks` among `count` job arrays whose run times differ by up to 30 % from `runMs`. */
 function staggeredArrays(count: number, tasks: number, runMs: number): PlannedJob[] {
   return Array.from({ length: count }, (_, i) =>
     buildJob(i + 1, { tasks: Math.ceil(tasks / count) }, { submitAtMs: i * 100, runMs: runMs * (0.7 + (0.6 * (i + 0.5)) / count) }),
   );
 }
 
-/** Cost of a task that starts, ends and is cleared, on full machines. */
+/** Cost of a task that starts, ends and is then discarded by its worker, on full machines. */
 export async function startSlopes(runMs: number[], machines: number, seconds: number): Promise<Slope[]> {
   const taskCapacity = machines * CORES_PER_MACHINE;
   const observations = await observeSizes(runMs, (run) => {
@@ -130,7 +130,7 @@
   ];
 }
 
-/** Changes of the state service by number of arrays whose tasks end, at a constant total rate of ends. */
+/** Changes of the state service by number of job arrays whose tasks end, at a constant total rate of ends. */
 export async function arraySlopes(counts: number[], machines: number, seconds: number): Promise<Slope[]> {
   const taskCapacity = machines * CORES_PER_MACHINE;
   const runMs = 8000;
--- a/measure/state-outage.ts
+++ b/measure/state-outage.ts
@@ -13,7 +13,7 @@
 const options = parseOptions({ repeats: 6, quickRepeats: 1 });
 const OUTAGE_AT_S = 60;
 const OUTAGE_S = 35;
-/** Seconds from the failure of the machine to the start of the outage; negative: after the start. */
+/** Seconds from the failure of the machine to the start of the outage; negative if the machine fails after that start. */
 const FAILED_BEFORE_S = [20, 17, 14, 11, 8, 5, 2, 0, -3];
 const JOB = "run-000001";
 const LARGE_MACHINE_JOB = "run-000002";
--- a/test/calls.test.ts
+++ b/test/calls.test.ts
@@ -164,7 +164,7 @@
   );
   void replica.refresh();
   await clock.run(100);
-  // The answer to a read is lost: without a deadline the read would last until the time limit of its policy.
+  // The answer to a read is lost: without a deadline the read would last until the time limit for calls of this kind.
   service.links.add({ from: "n", to: "state", what: "follow", effect: { kind: "drop" }, count: 1 });
   const failed = assert.rejects(replica.refresh(clock.now() + 400));
   await clock.run(150);
--- a/test/compound-faults.test.ts
+++ b/test/compound-faults.test.ts
@@ -81,7 +81,7 @@
   seed: fc.integer({ min: 1, max: 10_000 }),
   refusedS: fc.oneof(seconds(1, 9), seconds(20, 150)),
   outAfterS: fc.oneof(seconds(0.5, 8), seconds(8, 40)),
-  // The outage ends before or after the lease of a machine that the owner answered just before it fell silent.
+  // The outage may end before or after the expiry of a lease that the owner renewed just before it stopped answering reports.
   outS: fc.oneof(seconds(17, 19), seconds(44, 80)),
   cancels: fc.array(fc.record({ afterS: seconds(0.1, 40), at: fc.constantFrom("nest-0", "nest-1", "nest-2") }), {
     minLength: 3,
@@ -106,7 +106,10 @@
   );
 });
 
-/** Jobs are cancelled just after the refusal begins, without other faults, so that their tasks use up the time limit of cancellations. */
+/**
+ * Jobs are cancelled just after the refusal begins, so that the owner usually does not learn of it. Without other faults, their tasks
+ * then run almost until the time limit of a cancellation.
+ */
 const plainScenario: CompoundFault = {
   seed: 5,
   refusedS: 150,
@@ -117,7 +120,7 @@
 };
 
 /**
- * Several seeds, since with some the owner still receives all cancellations, by a watch request to the state service that was
+ * Several seeds, since with some the owner still learns of all cancellations, by a watch request to the state service that was
  * open when the refusal began.
  */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
--- a/test/group-committer.test.ts
+++ b/test/group-committer.test.ts
@@ -102,7 +102,7 @@
 });
 
 test("a write that may have been applied is not reported as shed when the service then refuses its size", async () => {
-  // If a migration whose answer was lost were reported as shed (never sent), its job would run in two partitions.
+  // If a migration's write whose answer was lost were reported as shed (never sent), the job would run in two partitions.
   const { clock, service, committer, write, scope, links } = await createEnvironment();
   const outcomes: string[] = [];
   const removeDrop = links.add({ from: "n", to: "state", what: "txn", effect: { kind: "drop" }, count: 1 });
--- a/test/guarantees.test.ts
+++ b/test/guarantees.test.ts
@@ -27,7 +27,7 @@
     job("e", 0, { tasks: 2, gpus: 0 }),
   ];
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set())].sort(), ["a", "b"]);
-  // When an earlier job ends, the next one comes within the team's guarantee; a job that was within it remains so.
+  // When an earlier job ends, the team's guaranteed resources cover the next one; a job that they covered before stays covered.
   jobs[1]!.end = "done";
   assert.deepEqual([...grantGuarantees(jobs, teams, new Set(["b"]))].sort(), ["b", "c"]);
 });
@@ -48,7 +48,8 @@
     stopped((taskSet) => taskSet === claim),
     4,
   );
-  // Until `claimAfterMs` has passed, the guaranteed job waits for capacity to become free without preemption.
+  // Until `claimAfterMs` has passed, the job waits for capacity to become free without preemption, although its team's guaranteed
+  // resources cover it.
   assert.equal(choosePreemptions(partition, { ...context, claimAfterMs: 5000, guaranteed: (taskSet) => taskSet === claim }).length, 0);
 });
 
@@ -72,8 +73,8 @@
     { name: "guest", cpus: 0, cpus_max: 9, gpus: 0, gpus_max: 9 },
   ];
   const use = (gpus: number, cpus = 0): { cpus: number; gpus: number } => ({ cpus, gpus });
-  // A team without reported usage uses nothing. A team without a guarantee is never below one. With guarantees of several
-  // resources, the usage of each resource must be below its guarantee.
+  // A team without reported usage uses nothing. A team without guaranteed resources is never below its guarantee. A team with
+  // several guaranteed resources is below only if it uses less than the guaranteed amount of each.
   assert.deepEqual([...teamsBelowGuarantee(both, new Map([["lab", use(4)]]))], ["ops", "mix"]);
   assert.deepEqual(
     [
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -16,7 +16,7 @@
 
 const RENTAL_WRITE = "write t/m";
 
-/** Delays, repeats, or withholds the answers of transactions that controllers send to the state service; records what happened. */
+/** Delays or repeats transactions that controllers send to the state service, or withholds their answers; records what happened. */
 class StateFaults {
   /** Writes, as operation and table, that had no condition on the key that they change. */
   readonly unconditional = new Set<string>();
@@ -80,7 +80,7 @@
   return { report, last: last! };
 }
 
-/** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
+/** Checks the invariants that the state service's records must satisfy at the end, whatever happened to the transactions. */
 function assertConsistentRecords({ replica, settings }: RehearsedController): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
     const { cpus } = replica.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -145,7 +145,7 @@
   const { partition } = partitionOf(2, { cpus: 8, gpus: 0, ram: 64 });
   const nearly = enqueue(partition, specOf({ ref: "run-000001", tasks: 8, urgency: "low" }));
   runSchedulingCycle(partition, schedulingContext);
-  // The first job was submitted later, but none of its tasks wait; most tasks of the second job are still waiting.
+  // `nearly` counts as submitted later than `begun`, but all its tasks run, while most tasks of `begun` are still waiting.
   const begun = enqueue(partition, specOf({ ref: "run-000002", tasks: 80, urgency: "low" }));
   begun.submittedWall = nearly.submittedWall - 60_000;
   runSchedulingCycle(partition, schedulingContext);
@@ -194,7 +194,7 @@
 });
 
 test("the largest arrays start with one task each, at next to no cost for smaller ones", () => {
-  // 60 small arrays and three of a hundred tasks need twice the available capacity. Without `firstTaskAfterS`, the large ones are
+  // 60 small job arrays and three of a hundred tasks need twice the available capacity. Without `firstTaskAfterS`, the large ones are
   // delayed for their size until the end and never begin.
   const beganAt = (beginS: number): { largest: (number | undefined)[]; finished: number } => {
     const { partition } = partitionOf(4, { cpus: 8, gpus: 0, ram: 64 });
--- a/test/rehearsal.test.ts
+++ b/test/rehearsal.test.ts
@@ -34,7 +34,8 @@
   assertPassed(one);
 });
 
-// A campaign plays one rehearsal for each pair of a fault and an event at which it is injected. The whole one is run by
+// The cases of a campaign are pairwise combinations: every pair of values of two of the factors fault, injection point (the event
+// at which the fault is injected), duration and second fault occurs in a case. The whole campaign is run by
 // `thorntrail rehearse deploy/rehearsal.hcl --virtual --campaign 400`.
 test("a short campaign: every eleventh pair of fault and injection point", async () => {
   for (const one of pairwiseCases(1).filter((_, i) => i % 11 === 0)) assertPassed(await play(planForCase(base, one)));
--- a/test/report-fast-path.test.ts
+++ b/test/report-fast-path.test.ts
@@ -209,7 +209,7 @@
   try {
     const closed = (chunks: string[]): Promise<string> => sendChunks(environment.port, chunks, () => false);
     assert.match(await closed([plainReport("i-1", "Connection: close\r\n")]), /connection: close/);
-    // Idle connections are closed, since failed machines never close theirs, which must not hold sockets for ever.
+    // Failed machines never close their connections. The server closes idle ones so that these do not hold sockets for ever.
     assert.equal(await closed([]), "");
     const [a, b, c] = await Promise.all(["i-1", "i-2", "i-3"].map((host) => closed([plainReport(host)])));
     assert.ok(
--- a/test/scheduling-complexity.test.ts
+++ b/test/scheduling-complexity.test.ts
@@ -61,7 +61,7 @@
   };
   assert.ok(applyReport(partition, machine, { ...report, seq: 1, tasks }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 4);
-  // A report without the task shows that the machine has cleared it, so its resources are free again.
+  // A report without the task shows that the machine has discarded it, so its resources are free again.
   assert.ok(applyReport(partition, machine, { ...report, seq: 2, tasks: [] }, context, newFindings()));
   assert.equal(partition.usage.get("ops")?.cpus, 0);
   assert.deepEqual(machine.used, { cpus: 0, gpus: 0, ram: 0 });
@@ -189,7 +189,8 @@
   const spec = specOf({ guessS: 100 });
   assert.equal(history.remainingRunS(spec, 40), 60);
   assert.ok(history.remainingRunS(spec, 100) > 20);
-  // When all tasks of a job class run exactly as long as estimated, a task that has run that long is expected to end soon.
+  // All tasks of the job class ran exactly as long as estimated, which leaves hardly any spread of run times. A task that has run
+  // that long is therefore expected to end soon.
   for (let i = 0; i < 200; i++) history.record(spec, 100);
   assert.ok(history.remainingRunS(spec, 100) < 5);
   assert.equal(Math.round(history.expectedRunS(spec)), 100);
--- a/test/superseded-terms.test.ts
+++ b/test/superseded-terms.test.ts
@@ -8,8 +8,8 @@
 /**
  * Guards against an owner that keeps acting on a partition after it was superseded. If a worker shows a token above the
  * owner's term, the partition has, or has had, a newer owner. The owner's term must end at once, whether the token arrives in
- * a report or a reply, and the rest of that message must not be applied: the newer owner may have ended, cleared and restarted
- * the tasks.
+ * a report or a reply, and the rest of that message must not be applied: the newer owner may have ended the tasks, ordered
+ * the worker to discard them, and restarted them.
  */
 const OWNER = "nest-1";
 const REF = "run-000001";
@@ -41,7 +41,7 @@
   return { cluster, partition, machine, starts };
 }
 
-/** Returns a report without tasks, as from a machine whose tasks a newer owner has ended and cleared. */
+/** Returns a report without tasks, as from a machine that has ended and discarded its tasks on a newer owner's orders. */
 function clearedReport(machine: Machine, token: number): Report {
   const { host, type, zone, spot, session, seq } = machine;
   return { host, addr: machine.addr!, type, zone, spot, session, seq: seq + 1, token, noticeS: null, tasks: [] };
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -68,7 +68,7 @@
         if (recorded !== undefined && now - lastAt >= answerMs) presence = { life: "a", refutes: requiredRefutation(recorded, "a") };
         if (isUnrefuted(recorded, presence)) assert.equal(peerStatus(now - lastAt, unlinked, healthy, limits), "suspected");
       }
-      // The pauses between suspicions are 1, 2, 4, 8 and then always 16 times `repeatMs` (9 s), so 144 s at most.
+      // The pauses between suspicions are 1, 2, 4, 8 and then always 16 times `repeatMs` (9 s, half a lease), so 144 s at most.
       assert.ok(suspicions <= 5 + seconds / 144, `${suspicions} in ${seconds} s`);
     }),
     { seed: 28, numRuns: 50 },
--- a/test/two-owners.test.ts
+++ b/test/two-owners.test.ts
@@ -7,7 +7,7 @@
 const ways = splits(ALL ? [0, 1, 2, 3] : [2]);
 /**
  * Network split in which the old owner reaches both machines and the new owner only the machine with the task. The new owner
- * records the task as done and clears it, while the old owner still counts it as running.
+ * records the task as done and orders the machine to discard it, while the old owner still counts it as running.
  */
 const SUCCESSOR_REACHES_ONE: LinkMode[][] = [["both", "both", "both", "none"]];
 
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -37,7 +37,8 @@
   return [
     `seed ${seed}`,
     `given controllers ${controllers}`,
-    // With records limited to 2 KB, lists of dependencies and slices (ranges of an array's tasks) are written before their jobs.
+    // With records limited to 2 KB, a job's list of dependencies and its slices (ranges of a job array's tasks) are written as records
+    // of their own before the job's record.
     ...(seed % 3 === 0 ? ["given state value-kb 2 changes 5 writes 40"] : []),
     "given team ops most-cpus 900",
     "given type m cpus 16 boot 1 count 40",
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,7 +6,7 @@
 import { unsyncedReplica } from "./world/state-replica.js";
 import { specOf } from "./world/partitions.js";
 
-// Frames between controllers as version 0.3.0 writes them. It closes the connection to a peer whose Hello frame or schema differs.
+// Frames between controllers as version 0.3.0 writes them. That version closes the connection to a peer whose Hello frame or schema differs.
 const FRAMES: [string, Message][] = [
   ["0000000900060c6e6573742d31", { Hello: { version: 3, node: "nest-1" } }],
   ["00000015040e041472756e2d3030303431320c6e6573742d30", { Query: { id: 7, part: 2, job: "run-000412", from: "nest-0" } }],
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -190,7 +190,7 @@
         const newer = receive(reportOf(report), now);
         recordLeaseRenewal(machine, newer, now);
         if (wrong.answerShortensWait === true && before > now) machine.answeredAt = now;
-        // The records that the new owner read for its claim include the cancellation, so it stops the task.
+        // The new owner read the job's record, which includes the cancellation, when it claimed the partition; so it stops the task.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
         const orders = ordersFor(machine, "report", {
           now,
--- a/test/world/membership-model.ts
+++ b/test/world/membership-model.ts
@@ -25,7 +25,7 @@
 }
 interface Store {
   ledger: number;
-  /** The partition's owner record. `by` counts starts of the claiming process; it is not in the record, as controllers cannot read it. */
+  /** The partition's owner record. `by` is the number of restarts of the claiming node; only the model reads it, not the controllers. */
   owner: (Entry<OwnerRecord> & { by: number }) | null;
   alive: Partial<Record<Node, Entry<PresenceRecord>>>;
   suspicion: Partial<Record<Node, Entry<SuspicionRecord>>>;
@@ -109,7 +109,7 @@
   return peerStatus(unrefuted ? 2 : null, evidence, HEALTHY, LIMITS);
 }
 
-/** Returns all possible next states; adds rules that the steps break to `faults`. */
+/** Returns all possible next states; adds to `faults` each rule that one of these steps breaks. */
 function successors(state: State, variant: FaultyVariant, faults: string[]): State[] {
   const next: State[] = [];
   const step = (change: (to: State) => void): void => {
@@ -233,7 +233,7 @@
   return next;
 }
 
-/** Adds to `faults` if a controller owns by a term of its previous incarnation, or two controllers own by the same term. */
+/** Adds a fault if a controller considers itself the owner by a term of its previous incarnation, or if two do so by the same term. */
 function checkInvariants(state: State, faults: string[]): void {
   const owners = NODES.filter(
     (node) => state.up[node] !== null && state.seen[node].owner?.v.owner === node && state.seen[node].owner?.v.life === state.up[node],
@@ -275,7 +275,10 @@
 export interface Explored {
   states: number;
   faults: Set<string>;
-  /** Number of states in which a controller is up and the partition has no running owner, but only an injected fault is possible next. */
+  /**
+   * Number of states in which a controller is up and the partition has no running owner, but no controller can take the partition:
+   * only steps that need never happen, such as faults and restarts, are possible.
+   */
   ownerless: number;
 }
 
@@ -302,7 +305,8 @@
     checkInvariants(state, found);
     const next = successors(state, variant, found);
     for (const fault of found) faults.add(fault);
-    // Process ends, restarts, repeated writes and refused connections need not happen. If no other step is possible, the state is final.
+    // Steps that need never happen are left out: a process ends or restarts, a write is repeated, or connections begin or cease to
+    // be refused. If no other step is possible, the state is final.
     const unforced = next.filter(
       (to) =>
         to.left.ends === state.left.ends &&
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -33,7 +33,10 @@
   /** Revision of the stored shares, raised by each write. */
   stamp: number;
   used: number[];
-  /** An unanswered write of the shares: its content, the revision and version that it is conditional on, and who gives quota away. */
+  /**
+   * An unanswered write of the shares: its content, the revision and version that it is conditional on, and the partition whose
+   * quota it transfers (null if it transfers none). Null if there is no such write.
+   */
   late: { shares: number[]; stamp: number; version: number; cededBy: number | null } | null;
   /** How often a partition may still get a new owner, which reads the newest version and counts the running tasks. */
   takeovers: number;
@@ -111,7 +114,7 @@
   const pending = [first];
   while (pending.length > 0 && seen.size < maxStates && faults.size === 0) {
     const state = pending.pop()!;
-    // The key replaces the revisions by whether the late write's condition still holds, since they have no other effect.
+    // Revisions affect only whether the late write's condition still holds, so the key contains this instead of the revisions.
     const current = state.late !== null && state.late.stamp === state.stamp;
     const key = JSON.stringify([{ ...state, stamp: 0, late: state.late === null ? null : { ...state.late, stamp: current } }]);
     if (seen.has(key)) continue;
--- a/test/world/takeover-model.ts
+++ b/test/world/takeover-model.ts
@@ -1,5 +1,5 @@
 /**
- * Randomised model of one partition under a sequence of owners, with several machines, arrays and gangs. It uses the
+ * Randomised model of one partition under a sequence of owners, with several machines, job arrays and gangs. It uses the
  * production report handler, lease watch, command dispatch and scheduling cycle, and the emulator's workers. Messages between
  * them are delayed by up to many seconds, lost, repeated and reordered. Before each takeover, tasks are preempted and start
  * again on other machines, and some machines become slow to reach; reports that arrive before the new owner starts are queued
@@ -127,7 +127,7 @@
     new CommandDispatcher(leader, workers, callsFor(clock, term), this.scope).start();
   }
 
-  /** Adds a machine that the new owner knows only from records; the former owner may answer its reports until its silence limit. */
+  /** Adds a machine known only from the state service; for `silentAfterMs`, the former owner may still answer the machine's reports. */
   private takeOver(host: string, addr: string, now: number): void {
     const machine = newMachine(host, "m", "a", false, { cpus: 16, gpus: 0, ram: 64 }, 0);
     Object.assign(machine, { up: true, addr, answeredAt: now + TIMING.silentAfterMs, lastReportAt: now });
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -4,7 +4,7 @@
  * again. Any message between a controller and a machine may be lost, which covers all network splits. A read takes time: it
  * returns the record as it was when the read began. The production functions decide whether a lease has expired, whether a
  * termination proof is valid and what an answer renews. In each state the task must be on one machine at most, and it must
- * not be started after its result was cleared.
+ * not be started again after a machine has discarded its result.
  */
 import { proofFlaw } from "../../src/workers/termination-proof.js";
 import { isLeaseExpired, recordLeaseRenewal } from "../../src/workers/lease.js";
@@ -20,7 +20,7 @@
   newerTokenKeepsTerm?: boolean;
   /** Faulty variant: a read of the state service proves ownership as of its end instead of its beginning. */
   provenAtEnd?: boolean;
-  /** Faulty variant: a new owner does not wait for the time in which the former owner may still answer reports. */
+  /** Faulty variant: a new owner does not wait until the former owner can no longer answer reports. */
   noSilence?: boolean;
 }
 
@@ -28,7 +28,7 @@
 const SILENT_AFTER = 2;
 /** Number of terms that are explored, including the first owner's. */
 const MAX_TERMS = 2;
-/** Cap on ages, in steps: beyond it, both the silence limit and the lease have passed, so a larger age makes no difference. */
+/** Cap on ages, in steps: beyond it, both `SILENT_AFTER` and the lease have passed, so a larger age makes no difference. */
 const OLD_AGE = SILENT_AFTER + LEASE + 1;
 
 const NOTHING = 0;
@@ -70,7 +70,7 @@
   /** `record` as it was at the start of this time step (`start`) and of the step before (`before`), which a slow read returns. */
   start: Ledger;
   before: Ledger;
-  /** Whether a worker was ordered to clear the task's result after it had been recorded as done. */
+  /** Whether a machine has discarded the task's result, as an owner orders once the task is recorded as done. */
   cleared: boolean;
   controllers: [Controller, Controller];
   workers: [Worker, Worker];
@@ -173,7 +173,7 @@
   readonly found = new Map<string, true>();
   broken: string | null = null;
   private layer: QueuedState[] = [];
-  /** Whether the current step starts the task although its result has been cleared. */
+  /** Whether the current step starts the task although a machine has discarded its result. */
   private startedAgain = false;
 
   constructor(
