--- a/measure/calls.ts
+++ b/measure/calls.ts
@@ -10,8 +10,8 @@
 
 /**
  * Measures the load on a service during and after an outage: controllers with several retry loops
- * each call a service that is down for a minute and then limits its rate. The baseline, with the
- * same seeds in the same run, is a fixed pause per operation instead of the shared backoff policy.
+ * each call a service that is down for a minute and then limits its rate. The baseline has a
+ * fixed pause for each operation instead of the shared backoff; it uses the same seeds in the same run.
  */
 const CONTROLLERS = 5;
 const RETRY_LOOPS: [Operation, number, number][] = [
--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -19,7 +19,7 @@
 const TEAMS = 340;
 const CHANGE_INTERVAL_MS = 1000;
 const POLL_INTERVAL_MS = 25;
-/** Time after a change at which a controller without presence in the state service must have stopped acting as owner. */
+/** Time after a change at which a controller without a presence record in the state service must have stopped acting as owner. */
 const SILENT_AFTER_MS = 22_011;
 const IN_FORCE_TIMEOUT_MS = 60_000;
 const STATE_TIMEOUT_MS = 2000;
--- a/measure/full.ts
+++ b/measure/full.ts
@@ -56,7 +56,10 @@
   peakMb: number;
 }
 
-/** Starts a controller whose state service holds `open` unfinished and `finished` finished jobs. Throws if it exits, or has not read all records after 120 s. */
+/**
+ * Starts a controller whose state service holds `open` unfinished and `finished` finished jobs. Throws if it exits, or has not read
+ * all records after 120 s.
+ */
 export async function measureLoadedStart(open: number, finished: number, memMb: number): Promise<LoadedStart> {
   const dir = mkdtempSync(join(tmpdir(), "thorntrail-full-"));
   const store = await startStore(dir);
--- a/measure/graphs.ts
+++ b/measure/graphs.ts
@@ -280,7 +280,10 @@
   );
 }
 
-/** Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for n tasks, every second of which needs the one before it. */
+/**
+ * Measures the scheduler's time per task in us from submission to outcome, and its heap in MiB, for n tasks, every second of which
+ * needs the one before it.
+ */
 function cost(n: number): { usEach: number; heapMb: number; decision: LatencyHistogram } {
   const ignore = (): void => undefined;
   const leases: [string, number][] = [];
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -50,7 +50,7 @@
   };
 }
 
-/** Returns the record of a job; with `end`, the job is done. */
+/** Returns the state service's record of job `i`, which is done if `end` is true. */
 export function jobRecord(i: number, end: boolean): JobRecord {
   return { spec: jobSpec(i), part: i % 2, hi: 30, done: end ? "/////w==" : "", at: 1.7e12 + i, ...(end ? { end: "done" } : {}) };
 }
--- a/measure/scale.ts
+++ b/measure/scale.ts
@@ -143,7 +143,7 @@
     openJobs: fleet.plan.jobs.length,
     finishedJobs: 0,
   });
-  // The cost of the process itself, which each real worker has, is shared here by thousands of emulated workers.
+  // Each real worker is a process with the idle cost of one. Here, thousands of emulated workers share that cost in one process.
   const processCoresPerWorker = (findSlope(slopes, "worker_idle_processor").intercept * fleet.plan.workerProcesses) / 1000 / workersUp(to);
   predicted.worker_cores += processCoresPerWorker;
   const measured = {
--- a/measure/scale/metrics.ts
+++ b/measure/scale/metrics.ts
@@ -13,7 +13,7 @@
   groupAnswers: number;
 }
 
-/** Returns the metrics whose names begin with `prefix`, by their name without it and their labels. */
+/** Returns the metrics whose names begin with `prefix`. The key of each is its name without the prefix, followed by its labels. */
 function parseMetrics(text: string, prefix: string): Map<string, number> {
   const found = new Map<string, number>();
   for (const line of text.split("\n")) {
--- a/test/configuration-cluster.test.ts
+++ b/test/configuration-cluster.test.ts
@@ -25,7 +25,7 @@
   assert.deepEqual([broken, world.errors], [[], []]);
 }
 
-/** Runs until `untilS` and asserts that a team's usage never rises above the limit; if it is above at first, it may only fall. */
+/** Runs until `untilS` and asserts that a team's usage never rises above the limit; while it is still above, it may only fall. */
 async function assertNeverExceeded(cluster: Cluster, team: string, limit: number, untilS: number): Promise<void> {
   let previous = Infinity;
   for (let at = cluster.world.clock.now() / 1000; at < untilS; at += 0.1) {
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -151,8 +151,8 @@
 });
 
 test("a rental whose removal was applied with a lost answer is not requested again when a duplicate restores its first record", async () => {
-  // Guards against this failure: the controller found the removal of the record already applied and did not register the
-  // rental's name as ended. When a late duplicate restored the first record, which names no machines, the controller requested
+  // Guards against this failure: the controller found the removal of the rental's record already applied and did not
+  // register the rental's name as ended. When a late duplicate restored the first record, which names no machines, the controller requested
   // machines under that name again.
   let removedCount = 0;
   let restoredCount = 0;
--- a/test/world/calls.ts
+++ b/test/world/calls.ts
@@ -20,7 +20,7 @@
   passGapMs: 20,
 };
 
-/** Creates the layer for outgoing calls with policies for `TIMING`; `seed` makes its randomised backoff repeatable. */
+/** Creates the layer for outgoing calls, with time limits and backoff that suit `TIMING`; `seed` makes the random backoff repeatable. */
 export function callsFor(clock: Clock, seed = 1): Calls {
   return new Calls(clock, callPolicies({ timing: TIMING, writeRps: 25 }), seededRandom(seed));
 }
--- a/test/world/cluster.ts
+++ b/test/world/cluster.ts
@@ -44,7 +44,7 @@
     this.outcomes.push(this.world.submit(encodeJob(spec), spec, node));
   }
 
-  /** Writes a change of teams to the configuration; `outcome` is the new version or the error, undefined while the write is pending. */
+  /** Writes a change of teams to the configuration; `outcome` is the new configuration version or an error, undefined while pending. */
   set(change: Partial<TeamChange>): { outcome?: { version: number } | Error } {
     const request: { outcome?: { version: number } | Error } = {};
     void this.store.set({ set: [], remove: [], ...change }).then(
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -57,7 +57,7 @@
   task: boolean;
   /** Whether the new owner has started a task on the machine; the time limit for tasks of cancelled jobs does not apply to that one. */
   restarted: boolean;
-  /** Step in which the new owner claimed the partition, or null; `record` is what it has known about the machine since then. */
+  /** Step in which the new owner claimed the partition, null before that; `record` is what it has known about the machine since then. */
   claimedAt: number | null;
   record: {
     session: number;
--- a/test/world/partitions.ts
+++ b/test/world/partitions.ts
@@ -37,7 +37,7 @@
   };
 }
 
-/** Order of jobs in the queue: by urgency, without objectives, guarantees or learned run times. */
+/** Order of jobs in the queue: by urgency, without objectives, guaranteed resources of teams or learned run times. */
 export const order = queueOrder({
   mode: "urgency",
   nowWall: NOW,
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -13,7 +13,7 @@
   startsAboveLimit?: boolean;
   /** Faulty variant: an owner lowers its share below what its running tasks use. */
   ignoresUse?: boolean;
-  /** Faulty variant: a late write is applied even if the shares or the version have changed since it was sent. */
+  /** Faulty variant: a late write is applied even if the shares or the limit's version have changed since it was sent. */
   unconditional?: boolean;
   /** Faulty variant: an owner still uses quota that it tried to transfer in a write that was not answered. */
   forgetsCeded?: boolean;
@@ -34,8 +34,8 @@
   stamp: number;
   used: number[];
   /**
-   * An unanswered write of the shares: its content, the revision and version that it is conditional on, and the partition whose
-   * quota it transfers (null if it transfers none). Null if there is no such write.
+   * An unanswered write of the shares: its content, the revision and the limit's version that it is conditional on, and the partition
+   * whose quota it transfers (null if it transfers none). Null if there is no such write.
    */
   late: { shares: number[]; stamp: number; version: number; cededBy: number | null } | null;
   /** How often a partition may still get a new owner, which reads the newest version and counts the running tasks. */
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -103,7 +103,7 @@
 
 /** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
 function begin(fencing: boolean): State {
-  // While the first owner fences, an owner before it may still answer reports, and so renew leases, until its silence limit.
+  // While the first owner fences, an earlier owner may still answer reports, and so renew leases, for `SILENT_AFTER` steps.
   const leaseAge = fencing ? -SILENT_AFTER : 0;
   const owned = fencing ? { ...newView(), answeredAge: -SILENT_AFTER } : { ...newView(), fenced: true, session: true };
   return {
@@ -251,7 +251,7 @@
     return true;
   }
 
-  /** Applies a read that began `age` steps ago and found the record `found`; returns false if the controller owns nothing. */
+  /** Applies a read that began `age` steps ago and found the record `found`; returns false if the controller doesn't own the partition. */
   private read(state: State, c: Index, found: Ledger, age: number): boolean {
     const controller = state.controllers[c];
     if (controller.term === 0) return false;
