--- a/measure/configuration.ts
+++ b/measure/configuration.ts
@@ -12,14 +12,14 @@
 
 /**
  * Measures the time from the write of a configuration change until it is in force on all controllers. Real controllers and
- * a real store take a change per second, without faults and while one controller crashes. In virtual time the state service
- * is also slow, refuses one controller, or one controller is cut off from it and from its peers.
+ * a real store take a change per second, without faults and while one controller crashes. Runs in virtual time
+ * add further faults: the state service is slow or refuses one controller, or one controller is cut off from it and from its peers.
  */
 
 const TEAMS = 340;
 const CHANGE_INTERVAL_MS = 1000;
 const POLL_INTERVAL_MS = 25;
-/** Time after a change at which a controller without presence in the state service must have stopped acting as owner. */
+/** Time after a change at which a controller without a presence record in the state service must have stopped acting as owner. */
 const SILENT_AFTER_MS = 22_011;
 const IN_FORCE_TIMEOUT_MS = 60_000;
 const STATE_TIMEOUT_MS = 2000;
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -16,7 +16,7 @@
 
 const RENTAL_WRITE = "write t/m";
 
-/** Delays, repeats, or withholds the answers of transactions that controllers send to the state service; records what happened. */
+/** Delays or repeats transactions that controllers send to the state service, or withholds their answers; records what happened. */
 class StateFaults {
   /** Writes, as operation and table, that had no condition on the key that they change. */
   readonly unconditional = new Set<string>();
@@ -80,7 +80,7 @@
   return { report, last: last! };
 }
 
-/** Checks the invariants that the records must satisfy at the end, whatever happened to the transactions. */
+/** Checks the invariants that the state service's records must satisfy at the end, whatever happened to the transactions. */
 function assertConsistentRecords({ replica, settings }: RehearsedController): void {
   for (const { name, cpus_max } of settings.platform.deployment.teams) {
     const { cpus } = replica.get<QuotaShareRecord>(keys.quotaShare(name))!.v;
@@ -151,8 +151,8 @@
 });
 
 test("a rental whose removal was applied with a lost answer is not requested again when a duplicate restores its first record", async () => {
-  // Guards against this failure: the controller found the removal of the record already applied and did not register the
-  // rental's name as ended. When a late duplicate restored the first record, which names no machines, the controller requested
+  // Guards against this failure: the controller found the removal of the rental's record already applied and did not
+  // register the rental's name as ended. When a late duplicate restored the first record, which names no machines, the controller requested
   // machines under that name again.
   let removedCount = 0;
   let restoredCount = 0;
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -57,7 +57,7 @@
   task: boolean;
   /** Whether the new owner has started a task on the machine; the time limit for tasks of cancelled jobs does not apply to that one. */
   restarted: boolean;
-  /** Step in which the new owner claimed the partition, or null; `record` is what it has known about the machine since then. */
+  /** Step in which the new owner claimed the partition, null before that; `record` is what it has known about the machine since then. */
   claimedAt: number | null;
   record: {
     session: number;
@@ -190,7 +190,7 @@
         const newer = receive(reportOf(report), now);
         recordLeaseRenewal(machine, newer, now);
         if (wrong.answerShortensWait === true && before > now) machine.answeredAt = now;
-        // The records that the new owner read for its claim include the cancellation, so it stops the task.
+        // The new owner read the job's record, which includes the cancellation, when it claimed the partition; so it stops the task.
         for (const placement of machine.placements.values()) placement.stop = { graceS: 0 };
         const orders = ordersFor(machine, "report", {
           now,
