--- a/src/exchange/bid-responder.ts
+++ b/src/exchange/bid-responder.ts
@@ -13,7 +13,7 @@
 
   /**
    * Sends a bid for the job. The bid has an infinite wait if this node does not serve the partition, the job's record
-   * is not available, or this controller has no recent proof that it still owns the partition, or sheds load.
+   * is not available, this controller has no recent proof that it still owns the partition, or it sheds load.
    */
   onBidRequest(query: BidRequest): void {
     const partition = this.dependencies.leader.partitions.get(query.part);
--- a/src/exchange/bid-selection.ts
+++ b/src/exchange/bid-selection.ts
@@ -28,7 +28,7 @@
   return tiedBids.reduce((a, b) => (b.utilization < a.utilization ? b : a));
 }
 
-/** Returns the bid with the most tasks of an array that could start now; null if none could start anywhere. */
+/** Returns the bid with the most tasks of a job array that could start now; null if none could start anywhere. */
 export function bidWithMostFreeCapacity(bids: Bid[]): Bid | null {
   return bids.reduce<Bid | null>((largest, bid) => (bid.atOnce > (largest?.atOnce ?? 0) ? bid : largest), null);
 }
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Returns whether waiting tasks at the end of an array may migrate as a slice with a record of its own, even if
+   * Returns whether waiting tasks at the end of a job array may migrate as a slice with a record of its own, even if
    * tasks before them have started here.
    */
   private isSliceable(taskSet: TaskSet): boolean {
--- a/src/exchange/migration.ts
+++ b/src/exchange/migration.ts
@@ -8,7 +8,10 @@
 export class Migration {
   constructor(
     private readonly dependencies: ExchangeDependencies,
-    /** Called when the migration of a slice (tasks at the end of an array) has ended, to allow another bid request for the array. */
+    /**
+     * Called when the migration of a slice (a range of an array's tasks) has ended, to allow another bid request for
+     * the array.
+     */
     private readonly allowBidRequests: (taskSet: TaskSet) => void,
   ) {}
 
@@ -38,8 +41,8 @@
   }
 
   /**
-   * Migrates up to `maxTasks` waiting tasks at the end of an array to another partition, as a slice (range of tasks)
-   * with a record of its own. Until the outcome of the transaction is known, they are queued in neither partition.
+   * Migrates up to `maxTasks` waiting tasks at the end of an array to another partition, as a slice with a record of
+   * its own. Until the outcome of the transaction is known, they are queued in neither partition.
    */
   migrateSlice(partition: Partition, taskSet: TaskSet, target: number, maxTasks: number): void {
     const endBefore = taskSet.hi;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -155,8 +155,8 @@
 const MAX_ROUNDS = 64;
 
 /**
- * Returns the allowed zone in which the fewest of the job's tasks lack capacity, with ties decided by the price of
- * the missing machines; null if no zone is possible.
+ * Returns the zone that the job already uses, otherwise the allowed zone in which the fewest of its tasks lack
+ * capacity; ties go to the lowest price per task. Null if no zone is possible.
  */
 function bestZone(
   partition: Partition,
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -7,7 +7,9 @@
 
 const LIST_PAGE = 500;
 
-/** Compares the cloud's list of machines with the records, to find machines that failed and machines that no rental record names. */
+/**
+ * Compares the cloud's list of machines with the rental records, to find machines that failed or that no record names.
+ */
 export class Reconciler {
   private readonly unregisteredSince = new Map<string, number>();
   /** The newest list of the cloud's machines that was read completely. */
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -27,8 +27,8 @@
   private readonly plans = new WeakMap<Partition, { at: number; plan: RentalPlan }>();
   private rentalCount = 0;
   /**
-   * Names of the newest rentals whose result has been recorded. They need not survive a restart: only this run of the
-   * process can write rental records under its own terms.
+   * Names of the newest rentals whose result has been recorded. They need not survive a restart: only this incarnation
+   * can write rental records under its terms.
    */
   private readonly completed = new Set<string>();
 
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -14,8 +14,8 @@
 const MAX_CHEAPNESS = 8;
 
 /**
- * Factor on the time for which a machine may idle if another partition seeks a machine of its kind; not zero, because
- * handing a machine over costs a boot.
+ * Factor on the time for which a machine may idle if another partition seeks a machine of the same offering; not zero,
+ * because handing a machine over costs a boot.
  */
 const SOUGHT_IDLE_SHARE = 0.5;
 
--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -135,7 +135,8 @@
       const presence = replica.get<PresenceRecord>(keys.presenceOf(node))?.v;
       const observation = this.observation(node);
       this.trackSuspicion(node, observation, recorded, isUnrefuted(recorded, presence), now);
-      // One suspicion is enough: nodes further from the peer in the node order wait longer, so the first usually writes it.
+      // One suspicion is enough: nodes further from the peer in the node order wait longer, so usually only the nearest
+      // one writes it.
       const distance = (own - i + settings.nodes.length) % settings.nodes.length;
       const staggered = { ...limits, suspectMs: limits.suspectMs * distance };
       const suspicion = nextSuspicion(recorded, presence, this.evidence(node), this.health(), now - observation.lastSuspectedAt, staggered);
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -31,13 +31,13 @@
 }
 
 /**
- * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A node does not count
- * as absent because a peer gets no answer from it, or because the state service refuses requests.
+ * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A node is absent only
+ * once its key has expired, not when a peer gets no answer from it or the state service refuses requests.
  *
  * A process may restart while the key of its former incarnation still exists. Nobody renews this old key, and it may
  * expire at any time, so a node counts itself as present only by a key that names its current incarnation. Writes of
- * the former incarnation may still be applied late, so each write is conditional on the key as it was read; otherwise
- * a late write could hide a healthy node.
+ * the former incarnation may still be applied late, so each write is conditional on the key's revision as it was read;
+ * otherwise a late write could hide a healthy node.
  */
 export class Presence {
   private leaseId: number | null = null;
@@ -235,7 +235,10 @@
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
   }
 
-  /** Tracks and logs whether a node is absent or back. `partitionsOf` returns the partitions that a node owns according to the records. */
+  /**
+   * Tracks and logs whether a node is absent or back. `partitionsOf` returns the partitions that a node owns according
+   * to the owner records.
+   */
   trackAbsence(node: string, partitionsOf: (node: string) => number[]): void {
     const missing = this.missingMs(node);
     if (this.isPresent(node)) {
--- a/src/membership/restart-backoff.ts
+++ b/src/membership/restart-backoff.ts
@@ -12,9 +12,9 @@
 const MAX_BACKOFF = 2;
 
 /**
- * Returns the number of consecutive early exits before this incarnation, according to the presence record of the
- * former one. An incarnation older than a lease omits `ends`. A missing record, which expired before this incarnation
- * started, counts as no early exit, and so does a record of a version without `ends`.
+ * Returns the number of consecutive early exits before this incarnation, according to the presence record of the former
+ * one. An incarnation older than a lease omits `ends`. A missing record, which expired before this incarnation started,
+ * counts as no early exit, and so does a record by a version of this program without `ends`.
  */
 export function precedingEarlyExits(former: PresenceRecord | undefined): number {
   return former?.ends === undefined ? 0 : former.ends + 1;
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -12,7 +12,7 @@
 
 /** State of this node. An unhealthy node does not trust its own observations. */
 export interface OwnHealth {
-  /** This node's presence is published and its replica of the records is recent. */
+  /** This node's presence is published and its replica of the state service is recent. */
   upToDate: boolean;
   /** This node is lagging or was stalled recently, so missing observations prove nothing. */
   lagging: boolean;
@@ -39,7 +39,10 @@
   return unlinkedMs === null && statelessMs === null ? null : Math.max(unlinkedMs ?? 0, statelessMs ?? 0);
 }
 
-/** Whether the suspicion is unrefuted. A suspicion of a former incarnation, or of a version that cannot refute it, does not count. */
+/**
+ * Whether the suspicion is unrefuted. A suspicion of a former incarnation, or of a peer whose program version cannot
+ * refute it, does not count.
+ */
 export function isUnrefuted(suspicion: SuspicionRecord | undefined, presence: PresenceRecord | undefined): boolean {
   if (suspicion === undefined || presence?.refutes === undefined) return false;
   return suspicion.life === presence.life && presence.refutes < suspicion.n;
--- a/src/partitions/audit.ts
+++ b/src/partitions/audit.ts
@@ -84,7 +84,7 @@
       this.log.debug({ ...this.attemptFields(partition, placement), state: placement.state, end, kept, proof }, "attempt gone");
   }
 
-  /** Logs that a machine is fenced (no start ordered by a former owner can take effect on it), with the proof. */
+  /** Logs that a machine is fenced, with the proof. */
   logFenced(partition: Partition, machine: Machine, proof: FenceProof): void {
     if (!this.verbose) return;
     const { host, session, token } = machine;
--- a/src/partitions/claims.ts
+++ b/src/partitions/claims.ts
@@ -3,15 +3,11 @@
 import type { Condition } from "@thorntrail/protocol/state";
 
 /**
- * Why a partition is taken from an owner that cannot continue: its presence key (kept under a lease that the owner
- * renews) is gone; it reports itself unfit to own partitions; or it did not refute a suspicion.
+ * Why a partition is taken from an owner that cannot continue: its presence key is gone; it reports itself unfit to own
+ * partitions; or it did not refute a suspicion.
  */
 export type LossReason = "owner gone" | "owner cut off" | "owner suspected";
-/**
- * Why a node claims a partition: its owner was lost (`LossReason`); it has no owner record; an earlier process of
- * this node owned it; this process ended its own term because of a worker's newer token; or it returns from another
- * healthy owner to this node, its home controller.
- */
+/** Why a node claims a partition; see `reasonToClaim`. */
 export type ClaimReason = LossReason | "unowned" | "own former life" | "own ended term" | "home again";
 
 /** What a node knows about one partition and about the presence of the other nodes when it decides on a claim. */
@@ -34,7 +30,7 @@
    * claim the partition and any other node may.
    */
   ownerOverdue: boolean;
-  /** This process has run for longer than the lifetime of a presence key. */
+  /** This process has run for longer than the lifetime of a presence key, so a node whose key is missing is absent. */
   presenceSettled: boolean;
   /** This process ended the recorded term itself because a worker reported a newer owner's token. */
   termEnded: boolean;
--- a/src/partitions/ended-terms.ts
+++ b/src/partitions/ended-terms.ts
@@ -1,6 +1,6 @@
 /**
- * Records the terms that this controller ended because a worker reported a newer token, before a read of the state
- * service showed a new owner. Also decides which workers' tokens are accepted as evidence.
+ * Records the terms that this controller ended because a worker reported a newer owner's fencing token, before a read
+ * of the state service showed a new owner. Also decides which workers' tokens are accepted as evidence.
  */
 
 /**
--- a/src/partitions/finding-effects.ts
+++ b/src/partitions/finding-effects.ts
@@ -1,6 +1,6 @@
 /**
  * Acts on findings (what a worker's report or an expired lease shows about attempts and machines): records progress,
- * keeps accounts, writes the audit log and issues follow-up orders.
+ * updates statistics, writes the audit log and issues follow-up orders.
  */
 import { taskId, type Placement, type TaskSet } from "../queue/task-set.js";
 import type { Findings } from "../workers/report-intake.js";
@@ -16,7 +16,7 @@
 const MIN_PACE_SAMPLES = 3;
 const SLOW_FACTOR = 2;
 
-/** Applies findings from reports and lease checks to the records, statistics and queues of a partition. */
+/** Applies findings from reports and lease checks to a partition's task sets and to the statistics. */
 export class FindingEffects {
   constructor(
     private readonly context: LeaderContext,
@@ -78,7 +78,10 @@
     );
   }
 
-  /** Drains a machine, to be returned once empty, if several tasks took much longer on it than such tasks are expected to. */
+  /**
+   * Drains a machine if several tasks took much longer on it than expected; it is returned to the cloud once it is
+   * empty.
+   */
   private updatePace(partition: Partition, taskSet: TaskSet, seconds: number, host: string): void {
     const machine = partition.machines.get(host);
     // A gang runs as fast as its slowest machine, so its run times say nothing about a single machine.
--- a/src/partitions/fitness.ts
+++ b/src/partitions/fitness.ts
@@ -15,7 +15,10 @@
 /** Minimum share of a node's machines that report to it for the result `most`, and maximum share for `few`. */
 const MIN_SHARE_FOR_MOST = 1 / 2;
 const MAX_SHARE_FOR_FEW = 1 / 10;
-/** Minimum number of machines from which this node may conclude that it is cut off; fewer may all have failed at the same time. */
+/**
+ * Minimum number of machines from which this node may conclude that it is cut off; fewer may all be gone at the same
+ * time.
+ */
 const MIN_MACHINES = 3;
 /**
  * Number of machines probed per round, and number of successful rounds in a row after which a cut-off node counts as
@@ -83,7 +86,7 @@
     );
   }
 
-  /** Records how many of its own machines a peer reports to reach. */
+  /** Records a peer's message that states how many of the peer's own machines report to it. */
   notePeerReport(node: string, reported: string): void {
     this.peerReports.set(node, { reachability: reported as Reachability, at: this.scope.clock.now() });
   }
--- a/src/partitions/guarantees.ts
+++ b/src/partitions/guarantees.ts
@@ -1,6 +1,6 @@
 /**
- * Team guarantees (resources that a team is promised): which jobs they cover, and which teams use less or more than
- * their guarantee over all partitions.
+ * Guaranteed resources of teams: which jobs they cover, and which teams use less or more than theirs over all
+ * partitions.
  */
 import type { JobSpec } from "@thorntrail/protocol/jobs";
 import type { Configuration } from "../configuration/configuration.js";
@@ -33,8 +33,8 @@
 }
 
 /**
- * Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. A job in
- * `granted`, the previous result, stays covered whatever is submitted later.
+ * Returns the jobs that fit into their team's guaranteed resources together with the team's earlier unfinished jobs. A
+ * job in `granted`, the previous result, stays covered whatever is submitted later.
  */
 export function grantGuarantees(jobs: Iterable<JobRecord>, teams: readonly TeamSettings[], granted: Set<string>): Set<string> {
   const byTeam = new Map<string, JobRecord[]>();
@@ -69,9 +69,9 @@
 }
 
 /**
- * Tracks which jobs lie within a guarantee and which teams exceed theirs, over all partitions. Peers report the usage of
- * their partitions periodically. A peer without a recent report counts as using nothing, so that too few tasks are
- * preempted rather than too many.
+ * Tracks which jobs lie within their team's guaranteed resources and which teams exceed theirs, over all partitions.
+ * Peers report the usage of their partitions periodically. A peer without a recent report counts as using nothing, so
+ * that too few tasks are preempted rather than too many.
  */
 export class Guarantees {
   private granted = new Set<string>();
@@ -87,7 +87,7 @@
     private readonly scope: Scope,
   ) {}
 
-  /** Starts the periodic update of the set of jobs that are covered by guarantees. */
+  /** Starts the periodic update of the set of jobs that lie within their team's guaranteed resources. */
   start(): void {
     this.scope.routine(
       "guarantees",
@@ -102,13 +102,13 @@
 
   private updateGranted(): void {
     if (this.granted.size === 0 && this.teams.every((team) => team.cpus <= 0 && team.gpus <= 0)) return;
-    // A job that waits for other jobs takes nothing of its team's guarantee.
+    // A job that waits for other jobs does not count towards its team's guaranteed resources.
     const jobs: JobRecord[] = [];
     for (const { v } of this.replica.openJobs().values()) if (!this.needs.isBlocked(v.spec.ref)) jobs.push(v);
     this.granted = grantGuarantees(jobs, this.teams, this.granted);
   }
 
-  /** Returns whether the job lies within its team's guarantee. */
+  /** Returns whether the job lies within its team's guaranteed resources. */
   isGuaranteed(ref: string): boolean {
     return this.granted.has(ref);
   }
@@ -120,10 +120,10 @@
   }
 
   /**
-   * Returns predicates that select the work to be placed before other work of its priority. If the settings have an
-   * objective for guaranteed work, these are the jobs within a guarantee (`job`), because they have to start within
-   * seconds. Otherwise it is the work of teams that use less than their guarantee (`team`), in its usual order: under
-   * full load, ordering jobs within the guarantee by arrival would start all of them and finish few.
+   * Returns predicates that select the work to be placed before other work of its priority. If the settings have a
+   * start objective for jobs within their team's guarantee, `job` selects these jobs, because they have to start within
+   * seconds. Otherwise `team` selects the work of teams that use less than their guarantee, which keeps its usual
+   * order: under full load, ordering jobs within the guarantee by arrival would start all of them and finish few.
    */
   priorityTests(own: TeamUsage[]): { job: (spec: JobSpec) => boolean; team: (spec: JobSpec) => boolean } {
     if (Number.isFinite(objectiveS(this.settings.platform, "guarantee", undefined)))
--- a/src/partitions/leader.ts
+++ b/src/partitions/leader.ts
@@ -33,8 +33,8 @@
 import { LeaseWatch } from "../partitions/lease-watch.js";
 
 /**
- * Operates the partitions that this node owns. It starts the components for record changes, workers' reports, lease
- * expiry and scheduling, and is their interface to the rest of the controller.
+ * Operates the partitions that this node owns. It starts the components that handle changes in the state service,
+ * workers' reports, lease expiry and scheduling, and is their interface to the rest of the controller.
  */
 export class Leader implements LeaderContext {
   readonly partitions = new Map<number, Partition>();
@@ -120,9 +120,10 @@
 
   /**
    * Returns whether this node must not answer workers. Without a recent read of the state service it may not know of
-   * cancellations and takeovers, and workers' leases must end within `cancel_s`, so answers stop in time. A read from
-   * before a stall in which the partition may have been lost does not count: this node would consider machines lost
-   * whose leases a new owner renews, and return them to the cloud.
+   * cancellations and takeovers. Tasks of a cancelled job must end within `cancel_s`, so this node stops renewing
+   * workers' leases early enough for them to expire by then. A read from before a stall in which the partition may have
+   * been lost does not count: this node would consider machines lost whose leases a new owner renews, and return them
+   * to the cloud.
    */
   isSilent(): boolean {
     return this.replica.ageMs() > this.settings.timing.silentAfterMs || this.replica.currentAsOf < this.stallEndedAt;
--- a/src/partitions/lease-watch.ts
+++ b/src/partitions/lease-watch.ts
@@ -1,4 +1,4 @@
-/** Time-driven checks of the owned partitions: expired leases, termination notices and the end of fencing. */
+/** Time-driven checks of the owned partitions: expired leases, preemption notices and the end of fencing. */
 import { CallError } from "@thorntrail/protocol/errors";
 import type { Machine } from "../workers/machine.js";
 import { isBrokenGang } from "../queue/task-set.js";
@@ -58,7 +58,7 @@
   /**
    * Reads the state service and checks all partitions again. Called when leases have expired by the clock, but only
    * after the newest read began, so that a new owner may have renewed them. During an outage of the state service no
-   * extra read is sent; the leases wait until the regular reads succeed.
+   * extra read is sent; the expiry stays unproven until a regular read succeeds.
    */
   private async proveAndCheck(): Promise<void> {
     const { now, provenAt, settings } = this.context;
@@ -127,8 +127,9 @@
   }
 
   /**
-   * Stops service replicas on a machine that drains or has notice of its end, and, while there is still time to save, the
-   * tasks that can save a checkpoint. Tasks that would finish before the machine ends, or that cannot save, continue.
+   * Stops service replicas on a machine that is draining or has a preemption notice. Before a preemption, while there
+   * is still time to save, also stops tasks that can save a checkpoint. Tasks that would finish before the machine
+   * ends, or that cannot save, continue.
    */
   private evacuate(partition: Partition, machine: Machine): void {
     const { reportMs } = this.context.settings.timing;
--- a/src/partitions/machine-startup.ts
+++ b/src/partitions/machine-startup.ts
@@ -7,7 +7,7 @@
 import type { LeaderContext } from "../partitions/leader-context.js";
 import type { Partition } from "../partitions/partition.js";
 
-/** Records in the rental records which machines are up; a machine receives work only after it is recorded as up. */
+/** Marks machines as up in their rental records; a machine receives work only after that. */
 export class MachineStartup {
   /** Keys of rental records that are being written. */
   private readonly pending = new Set<string>();
--- a/src/partitions/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -16,7 +16,10 @@
 import type { Progress } from "../partitions/progress.js";
 import type { LeaseWatch } from "../partitions/lease-watch.js";
 
-/** Takes over and gives up partitions as their owner records change, and reconciles their machines and task sets with the records. */
+/**
+ * Takes over and gives up partitions as their owner records change, and reconciles their machines and task sets with
+ * the rental, job and slice records.
+ */
 export class OwnedPartitions {
   /** Takeovers in progress, as partition/term. */
   private readonly takingOver = new Set<string>();
@@ -35,7 +38,7 @@
     private readonly leaseWatch: LeaseWatch,
   ) {}
 
-  /** Subscribes to changes of records, rentals and job dependencies. */
+  /** Subscribes to changes in the state service, of the rental index and of job dependencies. */
   start(): void {
     this.context.scope.listen(this.replica.changes$, (key) => this.onChange(key));
     this.context.scope.listen(this.rentals.changes$, (host) => this.reconcileMachine(host));
@@ -77,10 +80,10 @@
   }
 
   /**
-   * Ends the partition's term because a worker reported a newer owner's token. Whatever the record was at the last read,
-   * that owner may have restarted any task, also on other machines of the partition, so nothing more is ordered, answered
-   * or concluded under this term. If the record still names this node, `Ownership` claims it again under another term.
-   * Returns false, and changes nothing, if tokens of this worker are not accepted as evidence.
+   * Ends the partition's term because a worker reported a newer owner's token. Whichever owner record was read last,
+   * the newer owner may have restarted any task, also on other machines of the partition, so nothing more is ordered,
+   * answered or concluded under this term. If the owner record still names this node, `Ownership` claims it again under
+   * another term. Returns false, and changes nothing, if tokens of this worker are not accepted as evidence.
    */
   endSupersededTerm(partition: Partition, seen: NewerToken): boolean {
     if (this.context.partitions.get(partition.id) !== partition) return true;
@@ -97,9 +100,9 @@
   }
 
   /**
-   * Takes the partition over after a fresh read of the state service. All writes of the former owner precede this node's
-   * claim in the ledger, but the local replica may lag behind the claim, and a machine or job missing from it would be
-   * neither fenced nor counted.
+   * Takes the partition over after a fresh read of the state service. The state service applied all writes of the
+   * former owner before this node's claim, but the local replica may lag behind the claim; a machine missing from it
+   * would not be fenced, and a job missing from it would not be queued.
    */
   private async takeOverAfterRead(id: number, term: number): Promise<void> {
     const claim = `${id}/${term}`;
@@ -119,7 +122,7 @@
     if (stillOwner && !this.context.partitions.has(id) && !this.endedTerms.hasEnded(id, term)) this.takeOver(id, term);
   }
 
-  /** Builds the partition from the records and begins to fence its machines. */
+  /** Builds the partition from the rental, job and slice records and begins to fence its machines. */
   private takeOver(id: number, term: number): void {
     const partition = newPartition(id, term, this.context.now);
     this.context.partitions.set(id, partition);
@@ -198,7 +201,7 @@
     // The job waits for other jobs to be done first; `needs.ready$` emits its reference when the last of them is
     // done.
     if (this.needs.isBlocked(ref) || this.needs.outcome(ref) !== undefined) return;
-    // The slices (ranges of tasks) of a large array may be recorded before the job itself.
+    // The slice records of a large array may be written before the job record.
     if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
       this.slicesReconciled.add(ref);
       this.reconcileSlices(ref);
--- a/src/partitions/progress.ts
+++ b/src/partitions/progress.ts
@@ -25,8 +25,8 @@
   ) {}
 
   /**
-   * Records the finished tasks of a task set. A complete task set is recorded at once. Partial progress only guards
-   * against the loss of this node, and workers keep their results until they are cleared, so it is recorded once per
+   * Records the finished tasks of a task set. A complete task set is recorded at once. Partial progress is needed only
+   * if this node is lost, and workers keep results until they are ordered to discard them, so it is recorded once per
    * lease: a write for every few tasks would crowd out submissions.
    */
   record(partition: Partition, taskSet: TaskSet): void {
--- a/src/partitions/quota-shares.ts
+++ b/src/partitions/quota-shares.ts
@@ -36,7 +36,7 @@
  * what is unused, so that the total usage never exceeds the limit, whichever nodes are cut off from each other.
  */
 export class QuotaShares {
-  /** Quota being transferred to other partitions whose transaction has no definite outcome yet, by partition and team. */
+  /** Quota that transactions without a definite outcome transfer to other partitions, by giving partition and team. */
   private readonly transferring = new Map<string, Usage>();
   /** Partitions and teams whose share is being adjusted. */
   private readonly adjusting = new Set<string>();
@@ -113,7 +113,7 @@
     return this.configuration.teams;
   }
 
-  /** Returns how much of the team's limit the partition may use, without what is being transferred away. */
+  /** Returns how much of the team's limit the partition may use, less what is being transferred to other partitions. */
   grantedShare(partition: number, team: string): Usage {
     const record = this.replica.get<QuotaShareRecord>(keys.quotaShare(team))?.v;
     const share = this.startableShare(quotaShareOf(record, partition), record, team);
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Ends a recovery whose fencing is over once one of these holds: no task set that arrived before the end of fencing
-   * is waiting, a task has started, or the shortest boot time has passed since.
+   * Ends a recovery after its fencing, once one of these holds: no task set that arrived before the end of fencing
+   * still waits, a task has started, or the shortest boot time has passed since the end of fencing.
    */
   checkCompletion(partition: Partition): void {
     const span = this.openSpan(partition);
--- a/src/partitions/report-handler.ts
+++ b/src/partitions/report-handler.ts
@@ -85,7 +85,10 @@
     });
   }
 
-  /** Returns whether the worker may discard the task: a finished one only after its result is durable. */
+  /**
+   * Returns whether the worker may be ordered to discard the exited attempt; a finished one only after its result is
+   * durable.
+   */
   private isClearable(task: ReportedTask): boolean {
     return task.cause !== "done" || this.progress.isRecordedDone(task.taskId);
   }
@@ -104,8 +107,8 @@
   }
 
   /**
-   * Handles a worker's report whose token is above the partition's term. The rest of the report is ignored, as a
-   * newer owner may have stopped, cleared and restarted tasks.
+   * Handles a worker's report whose token is above the partition's term. The rest of the report is ignored, as a newer
+   * owner may have had tasks stopped, discarded and restarted.
    */
   private handleNewerToken(partition: Partition, { host, token }: Report, seenIn: NewerToken["seenIn"]): void {
     if (this.context.endSupersededTerm(partition, { host, token, seenIn })) return;
--- a/src/partitions/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -18,7 +18,7 @@
 const MAX_YIELD_LEASES = 100;
 
 /**
- * Wait after which an array starts its first task whatever its size, as a multiple of the worker lease: two minutes
+ * Wait after which a job array starts its first task whatever its size, as a multiple of the worker lease: two minutes
  * at the usual lease, half of the wait that users expect.
  */
 const ARRAY_START_LEASES = 6;
--- a/src/queue/estimate.ts
+++ b/src/queue/estimate.ts
@@ -110,12 +110,12 @@
 }
 
 /**
- * Simulates the queue: machines free up as running tasks are expected to end, and booting ones count from when they
- * should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given), Infinity if the
- * partition cannot hold it. Only the first `MAX_QUEUE` jobs up to the last requested one are simulated, and others
- * have no entry in the result. The simulation ends once all requested waits are known. Both limits keep estimates
- * cheap during a burst of submissions. `atOnce` receives, for each task set that has to wait, the number of tasks for
- * which there is free capacity now.
+ * Simulates the queue: running tasks release capacity when they are expected to end, and booting machines count from
+ * the time at which they should be up. Returns the wait in ms of each requested task set (`wanted`; all if not given),
+ * Infinity if the partition cannot hold it. Of the jobs up to the last requested one, only the first `MAX_QUEUE` are
+ * simulated; others have no entry in the result. The simulation ends once all requested waits are known. Both limits
+ * keep estimates cheap during a burst of submissions. `atOnce` receives, for each task set that has to wait, the number
+ * of tasks for which there is free capacity now.
  */
 export function estimateWaits(
   partition: Partition,
@@ -188,8 +188,8 @@
     for (const shape of shapes.values()) shape.update(simulated.index);
   };
   /**
-   * Places as many tasks of the entry as possible, or all or none of a gang's, and returns whether all are placed.
-   * `only` holds the machines whose capacity has changed.
+   * Places as many tasks of the entry as possible on the machines in `only`, whose free capacity may have changed, and
+   * returns whether all are placed. A gang is placed as a whole or not at all, whatever `only` holds.
    */
   const placeEntry = (entry: QueueEntry, at: number, only: Iterable<SimulatedMachine>): boolean => {
     const { shape } = entry;
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -6,7 +6,7 @@
 import { isAllowed, fits, occupy, placeTasks, type CandidateMachine } from "./placement.js";
 import { failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
-/** Chooses the tasks to stop for waiting work of higher priority or within a guarantee. */
+/** Chooses the tasks to stop for waiting work of higher priority or within its team's guaranteed resources. */
 
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
@@ -114,16 +114,16 @@
 
 /**
  * Time that the exchange (the search for other partitions) has to find capacity for a waiting job before tasks are
- * stopped for it, as a fraction of `phi`.
+ * stopped for it, as a fraction of `phi`, the expected wait from which the exchange searches.
  */
 export const PREEMPT_AFTER_PHI = 0.2;
 
 /**
  * Chooses tasks on one machine to stop for a job, or returns null if that does not free enough capacity. Only tasks
- * that `mayStop` allows are chosen; never a gang's, since all of it would stop. The order is lowest priority first,
- * then the latest effective arrival, since the tasks that arrived last are the likeliest to be beyond their team's
- * guarantee and the farthest from completion, then the least work lost. Tasks that can save their progress and have
- * just started come after others of their priority.
+ * that `mayStop` allows are chosen; never tasks of a gang, since stopping one stops all of it. The order is lowest
+ * priority first, then the latest effective arrival, since the tasks that arrived last are the likeliest to be beyond
+ * their team's guarantee and the farthest from completion, then the least work lost. Tasks that can save their progress
+ * and have just started come after others of their priority.
  */
 function victimsOn(
   candidate: CandidateMachine,
@@ -175,7 +175,7 @@
 }
 
 /**
- * Chooses the tasks to stop so that waiting work of higher priority, or work within a guarantee, can start. Does
+ * Chooses the tasks to stop so that waiting work of higher priority, or within its team's guarantee, can start. Does
  * nothing unless the partition is serving.
  */
 export function choosePreemptions(partition: Partition, context: PreemptionContext): Placement[] {
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -28,7 +28,7 @@
    */
   effectiveArrival: (taskSet: TaskSet) => number;
   /**
-   * Maximum number of the task set's tasks that may start in one cycle; 1 for an array that comes first only so that
+   * Maximum number of the task set's tasks that may start in one cycle; 1 for a job array that comes first only so that
    * its first task starts.
    */
   maxStarts: (taskSet: TaskSet) => number;
@@ -45,16 +45,16 @@
   expectedRunS: (taskSet: TaskSet) => number;
   /** Maximum delay in seconds by which a job is moved back in the queue because of its size, if its class has no completion objective. */
   maxSizeDelayS: number;
-  /** Time in seconds after its submission at which an array of which no task has begun starts its first one. */
+  /** Time in seconds after its submission at which a job array of which no task has begun starts its first one. */
   firstTaskAfterS: number;
   /**
-   * True for work within its team's guarantee that should start within seconds for that reason: it does not wait for
-   * other teams.
+   * True for work within its team's guarantee that should start within seconds for that reason. It precedes other work
+   * of its priority.
    */
   withinGuarantee: (taskSet: TaskSet) => boolean;
   /**
-   * True for work of a team that uses less than its guarantee, or of a class that is the least served of its
-   * priority. Such work precedes other work of its priority, in its usual order.
+   * True for work of a team that uses less than its guarantee, or of an underserved class (`underservedClasses`). Such
+   * work precedes other work of its priority, in its usual order.
    */
   underserved: (taskSet: TaskSet) => boolean;
 }
@@ -69,9 +69,9 @@
 const PRECEDENCE_MS = 1e9;
 
 /**
- * True for an array that should start its first task now. An array that is delayed for its size may wait behind all
- * smaller ones for longer than a user's working day. So after `firstTaskAfterS` it starts one task, which takes
- * almost no capacity from the others; its other tasks keep their position.
+ * True for a job array that should start its first task now. An array that is delayed for its size may wait behind all
+ * smaller ones for longer than a user's working day. So after `firstTaskAfterS` it starts one task, which takes almost
+ * no capacity from the others; its other tasks keep their position.
  */
 function startsFirstTaskNow(taskSet: TaskSet, { mode, nowWall, firstTaskAfterS: beginS }: OrderContext): boolean {
   const begun = taskSet.started || taskSet.done.count > 0 || taskSet.lo > 0;
@@ -89,15 +89,15 @@
 
 /**
  * Creates the queue order: first come, first served within a priority. In mode `aims`, a large job of a class with a
- * completion objective counts as having arrived later, so that several small ones meet the objective instead. The
- * delay grows with the expected time for its waiting tasks but stays below the objective. A job that has missed its
- * start objective is delayed further, by the length of that objective, in favour of jobs that can still meet it. A
- * job that can no longer be done in time is delayed further by the length of the completion objective. All delays are
- * bounded, so nothing waits forever.
+ * completion objective counts as having arrived later, so that several small ones meet the objective instead. The delay
+ * grows with the expected time for its waiting tasks, less for each further one, and stays below the objective. A job
+ * that has missed its start objective is delayed further, by the length of that objective, in favour of jobs that can
+ * still meet it. A job that can no longer be done in time is delayed further by the length of the completion objective.
+ * All delays are bounded, so nothing waits forever.
  *
- * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more
- * work than capacity, first come, first served begins everything and finishes little, and a half-done array is of no
- * use to anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
+ * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more work
+ * than capacity, first come, first served begins everything and finishes little, and a half-done array is of no use to
+ * anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
  */
 export function queueOrder(context: OrderContext): QueueOrder {
   return {
@@ -115,9 +115,9 @@
 }
 
 /**
- * Delay in seconds by which a job counts as having arrived later than it did. Work without a completion objective
- * that urgent work depends on gets no delay: all jobs that one urgent job depends on should be finished together,
- * rather than the small ones that many urgent jobs depend on.
+ * Delay in seconds by which a job counts as having arrived later than it did. Work without a completion objective that
+ * urgent work depends on gets no delay: all jobs that one urgent job depends on should be finished together, whereas a
+ * delay by size would favour the small ones among the dependencies of many urgent jobs.
  */
 function arrivalDelayS(taskSet: TaskSet, context: OrderContext): number {
   const within = context.finishObjectiveS(taskSet.spec.klass);
--- a/src/queue/scheduling-cycle.ts
+++ b/src/queue/scheduling-cycle.ts
@@ -60,9 +60,9 @@
 }
 
 /**
- * True if some task of the task set may start now: tasks wait; the task set has not ended and is neither migrating
- * nor backing off after a failure; it does not fail repeatedly with its single allowed task already placed; and, if
- * it is a gang, no former attempt may still be on a machine.
+ * True if some task of the task set may start now: tasks wait; the task set has not ended and is neither migrating nor
+ * backing off after a failure; if it fails repeatedly, the one task that it may run at a time is not placed yet; and,
+ * if it is a gang, no former attempt may still be on a machine.
  */
 export function isReady(taskSet: TaskSet, now: number): boolean {
   if (taskSet.ended || taskSet.migrating || taskSet.waiting.length === 0 || taskSet.notBefore > now || startableTasks(taskSet) === 0)
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -20,8 +20,8 @@
   timesReliable: boolean;
   /**
    * State of a start order sent in a direct command, not in the answer to a report. `unresolved`: the command got no
-   * answer, so it may still arrive as long as the worker's session lasts. Such an attempt is never cleared, because a
-   * late start order would start it again.
+   * answer, so it may still arrive as long as the worker's session lasts. The worker is never ordered to discard such
+   * an attempt (`clear`), because a late start order would then start it again.
    */
   directStart: "none" | "flying" | "unresolved" | "answered";
   stop: { graceS: number } | null;
@@ -52,8 +52,8 @@
   arrivedAt: number;
   migrated: boolean;
   /**
-   * The exchange (the search for better partitions) has decided at least once that the task set, or its tasks other
-   * than a migrated slice, stay here.
+   * The exchange (the search for better partitions) has decided at least once that the task set, or what remains of it
+   * after a slice has migrated, stays here.
    */
   migrationConsidered: boolean;
   /** A transaction that moves the task set to another partition is in progress: its tasks must not be started. */
--- a/src/workers/lease.ts
+++ b/src/workers/lease.ts
@@ -2,11 +2,11 @@
 import type { Machine } from "./machine.js";
 
 /**
- * Updates the latest time at which the machine's lease may have been renewed, after a report has been answered. A
- * lease is counted from the time at which a report was sent, so the answer to an outdated report extends the lease no
- * further than from the receipt of the newest report: the outdated one was sent before that. A machine that has not
- * reported this owner's term has perhaps received none of this owner's answers and continues under the former owner,
- * whose last answer may reach it much later; a report from such a machine therefore never moves the time back.
+ * Updates the latest time at which the machine's lease may have been renewed, after a report has been answered. A lease
+ * is counted from the time at which a report was sent. An outdated report was sent before the newest one was received,
+ * so the answer to it renews the lease from that time at the latest. A machine that has not reported this owner's term
+ * may have received none of this owner's answers, and the former owner's last answer may reach it much later; a report
+ * from such a machine therefore never moves the time back.
  */
 export function recordLeaseRenewal(machine: Machine, isNewReport: boolean, now: number): void {
   const renewedAt = isNewReport ? now : machine.lastReceivedAt;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -11,9 +11,9 @@
 }
 
 /**
- * A machine of a partition, as recorded by the partition's owner. `placements` holds every attempt that is or may be
- * on the machine. Exited attempts stay in `exited` until a report no longer lists them, which is after the worker has
- * executed a `clear` order. Times are in ms of the controller's monotonic clock.
+ * A machine of a partition, as recorded by the partition's owner. `placements` holds every attempt that is or may be on
+ * the machine. Exited attempts stay in `exited` until a report no longer lists them, which is after the worker has
+ * executed the order to discard them (`clear`). Times are in ms of the controller's monotonic clock.
  */
 export interface Machine {
   host: string;
@@ -57,17 +57,14 @@
    */
   unresolvedStarts: Set<string>;
   commandInFlight: boolean;
-  /**
-   * Number of consecutive direct commands (sent by the owner, not in answer to a report) that failed; `nextCommandAt`
-   * is when the next one may be sent.
-   */
+  /** Number of consecutive direct commands that failed; `nextCommandAt` is when the next one may be sent. */
   failedCommands: number;
   /** Why the last direct command failed; null if it succeeded. */
   lastCommandError: string | null;
   nextCommandAt: number;
   /**
-   * Sum and number of the logarithms of actual divided by expected run time, over the array tasks completed on this
-   * machine; used to detect slow machines.
+   * Sum and number of the logarithms of actual divided by expected run time, over the tasks of job arrays that were
+   * completed on this machine; used to detect slow machines.
    */
   runTimeRatios: { sum: number; count: number };
   /** Resources that `placements` use, updated with each attempt that is added or removed. */
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,4 +1,6 @@
-/** Builds the start, stop and clear orders for a machine, for answers to reports and for direct commands. */
+/**
+ * Builds the orders for a machine, to start, stop or discard attempts, for answers to reports and for direct commands.
+ */
 import type { Order, ReportedTask } from "@thorntrail/protocol/worker";
 import { taskId, type Placement } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
@@ -40,8 +42,8 @@
 }
 
 /**
- * Returns the orders for one machine: starts and stops first, then clears. `channel` is how they will be sent: in the
- * answer to a report or in a direct command.
+ * Returns the orders for one machine: starts and stops first, then `clear` orders. `channel` is how they will be sent:
+ * in the answer to a report or in a direct command.
  */
 export function ordersFor(machine: Machine, channel: "report" | "direct", context: WorkerOrderContext): Order[] {
   const { isClearable, max } = context;
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -150,8 +150,8 @@
     case "no_room":
       machine.avoidUntil = Math.max(machine.avoidUntil, now + timing.coolMs);
       break;
-    // `busy` means that the machine has another attempt at the task. The same report lists that attempt, so it is in
-    // the registry.
+    // `busy` means that the machine has another attempt at the task. The same report lists that attempt, so it is
+    // registered and prevents another start.
     case "busy":
     case "no_such":
       taskSet.failures++;
@@ -207,8 +207,8 @@
 
 /**
  * Marks a task as completed although its attempt is not registered: a former owner ordered the attempt and stopped
- * before recording the result. This is repeated for each report that lists the attempt: its job may be queued here
- * only after the first one, and the task must not start again.
+ * before recording the result. This is done for each report that lists the attempt, because the job may be queued here
+ * only after the first of them and the task must not start again.
  */
 function recordUnorderedCompletion(partition: Partition, { taskId }: ReportedTask, findings: Findings): void {
   const { ref, task: number } = parseTaskId(taskId);
@@ -299,7 +299,7 @@
   for (const [key, placement] of [...machine.placements]) {
     if (listed.has(key)) continue;
     if (placement.state !== null) {
-      // An attempt that was reported and is no longer listed in the same session has been removed by a `clear` order.
+      // An attempt that was reported and is no longer listed in the same session was discarded by a `clear` order.
       dropAttempt(dropContext, key, placement, unlistedEnd);
       continue;
     }
