--- a/src/exchange/migration.ts
+++ b/src/exchange/migration.ts
@@ -4,7 +4,7 @@
 import { waitingTailLength, type TaskSet } from "../queue/task-set.js";
 import type { ExchangeDependencies } from "./dependencies.js";
 
-/** Migrates jobs, and slices of arrays, to other partitions. */
+/** Migrates jobs, and slices of job arrays, to other partitions. */
 export class Migration {
   constructor(
     private readonly dependencies: ExchangeDependencies,
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -8,7 +8,10 @@
   hosts: ReadonlySet<string>;
 }
 
-/** Maximum staleness of the cloud's list of machines, as a multiple of `list_lag_s` in the settings (PROTOCOL). */
+/**
+ * Maximum staleness of the cloud's list of machines, as a multiple of `list_lag_s` in the settings, as stated in
+ * PROTOCOL.
+ */
 const MAX_LIST_LAGS = 2;
 /**
  * Margin, in report intervals, on the age from which a machine should be listed: the age is derived from the time of
--- a/src/fleet/offering-availability.ts
+++ b/src/fleet/offering-availability.ts
@@ -3,8 +3,8 @@
 import { offeringKey } from "./plan.js";
 
 /**
- * Time in report intervals for which a machine offering counts as sought after a peer's message that the cloud
- * refused it. A peer that still needs the offering sends another message within this time.
+ * Number of report intervals for which a peer counts as seeking a machine offering, after its message that the cloud
+ * refused the offering. A peer that still needs the offering sends another message within this time.
  */
 const SOUGHT_REPORTS = 3;
 
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -150,7 +150,9 @@
 }
 
 const NO_EXCLUSIONS: ReadonlyMap<string, number> = new Map();
-/** Maximum number of machines in one rental call (PROTOCOL), so a plan never contains more of one offering. */
+/**
+ * Maximum number of machines in one rental call, as stated in PROTOCOL, so a plan never contains more of one offering.
+ */
 export const MAX_RENTAL_COUNT = 50;
 const MAX_ROUNDS = 64;
 
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -43,7 +43,7 @@
 
   /**
    * Extends the grace time of unregistered machines (those that no rental record names) by the length of a stall of
-   * this process, which may have missed records written meanwhile.
+   * this process, which may have missed rental records written meanwhile.
    */
   onStall(ms: number): void {
     for (const [host, since] of this.unregisteredSince) this.unregisteredSince.set(host, since + ms);
--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -43,8 +43,8 @@
  * Failure detector in two steps. A peer is suspected if its connection is closed and cannot be opened again, or if it
  * reports that it cannot reach the state service. A suspicion is a record in the state service. A peer that still
  * reaches the service refutes it in its own presence record, whatever the evidence was. Only a suspicion that stays
- * unrefuted while the evidence persists makes the peer count as gone. The detector decides who claims partitions,
- * never what may be placed: a claim begins a new term with the usual fencing.
+ * unrefuted while the evidence persists makes the peer count as gone. The detector influences which node claims a
+ * partition, never whether a task may be placed: a claim begins a new term with the usual fencing.
  */
 export class FailureDetector {
   private readonly observations = new Map<string, PeerObservation>();
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -60,7 +60,7 @@
   /** Starts the routine that renews the presence key four times per lease. */
   start(): void {
     const { scope, replica, settings } = this.dependencies;
-    // The former incarnation's key can only be evaluated once all records are loaded.
+    // The former incarnation's key can only be evaluated once the state service's records are loaded.
     scope.listen(replica.changes$, (key) => {
       if (key === "" && this.earlyExits === null) void this.renew();
       else if (key === keys.configuration) void this.renew();
@@ -209,8 +209,8 @@
   }
 
   /**
-   * Whether this process has run for longer than a lease, so that a node that has been absent since then counts as
-   * gone.
+   * Whether this process has run for longer than the presence lease, so that a node that has been absent all that time
+   * counts as gone.
    */
   isSettled(): boolean {
     return this.ageMs() > this.dependencies.settings.timing.presenceMs;
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Called after this process stalled for `ms`: absences of nodes count as that much shorter, since records missed
-   * meanwhile prove nothing about other nodes.
+   * Called after this process stalled for `ms`: absences of nodes count as that much shorter, since presence records
+   * missed meanwhile prove nothing about other nodes.
    */
   onStall(ms: number): void {
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -54,9 +54,9 @@
 }
 
 /**
- * Returns the suspicion to write, or null. `sinceMs` is the time since the peer's suspicion record last changed. A
- * peer whose connections are refused for a long time refutes every suspicion; the pauses between suspicions grow, so
- * that they cost a bounded number of writes.
+ * Returns the suspicion to write, or null. `sinceMs` is the time since the peer's suspicion record last changed. A peer
+ * whose connections are refused for a long time refutes every suspicion; the pauses between suspicions grow, so that
+ * they cost few writes.
  */
 export function nextSuspicion(
   recorded: SuspicionRecord | undefined,
--- a/src/partitions/leader.ts
+++ b/src/partitions/leader.ts
@@ -248,7 +248,7 @@
     this.scheduler.requestCycle();
   }
 
-  /** Returns the order of the queues, which depends on the classes' current shares and on the team guarantees. */
+  /** Returns the order of the queues, which depends on the underserved job classes and on the teams' guarantees. */
   queueOrder(): QueueOrder {
     return this.scheduler.queueOrder();
   }
--- a/src/partitions/quota-shares.ts
+++ b/src/partitions/quota-shares.ts
@@ -1,4 +1,6 @@
-/** The partitions' shares of the team limits: their records, adjustments and transfers. */
+/**
+ * The partitions' shares of each team's resource limits: the quota records, their adjustment and transfers of quota.
+ */
 import type { Configuration } from "../configuration/configuration.js";
 import { adjustedShares, startsAllowed, type Limit } from "../configuration/quota-shares.js";
 import type { GroupCommitter } from "../ledger/group-committer.js";
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -14,7 +14,10 @@
   fencedMs: number | null;
   placedMs: number | null;
   backMs: number | null;
-  /** Host of the machine that was found unfenced last, for which the placement of tasks had to wait. */
+  /**
+   * Host of the machine that was found unfenced last, for which the placement of tasks had to wait; null if there was
+   * none or fencing has not ended.
+   */
   waitedFor: string | null;
 }
 
--- a/src/partitions/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -66,7 +66,7 @@
     return gapMs * this.overload.cycleGapFactor(gapMs);
   }
 
-  /** Returns the order of the queues, which depends on the classes' current shares and on the team guarantees. */
+  /** Returns the order of the queues, which depends on the underserved job classes and on the teams' guarantees. */
   queueOrder(): QueueOrder {
     const { platform } = this.context.settings;
     const priority = this.guarantees.priorityTests(this.usageByTeam());
--- a/src/queue/attempts.ts
+++ b/src/queue/attempts.ts
@@ -11,9 +11,9 @@
 
 /**
  * Registry of every attempt that may exist on a machine of one partition, from its start order until it is proven gone.
- * It includes attempts adopted from reports, superseded attempts and attempts of unknown jobs. It alone decides whether
- * a task may start: a task set records only its current attempts, and a machine only the attempts on itself. It is
- * updated as attempts come and go on machines, each time at constant cost.
+ * It includes attempts adopted from reports, superseded attempts and attempts of unknown jobs. It is the only basis for
+ * deciding whether a task may start: a task set records only its current attempts, and a machine only the attempts on
+ * itself. It is updated as attempts come and go on machines, each time at constant cost.
  */
 export class AttemptRegistry<A extends Attempt> {
   /** Attempts by job reference, then by task number. */
--- a/src/queue/placement.ts
+++ b/src/queue/placement.ts
@@ -119,8 +119,8 @@
     while (chosen.length < count) {
       const candidate = pickCandidate(spec, candidates, { zone, zoneCapacity, avoid });
       if (candidate === null) break;
-      // The fullest machine stays the fullest as it fills up, so it is filled in one step: looking at every machine
-      // for every task would cost tasks times machines.
+      // The fullest machine stays the fullest as it fills up, so it is filled in one step: looking at every machine for
+      // every task would take time proportional to tasks times machines.
       const name = candidate.machine.zone;
       const n = Math.max(1, Math.min(count - chosen.length, copiesThatFit(spec, candidate.free), zoneCapacity(name)));
       for (let i = 0; i < n; i++) {
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -11,7 +11,9 @@
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
   guaranteed: (taskSet: TaskSet) => boolean;
-  /** How long work within a guarantee waits for capacity to become free by itself before it preempts, in ms. */
+  /**
+   * How long work within its team's guarantee waits for capacity to become free by itself before it preempts, in ms.
+   */
   claimAfterMs: number;
   /** Resources that each team uses beyond its guarantee, over all partitions. */
   excess: Map<string, Usage>;
@@ -38,7 +40,9 @@
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
-/** A task that is stopped within this time after its start, in seconds, has done no useful work (PROTOCOL). */
+/**
+ * A task that is stopped within this time after its start, in seconds, has done no useful work, as stated in PROTOCOL.
+ */
 const MIN_USEFUL_RUN_S = 30;
 
 /** Returns 1 for a task that can save its progress and has just started, so that it is stopped last among its priority; otherwise 0. */
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -96,8 +96,8 @@
  * All delays are bounded, so nothing waits forever.
  *
  * Jobs of classes without a completion objective are delayed according to their remaining work. When there is more work
- * than capacity, first come, first served begins everything and finishes little, and a half-done array is of no use to
- * anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
+ * than capacity, first come, first served begins everything and finishes little, and a half-done job array is of no use
+ * to anyone. Jobs with few remaining tasks come first, so that begun jobs are finished.
  */
 export function queueOrder(context: OrderContext): QueueOrder {
   return {
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -30,7 +30,8 @@
 }
 
 /**
- * The tasks of one job, or of one slice of an array, in one partition. Partitions own, queue and migrate task sets.
+ * The tasks of one job, or of one slice (a range of an array's tasks), in one partition. Partitions own, queue and
+ * migrate task sets.
  */
 export interface TaskSet {
   key: string;
@@ -133,7 +134,10 @@
   if (at >= 0) taskSet.waiting.splice(at, 1);
 }
 
-/** Detaches an attempt that provably no longer exists and is already removed from the registry, and requeues its task. */
+/**
+ * Detaches an attempt that provably no longer exists and is already removed from the attempt registry, and requeues its
+ * task.
+ */
 export function releasePlacement(taskSet: TaskSet, placement: Placement): void {
   if (taskSet.placements.get(placement.task) === placement) taskSet.placements.delete(placement.task);
   requeue(taskSet, placement.task);
@@ -201,7 +205,7 @@
   return taskSet.placements.size > 0 ? 0 : 1;
 }
 
-/** Truncates the task set after its tasks from `hi` on have become a slice (a range of an array's tasks) of their own. */
+/** Truncates the task set after its tasks from `hi` on have become a slice of their own. */
 export function truncate(taskSet: TaskSet, hi: number): void {
   taskSet.hi = hi;
   for (const task of [...taskSet.lastGone.keys()]) if (task >= hi - taskSet.lo) taskSet.lastGone.delete(task);
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Removes the failures of a job from the records of the machines on which it failed, so that they no longer count
- * against these machines.
+ * Removes the failures of a job from the failure counts of the machines on which it failed, so that they no longer
+ * count against these machines.
  */
 export function clearFailures(partition: Partition, taskSet: TaskSet): void {
   for (const host of taskSet.failedOn.keys()) {
--- a/src/workers/lease.ts
+++ b/src/workers/lease.ts
@@ -1,4 +1,4 @@
-/** Tracks the latest time until which a worker's lease may last, as far as the partition's owner can prove. */
+/** Tracks the latest time until which a worker's lease may last, and decides whether it has provably expired. */
 import type { Machine } from "./machine.js";
 
 /**
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,4 +1,4 @@
-/** The owner's record of a machine: capacity, session, lease, attempts and usage. */
+/** The owner's in-memory state of a machine: capacity, session, lease, attempts and usage. */
 import type { ReportedTask } from "@thorntrail/protocol/worker";
 import { AttemptRegistry } from "../queue/attempts.js";
 import type { Placement } from "../queue/task-set.js";
@@ -11,7 +11,7 @@
 }
 
 /**
- * A machine of a partition, as recorded by the partition's owner. `placements` holds every attempt that is or may be on
+ * A machine of a partition, as known to the partition's owner. `placements` holds every attempt that is or may be on
  * the machine. Exited attempts stay in `exited` until a report no longer lists them, which is after the worker has
  * executed the order to discard them (`clear`). Times are in ms of the controller's monotonic clock.
  */
@@ -77,8 +77,8 @@
 
 /**
  * Proof that no start ordered by a former owner can take effect on a machine. `token`: the worker reported the owner's
- * token. `lease`: the machine's lease has expired, whichever owner renewed it. `unused`: according to its record the
- * machine was never up, so no owner placed work on it. `deleted`: the cloud confirmed that the machine was deleted.
+ * token. `lease`: the machine's lease has expired, whichever owner renewed it. `unused`: according to its rental record
+ * the machine was never up, so no owner placed work on it. `deleted`: the cloud confirmed that the machine was deleted.
  */
 export type FenceProof = "token" | "lease" | "unused" | "deleted";
 
@@ -93,7 +93,7 @@
   return `${taskId}#${attempt}`;
 }
 
-/** Creates the record of a machine that is not known to be up and has no attempts. */
+/** Creates the state of a machine that is not known to be up and has no attempts. */
 export function newMachine(host: string, type: string, zone: string, spot: boolean, capacity: Capacity, rentedAt: number): Machine {
   return {
     host,
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -5,7 +5,7 @@
 import { taskId, type Placement } from "../queue/task-set.js";
 import type { Machine } from "./machine.js";
 
-/** Inputs that determine the orders for a machine besides its own record. */
+/** Inputs that determine the orders for a machine besides the state of the machine itself. */
 export interface WorkerOrderContext {
   now: number;
   leaseMs: number;
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -1,4 +1,6 @@
-/** Updates the owner's records of its machines and attempts from workers' reports. It makes no scheduling decisions. */
+/**
+ * Updates the owner's in-memory state of machines and attempts from workers' reports. It makes no scheduling decisions.
+ */
 import type { Report, ReportedTask } from "@thorntrail/protocol/worker";
 import { findTaskSet, type Partition } from "../partitions/partition.js";
 import { taskNumber } from "../queue/attempts.js";
