--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -7,7 +7,9 @@
 
 const LIST_PAGE = 500;
 
-/** Compares the cloud's list of machines with the records, to find machines that failed and machines that no rental record names. */
+/**
+ * Compares the cloud's list of machines with the rental records, to find machines that failed or that no record names.
+ */
 export class Reconciler {
   private readonly unregisteredSince = new Map<string, number>();
   /** The newest list of the cloud's machines that was read completely. */
@@ -41,7 +43,7 @@
 
   /**
    * Extends the grace time of unregistered machines (those that no rental record names) by the length of a stall of
-   * this process, which may have missed records written meanwhile.
+   * this process, which may have missed rental records written meanwhile.
    */
   onStall(ms: number): void {
     for (const [host, since] of this.unregisteredSince) this.unregisteredSince.set(host, since + ms);
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -31,13 +31,13 @@
 }
 
 /**
- * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A node does not count
- * as absent because a peer gets no answer from it, or because the state service refuses requests.
+ * Presence of the nodes: each has a key under a lease that expires unless the node renews it. A node is absent only
+ * once its key has expired, not when a peer gets no answer from it or the state service refuses requests.
  *
  * A process may restart while the key of its former incarnation still exists. Nobody renews this old key, and it may
  * expire at any time, so a node counts itself as present only by a key that names its current incarnation. Writes of
- * the former incarnation may still be applied late, so each write is conditional on the key as it was read; otherwise
- * a late write could hide a healthy node.
+ * the former incarnation may still be applied late, so each write is conditional on the key's revision as it was read;
+ * otherwise a late write could hide a healthy node.
  */
 export class Presence {
   private leaseId: number | null = null;
@@ -60,7 +60,7 @@
   /** Starts the routine that renews the presence key four times per lease. */
   start(): void {
     const { scope, replica, settings } = this.dependencies;
-    // The former incarnation's key can only be evaluated once all records are loaded.
+    // The former incarnation's key can only be evaluated once the state service's records are loaded.
     scope.listen(replica.changes$, (key) => {
       if (key === "" && this.earlyExits === null) void this.renew();
       else if (key === keys.configuration) void this.renew();
@@ -209,8 +209,8 @@
   }
 
   /**
-   * Whether this process has run for longer than a lease, so that a node that has been absent since then counts as
-   * gone.
+   * Whether this process has run for longer than the presence lease, so that a node that has been absent all that time
+   * counts as gone.
    */
   isSettled(): boolean {
     return this.ageMs() > this.dependencies.settings.timing.presenceMs;
@@ -228,14 +228,17 @@
   }
 
   /**
-   * Called after this process stalled for `ms`: absences of nodes count as that much shorter, since records missed
-   * meanwhile prove nothing about other nodes.
+   * Called after this process stalled for `ms`: absences of nodes count as that much shorter, since presence records
+   * missed meanwhile prove nothing about other nodes.
    */
   onStall(ms: number): void {
     for (const [node, since] of this.missingSince) this.missingSince.set(node, since + ms);
   }
 
-  /** Tracks and logs whether a node is absent or back. `partitionsOf` returns the partitions that a node owns according to the records. */
+  /**
+   * Tracks and logs whether a node is absent or back. `partitionsOf` returns the partitions that a node owns according
+   * to the owner records.
+   */
   trackAbsence(node: string, partitionsOf: (node: string) => number[]): void {
     const missing = this.missingMs(node);
     if (this.isPresent(node)) {
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -14,7 +14,10 @@
   fencedMs: number | null;
   placedMs: number | null;
   backMs: number | null;
-  /** Host of the machine that was found unfenced last, for which the placement of tasks had to wait. */
+  /**
+   * Host of the machine that was found unfenced last, for which the placement of tasks had to wait; null if there was
+   * none or fencing has not ended.
+   */
   waitedFor: string | null;
 }
 
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Ends a recovery whose fencing is over once one of these holds: no task set that arrived before the end of fencing
-   * is waiting, a task has started, or the shortest boot time has passed since.
+   * Ends a recovery after its fencing, once one of these holds: no task set that arrived before the end of fencing
+   * still waits, a task has started, or the shortest boot time has passed since the end of fencing.
    */
   checkCompletion(partition: Partition): void {
     const span = this.openSpan(partition);
--- a/src/partitions/scheduler.ts
+++ b/src/partitions/scheduler.ts
@@ -18,7 +18,7 @@
 const MAX_YIELD_LEASES = 100;
 
 /**
- * Wait after which an array starts its first task whatever its size, as a multiple of the worker lease: two minutes
+ * Wait after which a job array starts its first task whatever its size, as a multiple of the worker lease: two minutes
  * at the usual lease, half of the wait that users expect.
  */
 const ARRAY_START_LEASES = 6;
@@ -66,7 +66,7 @@
     return gapMs * this.overload.cycleGapFactor(gapMs);
   }
 
-  /** Returns the order of the queues, which depends on the classes' current shares and on the team guarantees. */
+  /** Returns the order of the queues, which depends on the underserved job classes and on the teams' guarantees. */
   queueOrder(): QueueOrder {
     const { platform } = this.context.settings;
     const priority = this.guarantees.priorityTests(this.usageByTeam());
--- a/src/queue/preempt.ts
+++ b/src/queue/preempt.ts
@@ -6,12 +6,14 @@
 import { isAllowed, fits, occupy, placeTasks, type CandidateMachine } from "./placement.js";
 import { failsRepeatedly, type Placement, type TaskSet } from "./task-set.js";
 
-/** Chooses the tasks to stop for waiting work of higher priority or within a guarantee. */
+/** Chooses the tasks to stop for waiting work of higher priority or within its team's guaranteed resources. */
 
 /** Inputs for the choice of tasks to preempt. */
 export interface PreemptionContext extends SchedulingContext {
   guaranteed: (taskSet: TaskSet) => boolean;
-  /** How long work within a guarantee waits for capacity to become free by itself before it preempts, in ms. */
+  /**
+   * How long work within its team's guarantee waits for capacity to become free by itself before it preempts, in ms.
+   */
   claimAfterMs: number;
   /** Resources that each team uses beyond its guarantee, over all partitions. */
   excess: Map<string, Usage>;
@@ -38,7 +40,9 @@
   return expectS(taskSet) / (1 + taskSet.waiting.length);
 }
 
-/** A task that is stopped within this time after its start, in seconds, has done no useful work (PROTOCOL). */
+/**
+ * A task that is stopped within this time after its start, in seconds, has done no useful work, as stated in PROTOCOL.
+ */
 const MIN_USEFUL_RUN_S = 30;
 
 /** Returns 1 for a task that can save its progress and has just started, so that it is stopped last among its priority; otherwise 0. */
@@ -114,16 +118,16 @@
 
 /**
  * Time that the exchange (the search for other partitions) has to find capacity for a waiting job before tasks are
- * stopped for it, as a fraction of `phi`.
+ * stopped for it, as a fraction of `phi`, the expected wait from which the exchange searches.
  */
 export const PREEMPT_AFTER_PHI = 0.2;
 
 /**
  * Chooses tasks on one machine to stop for a job, or returns null if that does not free enough capacity. Only tasks
- * that `mayStop` allows are chosen; never a gang's, since all of it would stop. The order is lowest priority first,
- * then the latest effective arrival, since the tasks that arrived last are the likeliest to be beyond their team's
- * guarantee and the farthest from completion, then the least work lost. Tasks that can save their progress and have
- * just started come after others of their priority.
+ * that `mayStop` allows are chosen; never tasks of a gang, since stopping one stops all of it. The order is lowest
+ * priority first, then the latest effective arrival, since the tasks that arrived last are the likeliest to be beyond
+ * their team's guarantee and the farthest from completion, then the least work lost. Tasks that can save their progress
+ * and have just started come after others of their priority.
  */
 function victimsOn(
   candidate: CandidateMachine,
@@ -175,7 +179,7 @@
 }
 
 /**
- * Chooses the tasks to stop so that waiting work of higher priority, or work within a guarantee, can start. Does
+ * Chooses the tasks to stop so that waiting work of higher priority, or within its team's guarantee, can start. Does
  * nothing unless the partition is serving.
  */
 export function choosePreemptions(partition: Partition, context: PreemptionContext): Placement[] {
