--- a/packages/emulator/src/endpoint-selector.ts
+++ b/packages/emulator/src/endpoint-selector.ts
@@ -28,7 +28,7 @@
   return ((hash ^ (hash >>> 13)) >>> 0) / 2 ** 32;
 }
 
-/** Whether the name is that of a machine in the sample. */
+/** Whether the name is that of a machine and its hash lies within the bounds of the sample. */
 export function isInSample({ least, most }: MachineSample, name: string): boolean {
   const position = hashToUnitInterval(name);
   return isMachine(name) && position >= least && position < most;
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -42,7 +42,7 @@
     ms: z.number().min(1).max(60_000),
     ...withDuration,
   }),
-  /** The service executes the given number of the controller's requests, but their responses are lost. */
+  /** The service `by` executes `count` requests of the controller, but their responses are lost. */
   z.strictObject({
     kind: z.literal("drop"),
     target: controllerTarget,
@@ -50,7 +50,7 @@
     what: z.string().default("*"),
     count: count.default(1),
   }),
-  /** The service executes the given number of the controller's requests `ms` late and sends no responses. */
+  /** The service `by` executes `count` requests of the controller `ms` late and sends no responses. */
   z.strictObject({
     kind: z.literal("late"),
     target: controllerTarget,
@@ -67,9 +67,9 @@
     count: count.default(1),
   }),
   /**
-   * The service executes the given number of the controller's requests and returns a wrong response to each. `form` says
-   * which: a truncated one, a list older than the previous one, a list with deleted machines, the response to another
-   * request, or an error 500.
+   * The service `by` executes `count` requests of the controller and returns a wrong response to each. `form` says which:
+   * a truncated one, a list older than the previous one, a list with deleted machines, the response to another request, or
+   * an error 500.
    */
   z.strictObject({
     kind: z.literal("wrong"),
@@ -232,7 +232,10 @@
 
 /** The simulated users, as far as faults control them. */
 export interface SimulatedUserControl {
-  /** Enables a behaviour of the users for `ms` milliseconds; returns the controllers to which they send the requests. */
+  /**
+   * For `ms` milliseconds, the users show the behaviour with probability `share` on each occasion. Returns the
+   * controllers to which they send their requests.
+   */
   enableBehaviour(behaviour: UserBehaviour, share: number, ms: number): string[];
   /**
    * Cancels the given number of running jobs with the longest remaining run time. Returns them and the machines they
--- a/packages/emulator/src/network-rules.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -5,8 +5,18 @@
  */
 import { matchesEndpoint, type EndpointSelector } from "./endpoint-selector.js";
 
-/** The ways in which a response can be wrong; the fault `wrong` describes them. */
-export type WrongResponseForm = "cut-short" | "older" | "ghost" | "other" | "error-after";
+/** How a response is wrong. A response that cannot be wrong in the given way is truncated instead. */
+export type WrongResponseForm =
+  /** Truncated. */
+  | "cut-short"
+  /** A list of machines that is much older than usual. */
+  | "older"
+  /** A list of machines that includes deleted ones. */
+  | "ghost"
+  /** The response to another request, which is an empty list of machines. */
+  | "other"
+  /** The error 500, although the request was executed. */
+  | "error-after";
 
 /** The effect of a network rule on the calls that it matches. */
 export type RuleEffect =
@@ -103,8 +113,8 @@
   }
 
   /**
-   * Whether a cut applies to the call. Used for messages that cannot be held and are lost, such as the response to a caller
-   * that has given up.
+   * Whether a cut applies to the call. Used for messages that a cut drops instead of holding, such as messages between
+   * controllers and responses of services.
    */
   isCut(call: NetworkCall): boolean {
     return this.find(call, ({ kind }) => kind === "cut") !== undefined;
--- a/packages/emulator/src/random-plans.ts
+++ b/packages/emulator/src/random-plans.ts
@@ -218,7 +218,10 @@
   return faults.map(([later, raw]) => ({ at: at + later, fault: parseFault(raw) }));
 }
 
-/** Seconds after the start of a run by which machines are up and the first work runs. */
+/**
+ * Seconds after the start of a run by which machines are up and the first work runs. Generated faults begin after that,
+ * or after half of a soak run that is shorter than twice this time.
+ */
 const WARMUP_S = 12;
 
 function parseFault(raw: Record<string, unknown>): TimedFault["fault"] {
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -1,20 +1,20 @@
 /** Measures how fast partitions recover after the loss of their owner, from log lines of the controllers. */
 
-/** The recovery of one partition after its owner was lost. The steps are in ms since the loss; null if a step was not reached. */
+/** The recovery of one partition after its owner was lost. Times are in ms since the loss; null if a step was not reached. */
 export interface Recovery {
   part: number;
   reason: string;
   lostAt: number;
-  /** A peer first logged that the lost controller is silent or suspected. */
+  /** Time until a peer first logged that the lost controller is silent or suspected. */
   detected: number | null;
-  /** Another controller took over the partition. */
+  /** Time until another controller took over the partition. */
   claimed: number | null;
-  /** Fencing ended: all machines of the partition were accounted for. */
+  /** Time until fencing ended: all machines of the partition were accounted for. */
   fenced: number | null;
-  /** The new owner saw the first task start. */
+  /** Time in ms from the loss until the new owner saw the first task start; null if it saw none during the recovery. */
   placed: number | null;
   /**
-   * The recovery ended. Once fencing is complete, any one of three things ends it: no task that arrived before the end of
+   * Time until the recovery ended. Once fencing is complete, any one of three things ends it: no task that arrived before the end of
    * fencing is waiting, a task has started, or the shortest boot time of a machine has passed since.
    */
   back: number | null;
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -41,7 +41,10 @@
   jobs: { submitted: number; accepted: number; done: number; withdrawn: number; unfinished: string[] };
   /** Descriptions of the broken rules. */
   broken: string[];
-  /** Number of task starts after a user's confirmation that the job is cancelled, including those within the time limit for it. */
+  /**
+   * Number of task starts after a user received confirmation that the job is cancelled, including starts within the time
+   * limit for a cancellation.
+   */
   started_cancelled: number;
   faults: FaultOccurrence[];
   takeovers: number;
--- a/packages/emulator/src/soak.ts
+++ b/packages/emulator/src/soak.ts
@@ -1,6 +1,7 @@
 /**
- * Soak runs: for one seed after the other, faults of all kinds hit real processes at random times, and the events that workers and
- * users observe are checked against the rules. The logs and the history of a run that breaks a rule or logs an error are kept.
+ * Soak runs: for each of several seeds in turn, faults of all kinds hit real processes at times that depend on the seed, and the
+ * events that workers and users observe are checked against the rules. The logs and the history of a run that breaks a rule or
+ * logs an error are kept.
  */
 import { spawn, type ChildProcess } from "node:child_process";
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -563,7 +563,10 @@
     this.dispatch();
   }
 
-  /** Makes ready and waiting tasks wait for inputs that were lost. One scan of the tasks covers all objects that were lost together. */
+  /**
+   * Tasks that are ready or waiting now wait for those of their inputs that were lost. One scan of the tasks covers all
+   * objects that were lost together.
+   */
   private markInputsMissing(lost: ReadonlySet<GraphObject>): void {
     for (const task of this.tasks.values()) {
       if (task.phase !== Phase.Ready && task.phase !== Phase.Waiting) continue;
@@ -604,8 +607,8 @@
   }
 
   /**
-   * Returns the executor with the largest input of the task among the executors that have capacity. If none of them holds
-   * an input, returns the first one with capacity in the pool's order, or null if there is none.
+   * Returns the executor with the largest input of the task among those checked that have capacity. If none holds an
+   * input, returns what `ExecutorPool.pick` finds: the first one with capacity in the pool's order, or null.
    */
   private chooseExecutor(task: Task): Executor | null {
     const { cpus, fn } = task.spec;
--- a/packages/graphs/src/model.ts
+++ b/packages/graphs/src/model.ts
@@ -46,7 +46,7 @@
   recall(executor: string, lease: number): void;
   /** Stops a cancelled task. */
   stop(executor: string, lease: number): void;
-  /** Deletes the executor's copies of objects. */
+  /** Deletes the executor's copies of these objects, which are no longer used. */
   drop(executor: string, objects: readonly string[]): void;
   /** Reports the final outcome of a task; called once per task. */
   final(client: string, key: string, final: TaskOutcome): void;
@@ -158,7 +158,7 @@
   leasedTasks: Map<number, Task>;
   /** Time at which all its leased tasks are expected to have ended, in ms of the monotonic clock. */
   idleAtMs: number;
-  /** Key by which the pool sorts its executors; the one with the lowest key receives the next task. */
+  /** Key by which the pool sorts its executors; the one with the lowest key is tried first. */
   orderKey: number;
   /** Objects of which the executor holds a copy. */
   objects: Set<GraphObject>;
--- a/src/exchange/exchange.ts
+++ b/src/exchange/exchange.ts
@@ -42,8 +42,9 @@
   private pendingRequest: PendingBidRequest | null = null;
   private lastRequestId: number;
   /**
-   * Counters for metrics: jobs kept in their partition, jobs moved to volunteers, jobs moved to other partitions,
-   * slices moved, and bid requests.
+   * Counters for metrics. `home`: jobs kept in their partition; `volunteer`: jobs moved to a partition that had announced
+   * free capacity; `asked`: jobs moved to a partition that had not, but was asked for a bid; `slices`: slices moved;
+   * `queries`: bid requests.
    */
   readonly stats = { home: 0, volunteer: 0, asked: 0, slices: 0, queries: 0 };
 
@@ -60,7 +61,10 @@
     return estimateContext(this.dependencies);
   }
 
-  /** Handles messages of other controllers and starts the periodic search for better partitions. */
+  /**
+   * Registers the handlers for messages of other controllers and starts the periodic search for partitions in which
+   * waiting jobs would start sooner.
+   */
   start(): void {
     const { peers, scope, settings } = this.dependencies;
     scope.listen(peers.incoming$, ({ message }) => {
--- a/src/fleet/listing.ts
+++ b/src/fleet/listing.ts
@@ -21,8 +21,9 @@
 
 /**
  * Whether an unresponsive machine is missing from a list that should contain it. Lists are stale and may be wrong, so
- * the list must contain every machine of the partition that has reported the owner's term and is old enough to be
- * listed, and there must be at least one. A missing entry is a reason to delete the machine, but only the deletion
+ * the list must contain every machine of the partition that has reported the owner's term, is old enough to be listed
+ * and is neither lost nor being deleted, and there must be at least one such machine. A machine that is itself of this
+ * kind therefore never counts as missing. A missing entry is a reason to delete the machine, but only the deletion
  * proves that it is gone.
  */
 export function missingFromListing(list: Listing, partition: Partition, machine: Machine, settings: Settings): boolean {
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -158,7 +158,8 @@
 
 /**
  * Returns the zone that the job already uses, otherwise the allowed zone in which the fewest of its tasks lack
- * capacity; ties go to the lowest price per task. Null if no zone is possible.
+ * capacity; ties go to the lowest price per task of the machines that would have to be rented. Null if no zone is
+ * possible.
  */
 function bestZone(
   partition: Partition,
--- a/src/fleet/renting.ts
+++ b/src/fleet/renting.ts
@@ -110,7 +110,7 @@
     return bootWaitS <= Math.min(...objectivesS) / 2 ? bootWaitS * 1000 : 0;
   }
 
-  /** Records a rental under a new name, then executes it. */
+  /** Records a rental in the state service under a name that was never used before, then requests it from the cloud. */
   private async beginRental(partition: Partition, offering: MachineOffering, count: number): Promise<void> {
     const name = `${partition.id}.${partition.term}.${++this.rentalCount}`;
     const value: RentalRecord = {
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -84,7 +84,7 @@
 
   /**
    * Records the job. Records of a large job that do not fit into one transaction with the
-   * job's own record are written in earlier ones: slices (ranges of an array's tasks) and lists of
+   * job's own record are written in earlier ones: slices (ranges of a job's tasks) and lists of
    * needed jobs have no effect until the job's own record exists. Those left by an earlier
    * attempt to submit the job are kept.
    */
@@ -143,7 +143,7 @@
     );
   }
 
-  /** Number of tasks in the job's first slice (a range of an array's tasks), which is stored in the job's own record. A gang is one slice. */
+  /** Number of tasks in the job's first slice (a range of a job's tasks), which is stored in the job's own record. A gang is one slice. */
   private firstSliceTasks(spec: JobSpec): number {
     return spec.kind === "gang" ? spec.tasks : Math.min(sliceCapacity(this.deps.settings.state.valueKb), spec.tasks);
   }
@@ -160,7 +160,7 @@
     return { inline, name, lists };
   }
 
-  /** Records that may be written before the job's own: lists of needed jobs, and all slices (ranges of an array's tasks) but the first. */
+  /** Records that may be written before the job's own: lists of needed jobs, and all slices (ranges of a job's tasks) but the first. */
   private secondaryRows(spec: JobSpec, partition: number): Map<string, unknown> {
     const rows = new Map<string, unknown>();
     const { name, lists } = this.splitNeeds(spec);
--- a/src/ledger/records.ts
+++ b/src/ledger/records.ts
@@ -37,7 +37,7 @@
 }
 
 /**
- * Finished tasks of a slice (a range of an array's tasks): `done` is a bit map; `packed` adds all tasks before `from`, and a bit
+ * Finished tasks of a slice (a range of a job's tasks): `done` is a bit map; `packed` adds all tasks before `from`, and a bit
  * map that begins at `from`.
  */
 interface TaskProgress {
@@ -58,7 +58,7 @@
   moved?: boolean;
 }
 
-/** A slice (a range of an array's tasks) other than the first: tasks `lo` to `hi` (exclusive). */
+/** A slice (a range of a job's tasks) other than the first: tasks `lo` to `hi` (exclusive). */
 export interface SliceRecord extends PartitionAssignment, TaskProgress {
   ref: string;
   lo: number;
@@ -198,7 +198,7 @@
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** Returns the tasks that are recorded as done in a slice (a range of an array's tasks) of `size` tasks. */
+/** Returns the tasks that are recorded as done in a slice (a range of a job's tasks) of `size` tasks. */
 export function doneTasks({ done, packed }: TaskProgress, size: number): Bits {
   const bits = Bits.decode(size, done);
   if (packed !== undefined) {
--- a/src/ledger/state-replica.ts
+++ b/src/ledger/state-replica.ts
@@ -31,7 +31,7 @@
   readonly changes$ = new Subject<string>();
   private readonly tables = new Map<string, Map<string, Entry<unknown>>>();
   /**
-   * Keys of slices (ranges of an array's tasks) by job. A job's slices are looked up for every finished task, and a scan would
+   * Keys of slices (ranges of a job's tasks) by job. A job's slices are looked up for every finished task, and a scan would
    * visit the thousands of slices of all jobs.
    */
   private readonly slicesByJob = new Map<string, Set<string>>();
@@ -236,7 +236,7 @@
     if (sliceKeys?.size === 0) this.slicesByJob.delete(ref);
   }
 
-  /** All slices (ranges of an array's tasks) of a job except the first, which is in the job's own record. */
+  /** All slices (ranges of a job's tasks) of a job except the first, which is in the job's own record. */
   slicesOf(ref: string): [string, Entry<SliceRecord>][] {
     const table = this.rows<SliceRecord>(keys.slices);
     return [...(this.slicesByJob.get(ref) ?? [])].map((key) => [key, table.get(key)!]);
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -18,7 +18,7 @@
   state: StateApi;
   replica: StateReplica;
   rate: TokenBucket;
-  /** Provides the backoff before a failed renewal of the presence key is repeated. */
+  /** Used only for its backoff: the pause before a failed renewal of the presence key is repeated. */
   calls: Caller;
   scope: Scope;
   /** Whether this node cannot reach its workers and so should not own partitions. */
--- a/src/partitions/finding-effects.ts
+++ b/src/partitions/finding-effects.ts
@@ -16,7 +16,10 @@
 const MIN_PACE_SAMPLES = 3;
 const SLOW_FACTOR = 2;
 
-/** Applies findings from reports and lease checks to a partition's task sets and to the statistics. */
+/**
+ * Applies findings from reports and lease checks to the job and slice records, the statistics, and the machines and task
+ * sets of a partition.
+ */
 export class FindingEffects {
   constructor(
     private readonly context: LeaderContext,
--- a/src/partitions/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -23,7 +23,7 @@
 export class OwnedPartitions {
   /** Takeovers in progress, as partition/term. */
   private readonly takingOver = new Set<string>();
-  /** Jobs split into slices (ranges of an array's tasks) whose slice records have been applied to the owned partitions. */
+  /** Jobs split into slices (ranges of a job's tasks) whose slice records have been applied to the owned partitions. */
   private readonly slicesReconciled = new Set<string>();
   readonly endedTerms = new EndedTerms();
 
@@ -102,7 +102,7 @@
   /**
    * Takes the partition over after a fresh read of the state service. The state service applied all writes of the
    * former owner before this node's claim, but the local replica may lag behind the claim; a machine missing from it
-   * would not be fenced, and a job missing from it would not be queued.
+   * would be neither fenced nor counted, and a job missing from it would be neither queued nor counted.
    */
   private async takeOverAfterRead(id: number, term: number): Promise<void> {
     const claim = `${id}/${term}`;
--- a/src/partitions/progress.ts
+++ b/src/partitions/progress.ts
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Returns whether all slices (ranges of an array's tasks) after the first are recorded as done. */
+  /** Returns whether all slices (ranges of a job's tasks) after the first are recorded as done. */
   private allSlicesDone(ref: string): boolean {
     const spec = this.replica.get<JobRecord>(keys.job(ref))!.v;
     if (spec.hi >= spec.spec.tasks) return true;
--- a/src/partitions/recovery.ts
+++ b/src/partitions/recovery.ts
@@ -15,8 +15,8 @@
   placedMs: number | null;
   backMs: number | null;
   /**
-   * Host of the machine that was found unfenced last, for which the placement of tasks had to wait; null if there was
-   * none or fencing has not ended.
+   * Host of the machine whose fencing finished last, so that the placement of tasks had to wait for it; null if no
+   * machine was found unfenced or fencing has not ended.
    */
   waitedFor: string | null;
 }
@@ -68,7 +68,7 @@
     return span?.term === partition.term ? span : undefined;
   }
 
-  /** Records the end of fencing; `last` is the host of the last machine found unfenced, null if there was none. */
+  /** Records the end of fencing; `last` is the host of the machine whose fencing finished last, null if none was unfenced. */
   recordFenced(partition: Partition, last: string | null): void {
     const span = this.openSpan(partition);
     if (span === undefined || span.fencedMs !== null) return;
--- a/src/queue/queue-order.ts
+++ b/src/queue/queue-order.ts
@@ -45,7 +45,7 @@
   expectedRunS: (taskSet: TaskSet) => number;
   /** Maximum delay in seconds by which a job is moved back in the queue because of its size, if its class has no completion objective. */
   maxSizeDelayS: number;
-  /** Time in seconds after its submission at which a job array of which no task has begun starts its first one. */
+  /** Seconds after its submission from which a job array without a started task is first in its priority, to start one task. */
   firstTaskAfterS: number;
   /**
    * True for work within its team's guarantee that should start within seconds for that reason. It precedes other work
--- a/src/queue/task-set.ts
+++ b/src/queue/task-set.ts
@@ -30,7 +30,7 @@
 }
 
 /**
- * The tasks of one job, or of one slice (a range of an array's tasks), in one partition. Partitions own, queue and
+ * The tasks of one job, or of one slice (a range of a job's tasks), in one partition. Partitions own, queue and
  * migrate task sets.
  */
 export interface TaskSet {
--- a/src/workers/report-intake.ts
+++ b/src/workers/report-intake.ts
@@ -79,7 +79,7 @@
 interface ProvenEnd {
   proof: TerminationProof;
   end: AttemptEnd;
-  /** The attempt's progress was saved. */
+  /** Whether the attempt saved its progress before it ended; absent means no. */
   kept?: boolean;
 }
 
--- a/test/compound-faults.test.ts
+++ b/test/compound-faults.test.ts
@@ -188,8 +188,9 @@
     { verb: "start", taskId, attempt },
     { verb: "stop", taskId, attempt, graceS: 0 },
   ]);
-  // The start is not ordered again by a direct command, which could be delayed as well. Nor is it ordered again once so much time
-  // has passed that the job may have been cancelled for longer than the time limit allows.
+  // The start order that got no reply is not repeated in a direct command, which could be delayed as well. Nor is it repeated in
+  // the answer to a report once it is a lease (18 s) old: the job may have been cancelled meanwhile, and the time limit after
+  // which no task of a cancelled job may start (`cancel_s`) may have passed.
   assert.deepEqual(ordersFor(machine, "direct", orders), []);
   assert.deepEqual(ordersFor(machine, "report", { ...orders, now: placement.orderedAt + 18_000 }), []);
   receiveReport(2);
--- a/test/scheduling-complexity.test.ts
+++ b/test/scheduling-complexity.test.ts
@@ -110,8 +110,8 @@
     excess: new Map(),
   };
   const waits = estimateWaits(partition, context);
-  // No report has shown the ten placed tasks running yet, so they are expected to end after a full run time of 60 s, and those that
-  // start then after another 60 s.
+  // No report has shown the ten placed tasks running yet, so they are expected to end after a full run time of 60 s, and the
+  // tasks that start then are expected to end after another 60 s.
   assert.equal(waits.get(gang.key), 60_000);
   assert.equal(waits.get(array.key), 120_000);
   assert.equal(waits.get(large.key), Infinity);
--- a/test/world/lease-model.ts
+++ b/test/world/lease-model.ts
@@ -34,7 +34,10 @@
   answerStopsNothing?: boolean;
   /** Faulty variant: a worker's new session, learnt from its reply to a command, does not count as a lease renewal. */
   sessionIsNoLease?: boolean;
-  /** Faulty variant: the new owner counts leases from its claim, although the former owner may still renew them after that. */
+  /**
+   * Faulty variant: the new owner assumes that leases run out one lease duration after its claim; it does not wait until the
+   * former owner has certainly stopped renewing them.
+   */
   skipsSilenceWait?: boolean;
 }
 
--- a/test/world/quota-model.ts
+++ b/test/world/quota-model.ts
@@ -22,7 +22,7 @@
 }
 
 const PARTITIONS = 2;
-/** The team's limit in each version. */
+/** The team's quota limit in each version of the configuration. */
 const LIMITS = [4, 2, 3] as const;
 
 interface State {
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -103,7 +103,8 @@
 
 /** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
 function begin(fencing: boolean): State {
-  // While the first owner fences, an earlier owner may still answer reports, and so renew leases, for `SILENT_AFTER` steps.
+  // If the first owner of the model is still fencing, it took over from an owner outside of the model, which may still answer
+  // reports, and so renew leases, for `SILENT_AFTER` steps.
   const leaseAge = fencing ? -SILENT_AFTER : 0;
   const owned = fencing ? { ...newView(), answeredAge: -SILENT_AFTER } : { ...newView(), fenced: true, session: true };
   return {
