--- a/packages/emulator/src/campaign.ts
+++ b/packages/emulator/src/campaign.ts
@@ -52,7 +52,7 @@
   beside: string;
 }
 
-/** Seconds after the start of a run before which no machines are up that a fault could affect. */
+/** Seconds after the start of a run from which machines are up that a fault can affect. */
 const WARMUP_S = 12;
 
 const SECOND_FAULTS = ["none", "machine lost", "restart", "answers lost", "store restarts"];
--- a/packages/emulator/src/checker.ts
+++ b/packages/emulator/src/checker.ts
@@ -286,7 +286,7 @@
     return [...free.values()];
   }
 
-  /** Whether one more task, or for a gang all missing tasks, fits into the free capacity and the team's limit. */
+  /** Whether one more task, or for a gang all missing tasks, fits into the free capacity and the team's quota limit. */
   private fits(
     spec: JobSpec,
     free: MachineUp[],
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -12,7 +12,7 @@
 /** Machine types, capacity, list lag and boot behaviour of the cloud model. */
 export interface CloudModelOptions {
   types: MachineType[];
-  /** Number of machines that exist, by `type/zone/ordinary` and `type/zone/spot`. */
+  /** Maximum number of machines that can be rented at the same time, by `type/zone/ordinary` and `type/zone/spot`. */
   capacity: Map<string, number>;
   lagMs: number;
   /** Random source. Without it, every machine boots in its nominal time, and prices and the lag of lists are constant. */
--- a/packages/emulator/src/faults.ts
+++ b/packages/emulator/src/faults.ts
@@ -24,9 +24,9 @@
   z.strictObject({ kind: z.literal("freeze"), target: controllerTarget, ...withDuration }),
   /** Kills the state service at an arbitrary point and restarts it on its data. */
   z.strictObject({ kind: z.literal("restart-store"), for: seconds.default(2) }),
-  /** The service answers every request with 503. */
+  /** The service `of` answers every request with 503. */
   z.strictObject({ kind: z.literal("outage"), of: service, ...withDuration }),
-  /** The service answers requests of one controller with 503. */
+  /** The service `by` answers requests of one controller with 503. */
   z.strictObject({ kind: z.literal("refuse"), target: controllerTarget, by: service, ...withDuration }),
   /** Holds messages between the controller and the endpoints named in `from`, and delivers them when the fault ends. */
   z.strictObject({
--- a/packages/emulator/src/real/worker-host.ts
+++ b/packages/emulator/src/real/worker-host.ts
@@ -11,7 +11,7 @@
 /** Maximum number of copies of reports kept until a controller takes over a partition; beyond it, the oldest are dropped. */
 const MAX_KEPT_REPORTS = 2000;
 
-/** Decodes a controller's answer to a report as a worker does; null if there is none or it is too long. */
+/** Decodes a controller's answer to a report as a worker does; null if there is none, it is too long or it cannot be decoded. */
 function decodeAnswer(raw: RawResponse | null): ReportAnswer | null {
   if (raw === null || raw.text.length > MAX_ANSWER_LENGTH) return null;
   const body = parseObject(raw.text);
--- a/packages/emulator/src/recovery.ts
+++ b/packages/emulator/src/recovery.ts
@@ -1,6 +1,6 @@
 /** Measures how fast partitions recover after the loss of their owner, from log lines of the controllers. */
 
-/** The recovery of one partition after its owner was lost. Times are in ms since the loss; null if a step was not reached. */
+/** The recovery of one partition after its owner was lost. Times but `lostAt` are in ms since the loss; null if a step was not reached. */
 export interface Recovery {
   part: number;
   reason: string;
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -50,7 +50,10 @@
   takeovers: number;
   recoveries: Recovery[];
   classes: ClassStatistics[];
-  /** Processes that exited on their own, and logged errors. */
+  /**
+   * Errors in the logs; in addition, processes that exited on their own (real processes) or transactions that exceeded the
+   * limits of the state service (virtual time).
+   */
   trouble: string[];
   cost: number;
   /** Reports of the emulated workers, on real processes: how many were sent, and how many of them late. */
--- a/src/exchange/migration.ts
+++ b/src/exchange/migration.ts
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Migrates up to `maxTasks` waiting tasks at the end of an array to another partition, as a slice with a record of
+   * Migrates up to `maxTasks` waiting tasks at the end of a job array to another partition, as a slice with a record of
    * its own. Until the outcome of the transaction is known, they are queued in neither partition.
    */
   migrateSlice(partition: Partition, taskSet: TaskSet, target: number, maxTasks: number): void {
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -91,7 +91,7 @@
     if (!taskSet.migrationConsidered && !taskSet.migrated && taskSet.lo === 0 && now - taskSet.arrivedAt < context.migrationGraceMs)
       continue;
     usage.set(spec.team, { cpus: used.cpus + spec.cpus * left, gpus: used.gpus + spec.gpus * left });
-    // A task that needs no more than this one has already found neither free capacity nor an offering.
+    // An earlier task that needs no more than this one found neither free capacity nor an offering.
     if (unschedulable.has(spec)) continue;
     const placeOnCandidates = (task: JobSpec, count: number): number => {
       const candidates =
@@ -194,7 +194,7 @@
   cost: number;
 }
 
-/** Returns the available offering with the lowest price per task, or null. */
+/** Returns the available offering with the lowest price per task; null if none is allowed for the job and holds one of its tasks. */
 function cheapestOffering(
   taskSet: TaskSet,
   task: JobSpec,
--- a/src/fleet/reconciling.ts
+++ b/src/fleet/reconciling.ts
@@ -12,7 +12,7 @@
  */
 export class Reconciler {
   private readonly unregisteredSince = new Map<string, number>();
-  /** The newest list of the cloud's machines that was read completely. */
+  /** The newest list of the cloud's machines that was read completely; null before the first. */
   private listing: Listing | null = null;
 
   constructor(
--- a/src/fleet/returning.ts
+++ b/src/fleet/returning.ts
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Returns why the machine should be returned, or null. */
+  /** Returns why the machine should be returned to the cloud; null if there is no reason to. */
   private returnReason(partition: Partition, machine: Machine, needed: ReadonlySet<string>, tally: Tally): string | null {
     const now = this.deps.scope.clock.now();
     const type = this.deps.leader.typeOf(machine.type);
