--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -134,7 +134,10 @@
   turn?: string | undefined;
   /** Number of child processes between which the cases or seeds are divided. */
   processes?: number | undefined;
-  /** The command that starts a child process. */
+  /**
+   * Command and leading arguments that start `thorntrail` as one of the child processes of `processes`. If absent, all cases or
+   * seeds run in this process.
+   */
   program?: string[];
 }
 
@@ -358,7 +361,10 @@
   return [match[1]!, Number(match[2])];
 }
 
-/** `thorntrail emulator serve`: starts the test environment of a plan on real processes, without its work and faults, until interrupted. */
+/**
+ * `thorntrail emulator serve`: runs the test environment of a plan with real processes until it is interrupted. The plan's jobs are
+ * not submitted and its faults are not injected.
+ */
 export async function emulatorServe(options: { plan: string; program: string[]; admin: string; seed: number | undefined }): Promise<void> {
   const plan = await loadPlan(options.plan);
   const [host, port] = parseAddress(options.admin, "--admin");
--- a/packages/emulator/src/network-rules.ts
+++ b/packages/emulator/src/network-rules.ts
@@ -20,7 +20,11 @@
 
 /** The effect of a network rule on the calls that it matches. */
 export type RuleEffect =
-  /** Messages are held and delivered in order when the rule ends; the sender gets no response. */
+  /**
+   * Messages are held and delivered in order when the rule ends; in virtual time, those between controllers are dropped instead.
+   * The sender gets no response until the rule ends. Held requests to services are never answered, nor are held reports and
+   * commands on real sockets.
+   */
   | { kind: "cut" }
   /** Requests are answered with 503 and not executed; connections between controllers are refused. */
   | { kind: "refuse" }
--- a/packages/emulator/src/plan.ts
+++ b/packages/emulator/src/plan.ts
@@ -78,7 +78,8 @@
   .loose();
 const faultSchemaWithTime = timing.transform((raw, context) => {
   const { at, moment: point, from, ...rest } = raw;
-  // A number is the earliest time for `moment`; a string is the member `from` that the fault kind `cut` has of its own.
+  // `from` has two meanings: a number is the earliest time for `moment`, in seconds; a string belongs to the fault kind `cut` and
+  // names the peers whose connection to the fault's target is cut, such as `state` or `workers`.
   const after = typeof from === "number" ? from : 0;
   if (typeof from === "string") Object.assign(rest, { from });
   if ((at === undefined) === (point === undefined)) {
--- a/packages/graphs/src/machine.ts
+++ b/packages/graphs/src/machine.ts
@@ -702,7 +702,8 @@
       if (inline === null) this.options.sink.drop(executor.name, [objectKey(object)]);
       return;
     }
-    // The object may still have another copy if its task ran again for a different output; both copies are valid.
+    // If the task ran again because another of its outputs was lost, this object may still have a copy from the earlier run. Both
+    // copies are valid.
     object.bytes = bytes;
     if (inline !== null) object.inline = inline;
     else if (!object.holders.includes(executor)) {
--- a/packages/graphs/test/journal.test.ts
+++ b/packages/graphs/test/journal.test.ts
@@ -42,7 +42,10 @@
   }
 }
 
-/** Creates a model service with small limits and the options for a journal on it. */
+/**
+ * Creates an in-memory stand-in for the state service with small transaction and value limits. Returns it with `options`, which
+ * gives the settings of a journal for the current owner, and `flush`, which writes all pending batches of a journal to it.
+ */
 function environment(now: () => number = () => 0) {
   const service = new Service({ ops: 5, bytes: 2048 });
   const options = (): JournalOptions => ({
@@ -121,7 +124,7 @@
   flush(next);
   assert.equal(service.txn(late), null);
   assert.equal(Journal.restore(options(), service.list()).outcome("c", 2), "done");
-  // A late transaction of a former owner is also rejected if the new owner has not written the same record.
+  // A late transaction of a former owner is rejected even if the new owner has not written the same record.
   next.record("c", 5 * TASKS_PER_PAGE, "done");
   const further = next.draftBatch()!;
   service.takeOver();
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -144,7 +144,7 @@
     };
   }
 
-  /** Changes the given limits at once and returns the limits in force. */
+  /** Changes the given limits immediately and returns the limits in force. */
   setLimits(limits: Partial<StoreLimits>): StoreLimits {
     this.limits = { ...this.limits, ...limits };
     this.requests = new TokenBucket(this.clock, this.limits.rps);
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Renews the lease or gets a new one. A recently extended lease is not renewed again, so that the refutation of a
-   * suspicion is not delayed. Only an extension that the service has confirmed counts as recent; otherwise a series
-   * of refutations could let the lease lapse.
+   * Renews the lease or gets a new one. A refutation of a suspicion calls this before it writes the presence record, so a
+   * recently renewed lease is not renewed again, to avoid delaying the refutation. Only a renewal that the service has
+   * confirmed counts as recent; otherwise a series of refutations could let the lease lapse.
    */
   private async extend(): Promise<void> {
     const { state, scope, settings } = this.dependencies;
--- a/src/partitions/owned-partitions.ts
+++ b/src/partitions/owned-partitions.ts
@@ -201,7 +201,8 @@
     // The job waits for other jobs to be done first; `needs.ready$` emits its reference when the last of them is
     // done.
     if (this.needs.isBlocked(ref) || this.needs.outcome(ref) !== undefined) return;
-    // The slice records of a large array may be written before the job record.
+    // The slice records of a large job array may be written before its job record, and are skipped until then. They are reconciled
+    // here, once per job, when the job record is applied.
     if (isJob && job.hi < job.spec.tasks && !this.slicesReconciled.has(ref)) {
       this.slicesReconciled.add(ref);
       this.reconcileSlices(ref);
--- a/src/queue/history.ts
+++ b/src/queue/history.ts
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Expected remaining time in seconds for which a task holds its capacity after it has run for `ranS` seconds; 0 means
-   * that it has not begun. As defined in PROTOCOL, users give an estimate of 0 for services. If that were taken for a
-   * run time, the capacity of services would appear to be about to become free: jobs would wait for it, nothing would
-   * be rented, and idle machines would be returned.
+   * Expected remaining time in seconds for which a task holds its capacity after it has run for `ranS` seconds; a `ranS`
+   * of 0 means that the task has not begun. For services it is `FOREVER_S`: as defined in PROTOCOL, users give an estimate
+   * of 0 for them. If that were taken for a run time, the capacity of services would appear to be about to become free:
+   * jobs would wait for it, nothing would be rented, and idle machines would be returned.
    */
   remainingRunS(spec: JobSpec, ranS: number): number {
     if (spec.kind === "service") return FOREVER_S;
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -78,7 +78,8 @@
     onReport: (report) => controller.leader.onReport(report),
     countResponse: (status) => metrics.countAnswer(status),
     onInvalidReport: (why, begins) => {
-      // Each worker of an unsupported version sends an invalid report every few seconds, so they are logged at most once per report interval.
+      // Each worker of an unsupported version sends an invalid report every few seconds. Only one invalid report of all workers is
+      // logged per report interval, with the number of all invalid reports so far.
       const now = scope.clock.now();
       refusals++;
       if (now - refusalLoggedAt < timing.reportMs) return;
--- a/test/compound-faults.test.ts
+++ b/test/compound-faults.test.ts
@@ -31,7 +31,10 @@
   /** Seconds from the start of the refusal to the outage of the state service for all controllers, which lasts `outS`. */
   outAfterS: number;
   outS: number;
-  /** When jobs are cancelled, in seconds after the start of the refusal, and at which controller. */
+  /**
+   * Cancellations of jobs: when, in seconds after the state service begins to refuse the owner's requests, and the controller that
+   * receives the request.
+   */
   cancels: { afterS: number; at: "nest-1" | "nest-2" | "nest-0" }[];
   /** Scenario statements of further faults of the owner, its successor and its machines after the start of the refusal. */
   beside: string[];
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -71,8 +71,9 @@
   return finished.size;
 }
 
-// First come, first served begins many jobs and finishes few: with four times the usual number of photo batches, it began half of
-// them and finished only a third. More than half of the jobs of each class have to be served.
+// First come, first served begins many jobs and finishes few: with four times the usual number of photo batch jobs, it began half
+// of these jobs and finished only a third, but more than half of the jobs of each class have to finish. Here, the order by
+// objectives (`aims`) has to finish no fewer jobs in any case, and more than 1.3 times as many over all cases.
 test("when there is more work than capacity, more jobs finish than with first come, first served", () => {
   const job = fc.oneof(
     { weight: 3, arbitrary: fc.integer({ min: 1, max: 30 }) },
--- a/test/world/two-owners-model.ts
+++ b/test/world/two-owners-model.ts
@@ -101,7 +101,10 @@
   return { term: 0, provenAge: OLD_AGE, knowsDone: false, views: [newView(), newView()] };
 }
 
-/** Initial state. `fencing`: the first owner has just claimed the partition and has not yet received reports from its machines. */
+/**
+ * Initial state. If `fencing` is true, the first owner has just claimed the partition and has not yet received reports from its
+ * machines; if false, it has fenced both machines and has a session with each.
+ */
 function begin(fencing: boolean): State {
   // If the first owner of the model is still fencing, it took over from an owner outside of the model, which may still answer
   // reports, and so renew leases, for `SILENT_AFTER` steps.
